--- a/crowwing/tier/distribution/documents.py
+++ b/crowwing/tier/distribution/documents.py
@@ -9,7 +9,7 @@
 Order = tuple[int, ...]
 
 
-@message
+@message("Document")
 @dataclass(frozen=True)
 class Document:
     """One document. Of two copies of a kind the one with the higher order is newer."""
--- a/crowwing/tier/distribution/relay.py
+++ b/crowwing/tier/distribution/relay.py
@@ -29,7 +29,7 @@
 MAX_REDIRECTS = 6
 
 
-@message
+@message("Attach")
 @dataclass(frozen=True)
 class Attach:
     """A backend asks to become a child; it tells what it holds."""
@@ -38,7 +38,7 @@
     orders: dict[str, Order]
 
 
-@message
+@message("Attached")
 @dataclass(frozen=True)
 class Attached:
     """It is a child now; `fronts` as in Beat."""
@@ -49,7 +49,7 @@
     fronts: int = 0
 
 
-@message
+@message("Redirect")
 @dataclass(frozen=True)
 class Redirect:
     """There is no room, or no connection to the root; these may have some."""
@@ -57,7 +57,7 @@
     hosts: tuple[str, ...]
 
 
-@message
+@message("Beat")
 @dataclass(frozen=True)
 class Beat:
     """The root is there: its ballot's round and a number that counts up, with what is the newest.
@@ -71,7 +71,7 @@
     fronts: int
 
 
-@message
+@message("Push")
 @dataclass(frozen=True)
 class Push:
     """A document on its way down."""
@@ -79,7 +79,7 @@
     document: Document
 
 
-@message
+@message("Shuffle")
 @dataclass(frozen=True)
 class Shuffle:
     """Two backends exchange peers and compare what they hold."""
@@ -88,7 +88,7 @@
     orders: dict[str, Order]
 
 
-@message
+@message("Shuffled")
 @dataclass(frozen=True)
 class Shuffled:
     """The answer to a shuffle, with what the other lacked and what the answering one holds."""
--- a/crowwing/tier/distribution/sampling.py
+++ b/crowwing/tier/distribution/sampling.py
@@ -10,7 +10,7 @@
 STALE_AGE = 40  # shuffles after which a peer that nobody has renewed is dropped
 
 
-@message
+@message("Peer")
 @dataclass(frozen=True)
 class Peer:
     """One backend as others know it. `age` counts the shuffles since it spoke for itself."""
--- a/crowwing/tier/platform_list.py
+++ b/crowwing/tier/platform_list.py
@@ -14,7 +14,7 @@
 MOST_PAGES = 400
 
 
-@message
+@message("Sidecar")
 @dataclass(frozen=True)
 class Sidecar:
     """One sidecar as the platform lists it."""
@@ -27,7 +27,7 @@
     ready: bool
 
 
-@message
+@message("SidecarList")
 @dataclass(frozen=True)
 class SidecarList:
     """All sidecars at one time."""
--- a/crowwing/tier/replication/messages.py
+++ b/crowwing/tier/replication/messages.py
@@ -12,7 +12,7 @@
 START: Position = (FIRST_BALLOT, 0)
 
 
-@message
+@message("View")
 @dataclass(frozen=True)
 class View:
     """Who keeps the data, and who decides failover, from one ballot on."""
@@ -22,7 +22,7 @@
     witnesses: tuple[str, ...]
 
 
-@message
+@message("Entry")
 @dataclass(frozen=True)
 class Entry:
     """One entry of the log."""
@@ -32,7 +32,7 @@
     payload: bytes
 
 
-@message
+@message("AskPreVote")
 @dataclass(frozen=True)
 class AskPreVote:
     """A member bound to `ballot` asks whether a witness would promise it a higher one."""
@@ -41,7 +41,7 @@
     sender: str
 
 
-@message
+@message("PreVote")
 @dataclass(frozen=True)
 class PreVote:
     """Whether it would; binds nobody."""
@@ -51,7 +51,7 @@
     willing: bool
 
 
-@message
+@message("Prepare")
 @dataclass(frozen=True)
 class Prepare:
     """A candidate asks a witness not to serve lower ballots.
@@ -65,7 +65,7 @@
     released: Ballot
 
 
-@message
+@message("Promise")
 @dataclass(frozen=True)
 class Promise:
     """A witness' yes, with the highest view that it has accepted and how far its own data goes.
@@ -81,7 +81,7 @@
     sync_s: float
 
 
-@message
+@message("Refuse")
 @dataclass(frozen=True)
 class Refuse:
     """A witness' or member's no to anything sent under `ballot`, with the ballot that it is bound to."""
@@ -91,7 +91,7 @@
     promised: Ballot
 
 
-@message
+@message("Sync")
 @dataclass(frozen=True)
 class Sync:
     """The data of a candidate or primary: entries that follow `previous`, of a log that ends at `last`.
@@ -106,7 +106,7 @@
     last: Position
 
 
-@message
+@message("Digests")
 @dataclass(frozen=True)
 class Digests:
     """A digest of each range of the sender's state at `last`, to a replica that its log doesn't reach.
@@ -121,7 +121,7 @@
     restart: bool
 
 
-@message
+@message("FetchRanges")
 @dataclass(frozen=True)
 class FetchRanges:
     """A learner asks for the content of ranges, in this order, as many as one message takes."""
@@ -131,7 +131,7 @@
     ranges: tuple[int, ...]
 
 
-@message
+@message("Ranges")
 @dataclass(frozen=True)
 class Ranges:
     """The content of ranges as of `last`, each with its number."""
@@ -142,7 +142,7 @@
     contents: tuple[tuple[int, bytes], ...]
 
 
-@message
+@message("FetchEntries")
 @dataclass(frozen=True)
 class FetchEntries:
     """A learner has fetched all ranges, and asks for the entries since the first of their positions."""
@@ -152,7 +152,7 @@
     positions: tuple[Position, ...]
 
 
-@message
+@message("Synced")
 @dataclass(frozen=True)
 class Synced:
     """The receiver's data equals the sender's, on disk, up to `last`. `matched` is False if it could not
@@ -165,7 +165,7 @@
     matched: bool
 
 
-@message
+@message("Syncing")
 @dataclass(frozen=True)
 class Syncing:
     """A candidate is still bringing the others to its data: they need not campaign meanwhile."""
@@ -174,7 +174,7 @@
     sender: str
 
 
-@message
+@message("Accept")
 @dataclass(frozen=True)
 class Accept:
     """A candidate asks witnesses to accept a view."""
@@ -183,7 +183,7 @@
     view: View
 
 
-@message
+@message("Accepted")
 @dataclass(frozen=True)
 class Accepted:
     """A witness has the view on disk."""
@@ -192,7 +192,7 @@
     sender: str
 
 
-@message
+@message("Append")
 @dataclass(frozen=True)
 class Append:
     """New entries from the primary to the other members of its view."""
@@ -202,7 +202,7 @@
     entries: tuple[Entry, ...]
 
 
-@message
+@message("Appended")
 @dataclass(frozen=True)
 class Appended:
     """A member has the entries on disk up to `index`."""
@@ -212,7 +212,7 @@
     index: int
 
 
-@message
+@message("Heartbeat")
 @dataclass(frozen=True)
 class Heartbeat:
     """The primary is there."""
@@ -223,7 +223,7 @@
     view: View
 
 
-@message
+@message("HeartbeatReply")
 @dataclass(frozen=True)
 class HeartbeatReply:
     """The answer to one heartbeat.
@@ -241,7 +241,7 @@
     sync_s: float
 
 
-@message
+@message("Join")
 @dataclass(frozen=True)
 class Join:
     """A replica that hears no primary asks to be taken in; a member passes this on to the primary once."""
@@ -250,7 +250,7 @@
     forwarded: bool
 
 
-@message
+@message("Learn")
 @dataclass(frozen=True)
 class Learn:
     """A replica without memory asks what has been promised."""
@@ -258,7 +258,7 @@
     sender: str
 
 
-@message
+@message("Learned")
 @dataclass(frozen=True)
 class Learned:
     """What a replica with memory has promised and accepted."""
@@ -268,7 +268,7 @@
     view: View | None
 
 
-@message
+@message("Handover")
 @dataclass(frozen=True)
 class Handover:
     """The primary asks a member to take over; it has given up its lease under this ballot for good."""
@@ -280,7 +280,7 @@
 # Records on disk.
 
 
-@message
+@message("PromiseRecord")
 @dataclass(frozen=True)
 class PromiseRecord:
     """The highest ballot promised."""
@@ -288,7 +288,7 @@
     ballot: Ballot
 
 
-@message
+@message("ViewRecord")
 @dataclass(frozen=True)
 class ViewRecord:
     """The highest view accepted."""
@@ -296,7 +296,7 @@
     view: View
 
 
-@message
+@message("SyncedRecord")
 @dataclass(frozen=True)
 class SyncedRecord:
     """The ballot whose candidate last made this replica's data equal to its own."""
@@ -304,7 +304,7 @@
     ballot: Ballot
 
 
-@message
+@message("RangesRecord")
 @dataclass(frozen=True)
 class RangesRecord:
     """Ranges that replace those of what stood before.
--- a/crowwing/tier/state/events.py
+++ b/crowwing/tier/state/events.py
@@ -7,7 +7,7 @@
 COMPLETED, DEAD_LETTER = "completed", "dead_letter"
 
 
-@message
+@message("ConfigurationTaken")
 @dataclass(frozen=True)
 class ConfigurationTaken:
     """A configuration is in force from now on. `base` is the version that it was built on."""
@@ -17,7 +17,7 @@
     text: bytes
 
 
-@message
+@message("Item")
 @dataclass(frozen=True)
 class Item:
     """One item of a lot as it was handed in. `headers` are names and values in order."""
@@ -29,7 +29,7 @@
     tokens: int
 
 
-@message
+@message("Result")
 @dataclass(frozen=True)
 class Result:
     """The final result of an item."""
@@ -39,7 +39,7 @@
     text: str
 
 
-@message
+@message("LotTaken")
 @dataclass(frozen=True)
 class LotTaken:
     """A lot is this system's to keep. `at_ms` is the time of day at the primary."""
@@ -51,7 +51,7 @@
     at_ms: int
 
 
-@message
+@message("ItemsEnded")
 @dataclass(frozen=True)
 class ItemsEnded:
     """Results take the next positions of their lot, in this order."""
@@ -60,7 +60,7 @@
     results: tuple[Result, ...]
 
 
-@message
+@message("AttemptFailed")
 @dataclass(frozen=True)
 class AttemptFailed:
     """A sidecar answered 500 to an attempt at an item."""
@@ -70,7 +70,7 @@
     attempt: str
 
 
-@message
+@message("LotEnded")
 @dataclass(frozen=True)
 class LotEnded:
     """The client wants no more of a lot."""
@@ -78,7 +78,7 @@
     lot: str
 
 
-@message
+@message("LotDropped")
 @dataclass(frozen=True)
 class LotDropped:
     """Nobody may ask for a lot any more."""
@@ -86,7 +86,7 @@
     lot: str
 
 
-@message
+@message("StoreSeen")
 @dataclass(frozen=True)
 class StoreSeen:
     """A store machine has its data under this name and address."""
@@ -95,7 +95,7 @@
     host: str
 
 
-@message
+@message("RetireAsked")
 @dataclass(frozen=True)
 class RetireAsked:
     """A store machine is to be emptied."""
--- a/crowwing/tier/store/commands.py
+++ b/crowwing/tier/store/commands.py
@@ -7,7 +7,7 @@
 from crowwing.tier.wire.codec import message
 
 
-@message
+@message("PutConfiguration")
 @dataclass(frozen=True)
 class PutConfiguration:
     """Takes a configuration that was built on `base`."""
@@ -16,13 +16,13 @@
     text: bytes
 
 
-@message
+@message("GetConfiguration")
 @dataclass(frozen=True)
 class GetConfiguration:
     """Reads the newest configuration."""
 
 
-@message
+@message("SubmitLot")
 @dataclass(frozen=True)
 class SubmitLot:
     """Hands a lot in."""
@@ -33,7 +33,7 @@
     items: tuple[Item, ...]
 
 
-@message
+@message("ReadLot")
 @dataclass(frozen=True)
 class ReadLot:
     """Reads results from a position on, waiting up to `wait_ms` for the first."""
@@ -43,7 +43,7 @@
     wait_ms: int
 
 
-@message
+@message("ReadBody")
 @dataclass(frozen=True)
 class ReadBody:
     """Reads the body of an item that has no result yet."""
@@ -52,7 +52,7 @@
     item: str
 
 
-@message
+@message("EndLot")
 @dataclass(frozen=True)
 class EndLot:
     """Ends a lot."""
@@ -60,7 +60,7 @@
     lot: str
 
 
-@message
+@message("Retire")
 @dataclass(frozen=True)
 class Retire:
     """Asks that a store machine be emptied."""
@@ -68,7 +68,7 @@
     node: str
 
 
-@message
+@message("ReadRetire")
 @dataclass(frozen=True)
 class ReadRetire:
     """Asks how far that is."""
@@ -76,7 +76,7 @@
     node: str
 
 
-@message
+@message("LeaseItems")
 @dataclass(frozen=True)
 class LeaseItems:
     """A front asks for items to run, and tells which ones (lot, item) it still runs and has given up."""
@@ -88,7 +88,7 @@
     given_up: tuple[tuple[str, str], ...] = ()
 
 
-@message
+@message("ReportItem")
 @dataclass(frozen=True)
 class ReportItem:
     """An item has its result."""
@@ -98,7 +98,7 @@
     result: Result
 
 
-@message
+@message("ReportFailure")
 @dataclass(frozen=True)
 class ReportFailure:
     """An attempt at an item ended with a 500. `attempt` names it, so that a report sent again counts once."""
@@ -108,7 +108,7 @@
     attempt: str
 
 
-@message
+@message("ShowStatus")
 @dataclass(frozen=True)
 class ShowStatus:
     """Asks a store machine for its role, view and numbers."""
@@ -117,7 +117,7 @@
 # Outcomes.
 
 
-@message
+@message("NotPrimary")
 @dataclass(frozen=True)
 class NotPrimary:
     """Another store machine decides, as far as this one knows."""
@@ -125,7 +125,7 @@
     leader: str | None
 
 
-@message
+@message("Unsure")
 @dataclass(frozen=True)
 class Unsure:
     """Whether it was done is not known; it may be asked again."""
@@ -133,19 +133,19 @@
     reason: str
 
 
-@message
+@message("Done")
 @dataclass(frozen=True)
 class Done:
     """It is done and kept."""
 
 
-@message
+@message("Missing")
 @dataclass(frozen=True)
 class Missing:
     """There is no such thing, for certain."""
 
 
-@message
+@message("Rejected")
 @dataclass(frozen=True)
 class Rejected:
     """It can't be taken: `status` is the HTTP status that says so."""
@@ -154,7 +154,7 @@
     reason: str
 
 
-@message
+@message("CurrentConfiguration")
 @dataclass(frozen=True)
 class CurrentConfiguration:
     """The newest configuration."""
@@ -163,7 +163,7 @@
     text: bytes
 
 
-@message
+@message("LotPage")
 @dataclass(frozen=True)
 class LotPage:
     """Results of a lot from the position asked for."""
@@ -172,7 +172,7 @@
     results: tuple[Result, ...]
 
 
-@message
+@message("ItemBody")
 @dataclass(frozen=True)
 class ItemBody:
     """The body of an item."""
@@ -180,7 +180,7 @@
     body: bytes
 
 
-@message
+@message("RetireState")
 @dataclass(frozen=True)
 class RetireState:
     """How far the emptying of a machine is."""
@@ -188,7 +188,7 @@
     completed: bool
 
 
-@message
+@message("LeasedItem")
 @dataclass(frozen=True)
 class LeasedItem:
     """An item to run, with the host of its lot and what is left until its lot is due."""
@@ -199,7 +199,7 @@
     age_ms: int
 
 
-@message
+@message("ItemsLeased")
 @dataclass(frozen=True)
 class ItemsLeased:
     """Items to run, and those among the running ones that are wanted no more."""
@@ -208,7 +208,7 @@
     stop: tuple[tuple[str, str], ...]
 
 
-@message
+@message("Status")
 @dataclass(frozen=True)
 class Status:
     """A store machine's role, view and numbers."""
@@ -226,7 +226,7 @@
     stores: dict[str, str]
 
 
-@message
+@message("Announce")
 @dataclass(frozen=True)
 class Announce:
     """A store machine tells its name and address."""
@@ -235,7 +235,7 @@
     host: str
 
 
-@message
+@message("Forwarded")
 @dataclass(frozen=True)
 class Forwarded:
     """A command that another store machine passes on to the primary; it is not passed on again."""
--- a/crowwing/tier/wire/codec.py
+++ b/crowwing/tier/wire/codec.py
@@ -1,37 +1,56 @@
 """Typed messages to bytes and back: a CBOR tag around the message's name and its fields in order."""
 
-from collections.abc import Mapping
-from dataclasses import fields, is_dataclass
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, fields
 from typing import Any, TypeVar
 
 import cbor2
 
 MESSAGE_TAG = 40_000
 T = TypeVar("T")
-_TYPES: dict[str, type] = {}
-_FIELDS: dict[type, tuple[str, ...]] = {}
+
+
+@dataclass(frozen=True)
+class _Registered:
+    """How a class stands in the bytes."""
+
+    wire_name: str
+    field_names: tuple[str, ...]
+
+
+_CLASSES: dict[str, type] = {}  # by wire name
+_REGISTERED: dict[type, _Registered] = {}
 
 
 class MessageError(Exception):
     """Bytes that are no known message."""
 
 
-def message(cls: type[T]) -> type[T]:
-    """Registers a class as something that can be sent; it is, or is made by the next decorator, a dataclass.
+def message(wire_name: str) -> Callable[[type[T]], type[T]]:
+    """Registers a dataclass as something that is sent to other processes and kept on disk.
 
-    Fields hold plain values, tuples or messages.
+    The name and the order of the fields are the form that other versions read and write: both stay when the
+    class or its fields are renamed. Fields hold plain values, tuples or messages.
     """
-    _TYPES[cls.__name__] = cls
-    return cls
 
+    def register(cls: type[T]) -> type[T]:
+        assert wire_name not in _CLASSES, f"two messages are named {wire_name}"
+        _CLASSES[wire_name] = cls
+        _REGISTERED[cls] = _Registered(wire_name, tuple(field.name for field in fields(cls)))  # type: ignore[arg-type]
+        return cls
+
+    return register
 
-def _fields_of(kind: type) -> tuple[str, ...]:
-    """The names of a message's fields; none for plain values."""
-    names = _FIELDS.get(kind)
-    if names is None:
-        names = tuple(field.name for field in fields(kind)) if is_dataclass(kind) else ()
-        _FIELDS[kind] = names
-    return names
+
+def wire_name(cls: type) -> str | None:
+    """The name of a message in the bytes; None for a class that is no message."""
+    registered = _REGISTERED.get(cls)
+    return None if registered is None else registered.wire_name
+
+
+def wire_names() -> frozenset[str]:
+    """The names of all messages that this process knows."""
+    return frozenset(_CLASSES)
 
 
 def _to_plain(value: Any) -> Any:  # noqa: ANN401
@@ -42,11 +61,11 @@
         return [_to_plain(item) for item in value]
     if kind is dict:
         return {key: _to_plain(item) for key, item in value.items()}
-    if _TYPES.get(kind.__name__) is kind:
-        return cbor2.CBORTag(
-            MESSAGE_TAG, [kind.__name__, *[_to_plain(getattr(value, name)) for name in _fields_of(kind)]]
-        )
-    return value
+    registered = _REGISTERED.get(kind)
+    if registered is None:
+        return value
+    values = [_to_plain(getattr(value, name)) for name in registered.field_names]
+    return cbor2.CBORTag(MESSAGE_TAG, [registered.wire_name, *values])
 
 
 def _from_plain(value: Any) -> Any:  # noqa: ANN401
@@ -57,7 +76,7 @@
         if value.tag != MESSAGE_TAG or not value.value:
             raise MessageError(f"unknown tag {value.tag}")
         name, *values = value.value
-        cls = _TYPES.get(name)
+        cls = _CLASSES.get(name)
         if cls is None:
             raise MessageError(f"unknown message {name!r}")
         return cls(*[_from_plain(item) for item in values])
