--- a/benchmarks/tier_demo.py
+++ b/benchmarks/tier_demo.py
@@ -78,11 +78,13 @@
                 return
             await asyncio.sleep(0.1)
 
-    async def hand_in_lot(self, lot: str) -> None:
+    async def submit_batch_job(self, job_id: str) -> None:
         """Hands a lot in until it is taken."""
         body = base64.b64encode(b"text").decode()
-        requests = [{"id": f"{lot}-{n}", "path": "/lot/x", "headers": {}, "body": body} for n in range(ITEMS)]
-        headers = {"Host": HOST_NAME, "Request-Id": lot}
+        requests = [
+            {"id": f"{job_id}-{n}", "path": "/lot/x", "headers": {}, "body": body} for n in range(ITEMS)
+        ]
+        headers = {"Host": HOST_NAME, "Request-Id": job_id}
         while True:
             answer = await self._client.post(
                 f"{self._front}/lot/x", headers=headers, json={"requests": requests}
@@ -91,11 +93,11 @@
                 return
             await asyncio.sleep(0.1)
 
-    async def read_lot(self, lot: str) -> list[str]:
+    async def read_batch_job(self, job_id: str) -> list[str]:
         """The items that have a result, by position, once all have one or the time is up."""
         deadline = time.monotonic() + LOT_LIMIT_S
         while True:
-            url = f"{self._front}/lots/{lot}?startAfter=0"
+            url = f"{self._front}/lots/{job_id}?startAfter=0"
             answer = await self._client.get(url, headers={"Host": HOST_NAME})
             results = answer.json()["results"] if answer.status_code == 200 else []
             if len(results) == ITEMS or time.monotonic() > deadline:
@@ -114,14 +116,14 @@
         print("configuration 1 is in force, the front is ready")
         asking = asyncio.ensure_future(demo.ask_for_streams())
         await asyncio.sleep(BEFORE_KILL_S)
-        await demo.hand_in_lot("lot-1")
+        await demo.submit_batch_job("lot-1")
         killed = stand.primary()
         stand.kill(killed)
         killed_at = time.time()
         print(f"a lot of {ITEMS} items is taken; the primary {killed} is killed")
         acknowledged_s = await stand.put(1, 2) - killed_at
         print(f"configuration 2 is acknowledged {acknowledged_s:.2f} s later by the others")
-        results = await demo.read_lot("lot-1")
+        results = await demo.read_batch_job("lot-1")
         await asyncio.sleep(AFTER_CHANGE_S)
         asking.cancel()
         await asyncio.gather(*demo.streams.open)
--- a/benchmarks/tier_stand/stand.py
+++ b/benchmarks/tier_stand/stand.py
@@ -28,9 +28,9 @@
         {"name": f"r-{place}", "pathPrefix": f"/route{place}/", "kind": "stream", "resumable": True, **common}
         for place in range(routes - 1)
     ]
-    lots = {"name": "lots", "pathPrefix": "/lot/", "kind": "batch_queue", "completionSloMs": 12000, **common}
+    jobs = {"name": "lots", "pathPrefix": "/lot/", "kind": "batch_queue", "completionSloMs": 12000, **common}
     services = [{"name": SERVICE, "maxConns": 300}]
-    return json.dumps({"version": version, "routes": [*made, lots], "services": services}).encode()
+    return json.dumps({"version": version, "routes": [*made, jobs], "services": services}).encode()
 
 
 class Platform:
--- a/crowwing/tier/distribution/documents.py
+++ b/crowwing/tier/distribution/documents.py
@@ -6,7 +6,7 @@
 from crowwing.tier.wire.codec import message
 
 CONFIGURATION, SIDECARS = "configuration", "sidecars"
-Order = tuple[int, ...]
+DocumentVersion = tuple[int, ...]
 
 
 @message("Document")
@@ -15,7 +15,7 @@
     """One document. Of two copies of a kind the one with the higher order is newer."""
 
     kind: str
-    order: Order
+    order: DocumentVersion
     body: bytes
 
 
@@ -44,11 +44,11 @@
         """The newest copy of a kind."""
         return self._held.get(kind)
 
-    def orders(self) -> dict[str, Order]:
+    def orders(self) -> dict[str, DocumentVersion]:
         """Which copies are held: the digest that peers compare."""
         return {kind: document.order for kind, document in self._held.items()}
 
-    def newer_than(self, orders: dict[str, Order]) -> tuple[Document, ...]:
+    def newer_than(self, orders: dict[str, DocumentVersion]) -> tuple[Document, ...]:
         """What somebody who holds `orders` lacks."""
         return tuple(
             document for kind, document in self._held.items() if tuple(orders.get(kind, ())) < document.order
--- a/crowwing/tier/distribution/relay.py
+++ b/crowwing/tier/distribution/relay.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from crowwing.tier.clock import SYSTEM_CLOCK, Clock
-from crowwing.tier.distribution.documents import Document, Documents, Order
+from crowwing.tier.distribution.documents import Document, Documents, DocumentVersion
 from crowwing.tier.distribution.sampling import PartialView, Peer
 from crowwing.tier.wire.codec import message
 from crowwing.tier.wire.connection import CallError, Connection, Links
@@ -31,27 +31,27 @@
 
 @message("Attach")
 @dataclass(frozen=True)
-class Attach:
+class AttachRequest:
     """A backend asks to become a child; it tells what it holds."""
 
     host: str
-    orders: dict[str, Order]
+    orders: dict[str, DocumentVersion]
 
 
 @message("Attached")
 @dataclass(frozen=True)
-class Attached:
+class AttachResponse:
     """It is a child now; `fronts` as in Beat."""
 
     documents: tuple[Document, ...]
-    beat: Order
+    beat: DocumentVersion
     root: str | None
     fronts: int = 0
 
 
 @message("Redirect")
 @dataclass(frozen=True)
-class Redirect:
+class AttachRedirect:
     """There is no room, or no connection to the root; these may have some."""
 
     hosts: tuple[str, ...]
@@ -59,21 +59,21 @@
 
 @message("Beat")
 @dataclass(frozen=True)
-class Beat:
+class RootHeartbeat:
     """The root is there: its ballot's round and a number that counts up, with what is the newest.
 
     `fronts`: how many fronts the root hears from, 0 where it does not know.
     """
 
-    beat: Order
+    beat: DocumentVersion
     root: str | None
-    orders: dict[str, Order]
+    orders: dict[str, DocumentVersion]
     fronts: int
 
 
 @message("Push")
 @dataclass(frozen=True)
-class Push:
+class DocumentPush:
     """A document on its way down."""
 
     document: Document
@@ -81,21 +81,21 @@
 
 @message("Shuffle")
 @dataclass(frozen=True)
-class Shuffle:
+class ShuffleRequest:
     """Two backends exchange peers and compare what they hold."""
 
     peers: tuple[Peer, ...]
-    orders: dict[str, Order]
+    orders: dict[str, DocumentVersion]
 
 
 @message("Shuffled")
 @dataclass(frozen=True)
-class Shuffled:
+class ShuffleResponse:
     """The answer to a shuffle, with what the other lacked and what the answering one holds."""
 
     peers: tuple[Peer, ...]
     documents: tuple[Document, ...]
-    orders: dict[str, Order]
+    orders: dict[str, DocumentVersion]
 
 
 class Relay:
@@ -120,7 +120,7 @@
         self.fronts = 0  # as a root has counted them last; 0 before any has
         self._children: dict[str, Connection] = {}
         self._parent: Connection | None = None
-        self._beat: Order = (-1, 0)
+        self._beat: DocumentVersion = (-1, 0)
         self._beat_at = self._clock.monotonic()
         self.root: str | None = None
         self._beat_soon = asyncio.Event()
@@ -145,15 +145,15 @@
     async def handle(self, connection: Connection, body: Any) -> Any:  # noqa: ANN401
         """Answers what other backends send of the messages above."""
         match body:
-            case Attach():
+            case AttachRequest():
                 return self._attach(connection, body)
-            case Beat():
+            case RootHeartbeat():
                 self._take_beat(connection, body)
-            case Push(document):
+            case DocumentPush(document):
                 self.documents.offer(document)
-            case Shuffle():
+            case ShuffleRequest():
                 self.view.add(body.peers)
-                return Shuffled(
+                return ShuffleResponse(
                     self.view.sample(connection.remote),
                     self.documents.newer_than(body.orders),
                     self.documents.orders(),
@@ -162,20 +162,20 @@
 
     # Parent
 
-    def _attach(self, connection: Connection, ask: Attach) -> Attached | Redirect:
+    def _attach(self, connection: Connection, ask: AttachRequest) -> AttachResponse | AttachRedirect:
         self._children = {host: child for host, child in self._children.items() if not child.closed}
         if not self.is_root and not self.in_touch:
-            return Redirect(())
+            return AttachRedirect(())
         if len(self._children) >= FANOUT and ask.host not in self._children:
-            return Redirect(tuple(self._random.sample(list(self._children), FANOUT)))
+            return AttachRedirect(tuple(self._random.sample(list(self._children), FANOUT)))
         self._children[ask.host] = connection
-        return Attached(self.documents.newer_than(ask.orders), self._beat, self.root, self.fronts)
+        return AttachResponse(self.documents.newer_than(ask.orders), self._beat, self.root, self.fronts)
 
     def _pass_on(self, document: Document) -> None:
         for child in self._children.values():
-            child.notify(Push(document))
+            child.notify(DocumentPush(document))
 
-    def _take_beat(self, connection: Connection, beat: Beat) -> None:
+    def _take_beat(self, connection: Connection, beat: RootHeartbeat) -> None:
         if connection is not self._parent:
             return
         if self._advance(tuple(beat.beat), beat.root):
@@ -187,7 +187,7 @@
         if counted > 0:
             self.fronts = counted
 
-    def _advance(self, beat: Order, root: str | None) -> bool:
+    def _advance(self, beat: DocumentVersion, root: str | None) -> bool:
         """Notes a beat of the root; False where it is no newer one."""
         if beat <= self._beat:
             return False
@@ -201,7 +201,7 @@
     def _send_beats(self) -> None:
         orders = self.documents.orders()
         for child in self._children.values():
-            child.notify(Beat(self._beat, self.root, orders, self.fronts))
+            child.notify(RootHeartbeat(self._beat, self.root, orders, self.fronts))
 
     def became_root(self) -> None:
         """This backend is the root from now on: its beat goes out at once."""
@@ -246,11 +246,11 @@
     async def _try_parent(self, host: str, redirects: int) -> bool:
         try:
             connection = await self._links.get(host)
-            answer = await connection.call(Attach(self.me.host, self.documents.orders()), CALL_S)
+            answer = await connection.call(AttachRequest(self.me.host, self.documents.orders()), CALL_S)
         except CallError as error:
             log.debug("no parent at %s: %s", host, error.reason)
             return False
-        if isinstance(answer, Attached):
+        if isinstance(answer, AttachResponse):
             for document in answer.documents:
                 self.documents.offer(document)
             self._parent = connection
@@ -258,7 +258,7 @@
             self._advance(tuple(answer.beat), answer.root)
             log.info("relay parent is %s", host)
             return self.in_touch
-        if isinstance(answer, Redirect) and redirects > 0:
+        if isinstance(answer, AttachRedirect) and redirects > 0:
             for other in answer.hosts:
                 if other != self.me.host and await self._try_parent(other, redirects - 2):
                     return True
@@ -278,7 +278,7 @@
     async def _shuffle(self, host: str, sample: tuple[Peer, ...]) -> None:
         try:
             connection = await self._links.get(host)
-            answer = await connection.call(Shuffle(sample, self.documents.orders()), CALL_S)
+            answer = await connection.call(ShuffleRequest(sample, self.documents.orders()), CALL_S)
         except CallError:
             self.view.remove(host)
             return
@@ -287,4 +287,4 @@
             self.documents.offer(document)
         lacking = self.documents.newer_than(answer.orders)
         for document in lacking:
-            connection.notify(Push(document))
+            connection.notify(DocumentPush(document))
--- a/crowwing/tier/front/batch_api.py
+++ b/crowwing/tier/front/batch_api.py
@@ -12,41 +12,41 @@
 from crowwing.tier.configuration import Route
 from crowwing.tier.front.asgi import ClientRequest, refuse, respond, respond_json
 from crowwing.tier.front.store_client import StoreClient
-from crowwing.tier.state.events import Item
-from crowwing.tier.store import commands as c
+from crowwing.tier.state.events import BatchItem
+from crowwing.tier.store import commands
 
 log = logging.getLogger("crowwing.batch")
 
 MOST_ITEMS = 200
 SUBMIT_LIMIT_S, READ_LIMIT_S = 2.5, 1.3
-LOTS, ITEMS = "/lots/", "/items/"
+BATCH_JOBS_PATH, ITEMS = "/lots/", "/items/"
 MOST_WAIT_MS = 1000
 COME_BACK_S = 0.2
 
 
-class MalformedLot(Exception):
+class MalformedBatchJobError(Exception):
     """A lot that can't be read."""
 
 
-def parse_lot(body: bytes) -> tuple[Item, ...]:
-    """The items of a lot; raises MalformedLot."""
+def parse_batch_job(body: bytes) -> tuple[BatchItem, ...]:
+    """The items of a lot; raises MalformedBatchJobError."""
     try:
         requests = json.loads(body)["requests"]
         items = tuple(parse_item(entry) for entry in requests)
     except (ValueError, KeyError, TypeError, AttributeError, binascii.Error) as error:
-        raise MalformedLot(f"{type(error).__name__}: {error}") from error
+        raise MalformedBatchJobError(f"{type(error).__name__}: {error}") from error
     if not 0 < len(items) <= MOST_ITEMS:
-        raise MalformedLot(f"requests: 1 to {MOST_ITEMS} are taken, these are {len(items)}")
+        raise MalformedBatchJobError(f"requests: 1 to {MOST_ITEMS} are taken, these are {len(items)}")
     if len({item.id for item in items}) < len(items):
-        raise MalformedLot("requests: two have the same id")
+        raise MalformedBatchJobError("requests: two have the same id")
     return items
 
 
-def parse_item(entry: dict[str, Any]) -> Item:
+def parse_item(entry: dict[str, Any]) -> BatchItem:
     """One item; raises KeyError, TypeError or ValueError."""
     headers = tuple((str(name), str(value)) for name, value in (entry.get("headers") or {}).items())
     body = base64.b64decode(entry.get("body") or "", validate=True)
-    return Item(str(entry["id"]), str(entry["path"]), headers, body, int(entry.get("tokens") or 0))
+    return BatchItem(str(entry["id"]), str(entry["path"]), headers, body, int(entry.get("tokens") or 0))
 
 
 class BatchApi:
@@ -60,45 +60,47 @@
         if request.method != "POST":
             await respond_json(send, 405, {"error": "lots are handed in with POST"})
             return
-        lot = (request.header(b"request-id") or b"").decode("latin-1")
-        if not lot:
+        job = (request.header(b"request-id") or b"").decode("latin-1")
+        if not job:
             await respond_json(send, 400, {"error": "Request-Id: is missing"})
             return
         try:
-            items = parse_lot(request.body)
-        except MalformedLot as error:
+            items = parse_batch_job(request.body)
+        except MalformedBatchJobError as error:
             await respond_json(send, 400, {"error": str(error)})
             return
-        outcome = await self._store.call(c.SubmitLot(lot, request.host, request.path, items), SUBMIT_LIMIT_S)
+        outcome = await self._store.call(
+            commands.SubmitBatchJob(job, request.host, request.path, items), SUBMIT_LIMIT_S
+        )
         await self._tell(outcome, send, 202)
 
     async def serve_without_route(self, request: ClientRequest, send: Send) -> bool:
         """Reads and ends of lots; False where the path is none of these."""
-        if request.path.startswith(LOTS) and request.method in ("GET", "DELETE"):
-            lot = unquote(request.path[len(LOTS) :])
+        if request.path.startswith(BATCH_JOBS_PATH) and request.method in ("GET", "DELETE"):
+            job = unquote(request.path[len(BATCH_JOBS_PATH) :])
             if request.method == "DELETE":
-                await self._tell(await self._store.call(c.EndLot(lot), SUBMIT_LIMIT_S), send, 200)
+                await self._tell(await self._store.call(commands.EndBatchJob(job), SUBMIT_LIMIT_S), send, 200)
             else:
-                await self._read(lot, request, send)
+                await self._read(job, request, send)
             return True
         if request.path.startswith(ITEMS) and request.method == "GET":
             wanted = first_value(request.query, "id")
-            command = c.ReadBody(unquote(request.path[len(ITEMS) :]), wanted or "")
+            command = commands.ReadItemBody(unquote(request.path[len(ITEMS) :]), wanted or "")
             await self._tell(await self._store.call(command, READ_LIMIT_S), send, 200)
             return True
         return False
 
-    async def _read(self, lot: str, request: ClientRequest, send: Send) -> None:
+    async def _read(self, job_id: str, request: ClientRequest, send: Send) -> None:
         start = first_value(request.query, "startAfter") or "0"
         wait = (request.header(b"wait-ms") or b"0").decode("latin-1")
         if not start.isdigit() or not wait.isdigit():
             await respond_json(send, 400, {"error": "startAfter and Wait-Ms: must be whole numbers"})
             return
         wait_ms = min(int(wait), MOST_WAIT_MS)
-        command = c.ReadLot(lot, int(start), wait_ms)
+        command = commands.ReadBatchJob(job_id, int(start), wait_ms)
         limit_s = wait_ms / 1000 + READ_LIMIT_S
         outcome = await self._store.call(command, limit_s, answer_s=wait_ms / 1000 + 0.6)
-        if isinstance(outcome, c.LotPage):
+        if isinstance(outcome, commands.BatchJobPage):
             results = [{"id": x.item, "state": x.state, "text": x.text} for x in outcome.results]
             page = {"total": outcome.total, "nextToken": int(start) + len(results), "results": results}
             await respond_json(send, 200, page)
@@ -108,15 +110,15 @@
     @staticmethod
     async def _tell(outcome: object, send: Send, done: int) -> None:
         match outcome:
-            case c.Done():
+            case commands.Done():
                 await respond_json(send, done, {})
-            case c.ItemBody(body):
+            case commands.ItemBody(body):
                 await respond(send, 200, body, [(b"content-type", b"application/octet-stream")])
-            case c.Missing():
+            case commands.NotFound():
                 await respond_json(send, 404, {"error": "there is no such lot or item"})
-            case c.Rejected(status, reason):
+            case commands.Rejected(status, reason):
                 await respond_json(send, status, {"error": reason}, [(b"retry-after", b"1")])
-            case c.Unsure(reason):
+            case commands.Indeterminate(reason):
                 await respond_json(send, 504, {"error": reason})
             case _:
                 await refuse(send, "no store machine decides at this moment", COME_BACK_S)
--- a/crowwing/tier/front/lot_runner.py
+++ b/crowwing/tier/front/batch_job_runner.py
@@ -14,8 +14,8 @@
 from crowwing.tier.front.sidecars import parse_prompt
 from crowwing.tier.front.store_client import StoreClient
 from crowwing.tier.front.upstream import Headers, StreamBroken, read_body
-from crowwing.tier.state.events import COMPLETED, DEAD_LETTER, Result
-from crowwing.tier.store import commands as c
+from crowwing.tier.state.events import COMPLETED, DEAD_LETTER, ItemResult
+from crowwing.tier.store import commands
 
 log = logging.getLogger("crowwing.lots")
 
@@ -32,7 +32,7 @@
 ATTEMPT_BYTES = 6  # drawn by chance, that name an attempt
 
 ItemKey = tuple[str, str]
-Report = c.ReportItem | c.ReportFailure
+Report = commands.ReportItemResult | commands.ReportItemFailure
 
 
 def is_call_due(room: int, running: int, quiet_s: float) -> bool:
@@ -48,7 +48,7 @@
     return SHORT_PAUSE_S if items else max(SHORT_PAUSE_S, PAUSE_S - waited_s)
 
 
-class LotRunner:
+class BatchJobRunner:
     """The items that this front runs."""
 
     def __init__(self, name: str, pool: ServicePool, store: StoreClient) -> None:
@@ -71,9 +71,9 @@
             told_at = time.monotonic()
             wait_ms = LEASE_WAIT_MS if room else LEASE_WAIT_MS // 2
             given_up = tuple(self._given_up)
-            command = c.LeaseItems(self._name, room, tuple(self._running), wait_ms, given_up)
+            command = commands.LeaseItemsRequest(self._name, room, tuple(self._running), wait_ms, given_up)
             outcome = await self._store.call(command, 2.0, answer_s=1.2)
-            if not isinstance(outcome, c.ItemsLeased):
+            if not isinstance(outcome, commands.LeaseItemsResponse):
                 await asyncio.sleep(PAUSE_S)
                 continue
             self._given_up.difference_update(given_up)
@@ -107,8 +107,8 @@
         ]
         return max(0, max(rooms, default=0))
 
-    def _start(self, leased: c.LeasedItem) -> None:
-        key = (leased.lot, leased.item.id)
+    def _start(self, leased: commands.LeasedItem) -> None:
+        key = (leased.job_id, leased.item.id)
         if key in self._running:
             return
         self._given_up.discard(key)
@@ -123,7 +123,7 @@
         if not task.cancelled() and task.exception() is not None:
             log.error("item %s", key, exc_info=task.exception())
 
-    async def _run_item(self, leased: c.LeasedItem) -> None:
+    async def _run_item(self, leased: commands.LeasedItem) -> None:
         table = self._pool.table
         route = table.find(leased.host, leased.item.path) if table is not None else None
         if route is None:
@@ -177,9 +177,9 @@
         finally:
             await self._dispatcher.close(started)
         if status == GONE_STATUS:
-            return c.ReportItem(leased.lot, item.id, Result(item.id, DEAD_LETTER, ""))
+            return commands.ReportItemResult(leased.job_id, item.id, ItemResult(item.id, DEAD_LETTER, ""))
         if status == 500:
-            return c.ReportFailure(leased.lot, item.id, secrets.token_hex(ATTEMPT_BYTES))
+            return commands.ReportItemFailure(leased.job_id, item.id, secrets.token_hex(ATTEMPT_BYTES))
         return None
 
     async def _collect(self, run: "ItemRun", started: Running) -> Report | None:
@@ -189,16 +189,18 @@
             async for event in events:
                 run.data.append(event.data)
         except StreamBroken as error:
-            log.info("item %s of lot %s broke off: %s", item.id, leased.lot, error)
+            log.info("item %s of lot %s broke off: %s", item.id, leased.job_id, error)
             return None
         finally:
             await events.aclose()
-        return c.ReportItem(leased.lot, item.id, Result(item.id, COMPLETED, "\n".join(run.data)))
+        return commands.ReportItemResult(
+            leased.job_id, item.id, ItemResult(item.id, COMPLETED, "\n".join(run.data))
+        )
 
     async def _report(self, report: Report) -> None:
         for _ in range(8):
             outcome: Any = await self._store.call(report, REPORT_LIMIT_S)
-            if isinstance(outcome, c.Done):
+            if isinstance(outcome, commands.Done):
                 return
         log.warning("the result of item %s could not be reported", report.item)
 
@@ -213,12 +215,12 @@
 class ItemRun:
     """An item on its way: the job, which knows its last event, and the data of all events so far."""
 
-    leased: c.LeasedItem
+    leased: commands.LeasedItem
     job: Job
     data: list[str] = field(default_factory=list)
 
 
-def make_job(leased: c.LeasedItem, route: Route, service: str) -> Job:
+def make_job(leased: commands.LeasedItem, route: Route, service: str) -> Job:
     """An item as a request for its sidecar."""
     item = leased.item
     headers: Headers = [
--- a/crowwing/tier/front/main.py
+++ b/crowwing/tier/front/main.py
@@ -13,11 +13,11 @@
 
 from crowwing.tier.configuration import Configuration, RoutingTable, parse_configuration
 from crowwing.tier.distribution.documents import CONFIGURATION, SIDECARS, Document, Documents
-from crowwing.tier.distribution.relay import Attach, Beat, Push, Relay, Shuffle
+from crowwing.tier.distribution.relay import AttachRequest, DocumentPush, Relay, RootHeartbeat, ShuffleRequest
 from crowwing.tier.distribution.sampling import Peer
 from crowwing.tier.front.batch_api import BatchApi
+from crowwing.tier.front.batch_job_runner import BatchJobRunner
 from crowwing.tier.front.client_connection import ClientConnection, ClientLimits
-from crowwing.tier.front.lot_runner import LotRunner
 from crowwing.tier.front.proxy import Proxy
 from crowwing.tier.front.service_pool import ServicePool
 from crowwing.tier.front.store_client import StoreClient
@@ -32,7 +32,7 @@
 
 log = logging.getLogger("crowwing.front")
 
-RELAYED = (Attach, Beat, Push, Shuffle)
+RELAYED = (AttachRequest, RootHeartbeat, DocumentPush, ShuffleRequest)
 UNLIST_S = 2.4  # from the notice to leave until the platform sends nobody here any more
 END_MARGIN_S = 0.7  # before the platform kills the process
 OWN_READ_AFTER_S, OWN_READ_EVERY_S = 1.2, 0.9  # without the root, a front reads the list by itself
@@ -54,7 +54,7 @@
         self.relay = Relay(me, settings.seed_hosts, self.documents, self.links, self.random)
         self.store = StoreClient(self.links, self.store_hosts)
         self.proxy = Proxy(self.pool, BatchApi(self.store))
-        self.runner = LotRunner(settings.node, self.pool, self.store)
+        self.runner = BatchJobRunner(settings.node, self.pool, self.store)
         self.client_limits = ClientLimits()
         self.documents.listen(self.take_document)
         self.relay.on_root.append(self.store.moved)
--- a/crowwing/tier/front/store_client.py
+++ b/crowwing/tier/front/store_client.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from crowwing.tier.clock import SYSTEM_CLOCK, Clock
-from crowwing.tier.store import commands as c
+from crowwing.tier.store import commands
 from crowwing.tier.wire.connection import CallError, Links
 
 log = logging.getLogger("crowwing.client")
@@ -51,21 +51,21 @@
                 self._forget(host)
                 await asyncio.sleep(min(left, PAUSE_S))
                 continue
-            if isinstance(outcome, c.NotPrimary):
+            if isinstance(outcome, commands.NotPrimary):
                 self._forget(host)
                 if outcome.leader is not None and outcome.leader != host:
                     self._primary = outcome.leader
                 await asyncio.sleep(min(left, PAUSE_S))
-            elif isinstance(outcome, c.Unsure):
+            elif isinstance(outcome, commands.Indeterminate):
                 unsure = True
                 self._forget(host)
                 await asyncio.sleep(min(left, PAUSE_S))
             else:
                 return outcome
-        return c.Unsure("no clear answer in time") if unsure else c.NotPrimary(None)
+        return commands.Indeterminate("no clear answer in time") if unsure else commands.NotPrimary(None)
 
     async def _call_until_moved(self, host: str, command: Any, limit_s: float) -> Any:  # noqa: ANN401
-        call = asyncio.ensure_future(self._links.call(host, c.Forwarded(command), limit_s))
+        call = asyncio.ensure_future(self._links.call(host, commands.ForwardedCommand(command), limit_s))
         moved = asyncio.ensure_future(self._moved.wait())
         try:
             await asyncio.wait({call, moved}, return_when=asyncio.FIRST_COMPLETED)
--- a/crowwing/tier/operator_commands.py
+++ b/crowwing/tier/operator_commands.py
@@ -13,7 +13,7 @@
 
 from crowwing.tier.configuration import InvalidConfiguration, parse_configuration
 from crowwing.tier.settings import SettingsError, read_settings
-from crowwing.tier.store.commands import ShowStatus, Status
+from crowwing.tier.store.commands import GetStatus, StoreStatus
 from crowwing.tier.wire.connection import CallError, Links
 
 DONE, FAILED, WRONG_USE = 0, 1, 2
@@ -155,7 +155,7 @@
         result = DONE
         for host in self.hosts:
             try:
-                status = await links.call(host, ShowStatus(), TRY_S)
+                status = await links.call(host, GetStatus(), TRY_S)
             except CallError as error:
                 result = _fail(f"{host}: {error.reason}")
                 continue
@@ -164,11 +164,11 @@
         return result
 
 
-def describe(status: Status) -> list[str]:
+def describe(status: StoreStatus) -> list[str]:
     """Lines that tell a person what a store machine says of itself."""
     return [
-        f"{status.node}: {status.role}, epoch {status.ballot[0]} of {status.ballot[1] or 'nobody'}",
+        f"{status.node}: {status.role}, epoch {status.term[0]} of {status.term[1] or 'nobody'}",
         f"  members {', '.join(status.members) or 'none'}; witnesses {', '.join(status.witnesses) or 'none'}",
         f"  log {status.index}, committed {status.commit}; configuration {status.version}",
-        f"  {status.lots} lots, {status.open_items} items without a result",
+        f"  {status.jobs} lots, {status.open_items} items without a result",
     ]
--- a/crowwing/tier/replication/candidate.py
+++ b/crowwing/tier/replication/candidate.py
@@ -2,7 +2,7 @@
 
 import logging
 
-from crowwing.tier.replication import messages as m
+from crowwing.tier.replication import messages
 from crowwing.tier.replication.range_transfer import RangeTransfer
 from crowwing.tier.replication.replica_state import Campaign, Phase, Role, majority, slow_disks
 from crowwing.tier.replication.timing import (
@@ -23,7 +23,7 @@
     """Opens a ballot, brings the others to its data, and has the new view accepted."""
 
     def _start_campaign(
-        self, now: float, released: m.Ballot = m.NO_BALLOT, above: m.Ballot = m.NO_BALLOT
+        self, now: float, released: messages.Term = messages.NO_TERM, above: messages.Term = messages.NO_TERM
     ) -> None:
         """`released`: the ballot whose primary has handed over. A primary releases its own by campaigning."""
         assert self.view is not None
@@ -43,17 +43,17 @@
 
     def _ask(self, campaign: Campaign, other: str) -> None:
         campaign.asked.add(other)
-        self._send(other, m.Prepare(self.promised, self.me, campaign.released))
+        self._send(other, messages.Prepare(self.promised, self.me, campaign.released))
 
-    def _on_promise(self, now: float, x: m.Promise) -> None:
+    def _on_promise(self, now: float, x: messages.Promise) -> None:
         campaign = self._campaign
-        if campaign is None or x.ballot != self.promised or campaign.phase is not Phase.PREPARE:
+        if campaign is None or x.term != self.promised or campaign.phase is not Phase.PREPARE:
             return
         if now - campaign.since >= PREPARE_LIMIT_S:
             return  # a witness that has lost its disk since may have learned without this ballot
         campaign.promises[x.sender] = x
         views = [promise.view for promise in campaign.promises.values() if promise.view is not None]
-        base = max(views, key=lambda view: view.ballot, default=None)
+        base = max(views, key=lambda view: view.term, default=None)
         if base is None:
             return
         campaign.base = base
@@ -66,8 +66,8 @@
             if campaign.asked <= set(campaign.promises):
                 self._start_sync(now)
 
-    def _on_refuse(self, now: float, x: m.Refuse) -> None:
-        if x.ballot != self.promised or self.role is Role.FOLLOWER:
+    def _on_nack(self, now: float, x: messages.Nack) -> None:
+        if x.term != self.promised or self.role is Role.FOLLOWER:
             return
         if x.promised[0] >= self.promised[0] and x.promised != self.promised:
             if self.role is Role.PRIMARY and self._may_lead():  # somebody tried meanwhile: go above
@@ -79,9 +79,9 @@
             self._step_down(now, f"{x.sender} hears another primary")
             self._ask_to_join(now)
 
-    def _on_handover(self, now: float, x: m.Handover) -> None:
-        if x.ballot == self.promised and self.role is Role.FOLLOWER and self._may_lead():
-            self._start_campaign(now, released=x.ballot)
+    def _on_leadership_transfer(self, now: float, x: messages.LeadershipTransfer) -> None:
+        if x.term == self.promised and self.role is Role.FOLLOWER and self._may_lead():
+            self._start_campaign(now, released=x.term)
 
     def _tick_candidate(self, now: float) -> None:
         campaign = self._campaign
@@ -100,7 +100,7 @@
             elif now - campaign.told_at >= HEARTBEAT_S:
                 campaign.told_at = now
                 for other in sorted(campaign.promises.keys() - {self.me}):
-                    self._send(other, m.Syncing(self.promised, self.me))
+                    self._send(other, messages.SyncInProgress(self.promised, self.me))
         elif waited >= ACCEPT_LIMIT_S:
             self._step_down(now, "no majority of the witnesses accepts")
 
@@ -112,17 +112,17 @@
         campaign = self._campaign
         assert campaign is not None and campaign.base is not None
         base = campaign.base
-        if self.me not in base.members or self.synced < base.ballot:
-            if self.view is None or self.view.ballot < base.ballot:  # so that it does not try again
+        if self.me not in base.members or self.synced < base.term:
+            if self.view is None or self.view.term < base.term:  # so that it does not try again
                 self.view = base
-                self._output.records.append(m.ViewRecord(base))
+                self._output.records.append(messages.AcceptedViewRecord(base))
             self._step_down(now, "its data is older than the last view")
             return
         campaign.phase, campaign.since = Phase.SYNC, now
         campaign.targets = self._choose_targets(campaign)
         campaign.synced = {self.me}
         self.synced = self.promised
-        self._output.records.append(m.SyncedRecord(self.synced))
+        self._output.records.append(messages.SyncedTermRecord(self.synced))
         for target in sorted(campaign.targets - {self.me}):
             self._send_sync(target, campaign.promises[target].last)
         self._sync_moved(now)
@@ -139,8 +139,8 @@
         near = {x for x in targets if x == self.me or self.log.contains(campaign.promises[x].last)}
         return near if len(near) >= self._least_copies() else targets
 
-    def _on_synced(self, now: float, x: m.Synced) -> None:
-        if x.ballot != self.promised:
+    def _on_sync_response(self, now: float, x: messages.SyncResponse) -> None:
+        if x.term != self.promised:
             return
         if not x.matched:
             self._send_digests(x.sender)
@@ -168,11 +168,11 @@
         campaign.phase, campaign.since = Phase.ACCEPT, now
         members = tuple(sorted(campaign.synced))
         witnesses = self._next_witnesses(now, campaign.base, campaign.synced)
-        campaign.view = m.View(self.promised, members, witnesses)
+        campaign.view = messages.View(self.promised, members, witnesses)
         for other in sorted({*campaign.base.witnesses, *witnesses, *members}):
-            self._send(other, m.Accept(self.me, campaign.view))
+            self._send(other, messages.Accept(self.me, campaign.view))
 
-    def _next_witnesses(self, now: float, base: m.View, synced: set[str]) -> tuple[str, ...]:
+    def _next_witnesses(self, now: float, base: messages.View, synced: set[str]) -> tuple[str, ...]:
         """The old witnesses and the members, without those that leave or that have long been silent."""
         wanted = set(base.witnesses) | synced
         newcomers = synced - set(base.witnesses)
@@ -183,9 +183,9 @@
                 wanted.discard(witness)
         return tuple(sorted(wanted))
 
-    def _on_accepted(self, now: float, x: m.Accepted) -> None:
+    def _on_accepted(self, now: float, x: messages.Accepted) -> None:
         campaign = self._campaign
-        if campaign is None or x.ballot != self.promised or campaign.view is None or campaign.base is None:
+        if campaign is None or x.term != self.promised or campaign.view is None or campaign.base is None:
             return
         if now - campaign.since >= ACCEPT_LIMIT_S:
             return  # as for a promise that comes too late
@@ -195,7 +195,7 @@
                 return
         self._activate(now, campaign.view, campaign.since)
 
-    def _activate(self, now: float, view: m.View, asked_at: float) -> None:
+    def _activate(self, now: float, view: messages.View, asked_at: float) -> None:
         """`asked_at`: when the witnesses were asked to accept the view; they vouch for it from then on."""
         heard = dict(self._heard)
         joiners = {x: at for x, at in self._joiners.items() if x not in view.witnesses}
@@ -203,16 +203,14 @@
         self._joiners = joiners
         self.confirmed_at = asked_at
         self.role, self._campaign, self.view = Role.PRIMARY, None, view
-        self._heard_leader(now, self.me, view.ballot)
+        self._heard_leader(now, self.me, view.term)
         for other in view.witnesses:
             self._heard[other] = now if other in view.members else heard.get(other, now)
         last = self.log.last[1]
         self._acked = dict.fromkeys(view.members, last)
         self._sent = {member: last for member in view.members if member != self.me}
         self.commit_index = last
-        log.info(
-            "primary with ballot %s, members %s, witnesses %s", view.ballot, view.members, view.witnesses
-        )
+        log.info("primary with ballot %s, members %s, witnesses %s", view.term, view.members, view.witnesses)
         self._beat(now)
 
     def _beat(self, now: float) -> None:
--- a/crowwing/tier/replication/log.py
+++ b/crowwing/tier/replication/log.py
@@ -3,7 +3,7 @@
 from bisect import bisect_right
 from collections import deque
 
-from crowwing.tier.replication.messages import START, Entry, Position
+from crowwing.tier.replication.messages import LOG_START, LogEntry, LogPosition
 
 MOST_ENTRIES, MOST_BYTES = (4000, 16 * 1024 * 1024)  # kept for those that catch up
 
@@ -12,27 +12,27 @@
     """A contiguous run of entries."""
 
     def __init__(self) -> None:
-        self.base: Position = START
-        self._entries: deque[Entry] = deque()
+        self.base: LogPosition = LOG_START
+        self._entries: deque[LogEntry] = deque()
         self._ends: deque[int] = deque()  # bytes of all payloads up to each entry
         self._base_end = 0  # the same up to the base
 
     @property
-    def last(self) -> Position:
+    def last(self) -> LogPosition:
         """The position of the newest entry."""
         if not self._entries:
             return self.base
         newest = self._entries[-1]
-        return newest.ballot, newest.index
+        return newest.term, newest.index
 
-    def reset(self, position: Position) -> None:
+    def reset(self, position: LogPosition) -> None:
         """Forgets all entries: a state at `position` stands for them."""
         self.base = position
         self._entries.clear()
         self._ends.clear()
         self._base_end = 0
 
-    def append(self, entry: Entry) -> None:
+    def append(self, entry: LogEntry) -> None:
         """Adds the next entry, and drops the oldest beyond the bound."""
         assert entry.index == self.last[1] + 1, "entries are contiguous"
         end = (self._ends[-1] if self._ends else self._base_end) + len(entry.payload)
@@ -41,21 +41,21 @@
         while len(self._entries) > MOST_ENTRIES or end - self._base_end > MOST_BYTES:
             oldest = self._entries.popleft()
             self._base_end = self._ends.popleft()
-            self.base = (oldest.ballot, oldest.index)
+            self.base = (oldest.term, oldest.index)
 
-    def contains(self, position: Position) -> bool:
+    def contains(self, position: LogPosition) -> bool:
         """Whether the log went through exactly this position."""
         if position == self.base:
             return True
         entry = self.at(position[1])
-        return entry is not None and entry.ballot == position[0]
+        return entry is not None and entry.term == position[0]
 
-    def at(self, index: int) -> Entry | None:
+    def at(self, index: int) -> LogEntry | None:
         """The entry with an index, if it is still held."""
         offset = index - self.base[1] - 1
         return self._entries[offset] if 0 <= offset < len(self._entries) else None
 
-    def after(self, index: int, upto: int | None = None) -> tuple[Entry, ...]:
+    def after(self, index: int, upto: int | None = None) -> tuple[LogEntry, ...]:
         """The entries behind an index that is not before the base, up to the newest or to an index."""
         first = max(0, index - self.base[1])
         end = len(self._entries) if upto is None else min(len(self._entries), upto - self.base[1])
--- a/crowwing/tier/replication/messages.py
+++ b/crowwing/tier/replication/messages.py
@@ -4,12 +4,12 @@
 
 from crowwing.tier.wire.codec import message
 
-Ballot = tuple[int, str]  # a round and the replica that opened it; later rounds win
-Position = tuple[Ballot, int]  # of a log entry: the ballot that it was written under and its index
+Term = tuple[int, str]  # a round and the replica that opened it; later rounds win
+LogPosition = tuple[Term, int]  # of a log entry: the ballot that it was written under and its index
 
-NO_BALLOT: Ballot = (-1, "")
-FIRST_BALLOT: Ballot = (0, "")
-START: Position = (FIRST_BALLOT, 0)
+NO_TERM: Term = (-1, "")
+FIRST_TERM: Term = (0, "")
+LOG_START: LogPosition = (FIRST_TERM, 0)
 
 
 @message("View")
@@ -17,36 +17,36 @@
 class View:
     """Who keeps the data, and who decides failover, from one ballot on."""
 
-    ballot: Ballot
+    term: Term
     members: tuple[str, ...]
     witnesses: tuple[str, ...]
 
 
 @message("Entry")
 @dataclass(frozen=True)
-class Entry:
+class LogEntry:
     """One entry of the log."""
 
-    ballot: Ballot
+    term: Term
     index: int
     payload: bytes
 
 
 @message("AskPreVote")
 @dataclass(frozen=True)
-class AskPreVote:
+class PreVoteRequest:
     """A member bound to `ballot` asks whether a witness would promise it a higher one."""
 
-    ballot: Ballot
+    term: Term
     sender: str
 
 
 @message("PreVote")
 @dataclass(frozen=True)
-class PreVote:
+class PreVoteResponse:
     """Whether it would; binds nobody."""
 
-    ballot: Ballot
+    term: Term
     sender: str
     willing: bool
 
@@ -60,9 +60,9 @@
     witness that vouches for no later primary need not wait until that lease would have ended.
     """
 
-    ballot: Ballot
+    term: Term
     sender: str
-    released: Ballot
+    released: Term
 
 
 @message("Promise")
@@ -73,104 +73,104 @@
     `sync_s`: seconds that its disk takes for a write.
     """
 
-    ballot: Ballot
+    term: Term
     sender: str
     view: View | None
-    synced: Ballot
-    last: Position
+    synced: Term
+    last: LogPosition
     sync_s: float
 
 
 @message("Refuse")
 @dataclass(frozen=True)
-class Refuse:
+class Nack:
     """A witness' or member's no to anything sent under `ballot`, with the ballot that it is bound to."""
 
-    ballot: Ballot
+    term: Term
     sender: str
-    promised: Ballot
+    promised: Term
 
 
 @message("Sync")
 @dataclass(frozen=True)
-class Sync:
+class SyncRequest:
     """The data of a candidate or primary: entries that follow `previous`, of a log that ends at `last`.
 
     Only a receiver whose log reaches `last` holds all that was committed before the ballot.
     """
 
-    ballot: Ballot
+    term: Term
     sender: str
-    previous: Position
-    entries: tuple[Entry, ...]
-    last: Position
+    previous: LogPosition
+    entries: tuple[LogEntry, ...]
+    last: LogPosition
 
 
 @message("Digests")
 @dataclass(frozen=True)
-class Digests:
+class RangeDigests:
     """A digest of each range of the sender's state at `last`, to a replica that its log doesn't reach.
 
     `restart`: what the receiver has fetched so far can't be completed any more.
     """
 
-    ballot: Ballot
+    term: Term
     sender: str
-    last: Position
+    last: LogPosition
     digests: tuple[bytes, ...]
     restart: bool
 
 
 @message("FetchRanges")
 @dataclass(frozen=True)
-class FetchRanges:
+class RangesRequest:
     """A learner asks for the content of ranges, in this order, as many as one message takes."""
 
-    ballot: Ballot
+    term: Term
     sender: str
     ranges: tuple[int, ...]
 
 
 @message("Ranges")
 @dataclass(frozen=True)
-class Ranges:
+class RangesResponse:
     """The content of ranges as of `last`, each with its number."""
 
-    ballot: Ballot
+    term: Term
     sender: str
-    last: Position
+    last: LogPosition
     contents: tuple[tuple[int, bytes], ...]
 
 
 @message("FetchEntries")
 @dataclass(frozen=True)
-class FetchEntries:
+class EntriesRequest:
     """A learner has fetched all ranges, and asks for the entries since the first of their positions."""
 
-    ballot: Ballot
+    term: Term
     sender: str
-    positions: tuple[Position, ...]
+    positions: tuple[LogPosition, ...]
 
 
 @message("Synced")
 @dataclass(frozen=True)
-class Synced:
+class SyncResponse:
     """The receiver's data equals the sender's, on disk, up to `last`. `matched` is False if it could not
     follow; `last` may lie before the end of the sender's log, which then sends more.
     """
 
-    ballot: Ballot
+    term: Term
     sender: str
-    last: Position
+    last: LogPosition
     matched: bool
 
 
 @message("Syncing")
 @dataclass(frozen=True)
-class Syncing:
+class SyncInProgress:
     """A candidate is still bringing the others to its data: they need not campaign meanwhile."""
 
-    ballot: Ballot
+    term: Term
     sender: str
 
 
@@ -188,26 +188,26 @@
 class Accepted:
     """A witness has the view on disk."""
 
-    ballot: Ballot
+    term: Term
     sender: str
 
 
 @message("Append")
 @dataclass(frozen=True)
-class Append:
+class AppendRequest:
     """New entries from the primary to the other members of its view."""
 
-    ballot: Ballot
+    term: Term
     sender: str
-    entries: tuple[Entry, ...]
+    entries: tuple[LogEntry, ...]
 
 
 @message("Appended")
 @dataclass(frozen=True)
-class Appended:
+class AppendResponse:
     """A member has the entries on disk up to `index`."""
 
-    ballot: Ballot
+    term: Term
     sender: str
     index: int
 
@@ -217,7 +217,7 @@
 class Heartbeat:
     """The primary is there."""
 
-    ballot: Ballot
+    term: Term
     sender: str
     round: int
     view: View
@@ -225,25 +225,25 @@
 
 @message("HeartbeatReply")
 @dataclass(frozen=True)
-class HeartbeatReply:
+class HeartbeatResponse:
     """The answer to one heartbeat.
 
     `whole` is False while the sender's own disk lacks what it promised, or does not answer. `sync_s`: seconds
     that it takes for a write.
     """
 
-    ballot: Ballot
+    term: Term
     sender: str
     round: int
-    last: Position
-    synced: Ballot
+    last: LogPosition
+    synced: Term
     whole: bool
     sync_s: float
 
 
 @message("Join")
 @dataclass(frozen=True)
-class Join:
+class JoinRequest:
     """A replica that hears no primary asks to be taken in; a member passes this on to the primary once."""
 
     sender: str
@@ -252,7 +252,7 @@
 
 @message("Learn")
 @dataclass(frozen=True)
-class Learn:
+class RecoveryRequest:
     """A replica without memory asks what has been promised."""
 
     sender: str
@@ -260,20 +260,20 @@
 
 @message("Learned")
 @dataclass(frozen=True)
-class Learned:
+class RecoveryResponse:
     """What a replica with memory has promised and accepted."""
 
     sender: str
-    promised: Ballot
+    promised: Term
     view: View | None
 
 
 @message("Handover")
 @dataclass(frozen=True)
-class Handover:
+class LeadershipTransfer:
     """The primary asks a member to take over; it has given up its lease under this ballot for good."""
 
-    ballot: Ballot
+    term: Term
     sender: str
 
 
@@ -282,15 +282,15 @@
 
 @message("PromiseRecord")
 @dataclass(frozen=True)
-class PromiseRecord:
+class PromisedTermRecord:
     """The highest ballot promised."""
 
-    ballot: Ballot
+    term: Term
 
 
 @message("ViewRecord")
 @dataclass(frozen=True)
-class ViewRecord:
+class AcceptedViewRecord:
     """The highest view accepted."""
 
     view: View
@@ -298,10 +298,10 @@
 
 @message("SyncedRecord")
 @dataclass(frozen=True)
-class SyncedRecord:
+class SyncedTermRecord:
     """The ballot whose candidate last made this replica's data equal to its own."""
 
-    ballot: Ballot
+    term: Term
 
 
 @message("RangesRecord")
@@ -312,32 +312,32 @@
     With what stood before, or further such records of the same position, they are the state there.
     """
 
-    last: Position
+    last: LogPosition
     contents: tuple[tuple[int, bytes], ...]
 
 
 Message = (
-    AskPreVote
-    | PreVote
+    PreVoteRequest
+    | PreVoteResponse
     | Prepare
     | Promise
-    | Refuse
-    | Sync
-    | Digests
-    | FetchRanges
-    | Ranges
-    | FetchEntries
-    | Synced
-    | Syncing
+    | Nack
+    | SyncRequest
+    | RangeDigests
+    | RangesRequest
+    | RangesResponse
+    | EntriesRequest
+    | SyncResponse
+    | SyncInProgress
     | Accept
     | Accepted
-    | Append
-    | Appended
+    | AppendRequest
+    | AppendResponse
     | Heartbeat
-    | HeartbeatReply
-    | Join
-    | Learn
-    | Learned
-    | Handover
+    | HeartbeatResponse
+    | JoinRequest
+    | RecoveryRequest
+    | RecoveryResponse
+    | LeadershipTransfer
 )
-Record = PromiseRecord | ViewRecord | SyncedRecord | Entry | RangesRecord
+Record = PromisedTermRecord | AcceptedViewRecord | SyncedTermRecord | LogEntry | RangesRecord
--- a/crowwing/tier/replication/prevote.py
+++ b/crowwing/tier/replication/prevote.py
@@ -6,7 +6,7 @@
 
 import logging
 
-from crowwing.tier.replication import messages as m
+from crowwing.tier.replication import messages
 from crowwing.tier.replication.candidate import Candidate
 from crowwing.tier.replication.replica_state import Role, majority
 from crowwing.tier.replication.timing import PREVOTE_RETRY_S, STICKY_S
@@ -25,12 +25,14 @@
         self._prevote_at = now
         self._willing = {self.me}
         for witness in sorted(set(self.view.witnesses) - {self.me}):
-            self._send(witness, m.AskPreVote(self.promised, self.me))
+            self._send(witness, messages.PreVoteRequest(self.promised, self.me))
         self._count_prevotes(now)
 
-    def _on_askprevote(self, now: float, x: m.AskPreVote) -> None:
+    def _on_pre_vote_request(self, now: float, x: messages.PreVoteRequest) -> None:
         if self.whole:
-            self._send(x.sender, m.PreVote(x.ballot, self.me, self._would_promise(now, x.sender)))
+            self._send(
+                x.sender, messages.PreVoteResponse(x.term, self.me, self._would_promise(now, x.sender))
+            )
 
     def _would_promise(self, now: float, candidate: str) -> bool:
         """Whether this replica knows of no primary that lives."""
@@ -40,8 +42,8 @@
             return False  # it may have vouched for a primary just before it ended
         return self.leader in (None, candidate) or now - self.leader_heard >= STICKY_S
 
-    def _on_prevote(self, now: float, x: m.PreVote) -> None:
-        if self.role is not Role.FOLLOWER or x.ballot != self.promised or now < self._campaign_at:
+    def _on_pre_vote_response(self, now: float, x: messages.PreVoteResponse) -> None:
+        if self.role is not Role.FOLLOWER or x.term != self.promised or now < self._campaign_at:
             return
         if x.willing:
             self._willing.add(x.sender)
--- a/crowwing/tier/replication/primary.py
+++ b/crowwing/tier/replication/primary.py
@@ -2,7 +2,7 @@
 
 import logging
 
-from crowwing.tier.replication import messages as m
+from crowwing.tier.replication import messages
 from crowwing.tier.replication.candidate import Candidate
 from crowwing.tier.replication.replica_state import Role, majority, slow_disks
 from crowwing.tier.replication.timing import (
@@ -31,9 +31,9 @@
         """Appends one entry; gives its index, or None where this is not the primary."""
         if self.role is not Role.PRIMARY or self.view is None:
             return None
-        entry = m.Entry(self.promised, self.log.last[1] + 1, payload)
+        entry = messages.LogEntry(self.promised, self.log.last[1] + 1, payload)
         self._take_entries([entry])
-        self._send(self.me, m.Appended(self.promised, self.me, entry.index), durable=True)
+        self._send(self.me, messages.AppendResponse(self.promised, self.me, entry.index), durable=True)
         return entry.index
 
     def send_entries(self, now: float) -> None:
@@ -46,11 +46,11 @@
 
     def _send_windows(self, now: float, members: list[str]) -> None:
         """Members that are sent the same entries are sent the same message, so that it is encoded once."""
-        appends: dict[tuple[int, int], m.Append] = {}
+        appends: dict[tuple[int, int], messages.AppendRequest] = {}
         for member in members:
             while (span := self._next_span(member)) is not None:
                 if span not in appends:
-                    appends[span] = m.Append(self.promised, self.me, self.log.after(*span))
+                    appends[span] = messages.AppendRequest(self.promised, self.me, self.log.after(*span))
                 if self._acked[member] >= span[0]:
                     self._moved_at[member] = now  # it had nothing to answer before
                 self._sent[member] = span[1]
@@ -88,7 +88,7 @@
                 others, key=lambda x: (x not in slow, self._acked.get(x, 0), self._heard.get(x, 0.0))
             )
             self._lease_released = True
-            self._send(freshest, m.Handover(self.promised, self.me))
+            self._send(freshest, messages.LeadershipTransfer(self.promised, self.me))
 
     def stand_down(self, now: float, why: str) -> None:
         """Stops leading because its own machine can't go on; another member is asked to take over."""
@@ -105,7 +105,7 @@
         for old in [number for number, at in self._rounds.items() if now - at > 2.0]:
             del self._rounds[old], self._round_acks[old]
         joiners = {x for x, at in self._joiners.items() if now - at < 2 * JOIN_FRESH_S}
-        heartbeat = m.Heartbeat(self.promised, self.me, self._round, self.view)
+        heartbeat = messages.Heartbeat(self.promised, self.me, self._round, self.view)
         receivers = {*self.view.witnesses, *joiners}
         if now - self._announced_at >= ANNOUNCED_S:  # who lost its disk may have no other way to hear of us
             self._announced_at = now
@@ -120,8 +120,8 @@
         answered = self._round_acks[number] & set(self.view.witnesses)
         return len(answered) >= majority(len(self.view.witnesses))
 
-    def _on_heartbeatreply(self, now: float, x: m.HeartbeatReply) -> None:
-        if self.role is not Role.PRIMARY or x.ballot != self.promised or self.view is None:
+    def _on_heartbeat_response(self, now: float, x: messages.HeartbeatResponse) -> None:
+        if self.role is not Role.PRIMARY or x.term != self.promised or self.view is None:
             return
         if not x.whole:
             return  # counts as silent: it can neither promise nor keep anything yet
@@ -148,14 +148,14 @@
             if now >= self._learner_wait.get(x.sender, now):
                 self._learner_wait[x.sender] = now + self._send_sync(x.sender, x.last)
 
-    def _resend_if_stuck(self, now: float, x: m.HeartbeatReply) -> None:
+    def _resend_if_stuck(self, now: float, x: messages.HeartbeatResponse) -> None:
         """A member that has not moved for a while is sent again what it has not told to hold."""
         acked = self._acked.get(x.sender, -1)
         if not 0 <= acked < self._sent[x.sender] or now - self._moved_at.get(x.sender, now) < RESEND_S:
             return
         self._moved_at[x.sender] = now
         if x.last[1] >= self._sent[x.sender]:  # only its answer was lost
-            self._send(x.sender, m.Append(self.promised, self.me, ()))
+            self._send(x.sender, messages.AppendRequest(self.promised, self.me, ()))
         elif self.log.contains(x.last):
             self._sent[x.sender] = x.last[1]
             self._send_windows(now, [x.sender])
@@ -165,8 +165,8 @@
             log.info("member %s came back without its data", member)
             self._start_campaign(now)
 
-    def _on_appended(self, now: float, x: m.Appended) -> None:
-        if self.role is not Role.PRIMARY or x.ballot != self.promised or self.view is None:
+    def _on_append_response(self, now: float, x: messages.AppendResponse) -> None:
+        if self.role is not Role.PRIMARY or x.term != self.promised or self.view is None:
             return
         if x.index > self._acked.get(x.sender, -1) >= 0:
             self._acked[x.sender] = x.index
--- a/crowwing/tier/replication/range_transfer.py
+++ b/crowwing/tier/replication/range_transfer.py
@@ -7,7 +7,7 @@
 position. Until then it keeps its own state, in memory and on disk; the exchange is one record.
 """
 
-from crowwing.tier.replication import messages as m
+from crowwing.tier.replication import messages
 from crowwing.tier.replication.replica_state import Phase, RangeRepair, ReplicaState, Role
 from crowwing.tier.replication.timing import RANGES_WAIT_S, SYNC_LIMIT_S
 
@@ -22,18 +22,18 @@
 
     def _send_digests(self, target: str, restart: bool = False) -> None:
         digests = self._machine.digests()
-        self._send(target, m.Digests(self.promised, self.me, self.log.last, digests, restart))
+        self._send(target, messages.RangeDigests(self.promised, self.me, self.log.last, digests, restart))
 
-    def _serves(self, ballot: m.Ballot) -> bool:
+    def _serves(self, term: messages.Term) -> bool:
         """Whether this replica's data is what others are to be brought to under a ballot."""
-        if ballot != self.promised:
+        if term != self.promised:
             return False
         if self.role is Role.CANDIDATE:
             return self._campaign is not None and self._campaign.phase is not Phase.PREPARE
         return self.role is Role.PRIMARY
 
-    def _on_fetchranges(self, now: float, x: m.FetchRanges) -> None:
-        if not self._serves(x.ballot):
+    def _on_ranges_request(self, now: float, x: messages.RangesRequest) -> None:
+        if not self._serves(x.term):
             return
         contents: list[tuple[int, bytes]] = []
         size = 0
@@ -43,7 +43,7 @@
                 break
             contents.append((number, content))
             size += len(content)
-        self._send(x.sender, m.Ranges(self.promised, self.me, self.log.last, tuple(contents)))
+        self._send(x.sender, messages.RangesResponse(self.promised, self.me, self.log.last, tuple(contents)))
         self._learner_moved(now, x.sender)
 
     def _learner_moved(self, now: float, learner: str) -> None:
@@ -53,39 +53,39 @@
         if campaign is not None and learner in campaign.targets:
             campaign.sync_limit_s = max(campaign.sync_limit_s, now - campaign.since + SYNC_LIMIT_S)
 
-    def _on_fetchentries(self, now: float, x: m.FetchEntries) -> None:
-        if not self._serves(x.ballot):
+    def _on_entries_request(self, now: float, x: messages.EntriesRequest) -> None:
+        if not self._serves(x.term):
             return
         if all(self.log.contains(position) for position in x.positions):
             start = min(x.positions, key=lambda position: position[1])
             entries = self.log.after(start[1])
-            self._send(x.sender, m.Sync(self.promised, self.me, start, entries, self.log.last))
+            self._send(x.sender, messages.SyncRequest(self.promised, self.me, start, entries, self.log.last))
             self._learner_moved(now, x.sender)
         else:
             self._send_digests(x.sender, restart=True)
 
     # The learner
 
-    def _on_digests(self, now: float, x: m.Digests) -> None:
-        if not self._follows(now, x.ballot, x.sender):
+    def _on_range_digests(self, now: float, x: messages.RangeDigests) -> None:
+        if not self._follows(now, x.term, x.sender):
             return
         if self._repair is None or x.restart:
             own = self._machine.digests()
             differ = [number for number, digest in enumerate(x.digests) if own[number] != digest]
             self._repair = RangeRepair(x.last, differ)
-        self._fetch_next(x.ballot, x.sender)
+        self._fetch_next(x.term, x.sender)
 
-    def _fetch_next(self, ballot: m.Ballot, sender: str) -> None:
+    def _fetch_next(self, term: messages.Term, sender: str) -> None:
         repair = self._repair
         assert repair is not None
         if repair.wanted:
-            self._send(sender, m.FetchRanges(ballot, self.me, tuple(repair.wanted[:PIECE_RANGES])))
+            self._send(sender, messages.RangesRequest(term, self.me, tuple(repair.wanted[:PIECE_RANGES])))
         else:
             positions = tuple({repair.start, *repair.positions.values()})
-            self._send(sender, m.FetchEntries(ballot, self.me, positions))
+            self._send(sender, messages.EntriesRequest(term, self.me, positions))
 
-    def _on_ranges(self, now: float, x: m.Ranges) -> None:
-        if not self._follows(now, x.ballot, x.sender) or self._repair is None:
+    def _on_ranges_response(self, now: float, x: messages.RangesResponse) -> None:
+        if not self._follows(now, x.term, x.sender) or self._repair is None:
             return
         repair = self._repair
         fresh = [(number, content) for number, content in x.contents if number in repair.wanted]
@@ -93,9 +93,9 @@
             repair.wanted.remove(number)
             repair.contents[number], repair.positions[number] = content, x.last
         if fresh:  # what was asked for twice is not followed twice
-            self._fetch_next(x.ballot, x.sender)
+            self._fetch_next(x.term, x.sender)
 
-    def _completes_repair(self, x: m.Sync) -> bool:
+    def _completes_repair(self, x: messages.SyncRequest) -> bool:
         """Whether these entries reach from the first digests to the newest range that was fetched."""
         repair = self._repair
         if repair is None or repair.wanted or x.previous != repair.start:
@@ -103,7 +103,7 @@
         newest = max((position[1] for position in repair.positions.values()), default=repair.start[1])
         return x.previous[1] + len(x.entries) >= newest
 
-    def _finish_repair(self, x: m.Sync) -> None:
+    def _finish_repair(self, x: messages.SyncRequest) -> None:
         """Replaces the ranges that differed and applies the entries to each from its position on."""
         repair, self._repair = self._repair, None
         assert repair is not None
@@ -119,8 +119,8 @@
             self.log.append(entry)
         for number in moved_on:
             contents[number] = self._machine.dump_range(number)
-        self._output.records.append(m.RangesRecord(self.log.last, tuple(sorted(contents.items()))))
+        self._output.records.append(messages.RangesRecord(self.log.last, tuple(sorted(contents.items()))))
 
-    def _follows(self, now: float, ballot: m.Ballot, sender: str) -> bool:
+    def _follows(self, now: float, term: messages.Term, sender: str) -> bool:
         """Whether this replica takes the sender's data under a ballot; binds it to that ballot if so."""
         raise NotImplementedError
--- a/crowwing/tier/replication/replica_state.py
+++ b/crowwing/tier/replication/replica_state.py
@@ -7,7 +7,7 @@
 from itertools import chain
 from typing import Protocol
 
-from crowwing.tier.replication import messages as m
+from crowwing.tier.replication import messages
 from crowwing.tier.replication.log import EntryLog
 from crowwing.tier.replication.timing import (
     LEARNER_SYNC_S,
@@ -54,10 +54,12 @@
 class RangeRepair:
     """A learner's way to another replica's data (range_transfer.py)."""
 
-    start: m.Position  # what the ranges that did not differ stand for
+    start: messages.LogPosition  # what the ranges that did not differ stand for
     wanted: list[int]
     contents: dict[int, bytes] = field(default_factory=dict)
-    positions: dict[int, m.Position] = field(default_factory=dict)  # what each fetched range stands for
+    positions: dict[int, messages.LogPosition] = field(
+        default_factory=dict
+    )  # what each fetched range stands for
 
     def fetched_upto(self, number: int) -> int:
         """The index of the last entry that a range holds already."""
@@ -84,9 +86,9 @@
 class Output:
     """What a step asks for: records to be put on disk, then the messages that wait for them."""
 
-    records: list[m.Record] = field(default_factory=list)
-    durable: list[tuple[str, m.Message]] = field(default_factory=list)  # to whom, after the records
-    immediate: list[tuple[str, m.Message]] = field(default_factory=list)
+    records: list[messages.Record] = field(default_factory=list)
+    durable: list[tuple[str, messages.Message]] = field(default_factory=list)  # to whom, after the records
+    immediate: list[tuple[str, messages.Message]] = field(default_factory=list)
 
 
 @dataclass
@@ -95,16 +97,16 @@
 
     phase: Phase
     since: float
-    released: m.Ballot  # of the primary that has given up its lease for this campaign
-    promises: dict[str, m.Promise] = field(default_factory=dict)
+    released: messages.Term  # of the primary that has given up its lease for this campaign
+    promises: dict[str, messages.Promise] = field(default_factory=dict)
     asked: set[str] = field(default_factory=set)
     majority_at: float | None = None
-    base: m.View | None = None
+    base: messages.View | None = None
     targets: set[str] = field(default_factory=set)
     sync_limit_s: float = SYNC_LIMIT_S
     told_at: float = -1e9  # when the others were told that it is still syncing
     synced: set[str] = field(default_factory=set)
-    view: m.View | None = None
+    view: messages.View | None = None
     accepted: set[str] = field(default_factory=set)
 
 
@@ -139,9 +141,9 @@
         self._seeds = set(seeds) - {me}
         self.min_copies, self.min_witnesses = faults + 1, 2 * faults + 1
         self.log = EntryLog()
-        self.promised: m.Ballot = m.NO_BALLOT
-        self.view: m.View | None = None
-        self.synced: m.Ballot = m.NO_BALLOT
+        self.promised: messages.Term = messages.NO_TERM
+        self.view: messages.View | None = None
+        self.synced: messages.Term = messages.NO_TERM
         self.whole = False  # False: without memory of what this replica has promised
         self.role = Role.FOLLOWER
         self.commit_index = 0
@@ -150,7 +152,7 @@
         self.disk_stalled = False  # a write has been under way for long
         self.sync_s = 0.0  # that this replica's disk takes for a write, smoothed
         self.leader: str | None = None
-        self._vouched = m.NO_BALLOT  # the highest ballot whose leader this replica may have answered
+        self._vouched = messages.NO_TERM  # the highest ballot whose leader this replica may have answered
         self._lease_released = False  # under the present ballot no lease is held any more
         self.leader_heard = now if started is None else started
         self._listen_until = now + LISTEN_S
@@ -163,7 +165,7 @@
         self._prevote_at = -1e9
         self._willing: set[str] = set()  # who would help this replica to a ballot
         self._seen_round = 0
-        self._learned: dict[str, m.Learned] = {}
+        self._learned: dict[str, messages.RecoveryResponse] = {}
         self._repair: RangeRepair | None = None
         self._peers: set[str] = set(self._seeds)
         self._reset_primary(now)
@@ -189,35 +191,35 @@
     def bootstrap(self, members: Iterable[str]) -> None:
         """The first start of the whole system, with an empty disk, at a machine that the seeds name."""
         names = tuple(sorted(members))
-        self.view = m.View(m.FIRST_BALLOT, names, names)
-        self.promised = self.synced = m.FIRST_BALLOT
+        self.view = messages.View(messages.FIRST_TERM, names, names)
+        self.promised = self.synced = messages.FIRST_TERM
         self.whole = True
         if names and names[0] == self.me:
             self._campaign_at = self.leader_heard
         self.leader_heard -= STICKY_S
         self._output.records += [
-            m.PromiseRecord(self.promised),
-            m.ViewRecord(self.view),
-            m.SyncedRecord(self.synced),
+            messages.PromisedTermRecord(self.promised),
+            messages.AcceptedViewRecord(self.view),
+            messages.SyncedTermRecord(self.synced),
         ]
 
-    def recover(self, records: Iterable[m.Record]) -> None:
+    def recover(self, records: Iterable[messages.Record]) -> None:
         """Takes in what the disk holds."""
         self._remembers = True
         for record in records:
             match record:
-                case m.PromiseRecord(ballot):
-                    self.promised = max(self.promised, ballot)
+                case messages.PromisedTermRecord(term):
+                    self.promised = max(self.promised, term)
                     self.whole = True
-                case m.ViewRecord(view):
-                    self.view, self.promised = view, max(self.promised, view.ballot)
-                case m.SyncedRecord(ballot):
-                    self.synced = ballot
-                case m.Entry():
+                case messages.AcceptedViewRecord(view):
+                    self.view, self.promised = view, max(self.promised, view.term)
+                case messages.SyncedTermRecord(term):
+                    self.synced = term
+                case messages.LogEntry():
                     if record.index == self.log.last[1] + 1:
                         self._machine.apply(record.payload, record.index)
                         self.log.append(record)
-                case m.RangesRecord(last, contents):
+                case messages.RangesRecord(last, contents):
                     self._machine.replace_ranges(dict(contents))
                     self.log.reset(last)
         self._campaign_at = self._turn(self._started)
@@ -230,23 +232,26 @@
         patience = SUSPECT_S + SUSPECT_SYNCS * self.sync_s
         return heard + patience + SUSPECT_TURN_S * place + SUSPECT_SPREAD_S * self._random()
 
-    def compacted(self) -> Iterable[m.Record]:
+    def compacted(self) -> Iterable[messages.Record]:
         """Records that stand for everything so far; those of the state are made when iterated."""
-        records: list[m.Record] = [m.RangesRecord(self.log.last, ()), m.SyncedRecord(self.synced)]
+        records: list[messages.Record] = [
+            messages.RangesRecord(self.log.last, ()),
+            messages.SyncedTermRecord(self.synced),
+        ]
         if self.whole:
-            records.append(m.PromiseRecord(self.promised))
+            records.append(messages.PromisedTermRecord(self.promised))
         if self.view is not None:
-            records.append(m.ViewRecord(self.view))
+            records.append(messages.AcceptedViewRecord(self.view))
         ranges = self._machine.freeze()
         last = self.log.last
-        return chain(records, (m.RangesRecord(last, (content,)) for content in ranges))
+        return chain(records, (messages.RangesRecord(last, (content,)) for content in ranges))
 
     def take_output(self) -> Output:
         """What is to be carried out since the last call."""
         output, self._output = self._output, Output()
         return output
 
-    def _send(self, to: str, message: m.Message, durable: bool = False) -> None:
+    def _send(self, to: str, message: messages.Message, durable: bool = False) -> None:
         (self._output.durable if durable or to == self.me else self._output.immediate).append((to, message))
 
     def add_peers(self, hosts: Iterable[str]) -> None:
@@ -268,27 +273,27 @@
             return False
         return now - self.confirmed_at < LEASE_S
 
-    def _may_pass_lease(self, released: m.Ballot) -> bool:
+    def _may_pass_lease(self, released: messages.Term) -> bool:
         """Whether the one lease that this replica may have vouched for has been given up."""
-        return released != m.NO_BALLOT and released >= self._vouched
+        return released != messages.NO_TERM and released >= self._vouched
 
     def _may_lead(self) -> bool:
         view = self.view
         return (
             view is not None
             and self.me in view.members
-            and self.synced >= view.ballot
+            and self.synced >= view.term
             and self.me not in self.excluded
             and not self.disk_stalled
         )
 
-    def _promise(self, ballot: m.Ballot) -> None:
-        self.promised = ballot
-        self._output.records.append(m.PromiseRecord(ballot))
+    def _promise(self, term: messages.Term) -> None:
+        self.promised = term
+        self._output.records.append(messages.PromisedTermRecord(term))
 
-    def _heard_leader(self, now: float, leader: str, ballot: m.Ballot) -> None:
+    def _heard_leader(self, now: float, leader: str, term: messages.Term) -> None:
         self.leader, self.leader_heard = leader, now
-        self._vouched = max(self._vouched, ballot)
+        self._vouched = max(self._vouched, term)
         self._campaign_at = self._turn(now)
 
     def _step_down(self, now: float, why: str) -> None:
@@ -297,19 +302,19 @@
         self.role, self._campaign = Role.FOLLOWER, None
         self._campaign_at = max(self._campaign_at, self._turn(now))
 
-    def _take_entries(self, entries: Iterable[m.Entry]) -> None:
+    def _take_entries(self, entries: Iterable[messages.LogEntry]) -> None:
         for entry in entries:
             self._machine.apply(entry.payload, entry.index)
             self.log.append(entry)
             self._output.records.append(entry)
             self._repair = None  # it was compared with the state before
 
-    def _send_sync(self, target: str, last: m.Position) -> float:
+    def _send_sync(self, target: str, last: messages.LogPosition) -> float:
         """Sends some of what a replica at `last` lacks, or digests; gives the time to wait for an answer."""
         if self.log.contains(last):
             end = self.log.index_within(last[1], SYNC_BYTES)
             entries = self.log.after(last[1], end)
-            self._send(target, m.Sync(self.promised, self.me, last, entries, self.log.last))
+            self._send(target, messages.SyncRequest(self.promised, self.me, last, entries, self.log.last))
             return LEARNER_SYNC_S
         self._send_digests(target)
         return RANGES_WAIT_S
--- a/crowwing/tier/state/changes.py
+++ b/crowwing/tier/state/changes.py
@@ -4,10 +4,10 @@
 
 from crowwing.tier.replication.ranges import digest_of
 
-MOST_CHANGES = 4096  # remembered; with version and digest each takes under 32 bytes on disk
+MAX_REMEMBERED_CHANGES = 4096  # remembered; with version and digest each takes under 32 bytes on disk
 
 
-class TakenChanges:
+class AcceptedChanges:
     """The newest changes that were taken, by version, each with a digest of its base and its text.
 
     Versions rise with each change, so each names one change. Beyond the bound the oldest are forgotten;
@@ -22,7 +22,7 @@
     def add(self, version: int, base: int, text: bytes) -> None:
         """Notes the newest change."""
         self._add_digest(version, _digest_of_change(base, text))
-        while len(self._digests) > MOST_CHANGES:
+        while len(self._digests) > MAX_REMEMBERED_CHANGES:
             self.forgotten = next(iter(self._digests))
             del self._versions[self._digests.pop(self.forgotten)]
 
@@ -39,7 +39,7 @@
         return (self.forgotten, list(self._digests), b"".join(self._digests.values()))
 
     @classmethod
-    def from_plain(cls, plain: tuple[Any, ...]) -> "TakenChanges":
+    def from_plain(cls, plain: tuple[Any, ...]) -> "AcceptedChanges":
         """The changes that `to_plain` gave the fields of."""
         changes = cls()
         changes.forgotten, versions, digests = plain
--- a/crowwing/tier/state/events.py
+++ b/crowwing/tier/state/events.py
@@ -9,7 +9,7 @@
 
 @message("ConfigurationTaken")
 @dataclass(frozen=True)
-class ConfigurationTaken:
+class ConfigurationAccepted:
     """A configuration is in force from now on. `base` is the version that it was built on."""
 
     version: int
@@ -19,7 +19,7 @@
 
 @message("Item")
 @dataclass(frozen=True)
-class Item:
+class BatchItem:
     """One item of a lot as it was handed in. `headers` are names and values in order."""
 
     id: str
@@ -31,7 +31,7 @@
 
 @message("Result")
 @dataclass(frozen=True)
-class Result:
+class ItemResult:
     """The final result of an item."""
 
     item: str
@@ -41,23 +41,23 @@
 
 @message("LotTaken")
 @dataclass(frozen=True)
-class LotTaken:
+class BatchJobAccepted:
     """A lot is this system's to keep. `at_ms` is the time of day at the primary."""
 
-    lot: str
+    job_id: str
     host: str
     path: str
-    items: tuple[Item, ...]
+    items: tuple[BatchItem, ...]
     at_ms: int
 
 
 @message("ItemsEnded")
 @dataclass(frozen=True)
-class ItemsEnded:
+class ItemsCompleted:
     """Results take the next positions of their lot, in this order."""
 
-    lot: str
-    results: tuple[Result, ...]
+    job_id: str
+    results: tuple[ItemResult, ...]
 
 
 @message("AttemptFailed")
@@ -65,30 +65,30 @@
 class AttemptFailed:
     """A sidecar answered 500 to an attempt at an item."""
 
-    lot: str
+    job_id: str
     item: str
     attempt: str
 
 
 @message("LotEnded")
 @dataclass(frozen=True)
-class LotEnded:
+class BatchJobEnded:
     """The client wants no more of a lot."""
 
-    lot: str
+    job_id: str
 
 
 @message("LotDropped")
 @dataclass(frozen=True)
-class LotDropped:
+class BatchJobRemoved:
     """Nobody may ask for a lot any more."""
 
-    lot: str
+    job_id: str
 
 
 @message("StoreSeen")
 @dataclass(frozen=True)
-class StoreSeen:
+class StoreRegistered:
     """A store machine has its data under this name and address."""
 
     node: str
@@ -97,19 +97,19 @@
 
 @message("RetireAsked")
 @dataclass(frozen=True)
-class RetireAsked:
+class RetireRequested:
     """A store machine is to be emptied."""
 
     node: str
 
 
 Event = (
-    ConfigurationTaken
-    | LotTaken
-    | ItemsEnded
+    ConfigurationAccepted
+    | BatchJobAccepted
+    | ItemsCompleted
     | AttemptFailed
-    | LotEnded
-    | LotDropped
-    | StoreSeen
-    | RetireAsked
+    | BatchJobEnded
+    | BatchJobRemoved
+    | StoreRegistered
+    | RetireRequested
 )
--- a/crowwing/tier/store/commands.py
+++ b/crowwing/tier/store/commands.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from crowwing.tier.state.events import Item, Result
+from crowwing.tier.state.events import BatchItem, ItemResult
 from crowwing.tier.wire.codec import message
 
 
@@ -24,45 +24,45 @@
 
 @message("SubmitLot")
 @dataclass(frozen=True)
-class SubmitLot:
+class SubmitBatchJob:
     """Hands a lot in."""
 
-    lot: str
+    job_id: str
     host: str
     path: str
-    items: tuple[Item, ...]
+    items: tuple[BatchItem, ...]
 
 
 @message("ReadLot")
 @dataclass(frozen=True)
-class ReadLot:
+class ReadBatchJob:
     """Reads results from a position on, waiting up to `wait_ms` for the first."""
 
-    lot: str
+    job_id: str
     start: int
     wait_ms: int
 
 
 @message("ReadBody")
 @dataclass(frozen=True)
-class ReadBody:
+class ReadItemBody:
     """Reads the body of an item that has no result yet."""
 
-    lot: str
+    job_id: str
     item: str
 
 
 @message("EndLot")
 @dataclass(frozen=True)
-class EndLot:
+class EndBatchJob:
     """Ends a lot."""
 
-    lot: str
+    job_id: str
 
 
 @message("Retire")
 @dataclass(frozen=True)
-class Retire:
+class RetireStore:
     """Asks that a store machine be emptied."""
 
     node: str
@@ -70,7 +70,7 @@
 
 @message("ReadRetire")
 @dataclass(frozen=True)
-class ReadRetire:
+class ReadRetirement:
     """Asks how far that is."""
 
     node: str
@@ -78,7 +78,7 @@
 
 @message("LeaseItems")
 @dataclass(frozen=True)
-class LeaseItems:
+class LeaseItemsRequest:
     """A front asks for items to run, and tells which ones (lot, item) it still runs and has given up."""
 
     front: str
@@ -90,27 +90,27 @@
 
 @message("ReportItem")
 @dataclass(frozen=True)
-class ReportItem:
+class ReportItemResult:
     """An item has its result."""
 
-    lot: str
+    job_id: str
     item: str
-    result: Result
+    result: ItemResult
 
 
 @message("ReportFailure")
 @dataclass(frozen=True)
-class ReportFailure:
+class ReportItemFailure:
     """An attempt at an item ended with a 500. `attempt` names it, so that a report sent again counts once."""
 
-    lot: str
+    job_id: str
     item: str
     attempt: str
 
 
 @message("ShowStatus")
 @dataclass(frozen=True)
-class ShowStatus:
+class GetStatus:
     """Asks a store machine for its role, view and numbers."""
 
 
@@ -127,7 +127,7 @@
 
 @message("Unsure")
 @dataclass(frozen=True)
-class Unsure:
+class Indeterminate:
     """Whether it was done is not known; it may be asked again."""
 
     reason: str
@@ -141,7 +141,7 @@
 
 @message("Missing")
 @dataclass(frozen=True)
-class Missing:
+class NotFound:
     """There is no such thing, for certain."""
 
 
@@ -165,11 +165,11 @@
 
 @message("LotPage")
 @dataclass(frozen=True)
-class LotPage:
+class BatchJobPage:
     """Results of a lot from the position asked for."""
 
     total: int
-    results: tuple[Result, ...]
+    results: tuple[ItemResult, ...]
 
 
 @message("ItemBody")
@@ -182,7 +182,7 @@
 
 @message("RetireState")
 @dataclass(frozen=True)
-class RetireState:
+class RetirementStatus:
     """How far the emptying of a machine is."""
 
     completed: bool
@@ -193,15 +193,15 @@
 class LeasedItem:
     """An item to run, with the host of its lot and what is left until its lot is due."""
 
-    lot: str
+    job_id: str
     host: str
-    item: Item
+    item: BatchItem
     age_ms: int
 
 
 @message("ItemsLeased")
 @dataclass(frozen=True)
-class ItemsLeased:
+class LeaseItemsResponse:
     """Items to run, and those among the running ones that are wanted no more."""
 
     items: tuple[LeasedItem, ...]
@@ -210,25 +210,25 @@
 
 @message("Status")
 @dataclass(frozen=True)
-class Status:
+class StoreStatus:
     """A store machine's role, view and numbers."""
 
     node: str
     role: str
-    ballot: tuple[int, str]
+    term: tuple[int, str]
     members: tuple[str, ...]
     witnesses: tuple[str, ...]
     index: int
     commit: int
     version: int
-    lots: int
+    jobs: int
     open_items: int
     stores: dict[str, str]
 
 
 @message("Announce")
 @dataclass(frozen=True)
-class Announce:
+class RegisterStore:
     """A store machine tells its name and address."""
 
     node: str
@@ -237,7 +237,7 @@
 
 @message("Forwarded")
 @dataclass(frozen=True)
-class Forwarded:
+class ForwardedCommand:
     """A command that another store machine passes on to the primary; it is not passed on again."""
 
     command: Any
--- a/crowwing/tier/store/item_leasing.py
+++ b/crowwing/tier/store/item_leasing.py
@@ -8,9 +8,9 @@
 
 from crowwing.tier.configuration import Configuration
 from crowwing.tier.replication.replica_state import Role
-from crowwing.tier.state.events import Item
-from crowwing.tier.state.lots import Lot
-from crowwing.tier.store import commands as c
+from crowwing.tier.state.batch_jobs import BatchJob
+from crowwing.tier.state.events import BatchItem
+from crowwing.tier.store import commands
 from crowwing.tier.store.leases import ItemKey, Leases
 from crowwing.tier.store.node import ReplicaNode
 
@@ -18,7 +18,7 @@
 HAND_OUT_S = 0.1  # between looks for leases that have ended
 RUN_MARGIN_MS = 1500.0  # what an item takes, once it is leased
 
-LotItem = tuple[Lot, Item]
+JobItem = tuple[BatchJob, BatchItem]
 
 
 @dataclass
@@ -27,7 +27,7 @@
 
     front: str
     most: int
-    found: "asyncio.Future[list[LotItem]]" = field(repr=False)
+    found: "asyncio.Future[list[JobItem]]" = field(repr=False)
 
 
 class ItemLeasing:
@@ -48,8 +48,8 @@
         self._uncommitted.clear()
         self._heard.clear()
         self._since = self._clock.monotonic()
-        for lot in self._node.state.lots.values():
-            self._leases.add_lot(lot)
+        for job in self._node.state.jobs.values():
+            self._leases.add_job(job)
 
     def count_fronts(self) -> int:
         """How many fronts call this primary; 0 until all have had the time to."""
@@ -59,42 +59,44 @@
         self._heard = {front: at for front, at in self._heard.items() if now - at < FRONT_HEARD_S}
         return len(self._heard)
 
-    def lot_proposed(self, index: int, lot_id: str) -> None:
+    def job_proposed(self, index: int, job_id: str) -> None:
         """A lot stands at an index of the log; its items may run once that is committed."""
-        self._uncommitted.append((index, lot_id))
+        self._uncommitted.append((index, job_id))
 
     def committed(self, index: int) -> None:
         """The log is committed up to an index."""
         if not self._uncommitted or self._uncommitted[0][0] > index:
             return
         while self._uncommitted and self._uncommitted[0][0] <= index:
-            lot = self._node.state.lots.get(self._uncommitted.popleft()[1])
-            if lot is not None:
-                self._leases.add_lot(lot)
+            job = self._node.state.jobs.get(self._uncommitted.popleft()[1])
+            if job is not None:
+                self._leases.add_job(job)
         self._hand_out()
 
     def release(self, key: ItemKey) -> None:
         """A front has reported on an item."""
         self._leases.release(self._node.state, key)
 
-    async def lease(self, command: c.LeaseItems) -> c.ItemsLeased | c.NotPrimary:
+    async def lease(
+        self, command: commands.LeaseItemsRequest
+    ) -> commands.LeaseItemsResponse | commands.NotPrimary:
         """Renews what a front runs, and waits for as many items as it wants, or for some of them."""
         if not self._node.replica.holds_lease(self._clock.monotonic()):
             if self._node.replica.role is not Role.FOLLOWER:
-                return c.ItemsLeased((), ())
-            return c.NotPrimary(self._node.leader)
+                return commands.LeaseItemsResponse((), ())
+            return commands.NotPrimary(self._node.leader)
         self._heard[command.front] = self._clock.monotonic()
         self._leases.give_up(self._node.state, command.front, command.given_up)
         stop = self._leases.renew(self._node.state, command.front, command.running, self._clock.monotonic())
         found = (
             [] if not command.most else await self._wait_for_items(command, 0 if stop else command.wait_ms)
         )
-        return c.ItemsLeased(tuple(self._leased(lot, item) for lot, item in found), stop)
+        return commands.LeaseItemsResponse(tuple(self._leased(job, item) for job, item in found), stop)
 
-    def _leased(self, lot: Lot, item: Item) -> c.LeasedItem:
-        return c.LeasedItem(lot.id, lot.host, item, max(0, self._clock.now_ms() - lot.at_ms))
+    def _leased(self, job: BatchJob, item: BatchItem) -> commands.LeasedItem:
+        return commands.LeasedItem(job.id, job.host, item, max(0, self._clock.now_ms() - job.at_ms))
 
-    async def _wait_for_items(self, command: c.LeaseItems, wait_ms: int) -> list[LotItem]:
+    async def _wait_for_items(self, command: commands.LeaseItemsRequest, wait_ms: int) -> list[JobItem]:
         waiting = WaitingFront(command.front, command.most, asyncio.get_running_loop().create_future())
         self._waiting.append(waiting)
         self._hand_out()
@@ -122,8 +124,8 @@
         self._leases.free_expired(self._node.state, now)
         due_ms, clock = self._due_ms(), self._clock.now_ms()
 
-        def hopeless(lot: Lot) -> bool:
-            return clock - lot.at_ms > due_ms.get(lot.host, math.inf) - RUN_MARGIN_MS
+        def hopeless(job: BatchJob) -> bool:
+            return clock - job.at_ms > due_ms.get(job.host, math.inf) - RUN_MARGIN_MS
 
         while self._waiting and (free := self._leases.free_count):
             waiting = self._waiting[0]
--- a/crowwing/tier/store/leases.py
+++ b/crowwing/tier/store/leases.py
@@ -6,8 +6,8 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 
-from crowwing.tier.state.events import Item
-from crowwing.tier.state.lots import Lot
+from crowwing.tier.state.batch_jobs import BatchJob
+from crowwing.tier.state.events import BatchItem
 from crowwing.tier.state.views import TierState
 
 LEASE_S = 1.8
@@ -26,9 +26,9 @@
         self._free: dict[str, deque[str]] = {}  # items by lot, oldest lot first
         self._not_before = now + GRACE_S
 
-    def add_lot(self, lot: Lot) -> None:
+    def add_job(self, job: BatchJob) -> None:
         """The items of a lot may be leased from now on."""
-        self._free[lot.id] = deque(lot.open_items)
+        self._free[job.id] = deque(job.open_items)
 
     @property
     def free_count(self) -> int:
@@ -54,32 +54,34 @@
                 self.release(state, key)
 
     def lease(
-        self, state: TierState, front: str, most: int, now: float, hopeless: Callable[[Lot], bool]
-    ) -> list[tuple[Lot, Item]]:
+        self, state: TierState, front: str, most: int, now: float, hopeless: Callable[[BatchJob], bool]
+    ) -> list[tuple[BatchJob, BatchItem]]:
         """Leases waiting items, oldest lot first, but lots that can't be in time any more last."""
         self.free_expired(state, now)
         if now < self._not_before:
             return []
-        leased: list[tuple[Lot, Item]] = []
-        for lot in self._lots_with_free_items(state, hopeless):
-            self._lease_of(lot, front, most, now, leased)
+        leased: list[tuple[BatchJob, BatchItem]] = []
+        for job in self._jobs_with_free_items(state, hopeless):
+            self._lease_of(job, front, most, now, leased)
             if len(leased) >= most:
                 break
         return leased
 
-    def _lots_with_free_items(self, state: TierState, hopeless: Callable[[Lot], bool]) -> list[Lot]:
-        for lot_id in [x for x, items in self._free.items() if not items or x not in state.lots]:
-            del self._free[lot_id]
-        return sorted((state.lots[lot_id] for lot_id in self._free), key=hopeless)
+    def _jobs_with_free_items(self, state: TierState, hopeless: Callable[[BatchJob], bool]) -> list[BatchJob]:
+        for job_id in [x for x, items in self._free.items() if not items or x not in state.jobs]:
+            del self._free[job_id]
+        return sorted((state.jobs[job_id] for job_id in self._free), key=hopeless)
 
-    def _lease_of(self, lot: Lot, front: str, most: int, now: float, leased: list[tuple[Lot, Item]]) -> None:
-        free = self._free[lot.id]
+    def _lease_of(
+        self, job: BatchJob, front: str, most: int, now: float, leased: list[tuple[BatchJob, BatchItem]]
+    ) -> None:
+        free = self._free[job.id]
         while free and len(leased) < most:
-            item = lot.open_items.get(free.popleft())
-            if item is None or self._until.get((lot.id, item.id), 0.0) > now:
+            item = job.open_items.get(free.popleft())
+            if item is None or self._until.get((job.id, item.id), 0.0) > now:
                 continue
-            self._grant((lot.id, item.id), front, now)
-            leased.append((lot, item))
+            self._grant((job.id, item.id), front, now)
+            leased.append((job, item))
 
     def free_expired(self, state: TierState, now: float) -> None:
         """Items whose lease has ended may be leased again."""
@@ -104,5 +106,5 @@
 
 
 def _is_open(state: TierState, key: ItemKey) -> bool:
-    lot = state.lots.get(key[0])
-    return lot is not None and key[1] in lot.open_items
+    job = state.jobs.get(key[0])
+    return job is not None and key[1] in job.open_items
--- a/crowwing/tier/store/machine.py
+++ b/crowwing/tier/store/machine.py
@@ -8,13 +8,13 @@
 
 from crowwing.tier.clock import SYSTEM_CLOCK, Clock
 from crowwing.tier.distribution.documents import Documents
-from crowwing.tier.distribution.relay import Attach, Beat, Push, Relay, Shuffle
+from crowwing.tier.distribution.relay import AttachRequest, DocumentPush, Relay, RootHeartbeat, ShuffleRequest
 from crowwing.tier.distribution.sampling import Peer
 from crowwing.tier.early import started_at
 from crowwing.tier.replication.replica_state import Role
 from crowwing.tier.settings import Settings
 from crowwing.tier.storage.record_file import StorageError
-from crowwing.tier.store import commands as c
+from crowwing.tier.store import commands
 from crowwing.tier.store.disk import Disk
 from crowwing.tier.store.list_reader import ListReader, ReadList
 from crowwing.tier.store.node import DISK_RETRY_S, ReplicaNode
@@ -24,7 +24,7 @@
 
 log = logging.getLogger("crowwing.store")
 
-RELAYED = (Attach, Beat, Push, Shuffle)
+RELAYED = (AttachRequest, RootHeartbeat, DocumentPush, ShuffleRequest)
 
 
 class StoreMachine:
@@ -70,9 +70,9 @@
     async def _handle(self, connection: Connection, body: Any) -> Any:  # noqa: ANN401
         if isinstance(body, RELAYED):
             return await self.relay.handle(connection, body)
-        if isinstance(body, c.Forwarded):
+        if isinstance(body, commands.ForwardedCommand):
             return await self.service.command(body.command, may_forward=False)
-        if type(body).__module__ == c.__name__:
+        if type(body).__module__ == commands.__name__:
             return await self.service.command(body)
         self.node.receive(body)
         return None
--- a/crowwing/tier/store/node.py
+++ b/crowwing/tier/store/node.py
@@ -10,12 +10,19 @@
 
 from crowwing.tier.clock import SYSTEM_CLOCK, Clock
 from crowwing.tier.early import started_at
-from crowwing.tier.replication.messages import Append, Digests, Message, Ranges, Record, Sync
+from crowwing.tier.replication.messages import (
+    AppendRequest,
+    Message,
+    RangeDigests,
+    RangesResponse,
+    Record,
+    SyncRequest,
+)
 from crowwing.tier.replication.replica import Replica
 from crowwing.tier.replication.replica_state import Output, Role
 from crowwing.tier.state.views import TierState
 from crowwing.tier.storage.record_file import StorageError
-from crowwing.tier.store import commands as c
+from crowwing.tier.store import commands
 from crowwing.tier.store.decisions import Decision
 from crowwing.tier.store.disk import Disk
 from crowwing.tier.wire.codec import encode
@@ -30,7 +37,7 @@
 READ_LIMIT_S = 1.5
 COMMIT_LIMIT_S = 3.0
 
-DATA_MESSAGES = (Append, Sync, Digests, Ranges)  # which can be long
+DATA_MESSAGES = (AppendRequest, SyncRequest, RangeDigests, RangesResponse)  # which can be long
 
 Decide = Callable[[TierState], Decision]
 
@@ -124,7 +131,7 @@
     async def _keep(self, records: list[Record]) -> None:
         if not records:
             return
-        is_long = self._disk.is_long(self.state.kept_bytes)
+        is_long = self._disk.is_long(self.state.stored_bytes)
         compacted = self.replica.compacted() if is_long else None  # at this moment it holds just `records`
         self._write_since = began = self.clock.monotonic()
         try:
@@ -252,7 +259,7 @@
         lease, or with `by_round` by a round that starts after the decision, whatever the clocks do.
         """
         if not await self._wait_primary():
-            return c.NotPrimary(self.leader)
+            return commands.NotPrimary(self.leader)
         now = self.clock.monotonic()
         decision = decide(self.state)
         for event in decision.events:
@@ -268,11 +275,11 @@
         except TimeoutError:
             committed = False
         if not committed:
-            return c.Unsure("the store machines did not agree in time")
+            return commands.Indeterminate("the store machines did not agree in time")
         if decision.events:
             return decision.outcome
         if not await (self.confirm_round() if by_round else self.confirm()):
-            return c.Unsure("it is not known whether this machine still decides")
+            return commands.Indeterminate("it is not known whether this machine still decides")
         return decision.outcome
 
     async def confirm(self) -> bool:
@@ -285,11 +292,11 @@
         """Whether a majority of the witnesses still knows this replica as primary at this moment."""
         if self.replica.role is not Role.PRIMARY:
             return False
-        ballot, number = self.replica.promised, self.replica.beat_now(self.clock.monotonic())
+        term, number = self.replica.promised, self.replica.beat_now(self.clock.monotonic())
         self.step()
         deadline = self.clock.monotonic() + READ_LIMIT_S
         while self.clock.monotonic() < deadline:
-            if self.replica.role is not Role.PRIMARY or self.replica.promised != ballot:
+            if self.replica.role is not Role.PRIMARY or self.replica.promised != term:
                 return False
             if self.replica.round_confirmed(number):
                 return True
--- a/crowwing/tier/store/service.py
+++ b/crowwing/tier/store/service.py
@@ -8,13 +8,12 @@
 from crowwing.tier.distribution.documents import CONFIGURATION, Document, Documents
 from crowwing.tier.replication.replica_state import Role
 from crowwing.tier.settings import MEGABYTE, Settings
-from crowwing.tier.state import events as e
+from crowwing.tier.state import events
 from crowwing.tier.state.views import TierState
-from crowwing.tier.store import commands as c
-from crowwing.tier.store import decisions as d
+from crowwing.tier.store import commands, decisions
+from crowwing.tier.store.batch_job_readers import BatchJobReaders
 from crowwing.tier.store.disk import Disk
 from crowwing.tier.store.item_leasing import ItemLeasing
-from crowwing.tier.store.lot_readers import LotReaders
 from crowwing.tier.store.node import Decide, ReplicaNode
 from crowwing.tier.wire.connection import CallError, Links
 
@@ -35,7 +34,7 @@
         self._settings, self._node, self._disk, self._links = settings, node, disk, links
         self._documents, self._clock = documents, node.clock
         self.leasing = ItemLeasing(node, lambda: self.configuration)
-        self._readers = LotReaders()
+        self._readers = BatchJobReaders()
         self._parsed: tuple[int, Configuration | None] = (0, None)
         self._unpublished: list[tuple[int, Document]] = []  # with the index that must be committed first
         node.on_role.append(self._role_changed)
@@ -56,31 +55,31 @@
         self.leasing.committed(index)
         self._readers.committed(index)
 
-    def _put_configuration(self, state: TierState, command: c.PutConfiguration) -> d.Decision:
-        decision = d.put_configuration(state, command)
+    def _put_configuration(self, state: TierState, command: commands.PutConfiguration) -> decisions.Decision:
+        decision = decisions.put_configuration(state, command)
         for event in decision.events:
             document = Document(CONFIGURATION, (event.version,), event.text)
             self._unpublished.append((self._node.replica.log.last[1] + 1, document))
         return decision
 
-    def _submit_lot(self, state: TierState, command: c.SubmitLot) -> d.Decision:
-        decision = d.submit_lot(state, command, self._clock.now_ms(), self._disk_left())
+    def _submit_batch_job(self, state: TierState, command: commands.SubmitBatchJob) -> decisions.Decision:
+        decision = decisions.submit_batch_job(state, command, self._clock.now_ms(), self._disk_left())
         if decision.events:
-            self.leasing.lot_proposed(self._node.replica.log.last[1] + 1, command.lot)
+            self.leasing.job_proposed(self._node.replica.log.last[1] + 1, command.job_id)
         return decision
 
-    def _report_failure(self, state: TierState, command: c.ReportFailure) -> d.Decision:
-        decision = d.report_failure(state, command, self.configuration)
+    def _report_failure(self, state: TierState, command: commands.ReportItemFailure) -> decisions.Decision:
+        decision = decisions.report_failure(state, command, self.configuration)
         if decision.events:
-            self.leasing.release((command.lot, command.item))
+            self.leasing.release((command.job_id, command.item))
         return self._tell_readers(decision)
 
-    def _tell_readers(self, decision: d.Decision) -> d.Decision:
+    def _tell_readers(self, decision: decisions.Decision) -> decisions.Decision:
         """Readers of the lots that the decision changes look again once it is committed."""
         first = self._node.replica.log.last[1] + 1
         for index, event in enumerate(decision.events, first):
-            if isinstance(event, (e.ItemsEnded, e.LotEnded)):
-                self._readers.changed(index, event.lot)
+            if isinstance(event, (events.ItemsCompleted, events.BatchJobEnded)):
+                self._readers.changed(index, event.job_id)
         return decision
 
     @property
@@ -95,49 +94,49 @@
     async def command(self, command: Any, may_forward: bool = True) -> Any:  # noqa: ANN401
         """Answers a command here, or passes it on to the primary once."""
         outcome = await self._answer(command)
-        if not isinstance(outcome, c.NotPrimary) or not may_forward:
+        if not isinstance(outcome, commands.NotPrimary) or not may_forward:
             return outcome
         leader = outcome.leader
         if leader is None or leader == self._settings.ip:
             return outcome
         try:
-            return await self._links.call(leader, c.Forwarded(command), FORWARD_S)
+            return await self._links.call(leader, commands.ForwardedCommand(command), FORWARD_S)
         except CallError as error:
-            return c.Unsure(error.reason) if error.sent else c.NotPrimary(None)
+            return commands.Indeterminate(error.reason) if error.sent else commands.NotPrimary(None)
 
     async def _answer(self, command: Any) -> Any:  # noqa: ANN401
         decide, node = self._node.decide, self._node
         match command:
-            case c.PutConfiguration():
+            case commands.PutConfiguration():
                 return await decide(lambda state: self._put_configuration(state, command))
-            case c.GetConfiguration():
-                return await self._read_surely(d.get_configuration)
-            case c.SubmitLot():
-                return await decide(lambda state: self._submit_lot(state, command))
-            case c.ReadLot():
-                return await self._read_lot(command)
-            case c.ReadBody():
-                return await decide(lambda state: d.read_body(state, command))
-            case c.EndLot():
-                return await decide(lambda state: self._tell_readers(d.end_lot(state, command)))
-            case c.Retire():
+            case commands.GetConfiguration():
+                return await self._read_surely(decisions.get_configuration)
+            case commands.SubmitBatchJob():
+                return await decide(lambda state: self._submit_batch_job(state, command))
+            case commands.ReadBatchJob():
+                return await self._read_batch_job(command)
+            case commands.ReadItemBody():
+                return await decide(lambda state: decisions.read_item_body(state, command))
+            case commands.EndBatchJob():
+                return await decide(lambda state: self._tell_readers(decisions.end_batch_job(state, command)))
+            case commands.RetireStore():
                 view = node.replica.view
                 witnesses = view.witnesses if view else ()
                 least = node.replica.min_witnesses
-                return await decide(lambda state: d.retire(state, command, witnesses, least))
-            case c.ReadRetire():
+                return await decide(lambda state: decisions.retire(state, command, witnesses, least))
+            case commands.ReadRetirement():
                 return await self._read_surely(lambda state: self._retire_state(state, command.node))
-            case c.LeaseItems():
+            case commands.LeaseItemsRequest():
                 return await self.leasing.lease(command)
-            case c.ReportItem():
-                return await decide(lambda state: self._tell_readers(d.report_item(state, command)))
-            case c.ReportFailure():
+            case commands.ReportItemResult():
+                return await decide(lambda state: self._tell_readers(decisions.report_item(state, command)))
+            case commands.ReportItemFailure():
                 return await decide(lambda state: self._report_failure(state, command))
-            case c.Announce():
+            case commands.RegisterStore():
                 return await decide(lambda state: self._announce(state, command))
-            case c.ShowStatus():
+            case commands.GetStatus():
                 return self._status()
-        return c.Rejected(400, f"unknown command {type(command).__name__}")
+        return commands.Rejected(400, f"unknown command {type(command).__name__}")
 
     async def _read_surely(self, decide: Decide) -> Any:  # noqa: ANN401
         """A read that no later primary can have overtaken, whatever the clocks do."""
@@ -145,64 +144,64 @@
 
     def _disk_left(self) -> bool:
         limit = self._settings.limits.disk_mb * MEGABYTE
-        return not limit or self._disk.size < d.DISK_SHARE * limit
+        return not limit or self._disk.size < decisions.DISK_SHARE * limit
 
-    def _retire_state(self, state: TierState, name: str) -> d.Decision:
+    def _retire_state(self, state: TierState, name: str) -> decisions.Decision:
         if name not in state.retired:
-            return d.Decision((), c.Missing())
+            return decisions.Decision((), commands.NotFound())
         view, host = self._node.replica.view, state.stores.get(name)
         assert view is not None
         gone = host not in view.members and host not in view.witnesses
         safe = len(view.members) >= self._node.replica.min_witnesses
-        return d.Decision((), c.RetireState(gone and safe))
+        return decisions.Decision((), commands.RetirementStatus(gone and safe))
 
     @staticmethod
-    def _announce(state: TierState, command: c.Announce) -> d.Decision:
+    def _announce(state: TierState, command: commands.RegisterStore) -> decisions.Decision:
         if state.stores.get(command.node) == command.host:
-            return d.Decision((), c.Done())
-        return d.Decision((e.StoreSeen(command.node, command.host),), c.Done())
+            return decisions.Decision((), commands.Done())
+        return decisions.Decision((events.StoreRegistered(command.node, command.host),), commands.Done())
 
-    async def _read_lot(self, command: c.ReadLot) -> Any:  # noqa: ANN401
+    async def _read_batch_job(self, command: commands.ReadBatchJob) -> Any:  # noqa: ANN401
         deadline = self._clock.monotonic() + command.wait_ms / 1000
         while True:
-            lot = self._node.state.lots.get(command.lot)
-            waits = lot is not None and len(lot.results) <= command.start and not lot.done
+            job = self._node.state.jobs.get(command.job_id)
+            waits = job is not None and len(job.results) <= command.start and not job.done
             left = deadline - self._clock.monotonic()
             if not waits or left <= 0 or self._node.replica.role is not Role.PRIMARY:
-                return await self._node.decide(lambda state: d.read_lot(state, command))
-            await self._readers.wait(command.lot, left)
+                return await self._node.decide(lambda state: decisions.read_batch_job(state, command))
+            await self._readers.wait(command.job_id, left)
 
     async def run_housekeeping(self) -> None:
         """Announces this machine, and ends what is over."""
         while True:
             await asyncio.sleep(HOUSEKEEPING_S)
             if self._node.state.stores.get(self._settings.node) != self._settings.ip:
-                await self.command(c.Announce(self._settings.node, self._settings.ip))
+                await self.command(commands.RegisterStore(self._settings.node, self._settings.ip))
             if self._node.replica.holds_lease(self._clock.monotonic()):
                 await self._node.decide(self._clean)
 
-    def _clean(self, state: TierState) -> d.Decision:
+    def _clean(self, state: TierState) -> decisions.Decision:
         """Drops lots that nobody may ask for any more, and gives up items that have waited too long."""
-        events: list[Any] = []
+        ended: list[Any] = []
         now = self._clock.now_ms()
         configuration = self.configuration
-        table = d.RoutingTable(configuration) if configuration is not None else None
-        for lot in state.lots.values():
-            age_s = (now - lot.at_ms) / 1000
-            if lot.done and age_s > self._settings.bounds.status_s + KEEP_MARGIN_S:
-                events.append(e.LotDropped(lot.id))
-            elif not lot.done and table is not None:
-                route = table.find(lot.host, lot.path)
+        table = decisions.RoutingTable(configuration) if configuration is not None else None
+        for job in state.jobs.values():
+            age_s = (now - job.at_ms) / 1000
+            if job.done and age_s > self._settings.bounds.status_s + KEEP_MARGIN_S:
+                ended.append(events.BatchJobRemoved(job.id))
+            elif not job.done and table is not None:
+                route = table.find(job.host, job.path)
                 wait = route.max_wait_s if route is not None else None
                 if route is None or (wait is not None and age_s > wait + GIVE_UP_MARGIN_S):
-                    dead = tuple(e.Result(item, e.DEAD_LETTER, "") for item in lot.open_items)
-                    events.append(e.ItemsEnded(lot.id, dead))
-        return self._tell_readers(d.Decision(tuple(events), c.Done()))
+                    dead = tuple(events.ItemResult(item, events.DEAD_LETTER, "") for item in job.open_items)
+                    ended.append(events.ItemsCompleted(job.id, dead))
+        return self._tell_readers(decisions.Decision(tuple(ended), commands.Done()))
 
-    def _status(self) -> c.Status:
+    def _status(self) -> commands.StoreStatus:
         replica, state = self._node.replica, self._node.state
         view = replica.view
-        return c.Status(
+        return commands.StoreStatus(
             self._settings.node,
             replica.role.value,
             replica.promised,
@@ -211,7 +210,7 @@
             replica.log.last[1],
             replica.commit_index,
             state.version,
-            len(state.lots),
-            sum(len(lot.open_items) for lot in state.lots.values()),
+            len(state.jobs),
+            sum(len(job.open_items) for job in state.jobs.values()),
             dict(state.stores),
         )
--- a/tests/tier/exploration.py
+++ b/tests/tier/exploration.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from crowwing.tier.replication import messages as m
+from crowwing.tier.replication import messages
 from crowwing.tier.replication.replica import Replica
 from crowwing.tier.replication.replica_state import Output, Role
 
@@ -64,7 +64,7 @@
     """One replica, its disk, and what waits for it."""
 
     replica: Replica
-    disk: list[m.Record] = field(default_factory=list)
+    disk: list[messages.Record] = field(default_factory=list)
     waiting: list[Output] = field(default_factory=list)
 
 
@@ -73,9 +73,9 @@
     """All replicas, what is on its way, and what was promised to clients."""
 
     nodes: dict[str, Node]
-    on_the_way: list[tuple[str, m.Message]]
+    on_the_way: list[tuple[str, messages.Message]]
     now: float
-    committed: dict[int, m.Ballot] = field(default_factory=dict)
+    committed: dict[int, messages.Term] = field(default_factory=dict)
     crashes: int = 0
     wipes: int = 0
     handovers: int = 0
@@ -133,7 +133,7 @@
         node.waiting.append(output)
 
 
-def put_on_the_way(state: State, sender: str, to: str, message: m.Message) -> None:
+def put_on_the_way(state: State, sender: str, to: str, message: messages.Message) -> None:
     """A message that is on its way already is not sent twice."""
     if to in state.nodes and (to, message) not in state.on_the_way:
         state.on_the_way.append((to, message))
@@ -238,14 +238,14 @@
         replica = state.nodes[host].replica
         if replica.role is not Role.PRIMARY:
             continue
-        for index, ballot in state.committed.items():
+        for index, term in state.committed.items():
             entry = replica.log.at(index)
-            if host in leases and (entry is None or entry.ballot != ballot):
+            if host in leases and (entry is None or entry.term != term):
                 raise Broken(f"{host} leads without the committed entry {index}")
         for index in range(1, replica.commit_index + 1):
             entry = replica.log.at(index)
             if entry is not None:
-                state.committed.setdefault(index, entry.ballot)
+                state.committed.setdefault(index, entry.term)
 
 
 def explore(depth: int, most_states: int = 10**9, limits: Limits = Limits()) -> tuple[int, int]:
@@ -274,7 +274,7 @@
     return len(seen), depth
 
 
-def _told(sent: tuple[str, m.Message]) -> str:
+def _told(sent: tuple[str, messages.Message]) -> str:
     return (
         f"{type(sent[1]).__name__} of {sent[1].sender} to {sent[0]}"
         if hasattr(sent[1], "sender")
--- a/tests/tier/simulation/checkers/lots.py
+++ b/tests/tier/simulation/checkers/batch_jobs.py
@@ -5,7 +5,7 @@
 SETTLE_S = 1.0  # settleMs
 
 
-def check_lots(history: History) -> list[str]:
+def check_batch_jobs(history: History) -> list[str]:
     """What breaks the promise of lots."""
     return [
         *_check_kept(history),
@@ -33,9 +33,9 @@
             and call.status in (404, 410)
             and not call.client.startswith("operator")
         ):
-            lot = call.key.split(" ")[0]
-            if taken.get(lot, float("inf")) < call.sent_at:
-                broken.append(f"{call.sent_at:.3f}: {call.kind} of {lot} was answered {call.status}")
+            job = call.key.split(" ")[0]
+            if taken.get(job, float("inf")) < call.sent_at:
+                broken.append(f"{call.sent_at:.3f}: {call.kind} of {job} was answered {call.status}")
     return broken
 
 
@@ -48,22 +48,22 @@
     for call in sorted(history.calls, key=lambda call: call.ended_at):
         if call.kind != "read" or call.client.startswith("operator") or call.value is None:
             continue
-        lot, start_text = call.key.split(" ")
+        job, start_text = call.key.split(" ")
         start, (total, results) = int(start_text), call.value
-        if total != len(history.lots[lot]):
-            broken.append(f"{lot}: total {total} of {len(history.lots[lot])}")
+        if total != len(history.jobs[job]):
+            broken.append(f"{job}: total {total} of {len(history.jobs[job])}")
         for place, result in enumerate(results, start):
-            if positions.setdefault((lot, place), result) != result:
-                broken.append(f"{lot} position {place}: {result} after {positions[lot, place]}")
-            if places.setdefault(result[0], (lot, place)) != (lot, place):
+            if positions.setdefault((job, place), result) != result:
+                broken.append(f"{job} position {place}: {result} after {positions[job, place]}")
+            if places.setdefault(result[0], (job, place)) != (job, place):
                 broken.append(f"item {result[0]} stands at {place} and at {places[result[0]]}")
-            if result[0] not in history.lots[lot]:
-                broken.append(f"{lot} lists {result[0]}, which is another's")
-        known = max((end for at, end in read_at.get(lot, []) if at < call.sent_at - SETTLE_S), default=0)
+            if result[0] not in history.jobs[job]:
+                broken.append(f"{job} lists {result[0]}, which is another's")
+        known = max((end for at, end in read_at.get(job, []) if at < call.sent_at - SETTLE_S), default=0)
         if start < known and not results:
-            broken.append(f"{call.sent_at:.3f}: {lot} has nothing at {start}, though {known} were read")
+            broken.append(f"{call.sent_at:.3f}: {job} has nothing at {start}, though {known} were read")
         if results:
-            read_at.setdefault(lot, []).append((call.ended_at, start + len(results)))
+            read_at.setdefault(job, []).append((call.ended_at, start + len(results)))
     return broken
 
 
@@ -73,8 +73,8 @@
     for call in history.calls:
         if call.kind == "submit":
             statuses.setdefault(call.key, []).append(call.status)
-    refused = {lot for lot, told in statuses.items() if all(status in (429, 503) for status in told)}
-    return [f"{at:.3f}: {item} ran, its lot was refused" for at, lot, item in history.runs if lot in refused]
+    refused = {job for job, told in statuses.items() if all(status in (429, 503) for status in told)}
+    return [f"{at:.3f}: {item} ran, its lot was refused" for at, job, item in history.runs if job in refused]
 
 
 def _check_contents(history: History) -> list[str]:
@@ -90,7 +90,7 @@
 def check_read_back(history: History, found: dict[str, int | None]) -> list[str]:
     """At the end each lot that was taken can be read; `found` has the status of a read of each."""
     return [
-        f"{lot} can't be read at the end: {found.get(lot)}"
-        for lot in _taken_at(history)
-        if found.get(lot) != 200
+        f"{job} can't be read at the end: {found.get(job)}"
+        for job in _taken_at(history)
+        if found.get(job) != 200
     ]
--- a/tests/tier/simulation/clients.py
+++ b/tests/tier/simulation/clients.py
@@ -8,10 +8,10 @@
 from random import Random
 from typing import Any
 
-from crowwing.tier.store import commands as c
+from crowwing.tier.store import commands
 from crowwing.tier.store.control_api import get_outcome_answer, outcome_answer
 from tests.tier.simulation.history import Call, Change, hash_of
-from tests.tier.simulation.machines import LOT_PREFIX, Machine, Store, configuration_text
+from tests.tier.simulation.machines import BATCH_PREFIX, Machine, Store, configuration_text
 from tests.tier.simulation.world import World
 
 SILENCE_S = 1.0  # after which a client moves on
@@ -77,7 +77,7 @@
             if machine.machine is None:
                 raise ConnectionRefusedError
             outcome = await machine.machine.service.command(command)
-            tell = get_outcome_answer if isinstance(command, c.GetConfiguration) else outcome_answer
+            tell = get_outcome_answer if isinstance(command, commands.GetConfiguration) else outcome_answer
             response = tell(outcome)
             return response.status_code, bytes(response.content)
 
@@ -86,7 +86,7 @@
     async def read(self, machine: Store | None = None) -> Call:
         """Asks one machine for the newest configuration."""
         call = self.world.history.begin(self.world.now, self.name, "read", "")
-        answer = await self.ask(machine or self._machines()[0], c.GetConfiguration())
+        answer = await self.ask(machine or self._machines()[0], commands.GetConfiguration())
         call.ended_at = self.world.now
         if answer is not None:
             call.status = answer[0]
@@ -112,7 +112,7 @@
         """Sends a change to one machine."""
         self.world.history.changes[change.key] = change
         call = self.world.history.begin(self.world.now, self.name, "put", change.key)
-        command = c.PutConfiguration(change.base, change.text)
+        command = commands.PutConfiguration(change.base, change.text)
         answer = await self.ask(machine or self._machines()[0], command)
         call.ended_at = self.world.now
         if answer is not None:
@@ -159,7 +159,7 @@
     async def retire_once(self, name: str, machine: Store) -> Call:
         """Asks one machine that a store machine be emptied."""
         call = self.world.history.begin(self.world.now, self.name, "retire", name)
-        answer = await self.ask(machine, c.Retire(name))
+        answer = await self.ask(machine, commands.RetireStore(name))
         call.ended_at = self.world.now
         if answer is not None:
             call.status = answer[0]
@@ -169,29 +169,31 @@
         """Has a machine emptied; True once it is completed."""
         name = f"node-{host}"
         while self.world.now < until:
-            for command, status in ((c.Retire(name), 200), (c.ReadRetire(name), 200)):
+            for command, status in ((commands.RetireStore(name), 200), (commands.ReadRetirement(name), 200)):
                 answer = await self.ask(self._machines()[0], command)
                 if answer is None or answer[0] != status:
                     break
-                if isinstance(command, c.ReadRetire) and b"completed" in answer[1]:
+                if isinstance(command, commands.ReadRetirement) and b"completed" in answer[1]:
                     return True
             await asyncio.sleep(self.random.uniform(*PAUSES_S))
         return False
 
 
-class LotClient:
+class BatchJobClient:
     """Hands lots in, reads them from any position at any front, and ends some."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name = world, name
         self.random = Random(f"{world.seed}/{name}")
-        self.lots: list[str] = []
+        self.jobs: list[str] = []
 
-    async def _call(self, kind: str, key: str, method: str, path: str, lot: str, body: bytes = b"") -> Call:
+    async def _call(
+        self, kind: str, key: str, method: str, path: str, job_id: str, body: bytes = b""
+    ) -> Call:
         front = self.world.fronts[self.random.choice(sorted(self.world.fronts))]
         call = self.world.history.begin(self.world.now, self.name, kind, key)
         answer = await call_machine(
-            self.world, self.random, front, lambda: front.lot_call(method, path, lot, body), 3.5
+            self.world, self.random, front, lambda: front.batch_call(method, path, job_id, body), 3.5
         )
         call.ended_at = self.world.now
         if answer is not None:
@@ -204,44 +206,46 @@
                 call.value = answer[1]
         return call
 
-    def lot_body(self, items: tuple[str, ...], size: int) -> bytes:
+    def job_body(self, items: tuple[str, ...], size: int) -> bytes:
         """A lot as it is handed in."""
         requests = [
             {
-                "id": item, "path": f"{LOT_PREFIX}x", "headers": {"Model": "m"}, "tokens": 9,
+                "id": item, "path": f"{BATCH_PREFIX}x", "headers": {"Model": "m"}, "tokens": 9,
                 "body": base64.b64encode(item.encode() * size).decode(),
             }
             for item in items
         ]  # fmt: skip
         return json.dumps({"requests": requests}).encode()
 
-    async def submit(self, lot: str, until: float, size: int = 3) -> bool:
+    async def submit(self, job_id: str, until: float, size: int = 3) -> bool:
         """Hands a lot in until it is taken, and at times once more."""
-        items = tuple(f"{lot}.{number}" for number in range(self.random.randint(1, 4)))
-        self.world.history.lots[lot] = items
-        body = self.lot_body(items, size)
+        items = tuple(f"{job_id}.{number}" for number in range(self.random.randint(1, 4)))
+        self.world.history.jobs[job_id] = items
+        body = self.job_body(items, size)
         while self.world.now < until:
-            call = await self._call("submit", lot, "POST", f"{LOT_PREFIX}{lot}", lot, body)
+            call = await self._call("submit", job_id, "POST", f"{BATCH_PREFIX}{job_id}", job_id, body)
             if call.status == 202:
-                self.lots.append(lot)
+                self.jobs.append(job_id)
                 if self.random.random() < 0.2:
-                    await self._call("submit", lot, "POST", f"{LOT_PREFIX}{lot}", lot, body)
+                    await self._call("submit", job_id, "POST", f"{BATCH_PREFIX}{job_id}", job_id, body)
                 return True
             await asyncio.sleep(self.random.uniform(*PAUSES_S))
         return False
 
-    async def read(self, lot: str, start: int) -> Call:
+    async def read(self, job_id: str, start: int) -> Call:
         """Reads results from a position on."""
-        return await self._call("read", f"{lot} {start}", "GET", f"/lots/{lot}?startAfter={start}", lot)
+        return await self._call(
+            "read", f"{job_id} {start}", "GET", f"/lots/{job_id}?startAfter={start}", job_id
+        )
 
     async def body(self, item: str) -> Call:
         """Reads the body of an item."""
-        lot = item.rsplit(".", 1)[0]
-        return await self._call("body", item, "GET", f"/items/{lot}?id={item}", lot)
+        job = item.rsplit(".", 1)[0]
+        return await self._call("body", item, "GET", f"/items/{job}?id={item}", job)
 
-    async def end(self, lot: str) -> Call:
+    async def end(self, job_id: str) -> Call:
         """Ends a lot."""
-        return await self._call("end", lot, "DELETE", f"/lots/{lot}", lot)
+        return await self._call("end", job_id, "DELETE", f"/lots/{job_id}", job_id)
 
     async def work(self, until: float) -> None:
         """Hands in, reads, asks for bodies and ends until a time."""
@@ -250,14 +254,14 @@
             number += 1
             await self.submit(f"{self.name}-{number}", until)
             for _ in range(self.random.randint(0, 4)):
-                if not self.lots or self.world.now >= until:
+                if not self.jobs or self.world.now >= until:
                     break
-                lot = self.random.choice(self.lots)
+                job = self.random.choice(self.jobs)
                 what = self.random.random()
                 if what < 0.7:
-                    await self.read(lot, self.random.randint(0, 3))
+                    await self.read(job, self.random.randint(0, 3))
                 elif what < 0.85:
-                    await self.body(f"{lot}.0")
+                    await self.body(f"{job}.0")
                 elif what < 0.92:
-                    await self.end(lot)
+                    await self.end(job)
                 await asyncio.sleep(self.random.uniform(0.0, 0.3))
--- a/tests/tier/simulation/figures.py
+++ b/tests/tier/simulation/figures.py
@@ -5,7 +5,7 @@
 import time
 
 from crowwing.tier.distribution.documents import CONFIGURATION
-from crowwing.tier.store import commands as c
+from crowwing.tier.store import commands
 from tests.tier.simulation.clients import Operator
 from tests.tier.simulation.world import World
 
@@ -66,8 +66,8 @@
 
     print(f"a change is confirmed: {quantiles(confirmed)}")
     print(f"a change is in force at all {len(world.fronts)} fronts: {quantiles(in_force)}")
-    print(f"reading the configuration, by a round: {quantiles(world.run(read(c.GetConfiguration())))}")
-    print(f"reading a lot, by the lease: {quantiles(world.run(read(c.ReadLot('none', 0, 0))))}")
+    print(f"reading the configuration, by a round: {quantiles(world.run(read(commands.GetConfiguration())))}")
+    print(f"reading a lot, by the lease: {quantiles(world.run(read(commands.ReadBatchJob('none', 0, 0))))}")
     took_s = time.monotonic() - began
     print(f"{world.now:.0f} simulated seconds in {took_s:.1f} s, 3 store machines and 9 fronts")
 
--- a/tests/tier/simulation/history.py
+++ b/tests/tier/simulation/history.py
@@ -47,7 +47,7 @@
 
     calls: list[Call] = field(default_factory=list)
     changes: dict[str, Change] = field(default_factory=dict)
-    lots: dict[str, tuple[str, ...]] = field(default_factory=dict)  # items by lot
+    jobs: dict[str, tuple[str, ...]] = field(default_factory=dict)  # items by lot
     runs: list[tuple[float, str, str]] = field(default_factory=list)  # time, lot, item
     events: list[tuple[float, str]] = field(default_factory=list)
 
@@ -67,5 +67,5 @@
             f"{x.sent_at:.6f} {x.ended_at:.6f} {x.client} {x.kind} {x.key} {x.status} {x.value!r}"
             for x in self.calls
         ]
-        runs = [f"{at:.6f} {lot} {item}" for at, lot, item in self.runs]
+        runs = [f"{at:.6f} {job} {item}" for at, job, item in self.runs]
         return calls + runs + [f"{at:.6f} {text}" for at, text in self.events]
--- a/tests/tier/simulation/machines.py
+++ b/tests/tier/simulation/machines.py
@@ -17,8 +17,8 @@
 from crowwing.tier.front.store_client import StoreClient
 from crowwing.tier.platform_list import Sidecar, SidecarList
 from crowwing.tier.settings import Settings
-from crowwing.tier.state.events import COMPLETED, Result
-from crowwing.tier.store import commands as c
+from crowwing.tier.state.events import COMPLETED, ItemResult
+from crowwing.tier.store import commands
 from crowwing.tier.store.disk import Disk
 from crowwing.tier.store.machine import RELAYED, StoreMachine
 from crowwing.tier.wire.connection import Connection, Links, serve
@@ -32,7 +32,7 @@
 PORT = 7000
 START_S = (0.2, 0.7)  # what the libraries of a process take to load
 DAY_MS = 1_700_000_000_000
-LOT_HOST, LOT_PREFIX = "lots.example", "/lots-in/"
+BATCH_HOST, BATCH_PREFIX = "lots.example", "/lots-in/"
 
 
 class Machine:
@@ -221,40 +221,42 @@
     async def _run_items(self, store: StoreClient, random: Random) -> None:
         while True:
             room = 4 - len(self.running)
-            command = c.LeaseItems(self.host, max(0, room), tuple(self.running), 300)
+            command = commands.LeaseItemsRequest(self.host, max(0, room), tuple(self.running), 300)
             outcome = await store.call(command, 2.0, answer_s=1.2)
-            if isinstance(outcome, c.ItemsLeased):
+            if isinstance(outcome, commands.LeaseItemsResponse):
                 for key in outcome.stop:
                     task = self.running.pop(key, None)
                     if task is not None:
                         task.cancel()
                 for leased in outcome.items:
-                    key = (leased.lot, leased.item.id)
+                    key = (leased.job_id, leased.item.id)
                     if key not in self.running:
                         self.running[key] = self.spawn(self._run_item(store, leased, random))
             await asyncio.sleep(0.15)
 
-    async def _run_item(self, store: StoreClient, leased: c.LeasedItem, random: Random) -> None:
-        key = (leased.lot, leased.item.id)
+    async def _run_item(self, store: StoreClient, leased: commands.LeasedItem, random: Random) -> None:
+        key = (leased.job_id, leased.item.id)
         world = self.world
-        world.history.runs.append((world.loop.time(), leased.lot, leased.item.id))
+        world.history.runs.append((world.loop.time(), leased.job_id, leased.item.id))
         try:
             await asyncio.sleep(random.uniform(0.05, 0.8))
             text = f"{leased.item.id}@{self.host}.{len(world.history.runs)}"
-            report = c.ReportItem(leased.lot, leased.item.id, Result(leased.item.id, COMPLETED, text))
+            report = commands.ReportItemResult(
+                leased.job_id, leased.item.id, ItemResult(leased.item.id, COMPLETED, text)
+            )
             for _ in range(8):
-                if isinstance(await store.call(report, 4.0), c.Done):
+                if isinstance(await store.call(report, 4.0), commands.Done):
                     return
         finally:
             self.running.pop(key, None)
 
-    async def lot_call(self, method: str, path: str, lot: str, body: bytes = b"") -> tuple[int, bytes]:
+    async def batch_call(self, method: str, path: str, job_id: str, body: bytes = b"") -> tuple[int, bytes]:
         """What a client's call on lots is answered, by the real batch interface."""
         if self.store is None:
             raise ConnectionRefusedError
         answer = Answer()
         path, _, query = path.partition("?")
-        headers = [(b"request-id", lot.encode()), (b"host", LOT_HOST.encode()), (b"wait-ms", b"300")]
+        headers = [(b"request-id", job_id.encode()), (b"host", BATCH_HOST.encode()), (b"wait-ms", b"300")]
         request = ClientRequest(method, path, query.encode(), headers, body)
         api = BatchApi(self.store)
         if method == "POST":
@@ -265,7 +267,7 @@
 
 
 LOT_ROUTE = Route.model_validate({
-    "name": "lots", "host": LOT_HOST, "pathPrefix": LOT_PREFIX, "kind": "batch_queue", "timeoutMs": 1000,
+    "name": "lots", "host": BATCH_HOST, "pathPrefix": BATCH_PREFIX, "kind": "batch_queue", "timeoutMs": 1000,
     "sloMs": 400, "service": "s", "maxAttempts": 3, "completionSloMs": 12000, "maxWaitS": 600,
 })  # fmt: skip
 
--- a/tests/tier/simulation/plays.py
+++ b/tests/tier/simulation/plays.py
@@ -5,10 +5,10 @@
 
 from crowwing.tier.replication import log
 from crowwing.tier.store import disk
+from tests.tier.simulation.checkers.batch_jobs import check_batch_jobs, check_read_back
 from tests.tier.simulation.checkers.configuration import check_configuration
 from tests.tier.simulation.checkers.distribution import check_documents
-from tests.tier.simulation.checkers.lots import check_lots, check_read_back
-from tests.tier.simulation.clients import LotClient, Operator
+from tests.tier.simulation.clients import BatchJobClient, Operator
 from tests.tier.simulation.faults import CATCH_UP_S, Faults
 from tests.tier.simulation.world import RuleBroken, World
 
@@ -61,7 +61,7 @@
     world.settle()
     operators = [Operator(world, f"operator-{number}") for number in range(3)]
     operators[2].loss = 0.4
-    clients = [LotClient(world, f"client-{number}") for number in range(2)]
+    clients = [BatchJobClient(world, f"client-{number}") for number in range(2)]
     until = world.now + kind.span_s
     faults = Faults(world, kind.beyond)
 
@@ -78,9 +78,9 @@
     broken = _check_liveness(world, operators[0])
     final = _read_back(world, operators[0], clients[0])
     found: dict[str, int | None] = {}
-    world.run(_read_lots(world, clients[0], found))
+    world.run(_read_batch_jobs(world, clients[0], found))
     broken += check_configuration(world.history, final)
-    broken += check_lots(world.history) + check_read_back(world.history, found)
+    broken += check_batch_jobs(world.history) + check_read_back(world.history, found)
     broken += check_documents(world.documents_taken)
     world.raise_broken()
     if broken:
@@ -127,7 +127,7 @@
     return broken
 
 
-def _read_back(world: World, operator: Operator, client: LotClient) -> tuple[int, str] | None:
+def _read_back(world: World, operator: Operator, client: BatchJobClient) -> tuple[int, str] | None:
     async def read() -> tuple[int, str] | None:
         deadline = world.now + READ_BACK_S
         while world.now < deadline:
@@ -140,12 +140,12 @@
     return world.run(read())
 
 
-async def _read_lots(world: World, client: LotClient, found: dict[str, int | None]) -> None:
-    for lot in sorted(
+async def _read_batch_jobs(world: World, client: BatchJobClient, found: dict[str, int | None]) -> None:
+    for job in sorted(
         {call.key for call in world.history.calls if call.kind == "submit" and call.status == 202}
     ):
         for _ in range(10):
-            found[lot] = (await client.read(lot, 0)).status
-            if found[lot] == 200:
+            found[job] = (await client.read(job, 0)).status
+            if found[job] == 200:
                 break
             await asyncio.sleep(0.2)
--- a/tests/tier/simulation/world.py
+++ b/tests/tier/simulation/world.py
@@ -7,12 +7,12 @@
 from typing import Any
 
 from crowwing.tier.distribution.documents import Document
-from crowwing.tier.replication import messages as m
+from crowwing.tier.replication import messages
 from crowwing.tier.replication.replica import Replica
 from crowwing.tier.replication.replica_state import Role
-from crowwing.tier.state import events as e
+from crowwing.tier.state import events
 from crowwing.tier.state.views import TierState
-from crowwing.tier.store import commands as c
+from crowwing.tier.store import commands
 from crowwing.tier.store.decisions import Decision
 from tests.tier.simulation.history import History
 from tests.tier.simulation.loop import Life, SimulatedLoop
@@ -59,8 +59,8 @@
         self.on_acknowledged: Callable[[str], None] = lambda host: None
         self.documents_taken: dict[str, list[Document]] = {}
         self.watches_leases = True  # off where clocks run at other rates than leases assume
-        self._highest_lease: m.Ballot = m.NO_BALLOT
-        self._committed: dict[str, tuple[m.Ballot, int]] = {}
+        self._highest_lease: messages.Term = messages.NO_TERM
+        self._committed: dict[str, tuple[messages.Term, int]] = {}
         self.pieces_sent = self.ranges_sent = self.entry_bytes_sent = 0
         self.piece_s = 0.0
         self._piece_free: dict[tuple[str, str], float] = {}
@@ -199,7 +199,7 @@
         assert primary is not None
         machine = self.stores[primary].machine
         assert machine is not None
-        self.stores[primary].spawn(machine.service.command(c.Retire(f"node-{host}")))
+        self.stores[primary].spawn(machine.service.command(commands.RetireStore(f"node-{host}")))
 
     def fill_disk(self, host: str, span_s: float) -> None:
         """A disk takes no more bytes for a while."""
@@ -229,7 +229,7 @@
     def _count(self, host: str, receivers: list[str], message: Any, send: Callable[..., None]) -> None:  # noqa: ANN401
         entries = getattr(message, "entries", ())
         self.entry_bytes_sent += len(receivers) * sum(len(entry.payload) for entry in entries)
-        if isinstance(message, m.Ranges):
+        if isinstance(message, messages.RangesResponse):
             self.pieces_sent += len(receivers)
             self.ranges_sent += len(message.contents)
             if self.piece_s:
@@ -253,8 +253,8 @@
             )
         if replica.promised > self._highest_lease:
             self._highest_lease = replica.promised
-            lots = self.state(host).lots
-            lost = [payload for payload in self.acknowledged if payload not in lots]
+            jobs = self.state(host).jobs
+            lost = [payload for payload in self.acknowledged if payload not in jobs]
             if lost:
                 self._break(f"{host} leads without {lost[:3]}")
         self._check_members(host, replica)
@@ -292,13 +292,13 @@
 
     async def _propose(self, store: Store, payload: str) -> None:
         assert store.machine is not None
-        event = e.LotTaken(payload, "h", "/", (), FAR_MS)
+        event = events.BatchJobAccepted(payload, "h", "/", (), FAR_MS)
 
         def decide(state: TierState) -> Decision:
-            return Decision(() if payload in state.lots else (event,), c.Done())
+            return Decision(() if payload in state.jobs else (event,), commands.Done())
 
         outcome = await store.machine.node.decide(decide)
-        if isinstance(outcome, c.Done):
+        if isinstance(outcome, commands.Done):
             self.acknowledged.append(payload)
             self.on_acknowledged(store.host)
 
@@ -308,7 +308,7 @@
 
     def held(self, host: str) -> dict[str, bytes]:
         """What a store machine holds: entries by name, with what they went through."""
-        return {lot.id: lot.digest for lot in self.state(host).lots.values()}
+        return {job.id: job.digest for job in self.state(host).jobs.values()}
 
     def settle(self, span_s: float = 3.0) -> None:
         """Lets time pass until there is a primary."""
--- a/tests/tier/test_lot_runner.py
+++ b/tests/tier/test_batch_job_runner.py
@@ -1,6 +1,6 @@
 """How often a front asks the primary for items."""
 
-from crowwing.tier.front.lot_runner import PAUSE_S, is_call_due, pause_after
+from crowwing.tier.front.batch_job_runner import PAUSE_S, is_call_due, pause_after
 from crowwing.tier.store.leases import LEASE_S
 
 
--- a/tests/tier/test_lots_on_processes.py
+++ b/tests/tier/test_batch_jobs_on_processes.py
@@ -7,35 +7,35 @@
 import httpx
 
 from tests.tier.loopback import HOST_NAME, Loopback
-from tests.tier.test_processes import ITEMS, hand_in, played, results, text_of
+from tests.tier.test_processes import ITEMS, played, results, submit_batch_job, text_of
 
 SLOW_PAUSE_S = 0.25  # between events, so that a run takes a second and a half
 
 
-def runs_of(tier: Loopback, lot: str) -> Counter[str]:
+def runs_of(tier: Loopback, job_id: str) -> Counter[str]:
     """How often each item of a lot has begun at a sidecar."""
     started = [name for sidecar in tier.sidecars for name in sidecar.runs]
-    return Counter(name for name in started if name.startswith(f"{lot}-"))
+    return Counter(name for name in started if name.startswith(f"{job_id}-"))
 
 
-async def until_running(tier: Loopback, lot: str) -> None:
+async def until_running(tier: Loopback, job_id: str) -> None:
     async def some_run() -> bool:
-        return bool(runs_of(tier, lot))
+        return bool(runs_of(tier, job_id))
 
-    await tier.until(f"a run of {lot}", some_run)
+    await tier.until(f"a run of {job_id}", some_run)
 
 
-def test_a_lot_whose_answer_was_lost_is_taken_once_however_it_comes_again(tmp_path: Path) -> None:
+def test_a_job_whose_answer_was_lost_is_taken_once_however_it_comes_again(tmp_path: Path) -> None:
     async def play(tier: Loopback, client: httpx.AsyncClient) -> None:
         for sidecar in tier.sidecars:
             sidecar.pause_s = SLOW_PAUSE_S
-        await hand_in(tier, client, "lot0")
+        await submit_batch_job(tier, client, "lot0")
         await until_running(tier, "lot0")
         tier.fronts.reverse()  # the answer was lost: the client tries the other front first
-        await hand_in(tier, client, "lot0")
+        await submit_batch_job(tier, client, "lot0")
         first = await results(tier, client, tier.fronts[0], "lot0")
         tier.fronts.reverse()
-        await hand_in(tier, client, "lot0")
+        await submit_batch_job(tier, client, "lot0")
         assert await results(tier, client, tier.fronts[0], "lot0") == first
         assert sorted(x["id"] for x in first) == sorted(f"lot0-{n}" for n in range(ITEMS))
         assert set(runs_of(tier, "lot0").values()) == {1}, "no item ran again"
@@ -43,11 +43,11 @@
     played(tmp_path, play)
 
 
-def test_an_ended_lot_starts_no_more_items_and_its_results_stay(tmp_path: Path) -> None:
+def test_an_ended_job_starts_no_more_items_and_its_results_stay(tmp_path: Path) -> None:
     async def play(tier: Loopback, client: httpx.AsyncClient) -> None:
         for sidecar in tier.sidecars:
             sidecar.pause_s = SLOW_PAUSE_S
-        await hand_in(tier, client, "lot0")
+        await submit_batch_job(tier, client, "lot0")
         await until_running(tier, "lot0")
 
         async def ended() -> bool:
@@ -59,7 +59,7 @@
         before = await listed(tier, client, 0)
         for sidecar in tier.sidecars:
             sidecar.runs.clear()
-        await hand_in(tier, client, "lot1")
+        await submit_batch_job(tier, client, "lot1")
         await results(tier, client, tier.fronts[0], "lot1")  # time in which items of lot0 would have begun
         assert runs_of(tier, "lot0") == Counter()
         for place in range(len(tier.fronts)):
@@ -83,7 +83,7 @@
     async def play(tier: Loopback, client: httpx.AsyncClient) -> None:
         for sidecar in tier.sidecars:
             sidecar.pause_s = SLOW_PAUSE_S
-        await hand_in(tier, client, "lot0")
+        await submit_batch_job(tier, client, "lot0")
         await until_running(tier, "lot0")
         tier.kill(tier.fronts[0])
         found = await asyncio.wait_for(results(tier, client, tier.fronts[1], "lot0"), 25)
--- a/tests/tier/test_control_safety_steps.py
+++ b/tests/tier/test_control_safety_steps.py
@@ -2,8 +2,7 @@
 
 import pytest
 
-from crowwing.tier.replication import messages as m
-from crowwing.tier.replication import timing
+from crowwing.tier.replication import messages, timing
 from crowwing.tier.replication.replica import Replica
 from crowwing.tier.replication.replica_state import Campaign, Phase
 from crowwing.tier.state.views import TierState
@@ -29,14 +28,14 @@
     """Replica a as the primary of all three, with a lease from `at` on."""
     replica = replica_of("a")
     replica._start_campaign(at)  # noqa: SLF001
-    ballot = replica.promised
-    first = m.View(m.FIRST_BALLOT, HOSTS, HOSTS)
+    term = replica.promised
+    first = messages.View(messages.FIRST_TERM, HOSTS, HOSTS)
     for host in HOSTS:
-        replica.receive(at, m.Promise(ballot, host, first, m.FIRST_BALLOT, m.START, 0.0))
+        replica.receive(at, messages.Promise(term, host, first, messages.FIRST_TERM, messages.LOG_START, 0.0))
     for host in HOSTS:
-        replica.receive(at, m.Synced(ballot, host, m.START, True))
+        replica.receive(at, messages.SyncResponse(term, host, messages.LOG_START, True))
     for host in HOSTS:
-        replica.receive(at, m.Accepted(ballot, host))
+        replica.receive(at, messages.Accepted(term, host))
     replica.take_output()
     assert replica.holds_lease(at)
     return replica
@@ -46,10 +45,12 @@
     replica = primary_of_three(10.0)
     replica.lead_off(10.01)
     assert not replica.holds_lease(10.01)
-    assert len(sent(replica, m.Handover)) == 1
+    assert len(sent(replica, messages.LeadershipTransfer)) == 1
     replica.beat_now(10.02)
     for host in HOSTS[1:]:
-        reply = m.HeartbeatReply(replica.promised, host, 2, m.START, replica.promised, True, 0.0)
+        reply = messages.HeartbeatResponse(
+            replica.promised, host, 2, messages.LOG_START, replica.promised, True, 0.0
+        )
         replica.receive(10.03, reply)
     assert not replica.holds_lease(10.03), "not under this ballot any more, whatever comes back"
 
@@ -57,149 +58,164 @@
 def test_a_view_that_was_accepted_late_gives_no_lease_beyond_what_its_witnesses_vouch_for() -> None:
     replica = replica_of("a")
     replica._start_campaign(10.0)  # noqa: SLF001
-    ballot = replica.promised
-    first = m.View(m.FIRST_BALLOT, HOSTS, HOSTS)
+    term = replica.promised
+    first = messages.View(messages.FIRST_TERM, HOSTS, HOSTS)
     for host in HOSTS:
-        replica.receive(10.0, m.Promise(ballot, host, first, m.FIRST_BALLOT, m.START, 0.0))
+        replica.receive(
+            10.0, messages.Promise(term, host, first, messages.FIRST_TERM, messages.LOG_START, 0.0)
+        )
     for host in HOSTS:
-        replica.receive(10.0, m.Synced(ballot, host, m.START, True))
+        replica.receive(10.0, messages.SyncResponse(term, host, messages.LOG_START, True))
     for host in HOSTS:
-        replica.receive(10.9, m.Accepted(ballot, host))
+        replica.receive(10.9, messages.Accepted(term, host))
     assert replica.role.value == "primary"
     assert not replica.holds_lease(10.9), "they may have promised another since"
 
 
-@pytest.mark.parametrize("late", [m.Promise, m.Accepted])
+@pytest.mark.parametrize("late", [messages.Promise, messages.Accepted])
 def test_a_word_that_comes_after_the_limit_is_not_counted(late: type) -> None:
     replica = replica_of("a")
     replica._start_campaign(10.0)  # noqa: SLF001
-    ballot = replica.promised
-    first = m.View(m.FIRST_BALLOT, HOSTS, HOSTS)
-    at = 10.0 if late is m.Accepted else 10.01 + timing.PREPARE_LIMIT_S
+    term = replica.promised
+    first = messages.View(messages.FIRST_TERM, HOSTS, HOSTS)
+    at = 10.0 if late is messages.Accepted else 10.01 + timing.PREPARE_LIMIT_S
     for host in HOSTS:
-        replica.receive(at, m.Promise(ballot, host, first, m.FIRST_BALLOT, m.START, 0.0))
+        replica.receive(at, messages.Promise(term, host, first, messages.FIRST_TERM, messages.LOG_START, 0.0))
     for host in HOSTS:
-        replica.receive(10.0, m.Synced(ballot, host, m.START, True))
+        replica.receive(10.0, messages.SyncResponse(term, host, messages.LOG_START, True))
     for host in HOSTS:
-        replica.receive(10.01 + timing.ACCEPT_LIMIT_S, m.Accepted(ballot, host))
+        replica.receive(10.01 + timing.ACCEPT_LIMIT_S, messages.Accepted(term, host))
     assert replica.role.value == "candidate"
 
 
 def test_a_witness_lets_only_the_ballot_pass_whose_lease_has_been_given_up() -> None:
     witness = replica_of("b")
-    view = m.View((5, "a"), HOSTS, HOSTS)
-    witness.receive(10.0, m.Heartbeat((5, "a"), "a", 1, view))
+    view = messages.View((5, "a"), HOSTS, HOSTS)
+    witness.receive(10.0, messages.Heartbeat((5, "a"), "a", 1, view))
     witness.take_output()
-    witness.receive(10.01, m.Prepare((6, "c"), "c", (4, "c")))
-    assert sent(witness, m.Refuse) and witness.promised == (5, "a"), "the lease of ballot 5 may stand"
-    witness.receive(10.02, m.Prepare((6, "c"), "c", m.NO_BALLOT))
-    assert sent(witness, m.Refuse)
-    witness.receive(10.03, m.Prepare((6, "c"), "c", (5, "a")))
-    assert sent(witness, m.Promise) and witness.promised == (6, "c")
+    witness.receive(10.01, messages.Prepare((6, "c"), "c", (4, "c")))
+    assert sent(witness, messages.Nack) and witness.promised == (5, "a"), "the lease of ballot 5 may stand"
+    witness.receive(10.02, messages.Prepare((6, "c"), "c", messages.NO_TERM))
+    assert sent(witness, messages.Nack)
+    witness.receive(10.03, messages.Prepare((6, "c"), "c", (5, "a")))
+    assert sent(witness, messages.Promise) and witness.promised == (6, "c")
 
 
 def test_one_round_has_one_primary_so_that_documents_of_two_can_be_told_apart() -> None:
     witness = replica_of("b")
-    witness.receive(10.0, m.Prepare((6, "a"), "a", m.NO_BALLOT))
-    assert sent(witness, m.Promise)
-    witness.receive(10.1, m.Prepare((6, "c"), "c", m.NO_BALLOT))
-    assert sent(witness, m.Refuse) and witness.promised == (6, "a")
+    witness.receive(10.0, messages.Prepare((6, "a"), "a", messages.NO_TERM))
+    assert sent(witness, messages.Promise)
+    witness.receive(10.1, messages.Prepare((6, "c"), "c", messages.NO_TERM))
+    assert sent(witness, messages.Nack) and witness.promised == (6, "a")
 
 
-def entry(number: int) -> m.Entry:
+def entry(number: int) -> messages.LogEntry:
     """An entry of the first ballot."""
-    return m.Entry(m.FIRST_BALLOT, number, b"%d" % number)
+    return messages.LogEntry(messages.FIRST_TERM, number, b"%d" % number)
 
 
 def test_a_member_that_has_taken_in_a_part_does_not_count_as_whole() -> None:
     """Else a wiped member of the last view could lead with that part, and bring the others to it."""
     learner = replica_of("c")
-    ballot, last = (3, "a"), (m.FIRST_BALLOT, 4)
-    learner.receive(10.0, m.Sync(ballot, "a", m.START, (entry(1), entry(2)), last))
-    assert learner.synced == m.FIRST_BALLOT
-    assert [x.last for _, x in sent(learner, m.Synced)] == [(m.FIRST_BALLOT, 2)]
-    learner.receive(10.1, m.Sync(ballot, "a", (m.FIRST_BALLOT, 2), (entry(3), entry(4)), last))
-    assert learner.synced == ballot
+    term, last = (3, "a"), (messages.FIRST_TERM, 4)
+    learner.receive(10.0, messages.SyncRequest(term, "a", messages.LOG_START, (entry(1), entry(2)), last))
+    assert learner.synced == messages.FIRST_TERM
+    assert [x.last for _, x in sent(learner, messages.SyncResponse)] == [(messages.FIRST_TERM, 2)]
+    learner.receive(
+        10.1, messages.SyncRequest(term, "a", (messages.FIRST_TERM, 2), (entry(3), entry(4)), last)
+    )
+    assert learner.synced == term
 
 
 def test_a_restarted_witness_promises_nobody_until_a_lease_it_may_have_vouched_for_has_ended() -> None:
     witness = Replica("b", HOSTS, TierState(), 1, 10.0, lambda: 0.5)
-    witness.recover([m.PromiseRecord((5, "a")), m.ViewRecord(m.View((5, "a"), HOSTS, HOSTS))])
-    witness.receive(10.1, m.Prepare((6, "c"), "c", (5, "a")))
-    assert not sent(witness, m.Promise), "the released ballot may not be the one that it vouched for"
-    witness.receive(10.2, m.AskPreVote((5, "a"), "c"))
-    assert [answer.willing for _, answer in sent(witness, m.PreVote)] == [False]
-    witness.receive(10.01 + timing.STICKY_S, m.Prepare((6, "c"), "c", m.NO_BALLOT))
-    assert sent(witness, m.Promise)
+    witness.recover(
+        [
+            messages.PromisedTermRecord((5, "a")),
+            messages.AcceptedViewRecord(messages.View((5, "a"), HOSTS, HOSTS)),
+        ]
+    )
+    witness.receive(10.1, messages.Prepare((6, "c"), "c", (5, "a")))
+    assert not sent(witness, messages.Promise), "the released ballot may not be the one that it vouched for"
+    witness.receive(10.2, messages.PreVoteRequest((5, "a"), "c"))
+    assert [answer.willing for _, answer in sent(witness, messages.PreVoteResponse)] == [False]
+    witness.receive(10.01 + timing.STICKY_S, messages.Prepare((6, "c"), "c", messages.NO_TERM))
+    assert sent(witness, messages.Promise)
 
 
 def test_a_candidate_with_fewer_promises_than_a_majority_sends_nobody_its_data() -> None:
     replica = replica_of("a")
     replica._start_campaign(10.0)  # noqa: SLF001
-    first = m.View(m.FIRST_BALLOT, HOSTS, HOSTS)
-    replica.receive(10.0, m.Promise(replica.promised, "a", first, m.FIRST_BALLOT, m.START, 0.0))
+    first = messages.View(messages.FIRST_TERM, HOSTS, HOSTS)
+    replica.receive(
+        10.0, messages.Promise(replica.promised, "a", first, messages.FIRST_TERM, messages.LOG_START, 0.0)
+    )
     replica.tick(10.5)
-    assert replica.role.value == "candidate" and not sent(replica, m.Sync)
-    replica.receive(10.5, m.Promise(replica.promised, "b", first, m.FIRST_BALLOT, m.START, 0.0))
+    assert replica.role.value == "candidate" and not sent(replica, messages.SyncRequest)
+    replica.receive(
+        10.5, messages.Promise(replica.promised, "b", first, messages.FIRST_TERM, messages.LOG_START, 0.0)
+    )
     replica.tick(10.6)
-    assert sent(replica, m.Sync)
+    assert sent(replica, messages.SyncRequest)
 
 
 @pytest.mark.parametrize("members", [("b", "c"), HOSTS])
 def test_who_missed_the_last_view_or_its_data_does_not_lead(members: tuple[str, ...]) -> None:
     replica = replica_of("a")
     replica._start_campaign(10.0, above=(5, "c"))  # noqa: SLF001
-    first, last = m.View(m.FIRST_BALLOT, HOSTS, HOSTS), m.View((5, "c"), members, HOSTS)
-    replica.receive(10.0, m.Promise(replica.promised, "a", first, m.FIRST_BALLOT, m.START, 0.0))
-    replica.receive(10.0, m.Promise(replica.promised, "b", last, (5, "c"), ((5, "c"), 1), 0.0))
+    first, last = messages.View(messages.FIRST_TERM, HOSTS, HOSTS), messages.View((5, "c"), members, HOSTS)
+    replica.receive(
+        10.0, messages.Promise(replica.promised, "a", first, messages.FIRST_TERM, messages.LOG_START, 0.0)
+    )
+    replica.receive(10.0, messages.Promise(replica.promised, "b", last, (5, "c"), ((5, "c"), 1), 0.0))
     replica.tick(10.2)
-    assert replica.role.value == "follower" and not sent(replica, m.Sync)
+    assert replica.role.value == "follower" and not sent(replica, messages.SyncRequest)
 
 
 def test_a_member_without_the_views_data_acknowledges_no_entry() -> None:
     """It has lost its disk since it became a member, and has learned its ballot from the others."""
-    ballot = (5, "a")
+    term = (5, "a")
     replica = Replica("b", HOSTS, TierState(), 1, 10.0, lambda: 0.5)
     for host in ("a", "c"):
-        replica.receive(12.0, m.Learned(host, ballot, m.View(ballot, HOSTS, HOSTS)))
-    assert replica.promised == ballot
-    replica.receive(12.1, m.Append(ballot, "a", (m.Entry(ballot, 1, b"\xf6"),)))
-    assert not sent(replica, m.Appended) and replica.log.last == m.START
+        replica.receive(12.0, messages.RecoveryResponse(host, term, messages.View(term, HOSTS, HOSTS)))
+    assert replica.promised == term
+    replica.receive(12.1, messages.AppendRequest(term, "a", (messages.LogEntry(term, 1, b"\xf6"),)))
+    assert not sent(replica, messages.AppendResponse) and replica.log.last == messages.LOG_START
 
 
 def test_a_witness_of_a_later_ballot_confirms_no_earlier_primary() -> None:
     witness = replica_of("b")
-    witness.receive(10.0, m.Prepare((6, "c"), "c", m.NO_BALLOT))
+    witness.receive(10.0, messages.Prepare((6, "c"), "c", messages.NO_TERM))
     witness.take_output()
-    view = m.View((5, "a"), HOSTS, HOSTS)
-    for message in (m.Heartbeat((5, "a"), "a", 1, view), m.Accept("a", view)):
+    view = messages.View((5, "a"), HOSTS, HOSTS)
+    for message in (messages.Heartbeat((5, "a"), "a", 1, view), messages.Accept("a", view)):
         witness.receive(10.1, message)
         output = witness.take_output()
         told = [answer for _, answer in output.immediate + output.durable]
-        assert [type(answer) for answer in told] == [m.Refuse]
+        assert [type(answer) for answer in told] == [messages.Nack]
 
 
 def test_a_view_with_other_witnesses_needs_a_majority_of_the_old_ones_too() -> None:
     """Else b and c, which know nothing of it, could make another one of the old view's data."""
     replica = replica_of("a")
     replica._start_campaign(10.0)  # noqa: SLF001
-    ballot = replica.promised
-    campaign = Campaign(Phase.ACCEPT, 10.0, m.NO_BALLOT)
-    campaign.base = m.View(m.FIRST_BALLOT, HOSTS, HOSTS)
-    campaign.view = m.View(ballot, ("a", "d"), ("a", "b", "d"))
+    term = replica.promised
+    campaign = Campaign(Phase.ACCEPT, 10.0, messages.NO_TERM)
+    campaign.base = messages.View(messages.FIRST_TERM, HOSTS, HOSTS)
+    campaign.view = messages.View(term, ("a", "d"), ("a", "b", "d"))
     replica._campaign = campaign  # noqa: SLF001
     for host in ("a", "d"):
-        replica.receive(10.1, m.Accepted(ballot, host))
+        replica.receive(10.1, messages.Accepted(term, host))
     assert replica.role.value == "candidate", "two of the new ones, and one of the old ones"
-    replica.receive(10.1, m.Accepted(ballot, "b"))
+    replica.receive(10.1, messages.Accepted(term, "b"))
     assert replica.role.value == "primary"
 
 
-def follower(ballot: m.Ballot) -> Replica:
+def follower(term: messages.Term) -> Replica:
     """Replica b as a member of a view under a ballot."""
     replica = replica_of("b")
-    replica.receive(9.0, m.Sync(ballot, "a", m.START, (), m.START))
-    replica.receive(9.0, m.Accept("a", m.View(ballot, HOSTS, HOSTS)))
+    replica.receive(9.0, messages.SyncRequest(term, "a", messages.LOG_START, (), messages.LOG_START))
+    replica.receive(9.0, messages.Accept("a", messages.View(term, HOSTS, HOSTS)))
     replica.take_output()
     return replica
 
@@ -207,14 +223,22 @@
 @pytest.mark.parametrize(
     ("message", "answer"),
     [
-        (m.Prepare((6, "c"), "c", (5, "a")), m.Promise),
-        (m.Accept("a", m.View((6, "a"), HOSTS, HOSTS)), m.Accepted),
-        (m.Sync((6, "a"), "a", m.START, (m.Entry((5, "a"), 1, b"\xf6"),), ((5, "a"), 1)), m.Synced),
-        (m.Append((5, "a"), "a", (m.Entry((5, "a"), 1, b"\xf6"),)), m.Appended),
-        (m.Learn("c"), m.Learned),
+        (messages.Prepare((6, "c"), "c", (5, "a")), messages.Promise),
+        (messages.Accept("a", messages.View((6, "a"), HOSTS, HOSTS)), messages.Accepted),
+        (
+            messages.SyncRequest(
+                (6, "a"), "a", messages.LOG_START, (messages.LogEntry((5, "a"), 1, b"\xf6"),), ((5, "a"), 1)
+            ),
+            messages.SyncResponse,
+        ),
+        (
+            messages.AppendRequest((5, "a"), "a", (messages.LogEntry((5, "a"), 1, b"\xf6"),)),
+            messages.AppendResponse,
+        ),
+        (messages.RecoveryRequest("c"), messages.RecoveryResponse),
     ],
 )
-def test_a_word_that_others_count_waits_for_the_disk(message: m.Message, answer: type) -> None:
+def test_a_word_that_others_count_waits_for_the_disk(message: messages.Message, answer: type) -> None:
     replica = follower((5, "a"))
     replica.receive(10.0, message)
     output = replica.take_output()
@@ -225,27 +249,32 @@
 def test_a_machine_without_memory_asks_only_once_no_candidate_counts_its_former_word() -> None:
     replica = Replica("c", HOSTS, TierState(), 1, 10.0, lambda: 0.5)
     replica.tick(10.0 + max(timing.PREPARE_LIMIT_S, timing.ACCEPT_LIMIT_S))
-    assert not sent(replica, m.Learn)
+    assert not sent(replica, messages.RecoveryRequest)
     replica.tick(10.0 + timing.LEARN_AFTER_S)
-    assert sent(replica, m.Learn)
+    assert sent(replica, messages.RecoveryRequest)
 
 
 def test_a_machine_without_memory_asks_whoever_its_heartbeats_name() -> None:
     replica = Replica("d", ("gone",), TierState(), 1, 10.0, lambda: 0.5)
-    replica.receive(10.1, m.Heartbeat((5, "a"), "a", 1, m.View((5, "a"), HOSTS, HOSTS)))
+    replica.receive(10.1, messages.Heartbeat((5, "a"), "a", 1, messages.View((5, "a"), HOSTS, HOSTS)))
     replica.tick(12.0)
-    assert {to for to, _ in sent(replica, m.Learn)} == {"gone", *HOSTS}
+    assert {to for to, _ in sent(replica, messages.RecoveryRequest)} == {"gone", *HOSTS}
 
 
 def test_a_replica_that_answers_without_having_asked_is_taken_in() -> None:
     replica = primary_of_three(10.0)
-    replica.receive(10.31, m.HeartbeatReply(replica.promised, "d", 1, m.START, replica.promised, True, 0.0))
+    replica.receive(
+        10.31,
+        messages.HeartbeatResponse(replica.promised, "d", 1, messages.LOG_START, replica.promised, True, 0.0),
+    )
     replica.tick(10.32)
-    assert "d" in {to for to, _ in sent(replica, m.Prepare)}, "else it is never among those that promise"
+    assert "d" in {to for to, _ in sent(replica, messages.Prepare)}, (
+        "else it is never among those that promise"
+    )
 
 
 def test_a_primary_shows_itself_to_store_machines_that_are_no_witnesses() -> None:
     replica = primary_of_three(10.0)
     replica.announced = frozenset({"d", *HOSTS})
     replica.tick(11.1)
-    assert "d" in {to for to, _ in sent(replica, m.Heartbeat)}
+    assert "d" in {to for to, _ in sent(replica, messages.Heartbeat)}
--- a/tests/tier/test_decisions.py
+++ b/tests/tier/test_decisions.py
@@ -6,13 +6,11 @@
 import pytest
 
 from crowwing.tier.configuration import InvalidConfiguration, RoutingTable, parse_configuration
-from crowwing.tier.state import changes
-from crowwing.tier.state import events as e
-from crowwing.tier.state.changes import TakenChanges
-from crowwing.tier.state.lots import Lot
+from crowwing.tier.state import changes, events
+from crowwing.tier.state.batch_jobs import BatchJob
+from crowwing.tier.state.changes import AcceptedChanges
 from crowwing.tier.state.views import TierState
-from crowwing.tier.store import commands as c
-from crowwing.tier.store import decisions as d
+from crowwing.tier.store import commands, decisions
 from crowwing.tier.store.leases import GRACE_S, LEASE_S, Leases
 from crowwing.tier.wire.codec import encode
 
@@ -26,20 +24,20 @@
     return json.dumps(whole).encode()
 
 
-def played(state: TierState, decision: d.Decision) -> Any:  # noqa: ANN401
+def played(state: TierState, decision: decisions.Decision) -> Any:  # noqa: ANN401
     for event in decision.events:
         state.apply(encode(event), 1)
     return decision.outcome
 
 
 def put(state: TierState, base: int, text: bytes) -> Any:  # noqa: ANN401
-    return played(state, d.put_configuration(state, c.PutConfiguration(base, text)))
+    return played(state, decisions.put_configuration(state, commands.PutConfiguration(base, text)))
 
 
 def test_of_two_changes_on_one_version_one_wins() -> None:
     state = TierState()
-    assert put(state, 0, configuration(3)) == c.Done()
-    assert put(state, 3, configuration(5)) == c.Done()
+    assert put(state, 0, configuration(3)) == commands.Done()
+    assert put(state, 3, configuration(5)) == commands.Done()
     assert put(state, 3, configuration(6)).status == 412
     assert put(state, 3, configuration(5, limits={"maxBodyBytes": 9})).status == 412, (
         "the same number, other content"
@@ -49,9 +47,9 @@
 def test_a_change_that_was_taken_is_acknowledged_again_also_after_others() -> None:
     state = TierState()
     put(state, 0, configuration(3))
-    assert put(state, 0, configuration(3)) == c.Done()
+    assert put(state, 0, configuration(3)) == commands.Done()
     put(state, 3, configuration(5))
-    assert put(state, 0, configuration(3)) == c.Done(), "its answer may have been lost"
+    assert put(state, 0, configuration(3)) == commands.Done(), "its answer may have been lost"
     assert state.version == 5, "and nothing is taken twice"
     assert put(state, 0, configuration(3, limits={"maxBodyBytes": 9})).status == 412, "another one's change"
     assert put(state, 3, configuration(3)).status == 412, "the same text on another base was never taken"
@@ -65,23 +63,28 @@
     other.replace_ranges(dict(state.freeze()))
     assert other.digests() == state.digests()
     for version in range(1, 40):
-        assert put(other, version - 1, configuration(version)) == c.Done()
+        assert put(other, version - 1, configuration(version)) == commands.Done()
 
 
 def test_what_is_remembered_of_changes_is_bounded_and_nothing_forgotten_is_refused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(changes, "MOST_CHANGES", 20)
+    monkeypatch.setattr(changes, "MAX_REMEMBERED_CHANGES", 20)
     state = TierState()
     for version in range(1, 31):
         put(state, version - 1, configuration(version))
     for version in range(11, 31):
-        assert put(state, version - 1, configuration(version)) == c.Done()
+        assert put(state, version - 1, configuration(version)) == commands.Done()
     for version in range(1, 11):
-        assert isinstance(put(state, version - 1, configuration(version)), c.Unsure), "never a refusal"
+        assert isinstance(put(state, version - 1, configuration(version)), commands.Indeterminate), (
+            "never a refusal"
+        )
     assert put(state, 11, configuration(31)).status == 412
     assert len(encode(state.changes.to_plain())) < 20 * 32
-    assert changes.MOST_CHANGES == 20 and TakenChanges.from_plain(state.changes.to_plain()).forgotten == 10
+    assert (
+        changes.MAX_REMEMBERED_CHANGES == 20
+        and AcceptedChanges.from_plain(state.changes.to_plain()).forgotten == 10
+    )
 
 
 @pytest.mark.parametrize(
@@ -124,113 +127,133 @@
 def submitted(count: int = 3) -> TierState:
     state = TierState()
     put(state, 0, configuration(3))
-    items = tuple(e.Item(f"i{number}", "/p/x", (), b"body", 10) for number in range(count))
-    played(state, d.submit_lot(state, c.SubmitLot("lot", "h.example", "/p/x", items), 1000, True))
+    items = tuple(events.BatchItem(f"i{number}", "/p/x", (), b"body", 10) for number in range(count))
+    played(
+        state,
+        decisions.submit_batch_job(
+            state, commands.SubmitBatchJob("lot", "h.example", "/p/x", items), 1000, True
+        ),
+    )
     return state
 
 
-def report(state: TierState, item: str, result: e.Result) -> Any:  # noqa: ANN401
-    return played(state, d.report_item(state, c.ReportItem("lot", item, result)))
+def report(state: TierState, item: str, result: events.ItemResult) -> Any:  # noqa: ANN401
+    return played(state, decisions.report_item(state, commands.ReportItemResult("lot", item, result)))
 
 
 def report_failure(state: TierState, item: str, attempt: str) -> Any:  # noqa: ANN401
     parsed = parse_configuration(state.configuration)
-    return played(state, d.report_failure(state, c.ReportFailure("lot", item, attempt), parsed))
+    return played(
+        state, decisions.report_failure(state, commands.ReportItemFailure("lot", item, attempt), parsed)
+    )
 
 
-def test_a_lot_is_taken_once_and_keeps_its_positions() -> None:
+def test_a_job_is_taken_once_and_keeps_its_positions() -> None:
     state = submitted()
-    again = d.submit_lot(state, c.SubmitLot("lot", "h.example", "/p/x", ()), 2000, True)
-    assert again == d.Decision((), c.Done())
-    report(state, "i1", e.Result("i1", e.COMPLETED, "one"))
-    report(state, "i1", e.Result("i1", e.COMPLETED, "two"))
-    page = d.read_lot(state, c.ReadLot("lot", 0, 0)).outcome
-    assert page == c.LotPage(3, (e.Result("i1", e.COMPLETED, "one"),))
-    assert d.read_body(state, c.ReadBody("lot", "i1")).outcome == c.Missing()
-    assert d.read_body(state, c.ReadBody("lot", "i0")).outcome == c.ItemBody(b"body")
+    again = decisions.submit_batch_job(
+        state, commands.SubmitBatchJob("lot", "h.example", "/p/x", ()), 2000, True
+    )
+    assert again == decisions.Decision((), commands.Done())
+    report(state, "i1", events.ItemResult("i1", events.COMPLETED, "one"))
+    report(state, "i1", events.ItemResult("i1", events.COMPLETED, "two"))
+    page = decisions.read_batch_job(state, commands.ReadBatchJob("lot", 0, 0)).outcome
+    assert page == commands.BatchJobPage(3, (events.ItemResult("i1", events.COMPLETED, "one"),))
+    assert decisions.read_item_body(state, commands.ReadItemBody("lot", "i1")).outcome == commands.NotFound()
+    assert decisions.read_item_body(state, commands.ReadItemBody("lot", "i0")).outcome == commands.ItemBody(
+        b"body"
+    )
 
 
 def test_failed_attempts_end_an_item_at_the_routes_bound() -> None:
     state = submitted()
     for attempt in ("a", "b"):
         report_failure(state, "i0", attempt)
-    assert not state.lots["lot"].results
+    assert not state.jobs["lot"].results
     report_failure(state, "i0", "c")
-    assert state.lots["lot"].results == [e.Result("i0", e.DEAD_LETTER, "")]
+    assert state.jobs["lot"].results == [events.ItemResult("i0", events.DEAD_LETTER, "")]
 
 
 def test_a_failed_attempt_that_is_reported_again_counts_once() -> None:
     state = submitted()
     for _ in range(5):  # each time without a clear answer
-        assert report_failure(state, "i0", "a") == c.Done()
-    assert state.lots["lot"].failures == {"i0": ["a"]} and not state.lots["lot"].results
+        assert report_failure(state, "i0", "a") == commands.Done()
+    assert state.jobs["lot"].failures == {"i0": ["a"]} and not state.jobs["lot"].results
 
 
-def test_an_ended_lot_keeps_what_is_listed_and_takes_nothing_more() -> None:
+def test_an_ended_job_keeps_what_is_listed_and_takes_nothing_more() -> None:
     state = submitted()
-    report(state, "i0", e.Result("i0", e.COMPLETED, "one"))
-    assert played(state, d.end_lot(state, c.EndLot("lot"))) == c.Done()
-    assert played(state, d.end_lot(state, c.EndLot("lot"))) == c.Done()
-    assert report(state, "i1", e.Result("i1", e.COMPLETED, "late")) == c.Done()
-    assert len(state.lots["lot"].results) == 1
-    assert d.end_lot(state, c.EndLot("unknown")).outcome == c.Missing()
+    report(state, "i0", events.ItemResult("i0", events.COMPLETED, "one"))
+    assert played(state, decisions.end_batch_job(state, commands.EndBatchJob("lot"))) == commands.Done()
+    assert played(state, decisions.end_batch_job(state, commands.EndBatchJob("lot"))) == commands.Done()
+    assert report(state, "i1", events.ItemResult("i1", events.COMPLETED, "late")) == commands.Done()
+    assert len(state.jobs["lot"].results) == 1
+    assert decisions.end_batch_job(state, commands.EndBatchJob("unknown")).outcome == commands.NotFound()
 
 
 def test_a_dumped_state_loads_as_it_was() -> None:
     state = submitted()
-    report(state, "i0", e.Result("i0", e.COMPLETED, "one"))
+    report(state, "i0", events.ItemResult("i0", events.COMPLETED, "one"))
     report_failure(state, "i2", "a")
-    played(state, d.Decision((e.StoreSeen("store-1", "10.0.0.1"), e.RetireAsked("store-1")), None))
+    played(
+        state,
+        decisions.Decision(
+            (events.StoreRegistered("store-1", "10.0.0.1"), events.RetireRequested("store-1")), None
+        ),
+    )
     other = TierState()
     other.replace_ranges(dict(state.freeze()))
     assert dict(other.freeze()) == dict(state.freeze()) and other.retired_hosts() == {"10.0.0.1"}
-    assert other.lots["lot"].failures == {"i2": ["a"]}
+    assert other.jobs["lot"].failures == {"i2": ["a"]}
 
 
 def test_a_machine_is_emptied_only_while_enough_others_stay() -> None:
     state = TierState()
     for number in range(4):
-        state.fold(e.StoreSeen(f"store-{number}", f"10.0.0.{number}"))
+        state.fold(events.StoreRegistered(f"store-{number}", f"10.0.0.{number}"))
     hosts = [f"10.0.0.{number}" for number in range(4)]
-    assert d.retire(state, c.Retire("unknown"), hosts, 3).outcome == c.Missing()
-    assert played(state, d.retire(state, c.Retire("store-0"), hosts, 3)) == c.Done()
-    assert played(state, d.retire(state, c.Retire("store-0"), hosts, 3)) == c.Done()
-    assert d.retire(state, c.Retire("store-1"), hosts, 3).outcome.status == 409
+    assert decisions.retire(state, commands.RetireStore("unknown"), hosts, 3).outcome == commands.NotFound()
+    assert (
+        played(state, decisions.retire(state, commands.RetireStore("store-0"), hosts, 3)) == commands.Done()
+    )
+    assert (
+        played(state, decisions.retire(state, commands.RetireStore("store-0"), hosts, 3)) == commands.Done()
+    )
+    assert decisions.retire(state, commands.RetireStore("store-1"), hosts, 3).outcome.status == 409
 
 
 def test_a_machine_that_has_left_long_ago_keeps_no_other_from_leaving() -> None:
     state = TierState()
     for number in range(4):
-        state.fold(e.StoreSeen(f"store-{number}", f"10.0.0.{number}"))
-    state.fold(e.RetireAsked("store-0"))
-    state.fold(e.StoreSeen("store-4", "10.0.0.4"))
+        state.fold(events.StoreRegistered(f"store-{number}", f"10.0.0.{number}"))
+    state.fold(events.RetireRequested("store-0"))
+    state.fold(events.StoreRegistered("store-4", "10.0.0.4"))
     left = [f"10.0.0.{number}" for number in range(1, 5)]
-    assert played(state, d.retire(state, c.Retire("store-1"), left, 3)) == c.Done()
-    assert d.retire(state, c.Retire("store-2"), left, 3).outcome.status == 409
+    assert played(state, decisions.retire(state, commands.RetireStore("store-1"), left, 3)) == commands.Done()
+    assert decisions.retire(state, commands.RetireStore("store-2"), left, 3).outcome.status == 409
 
 
 def test_a_machine_at_the_address_of_one_that_was_emptied_may_stay() -> None:
     state = TierState()
-    state.fold(e.StoreSeen("store-0", "10.0.0.1"))
-    state.fold(e.RetireAsked("store-0"))
+    state.fold(events.StoreRegistered("store-0", "10.0.0.1"))
+    state.fold(events.RetireRequested("store-0"))
     assert state.retired_hosts() == {"10.0.0.1"}
-    state.fold(e.StoreSeen("store-9", "10.0.0.1"))
+    state.fold(events.StoreRegistered("store-9", "10.0.0.1"))
     assert state.retired_hosts() == frozenset()
-    assert d.retire(state, c.Retire("store-0"), [], 0).outcome == c.Done(), (
+    assert decisions.retire(state, commands.RetireStore("store-0"), [], 0).outcome == commands.Done(), (
         "it was taken, and is never refused"
     )
 
 
-def test_items_are_leased_once_until_the_lease_ends_and_hopeless_lots_last() -> None:
+def test_items_are_leased_once_until_the_lease_ends_and_hopeless_jobs_last() -> None:
     state = submitted(2)
-    items = (e.Item("j0", "/p/x", (), b"", 1),)
-    state.fold(e.LotTaken("later", "h.example", "/p/x", items, 2000))
+    items = (events.BatchItem("j0", "/p/x", (), b"", 1),)
+    state.fold(events.BatchJobAccepted("later", "h.example", "/p/x", items, 2000))
     leases = Leases(0.0)
-    for lot in state.lots.values():
-        leases.add_lot(lot)
-    hopeful = lambda lot: False  # noqa: E731
+    for job in state.jobs.values():
+        leases.add_job(job)
+    hopeful = lambda job: False  # noqa: E731
     assert leases.lease(state, "f1", 5, GRACE_S / 2, hopeful) == [], "fronts tell first what they run"
-    late_first = leases.lease(state, "f1", 1, 1.0, lambda lot: lot.id == "lot")
+    late_first = leases.lease(state, "f1", 1, 1.0, lambda job: job.id == "lot")
     assert [item.id for _, item in late_first] == ["j0"]
     assert [item.id for _, item in leases.lease(state, "f1", 5, 1.0, hopeful)] == ["i0", "i1"]
     assert leases.lease(state, "f2", 5, 1.0, hopeful) == []
@@ -238,19 +261,19 @@
     again = leases.lease(state, "f2", 5, 1.0 + LEASE_S, hopeful)
     assert sorted(item.id for _, item in again) == ["i1", "j0"], "what was renewed stays"
     assert leases.renew(state, "f1", [("lot", "i1")], 1.1 + LEASE_S) == (("lot", "i1"),)
-    state.fold(e.LotEnded("lot"))
+    state.fold(events.BatchJobEnded("lot"))
     assert leases.renew(state, "f1", [("lot", "i0")], 1.1 + LEASE_S) == (("lot", "i0"),)
 
 
-def test_a_reported_failure_frees_an_item_and_an_ended_lot_frees_none() -> None:
+def test_a_reported_failure_frees_an_item_and_an_ended_job_frees_none() -> None:
     state = submitted(2)
     leases = Leases(0.0)
-    leases.add_lot(state.lots["lot"])
-    hopeful = lambda lot: False  # noqa: E731
+    leases.add_job(state.jobs["lot"])
+    hopeful = lambda job: False  # noqa: E731
     assert len(leases.lease(state, "f1", 5, 1.0, hopeful)) == 2
     leases.release(state, ("lot", "i1"))
     assert [item.id for _, item in leases.lease(state, "f2", 5, 1.1, hopeful)] == ["i1"]
-    state.fold(e.LotEnded("lot"))
+    state.fold(events.BatchJobEnded("lot"))
     assert leases.lease(state, "f3", 5, 1.2 + LEASE_S, hopeful) == []
     assert leases.free_count == 0
 
@@ -258,14 +281,14 @@
 def test_what_a_front_gives_up_is_leased_again_at_once_unless_another_has_it_by_now() -> None:
     state = submitted(2)
     leases = Leases(0.0)
-    leases.add_lot(state.lots["lot"])
-    hopeful = lambda lot: False  # noqa: E731
+    leases.add_job(state.jobs["lot"])
+    hopeful = lambda job: False  # noqa: E731
     assert len(leases.lease(state, "f1", 5, 1.0, hopeful)) == 2
     leases.give_up(state, "f1", [("lot", "i1")])
     assert [item.id for _, item in leases.lease(state, "f2", 5, 1.1, hopeful)] == ["i1"]
     leases.give_up(state, "f1", [("lot", "i1")])  # the same call once more, its answer was lost
     assert leases.lease(state, "f3", 5, 1.2, hopeful) == [], "it is with f2"
-    state.fold(e.LotEnded("lot"))
+    state.fold(events.BatchJobEnded("lot"))
     leases.give_up(state, "f2", [("lot", "i1")])
     assert leases.free_count == 0
 
@@ -273,15 +296,15 @@
 def test_what_a_call_costs_does_not_grow_with_leased_items() -> None:
     state = TierState()
     for number in range(50):
-        items = tuple(e.Item(f"i{number}-{place}", "/p/x", (), b"", 1) for place in range(200))
-        state.fold(e.LotTaken(f"lot{number}", "h.example", "/p", items, 1000))
+        items = tuple(events.BatchItem(f"i{number}-{place}", "/p/x", (), b"", 1) for place in range(200))
+        state.fold(events.BatchJobAccepted(f"lot{number}", "h.example", "/p", items, 1000))
     leases = Leases(0.0)
-    for lot in state.lots.values():
-        leases.add_lot(lot)
+    for job in state.jobs.values():
+        leases.add_job(job)
     looked_at: list[str] = []
 
-    def hopeless(lot: Lot) -> bool:
-        looked_at.append(lot.id)
+    def hopeless(job: BatchJob) -> bool:
+        looked_at.append(job.id)
         return False
 
     assert len(leases.lease(state, "f1", 10_000, 1.0, hopeless)) == 10_000
@@ -292,22 +315,25 @@
 
 def test_a_state_is_brought_to_another_one_by_the_ranges_in_which_they_differ() -> None:
     ahead, behind = TierState(), TierState()
-    item = e.Item("i", "/p/i", (), b"x", 1)
-    events = [
-        e.ConfigurationTaken(3, 0, configuration(3)),
-        e.StoreSeen("store-1", "10.0.0.1"),
-        *(e.LotTaken(f"lot{n}", "h.example", "/p", (item,), n) for n in range(40)),
-        *(e.ItemsEnded(f"lot{n}", (e.Result("i", e.COMPLETED, "done"),)) for n in range(20)),
-        e.LotDropped("lot7"),
+    item = events.BatchItem("i", "/p/i", (), b"x", 1)
+    history = [
+        events.ConfigurationAccepted(3, 0, configuration(3)),
+        events.StoreRegistered("store-1", "10.0.0.1"),
+        *(events.BatchJobAccepted(f"lot{n}", "h.example", "/p", (item,), n) for n in range(40)),
+        *(
+            events.ItemsCompleted(f"lot{n}", (events.ItemResult("i", events.COMPLETED, "done"),))
+            for n in range(20)
+        ),
+        events.BatchJobRemoved("lot7"),
     ]
-    for index, event in enumerate(events, 1):
+    for index, event in enumerate(history, 1):
         ahead.apply(encode(event), index)
         if index < 50:
             behind.apply(encode(event), index)
     mine, theirs = behind.digests(), ahead.digests()
     differ = [number for number, digest in enumerate(theirs) if mine[number] != digest]
-    assert differ == sorted({ahead.range_of(encode(event)) for event in events[49:]})
+    assert differ == sorted({ahead.range_of(encode(event)) for event in history[49:]})
     behind.replace_ranges({number: ahead.dump_range(number) for number in differ})
     assert behind.digests() == ahead.digests()
-    assert behind.kept_bytes == ahead.kept_bytes
-    assert {lot: behind.lots[lot] for lot in ahead.lots} == ahead.lots == behind.lots
+    assert behind.stored_bytes == ahead.stored_bytes
+    assert {job: behind.jobs[job] for job in ahead.jobs} == ahead.jobs == behind.jobs
--- a/tests/tier/test_history_checkers.py
+++ b/tests/tier/test_history_checkers.py
@@ -1,9 +1,9 @@
 """Each checker is red on a history in which its promise is broken, and quiet on one in which it is kept."""
 
 from crowwing.tier.distribution.documents import SIDECARS, Document
+from tests.tier.simulation.checkers.batch_jobs import check_batch_jobs, check_read_back
 from tests.tier.simulation.checkers.configuration import check_configuration
 from tests.tier.simulation.checkers.distribution import check_documents
-from tests.tier.simulation.checkers.lots import check_lots, check_read_back
 from tests.tier.simulation.history import Call, Change, History, hash_of
 
 A, B = Change(0, 3, b"a"), Change(0, 3, b"b")
@@ -68,10 +68,10 @@
     assert check_configuration(history, (5, "another text"))
 
 
-def lots(*calls: Call) -> History:
+def jobs(*calls: Call) -> History:
     """A history of one lot of two items."""
     history = History([Call("c", "submit", "l", 0, 0.5, 202), *calls])
-    history.lots = {"l": ("l.0", "l.1")}
+    history.jobs = {"l": ("l.0", "l.1")}
     return history
 
 
@@ -83,27 +83,27 @@
 FIRST, SECOND = ("l.0", "completed", "x"), ("l.1", "completed", "y")
 
 
-def test_a_lot_that_is_read_in_order_is_no_finding() -> None:
-    history = lots(page(1, 0, FIRST), page(2, 1), page(3, 0, FIRST, SECOND), page(5, 2))
+def test_a_job_that_is_read_in_order_is_no_finding() -> None:
+    history = jobs(page(1, 0, FIRST), page(2, 1), page(3, 0, FIRST, SECOND), page(5, 2))
     history.runs = [(0.6, "l", "l.0")]
-    assert not check_lots(history) and not check_read_back(history, {"l": 200})
+    assert not check_batch_jobs(history) and not check_read_back(history, {"l": 200})
 
 
-def test_what_breaks_the_promise_of_lots_is_found() -> None:
-    assert check_lots(lots(Call("c", "read", "l 0", 2, 2.1, 404)))
-    assert check_lots(lots(page(1, 0, FIRST), page(2, 0, SECOND))), "another result at a position"
-    assert check_lots(lots(page(1, 0, FIRST, FIRST))), "one item at two positions"
-    assert check_lots(lots(page(1, 0, FIRST), page(4, 0))), "what was read is gone"
-    assert check_lots(lots(page(1, 0, FIRST, total=3)))
-    assert check_lots(lots(page(1, 0, ("k.0", "completed", "x")))), "an item of another lot"
-    assert check_lots(lots(Call("c", "body", "l.0", 1, 2, 200, b"other"))), "another body"
-    assert check_read_back(lots(), {"l": 404})
+def test_what_breaks_the_promise_of_jobs_is_found() -> None:
+    assert check_batch_jobs(jobs(Call("c", "read", "l 0", 2, 2.1, 404)))
+    assert check_batch_jobs(jobs(page(1, 0, FIRST), page(2, 0, SECOND))), "another result at a position"
+    assert check_batch_jobs(jobs(page(1, 0, FIRST, FIRST))), "one item at two positions"
+    assert check_batch_jobs(jobs(page(1, 0, FIRST), page(4, 0))), "what was read is gone"
+    assert check_batch_jobs(jobs(page(1, 0, FIRST, total=3)))
+    assert check_batch_jobs(jobs(page(1, 0, ("k.0", "completed", "x")))), "an item of another lot"
+    assert check_batch_jobs(jobs(Call("c", "body", "l.0", 1, 2, 200, b"other"))), "another body"
+    assert check_read_back(jobs(), {"l": 404})
 
 
-def test_a_refused_lot_that_runs_is_found() -> None:
+def test_a_refused_job_that_runs_is_found() -> None:
     history = History([Call("c", "submit", "l", 0, 0.5, 503)])
-    history.lots, history.runs = {"l": ("l.0",)}, [(1.0, "l", "l.0")]
-    assert check_lots(history)
+    history.jobs, history.runs = {"l": ("l.0",)}, [(1.0, "l", "l.0")]
+    assert check_batch_jobs(history)
 
 
 def test_lists_that_differ_under_one_order_or_go_back_are_found() -> None:
--- a/tests/tier/test_letter_scenarios.py
+++ b/tests/tier/test_letter_scenarios.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from crowwing.tier.state.events import Item
-from crowwing.tier.store import commands as c
+from crowwing.tier.state.events import BatchItem
+from crowwing.tier.store import commands
 from tests.tier.simulation.checkers.configuration import check_configuration
 from tests.tier.simulation.clients import Operator
 from tests.tier.simulation.history import Call
-from tests.tier.simulation.machines import LOT_HOST, LOT_PREFIX
+from tests.tier.simulation.machines import BATCH_HOST, BATCH_PREFIX
 from tests.tier.simulation.world import World
 
 STORES = ("m0", "m1", "m2")
@@ -242,7 +242,7 @@
     check_history(world, writer)
 
 
-def test_a_lost_disk_is_made_good_in_time_after_1000_changes_and_with_lots_of_50_mb() -> None:
+def test_a_lost_disk_is_made_good_in_time_after_1000_changes_and_with_jobs_of_50_mb() -> None:
     world = World(7, STORES)
     world.network.bytes_per_s = 60e6  # of each connection
     world.settle()
@@ -256,14 +256,14 @@
             version = change.version
             if number % 10 == 0:
                 store = world.stores[str(world.primary())]
-                item = Item("i", "/p", (), bytes(512 * 1024), 1)
-                lot = c.SubmitLot(f"lot-{number}", LOT_HOST, LOT_PREFIX, (item,))
+                item = BatchItem("i", "/p", (), bytes(512 * 1024), 1)
+                job = commands.SubmitBatchJob(f"lot-{number}", BATCH_HOST, BATCH_PREFIX, (item,))
                 assert store.machine is not None
-                assert isinstance(await store.machine.service.command(lot), c.Done)
+                assert isinstance(await store.machine.service.command(job), commands.Done)
 
     world.run(fill())
     primary = str(world.primary())
-    assert world.state(primary).kept_bytes > 50_000_000
+    assert world.state(primary).stored_bytes > 50_000_000
     lost = next(host for host in STORES if host != primary)
     world.stop(lost, power=True, wipe=True)
     world.run_for(1.0)
--- /dev/null
+++ b/tests/tier/test_mutations.py
@@ -0,0 +1,17 @@
+"""The table of mutations names guards by their lines; it follows the code."""
+
+import pytest
+
+from tests.tier.mutations import ROOT, Mutation, read_mutations
+
+GUARDS = 31
+
+
+def test_no_guard_is_dropped_from_the_table() -> None:
+    assert len(read_mutations()) >= GUARDS
+
+
+@pytest.mark.parametrize("mutation", read_mutations(), ids=lambda mutation: mutation.name)
+def test_each_guard_stands_in_the_code_once(mutation: Mutation) -> None:
+    text = (ROOT / "crowwing" / "tier" / mutation.path).read_text()
+    assert text.count(mutation.old) == 1
--- a/tests/tier/test_processes.py
+++ b/tests/tier/test_processes.py
@@ -56,10 +56,10 @@
     return await client.post(tier.url(front, path), headers=headers, content=b"question")
 
 
-async def hand_in(tier: Loopback, client: httpx.AsyncClient, lot: str) -> None:
+async def submit_batch_job(tier: Loopback, client: httpx.AsyncClient, job_id: str) -> None:
     body = base64.b64encode(b"text").decode()
-    requests = [{"id": f"{lot}-{n}", "path": "/lot/x", "headers": {}, "body": body} for n in range(ITEMS)]
-    headers = {"Host": HOST_NAME, "Request-Id": lot}
+    requests = [{"id": f"{job_id}-{n}", "path": "/lot/x", "headers": {}, "body": body} for n in range(ITEMS)]
+    headers = {"Host": HOST_NAME, "Request-Id": job_id}
 
     async def taken() -> bool:
         for front in tier.fronts:
@@ -73,31 +73,33 @@
     await tier.until("a 202", taken)
 
 
-async def results(tier: Loopback, client: httpx.AsyncClient, front: str, lot: str) -> list[dict[str, Any]]:
+async def results(tier: Loopback, client: httpx.AsyncClient, front: str, job_id: str) -> list[dict[str, Any]]:
     """All results of a lot, once they are there."""
 
     async def read() -> list[dict[str, Any]] | None:
-        answer = await client.get(tier.url(front, f"/lots/{lot}?startAfter=0"), headers={"Host": HOST_NAME})
+        answer = await client.get(
+            tier.url(front, f"/lots/{job_id}?startAfter=0"), headers={"Host": HOST_NAME}
+        )
         assert answer.status_code != 404, "a lot that was taken is known"
         if answer.status_code != 200 or len(answer.json()["results"]) < ITEMS:
             return None
         return answer.json()["results"]
 
-    return await tier.until(f"the results of {lot}", read)
+    return await tier.until(f"the results of {job_id}", read)
 
 
 def text_of(name: str) -> str:
     return "\n".join(f"{name}-{number}" for number in range(1, EVENTS + 1))
 
 
-def test_streams_and_lots_are_served_and_outlast_the_kill_of_each_store_machine(tmp_path: Path) -> None:
+def test_streams_and_jobs_are_served_and_outlast_the_kill_of_each_store_machine(tmp_path: Path) -> None:
     async def play(tier: Loopback, client: httpx.AsyncClient) -> None:
         answer = await ask(tier, client, tier.fronts[0], "/ask/1", "r1")
         assert answer.status_code == 200 and answer.headers["server-stamp"] == "s1"
         assert answer.text.count("data: r1-") == EVENTS
         unknown = await ask(tier, client, tier.fronts[0], "/nowhere/", "r2")
         assert unknown.status_code == 404
-        await hand_in(tier, client, "lot0")
+        await submit_batch_job(tier, client, "lot0")
         first = await results(tier, client, tier.fronts[0], "lot0")
         assert {x["id"]: x["text"] for x in first} == {
             f"lot0-{n}": text_of(f"lot0-{n}") for n in range(ITEMS)
@@ -108,7 +110,7 @@
             await put(tier, client, version, version + 2)
             version += 2
             assert await results(tier, client, tier.fronts[1], "lot0") == first
-            await hand_in(tier, client, f"lot-{store}")
+            await submit_batch_job(tier, client, f"lot-{store}")
             tier.launch(store)
             assert len(await results(tier, client, tier.fronts[0], f"lot-{store}")) == ITEMS
         newest = await tier.until("the configuration", lambda: read_config(tier, client))
@@ -124,7 +126,7 @@
 
 def test_all_store_machines_killed_at_once_keep_what_was_acknowledged(tmp_path: Path) -> None:
     async def play(tier: Loopback, client: httpx.AsyncClient) -> None:
-        await hand_in(tier, client, "lot0")
+        await submit_batch_job(tier, client, "lot0")
         first = await results(tier, client, tier.fronts[0], "lot0")
         for store in tier.stores:
             tier.kill(store)
--- a/tests/tier/test_recorded_bytes.py
+++ b/tests/tier/test_recorded_bytes.py
@@ -78,14 +78,14 @@
         "configuration": None if state.configuration is None else state.configuration.hex(),
         "batch_jobs": [
             [
-                lot.id, lot.host, lot.path, lot.at_ms, lot.total, sorted(lot.open_items),
-                to_json(lot.results), lot.failures, lot.ended, lot.digest.hex(),
+                job.id, job.host, job.path, job.at_ms, job.total, sorted(job.open_items),
+                to_json(job.results), job.failures, job.ended, job.digest.hex(),
             ]
-            for lot in state.lots.values()
+            for job in state.jobs.values()
         ],
         "stores": state.stores,
         "retired": sorted(state.retired),
-        "stored_bytes": state.kept_bytes,
+        "stored_bytes": state.stored_bytes,
         "digests": [digest.hex() for digest in state.digests()],
     }  # fmt: skip
 
--- a/tests/tier/test_relay_steps.py
+++ b/tests/tier/test_relay_steps.py
@@ -4,7 +4,14 @@
 from random import Random
 
 from crowwing.tier.distribution.documents import SIDECARS, Document, Documents
-from crowwing.tier.distribution.relay import Attach, Attached, Beat, Push, Redirect, Relay
+from crowwing.tier.distribution.relay import (
+    AttachRedirect,
+    AttachRequest,
+    AttachResponse,
+    DocumentPush,
+    Relay,
+    RootHeartbeat,
+)
 from crowwing.tier.distribution.sampling import Peer
 from crowwing.tier.wire.connection import Connection, Links
 
@@ -22,10 +29,10 @@
         roots: list[str] = []
         relay.on_root.append(roots.append)
         for beat, root in (((5, 1), "a"), ((6, 1), "c"), ((5, 2), "a"), ((6, 1), "a"), ((6, 2), "c")):
-            await relay.handle(parent, Beat(beat, root, {}, 0))
+            await relay.handle(parent, RootHeartbeat(beat, root, {}, 0))
         assert roots == ["a", "c"] and relay.root == "c"
-        await relay.handle(parent, Push(Document(SIDECARS, (6, 1), b"new")))
-        await relay.handle(parent, Push(Document(SIDECARS, (5, 40), b"old")))
+        await relay.handle(parent, DocumentPush(Document(SIDECARS, (6, 1), b"new")))
+        await relay.handle(parent, DocumentPush(Document(SIDECARS, (5, 40), b"old")))
         held = relay.documents.get(SIDECARS)
         assert held is not None and held.body == b"new"
 
@@ -36,9 +43,9 @@
     relay = relay_of("f")
     child = object.__new__(Connection)
     child.closed = False
-    assert isinstance(relay._attach(child, Attach("g", {})), Attached)  # noqa: SLF001
+    assert isinstance(relay._attach(child, AttachRequest("g", {})), AttachResponse)  # noqa: SLF001
     relay._beat_at -= 10  # noqa: SLF001
-    assert relay._attach(child, Attach("h", {})) == Redirect(())  # noqa: SLF001
+    assert relay._attach(child, AttachRequest("h", {})) == AttachRedirect(())  # noqa: SLF001
 
 
 def test_a_new_root_that_has_not_counted_the_fronts_yet_leaves_the_former_count_in_force() -> None:
@@ -46,14 +53,16 @@
         relay = relay_of("f")
         parent = object.__new__(Connection)
         relay._parent = parent  # noqa: SLF001
-        await relay.handle(parent, Beat((5, 1), "a", {}, 72))
-        await relay.handle(parent, Beat((6, 1), "c", {}, 0))
+        await relay.handle(parent, RootHeartbeat((5, 1), "a", {}, 72))
+        await relay.handle(parent, RootHeartbeat((6, 1), "c", {}, 0))
         assert relay.fronts == 72, "a count of 0 is none"
-        await relay.handle(parent, Beat((6, 2), "c", {}, 60))
+        await relay.handle(parent, RootHeartbeat((6, 2), "c", {}, 60))
         assert relay.fronts == 60
         child = object.__new__(Connection)
         child.closed = False
-        attached = relay._attach(child, Attach("g", {}))  # noqa: SLF001
-        assert isinstance(attached, Attached) and attached.fronts == 60, "told to one that has just started"
+        attached = relay._attach(child, AttachRequest("g", {}))  # noqa: SLF001
+        assert isinstance(attached, AttachResponse) and attached.fronts == 60, (
+            "told to one that has just started"
+        )
 
     asyncio.run(play())
--- a/tests/tier/test_replication.py
+++ b/tests/tier/test_replication.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from crowwing.tier.replication import messages as m
+from crowwing.tier.replication import messages
 from crowwing.tier.replication.replica import Replica
 from crowwing.tier.state.views import TierState
 from tests.tier.simulation.world import World
@@ -176,18 +176,18 @@
 
 
 def test_a_machine_without_memory_is_bound_to_the_view_that_it_may_have_accepted() -> None:
-    older = m.View((3, "a"), HOSTS, HOSTS)
-    newer = m.View((5, "a"), ("a", "c"), HOSTS)
+    older = messages.View((3, "a"), HOSTS, HOSTS)
+    newer = messages.View((5, "a"), ("a", "c"), HOSTS)
     replica = Replica("c", HOSTS, TierState(), 1, 0.0, lambda: 0.5)
-    replica.receive(1.0, m.Learned("b", (9, "b"), older))
-    replica.receive(1.0, m.Learned("a", (5, "a"), newer))
-    replica.receive(2.0, m.Prepare((10, "b"), "b", m.NO_BALLOT))
+    replica.receive(1.0, messages.RecoveryResponse("b", (9, "b"), older))
+    replica.receive(1.0, messages.RecoveryResponse("a", (5, "a"), newer))
+    replica.receive(2.0, messages.Prepare((10, "b"), "b", messages.NO_TERM))
     output = replica.take_output()
-    promises = [message for _, message in output.durable if isinstance(message, m.Promise)]
+    promises = [message for _, message in output.durable if isinstance(message, messages.Promise)]
     assert [promise.view for promise in promises] == [newer], (
         "else b, which missed it, leads without its data"
     )
-    assert m.ViewRecord(newer) in output.records, "it outlasts a loss of power"
+    assert messages.AcceptedViewRecord(newer) in output.records, "it outlasts a loss of power"
 
 
 @pytest.mark.parametrize("seed", range(4))
