--- a/Makefile
+++ b/Makefile
@@ -17,8 +17,9 @@
 	$(PYTHON) -m pytest -q
 
 lint: build
-	.venv/bin/ruff check crowwing tests benchmarks
-	.venv/bin/ruff format --check crowwing tests benchmarks
+	.venv/bin/ruff check crowwing tests benchmarks tools
+	.venv/bin/ruff format --check crowwing tests benchmarks tools
+	.venv/bin/mypy
 
 run: build
 	PROXY_CONFIG=$(CONFIGURATION) exec $(PYTHON) -O -m crowwing
--- a/crowwing/tier/wire/codec.py
+++ b/crowwing/tier/wire/codec.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, fields
-from typing import Any, TypeVar
+from typing import Any, TypeVar, cast
 
 import cbor2
 
@@ -36,7 +36,8 @@
     def register(cls: type[T]) -> type[T]:
         assert wire_name not in _CLASSES, f"two messages are named {wire_name}"
         _CLASSES[wire_name] = cls
-        _REGISTERED[cls] = _Registered(wire_name, tuple(field.name for field in fields(cls)))  # type: ignore[arg-type]
+        field_names = tuple(field.name for field in fields(cast("type[Any]", cls)))
+        _REGISTERED[cls] = _Registered(wire_name, field_names)
         return cls
 
     return register
--- /dev/null
+++ b/tests/test_lint_exceptions.py
@@ -0,0 +1,26 @@
+"""The list of files that do not keep all lint rules yet only shrinks."""
+
+import json
+from pathlib import Path
+
+from tools.lint_exceptions import read_exceptions
+
+KEPT = Path(__file__).with_name("lint_exceptions.json")
+MAX_SILENCING_COMMENTS = 48  # "noqa" and "type: ignore" in crowwing/ when the rules were switched on
+ROOT = Path(__file__).parents[1]
+
+
+def test_no_file_has_more_exceptions_than_when_the_rules_were_switched_on() -> None:
+    kept = json.loads(KEPT.read_text())
+    for path, codes in read_exceptions().items():
+        assert set(codes) <= set(kept.get(path, ())), path
+
+
+def test_comments_that_silence_a_tool_do_not_grow_in_number() -> None:
+    files = sorted((ROOT / "crowwing").rglob("*.py"))
+    count = sum(
+        line.count("# noqa") + line.count("# type: ignore")
+        for x in files
+        for line in x.read_text().splitlines()
+    )
+    assert count <= MAX_SILENCING_COMMENTS
