--- a/crowwing/tier/distribution/documents.py
+++ b/crowwing/tier/distribution/documents.py
@@ -15,7 +15,7 @@
     """One document. Of two copies of a kind the one with the higher order is newer."""
 
     kind: str
-    order: DocumentVersion
+    version: DocumentVersion
     body: bytes
 
 
@@ -33,7 +33,7 @@
     def offer(self, document: Document) -> bool:
         """Takes a document in; False where the copy held is as new."""
         held = self._held.get(document.kind)
-        if held is not None and held.order >= document.order:
+        if held is not None and held.version >= document.version:
             return False
         self._held[document.kind] = document
         for listener in self._listeners:
@@ -44,12 +44,14 @@
         """The newest copy of a kind."""
         return self._held.get(kind)
 
-    def orders(self) -> dict[str, DocumentVersion]:
+    def versions(self) -> dict[str, DocumentVersion]:
         """Which copies are held: the digest that peers compare."""
-        return {kind: document.order for kind, document in self._held.items()}
+        return {kind: document.version for kind, document in self._held.items()}
 
-    def newer_than(self, orders: dict[str, DocumentVersion]) -> tuple[Document, ...]:
+    def newer_than(self, versions: dict[str, DocumentVersion]) -> tuple[Document, ...]:
         """What somebody who holds `orders` lacks."""
         return tuple(
-            document for kind, document in self._held.items() if tuple(orders.get(kind, ())) < document.order
+            document
+            for kind, document in self._held.items()
+            if tuple(versions.get(kind, ())) < document.version
         )
--- a/crowwing/tier/distribution/relay.py
+++ b/crowwing/tier/distribution/relay.py
@@ -17,12 +17,12 @@
 from crowwing.tier.distribution.documents import Document, Documents, DocumentVersion
 from crowwing.tier.distribution.sampling import PartialView, Peer
 from crowwing.tier.wire.codec import message
-from crowwing.tier.wire.connection import CallError, Connection, Links
+from crowwing.tier.wire.connection import CallError, Connection, ConnectionPool
 
 log = logging.getLogger("crowwing.relay")
 
 FANOUT = 4
-BEAT_S = 0.25
+ROOT_HEARTBEAT_INTERVAL_S = 0.25
 LOST_S = 0.9  # without a new beat of the root
 SHUFFLE_S = 0.5
 CALL_S = 0.5
@@ -35,7 +35,7 @@
     """A backend asks to become a child; it tells what it holds."""
 
     host: str
-    orders: dict[str, DocumentVersion]
+    versions: dict[str, DocumentVersion]
 
 
 @message("Attached")
@@ -44,7 +44,7 @@
     """It is a child now; `fronts` as in Beat."""
 
     documents: tuple[Document, ...]
-    beat: DocumentVersion
+    heartbeat: DocumentVersion
     root: str | None
     fronts: int = 0
 
@@ -65,9 +65,9 @@
     `fronts`: how many fronts the root hears from, 0 where it does not know.
     """
 
-    beat: DocumentVersion
+    heartbeat: DocumentVersion
     root: str | None
-    orders: dict[str, DocumentVersion]
+    versions: dict[str, DocumentVersion]
     fronts: int
 
 
@@ -85,7 +85,7 @@
     """Two backends exchange peers and compare what they hold."""
 
     peers: tuple[Peer, ...]
-    orders: dict[str, DocumentVersion]
+    versions: dict[str, DocumentVersion]
 
 
 @message("Shuffled")
@@ -95,7 +95,7 @@
 
     peers: tuple[Peer, ...]
     documents: tuple[Document, ...]
-    orders: dict[str, DocumentVersion]
+    versions: dict[str, DocumentVersion]
 
 
 class Relay:
@@ -106,41 +106,43 @@
         me: Peer,
         seeds: tuple[str, ...],
         documents: Documents,
-        links: Links,
+        connections: ConnectionPool,
         random: Random,
         clock: Clock = SYSTEM_CLOCK,
     ) -> None:
-        self.me, self.seeds, self._links, self._random = me, seeds, links, random
+        self.me, self.seeds, self._connections, self._random = me, seeds, connections, random
         self._clock = clock
         self.documents = documents
         self.view = PartialView(me, random)
-        self.root_order: Callable[[], int | None] = lambda: None  # the ballot's round, at the root itself
-        self.root_hint: Callable[[], str | None] = lambda: None
+        self.root_term_number: Callable[[], int | None] = lambda: (
+            None
+        )  # the term's number, at the root itself
+        self.probable_root: Callable[[], str | None] = lambda: None
         self.count_fronts: Callable[[], int] = lambda: 0  # at the root itself
         self.fronts = 0  # as a root has counted them last; 0 before any has
         self._children: dict[str, Connection] = {}
         self._parent: Connection | None = None
-        self._beat: DocumentVersion = (-1, 0)
-        self._beat_at = self._clock.monotonic()
+        self._last_heartbeat: DocumentVersion = (-1, 0)
+        self._heartbeat_at = self._clock.monotonic()
         self.root: str | None = None
-        self._beat_soon = asyncio.Event()
+        self._heartbeat_due = asyncio.Event()
         self.on_root: list[Callable[[str], None]] = []
         documents.listen(self._pass_on)
 
     @property
     def is_root(self) -> bool:
         """Whether this backend is the primary of the store machines."""
-        return self.root_order() is not None
+        return self.root_term_number() is not None
 
     @property
-    def in_touch(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether the root's beats arrive."""
-        return self._clock.monotonic() - self._beat_at < LOST_S
+        return self._clock.monotonic() - self._heartbeat_at < LOST_S
 
     @property
-    def seconds_out_of_touch(self) -> float:
+    def seconds_disconnected(self) -> float:
         """How long ago the root's last beat came."""
-        return self._clock.monotonic() - self._beat_at
+        return self._clock.monotonic() - self._heartbeat_at
 
     async def handle(self, connection: Connection, body: Any) -> Any:  # noqa: ANN401
         """Answers what other backends send of the messages above."""
@@ -148,15 +150,15 @@
             case AttachRequest():
                 return self._attach(connection, body)
             case RootHeartbeat():
-                self._take_beat(connection, body)
+                self._on_root_heartbeat(connection, body)
             case DocumentPush(document):
                 self.documents.offer(document)
             case ShuffleRequest():
                 self.view.add(body.peers)
                 return ShuffleResponse(
                     self.view.sample(connection.remote),
-                    self.documents.newer_than(body.orders),
-                    self.documents.orders(),
+                    self.documents.newer_than(body.versions),
+                    self.documents.versions(),
                 )
         return None
 
@@ -164,76 +166,78 @@
 
     def _attach(self, connection: Connection, ask: AttachRequest) -> AttachResponse | AttachRedirect:
         self._children = {host: child for host, child in self._children.items() if not child.closed}
-        if not self.is_root and not self.in_touch:
+        if not self.is_root and not self.is_connected:
             return AttachRedirect(())
         if len(self._children) >= FANOUT and ask.host not in self._children:
             return AttachRedirect(tuple(self._random.sample(list(self._children), FANOUT)))
         self._children[ask.host] = connection
-        return AttachResponse(self.documents.newer_than(ask.orders), self._beat, self.root, self.fronts)
+        return AttachResponse(
+            self.documents.newer_than(ask.versions), self._last_heartbeat, self.root, self.fronts
+        )
 
     def _pass_on(self, document: Document) -> None:
         for child in self._children.values():
             child.notify(DocumentPush(document))
 
-    def _take_beat(self, connection: Connection, beat: RootHeartbeat) -> None:
+    def _on_root_heartbeat(self, connection: Connection, heartbeat: RootHeartbeat) -> None:
         if connection is not self._parent:
             return
-        if self._advance(tuple(beat.beat), beat.root):
-            self._note_fronts(beat.fronts)
-            self._send_beats()
+        if self._advance(tuple(heartbeat.heartbeat), heartbeat.root):
+            self._note_fronts(heartbeat.fronts)
+            self._send_heartbeats()
 
     def _note_fronts(self, counted: int) -> None:
         """Takes a count in; a root that does not know yet leaves the former one's in force."""
         if counted > 0:
             self.fronts = counted
 
-    def _advance(self, beat: DocumentVersion, root: str | None) -> bool:
+    def _advance(self, heartbeat: DocumentVersion, root: str | None) -> bool:
         """Notes a beat of the root; False where it is no newer one."""
-        if beat <= self._beat:
+        if heartbeat <= self._last_heartbeat:
             return False
-        self._beat, self._beat_at = beat, self._clock.monotonic()
+        self._last_heartbeat, self._heartbeat_at = heartbeat, self._clock.monotonic()
         if root is not None and root != self.root:
             self.root = root
             for listener in self.on_root:
                 listener(root)
         return True
 
-    def _send_beats(self) -> None:
-        orders = self.documents.orders()
+    def _send_heartbeats(self) -> None:
+        versions = self.documents.versions()
         for child in self._children.values():
-            child.notify(RootHeartbeat(self._beat, self.root, orders, self.fronts))
+            child.notify(RootHeartbeat(self._last_heartbeat, self.root, versions, self.fronts))
 
-    def became_root(self) -> None:
+    def on_became_root(self) -> None:
         """This backend is the root from now on: its beat goes out at once."""
-        self._beat_soon.set()
+        self._heartbeat_due.set()
 
     async def run_root(self) -> None:
         """Sends beats for as long as this backend is the root."""
         while True:
             try:
-                async with asyncio.timeout(BEAT_S):
-                    await self._beat_soon.wait()
+                async with asyncio.timeout(ROOT_HEARTBEAT_INTERVAL_S):
+                    await self._heartbeat_due.wait()
             except TimeoutError:
                 pass
-            self._beat_soon.clear()
-            order = self.root_order()
-            if order is not None:
-                number = self._beat[1] + 1 if self._beat[0] == order else 1
-                self._advance((order, number), self.me.host)
+            self._heartbeat_due.clear()
+            version = self.root_term_number()
+            if version is not None:
+                number = self._last_heartbeat[1] + 1 if self._last_heartbeat[0] == version else 1
+                self._advance((version, number), self.me.host)
                 self._note_fronts(self.count_fronts())
-                self._send_beats()
+                self._send_heartbeats()
 
     # Child
 
     async def run_child(self) -> None:
         """Keeps a parent."""
         while True:
-            if not self.is_root and (self._parent is None or self._parent.closed or not self.in_touch):
+            if not self.is_root and (self._parent is None or self._parent.closed or not self.is_connected):
                 await self._find_parent()
             await asyncio.sleep(0.1 + 0.1 * self._random.random())
 
     async def _find_parent(self) -> None:
-        hint = self.root_hint()
+        hint = self.probable_root()
         peers = [peer.host for peer in self.view.peers()]
         self._random.shuffle(peers)
         candidates = [
@@ -245,8 +249,8 @@
 
     async def _try_parent(self, host: str, redirects: int) -> bool:
         try:
-            connection = await self._links.get(host)
-            answer = await connection.call(AttachRequest(self.me.host, self.documents.orders()), CALL_S)
+            connection = await self._connections.get(host)
+            answer = await connection.call(AttachRequest(self.me.host, self.documents.versions()), CALL_S)
         except CallError as error:
             log.debug("no parent at %s: %s", host, error.reason)
             return False
@@ -255,9 +259,9 @@
                 self.documents.offer(document)
             self._parent = connection
             self._note_fronts(answer.fronts)
-            self._advance(tuple(answer.beat), answer.root)
+            self._advance(tuple(answer.heartbeat), answer.root)
             log.info("relay parent is %s", host)
-            return self.in_touch
+            return self.is_connected
         if isinstance(answer, AttachRedirect) and redirects > 0:
             for other in answer.hosts:
                 if other != self.me.host and await self._try_parent(other, redirects - 2):
@@ -277,14 +281,14 @@
 
     async def _shuffle(self, host: str, sample: tuple[Peer, ...]) -> None:
         try:
-            connection = await self._links.get(host)
-            answer = await connection.call(ShuffleRequest(sample, self.documents.orders()), CALL_S)
+            connection = await self._connections.get(host)
+            answer = await connection.call(ShuffleRequest(sample, self.documents.versions()), CALL_S)
         except CallError:
             self.view.remove(host)
             return
         self.view.add(answer.peers)
         for document in answer.documents:
             self.documents.offer(document)
-        lacking = self.documents.newer_than(answer.orders)
+        lacking = self.documents.newer_than(answer.versions)
         for document in lacking:
             connection.notify(DocumentPush(document))
--- a/crowwing/tier/front/main.py
+++ b/crowwing/tier/front/main.py
@@ -28,7 +28,7 @@
 from crowwing.tier.settings import Settings
 from crowwing.tier.settings_watch import watch_settings
 from crowwing.tier.wire.codec import decode
-from crowwing.tier.wire.connection import Connection, Links, serve
+from crowwing.tier.wire.connection import Connection, ConnectionPool, serve
 
 log = logging.getLogger("crowwing.front")
 
@@ -49,10 +49,10 @@
         self.documents = Documents()
         self.pool = ServicePool()
         self.pool.sidecars.zone = settings.zone
-        self.links = Links(settings.internal_port, self.handle)
+        self.connections = ConnectionPool(settings.internal_port, self.handle)
         me = Peer(settings.ip, "front", settings.zone, 0)
-        self.relay = Relay(me, settings.seed_hosts, self.documents, self.links, self.random)
-        self.store = StoreClient(self.links, self.store_hosts)
+        self.relay = Relay(me, settings.seed_hosts, self.documents, self.connections, self.random)
+        self.store = StoreClient(self.connections, self.store_hosts)
         self.proxy = Proxy(self.pool, BatchApi(self.store))
         self.runner = BatchJobRunner(settings.node, self.pool, self.store)
         self.client_limits = ClientLimits()
@@ -121,7 +121,7 @@
         assert self.settings.cloud is not None
         client = httpx.AsyncClient(trust_env=False, verify=NO_CERTIFICATES)
         while True:
-            if self.relay.seconds_out_of_touch >= OWN_READ_AFTER_S or not self.pool.listed:
+            if self.relay.seconds_disconnected >= OWN_READ_AFTER_S or not self.pool.listed:
                 listed = await read_list(client, self.settings.cloud.address)
                 if isinstance(listed, SidecarList):
                     self.pool.take_list(listed)
@@ -173,7 +173,7 @@
         await self.runner.finish(max(0.0, deadline - time.monotonic()))
         internal.close()
         tasks.cancel()
-        self.links.close()
+        self.connections.close()
         log.info("ends")
         return 1 if tasks.failed else 0
 
--- a/crowwing/tier/front/store_client.py
+++ b/crowwing/tier/front/store_client.py
@@ -7,7 +7,7 @@
 
 from crowwing.tier.clock import SYSTEM_CLOCK, Clock
 from crowwing.tier.store import commands
-from crowwing.tier.wire.connection import CallError, Links
+from crowwing.tier.wire.connection import CallError, ConnectionPool
 
 log = logging.getLogger("crowwing.client")
 
@@ -18,8 +18,10 @@
 class StoreClient:
     """Finds the primary and calls it until there is a clear answer or the time is up."""
 
-    def __init__(self, links: Links, hosts: Callable[[], list[str]], clock: Clock = SYSTEM_CLOCK) -> None:
-        self._links, self._hosts, self._clock = links, hosts, clock
+    def __init__(
+        self, connections: ConnectionPool, hosts: Callable[[], list[str]], clock: Clock = SYSTEM_CLOCK
+    ) -> None:
+        self._connections, self._hosts, self._clock = connections, hosts, clock
         self._primary: str | None = None
         self._moved = asyncio.Event()  # replaced at each change of the primary
 
@@ -65,7 +67,9 @@
         return commands.Indeterminate("no clear answer in time") if unsure else commands.NotPrimary(None)
 
     async def _call_until_moved(self, host: str, command: Any, limit_s: float) -> Any:  # noqa: ANN401
-        call = asyncio.ensure_future(self._links.call(host, commands.ForwardedCommand(command), limit_s))
+        call = asyncio.ensure_future(
+            self._connections.call(host, commands.ForwardedCommand(command), limit_s)
+        )
         moved = asyncio.ensure_future(self._moved.wait())
         try:
             await asyncio.wait({call, moved}, return_when=asyncio.FIRST_COMPLETED)
--- a/crowwing/tier/operator_commands.py
+++ b/crowwing/tier/operator_commands.py
@@ -14,7 +14,7 @@
 from crowwing.tier.configuration import InvalidConfiguration, parse_configuration
 from crowwing.tier.settings import SettingsError, read_settings
 from crowwing.tier.store.commands import GetStatus, StoreStatus
-from crowwing.tier.wire.connection import CallError, Links
+from crowwing.tier.wire.connection import CallError, ConnectionPool
 
 DONE, FAILED, WRONG_USE = 0, 1, 2
 TRY_S = 1.5
@@ -151,16 +151,16 @@
         return asyncio.run(self._show())
 
     async def _show(self) -> int:
-        links = Links(self.port)
+        connections = ConnectionPool(self.port)
         result = DONE
         for host in self.hosts:
             try:
-                status = await links.call(host, GetStatus(), TRY_S)
+                status = await connections.call(host, GetStatus(), TRY_S)
             except CallError as error:
                 result = _fail(f"{host}: {error.reason}")
                 continue
             print("\n".join(describe(status)))
-        links.close()
+        connections.close()
         return result
 
 
--- a/crowwing/tier/replication/candidate.py
+++ b/crowwing/tier/replication/candidate.py
@@ -27,12 +27,12 @@
     ) -> None:
         """`released`: the ballot whose primary has handed over. A primary releases its own by campaigning."""
         assert self.view is not None
-        round_number = max(self.promised[0], above[0], self._seen_round) + 1
+        term_number = max(self.promised[0], above[0], self._highest_seen_term_number) + 1
         was_primary = self.role is Role.PRIMARY
         if was_primary:
             released = self.promised
         joiners = {x for x, at in self._joiners.items() if now - at < JOIN_FRESH_S} if was_primary else set()
-        self._promise((round_number, self.me))
+        self._promise((term_number, self.me))
         self.role = Role.CANDIDATE
         campaign = Campaign(Phase.PREPARE, now, released)
         self._campaign = campaign
@@ -74,7 +74,7 @@
                 self._start_campaign(now, above=x.promised)
             else:
                 self._step_down(now, f"{x.sender} is bound to {x.promised}")
-                self._seen_round = max(self._seen_round, x.promised[0])
+                self._highest_seen_term_number = max(self._highest_seen_term_number, x.promised[0])
         elif self._campaign is not None and self._campaign.phase is Phase.PREPARE:
             self._step_down(now, f"{x.sender} hears another primary")
             self._ask_to_join(now)
@@ -93,7 +93,7 @@
             elif waited >= PREPARE_LIMIT_S:
                 self._step_down(now, "no majority of the witnesses answers")
         elif campaign.phase is Phase.SYNC:
-            if waited >= SYNC_GRACE_S and len(campaign.synced) >= self._least_copies():
+            if waited >= SYNC_GRACE_S and len(campaign.synced) >= self._min_replicas_of_view():
                 self._start_accept(now)
             elif waited >= campaign.sync_limit_s:
                 self._step_down(now, "too few members hold the data")
@@ -104,9 +104,9 @@
         elif waited >= ACCEPT_LIMIT_S:
             self._step_down(now, "no majority of the witnesses accepts")
 
-    def _least_copies(self) -> int:
+    def _min_replicas_of_view(self) -> int:
         assert self._campaign is not None and self._campaign.base is not None
-        return min(self.min_copies, len(self._campaign.base.witnesses))
+        return min(self.min_replicas, len(self._campaign.base.witnesses))
 
     def _start_sync(self, now: float) -> None:
         campaign = self._campaign
@@ -134,10 +134,10 @@
         targets = {x for x in campaign.promises if x not in self.excluded} | {self.me}
         sync_s = {x: promise.sync_s for x, promise in campaign.promises.items()}
         quick = targets - slow_disks({**sync_s, self.me: self.sync_s}) | {self.me}
-        if len(quick) >= self._least_copies():
+        if len(quick) >= self._min_replicas_of_view():
             targets = quick
         near = {x for x in targets if x == self.me or self.log.contains(campaign.promises[x].last)}
-        return near if len(near) >= self._least_copies() else targets
+        return near if len(near) >= self._min_replicas_of_view() else targets
 
     def _on_sync_response(self, now: float, x: messages.SyncResponse) -> None:
         if x.term != self.promised:
@@ -159,7 +159,7 @@
     def _sync_moved(self, now: float) -> None:
         campaign = self._campaign
         assert campaign is not None
-        if campaign.synced >= campaign.targets and len(campaign.synced) >= self._least_copies():
+        if campaign.synced >= campaign.targets and len(campaign.synced) >= self._min_replicas_of_view():
             self._start_accept(now)
 
     def _start_accept(self, now: float) -> None:
@@ -211,9 +211,9 @@
         self._sent = {member: last for member in view.members if member != self.me}
         self.commit_index = last
         log.info("primary with ballot %s, members %s, witnesses %s", view.term, view.members, view.witnesses)
-        self._beat(now)
+        self._send_heartbeat(now)
 
-    def _beat(self, now: float) -> None:
+    def _send_heartbeat(self, now: float) -> None:
         """Sends a heartbeat as primary."""
         raise NotImplementedError
 
--- a/crowwing/tier/replication/log.py
+++ b/crowwing/tier/replication/log.py
@@ -5,7 +5,7 @@
 
 from crowwing.tier.replication.messages import LOG_START, LogEntry, LogPosition
 
-MOST_ENTRIES, MOST_BYTES = (4000, 16 * 1024 * 1024)  # kept for those that catch up
+MAX_ENTRIES, MAX_BYTES = (4000, 16 * 1024 * 1024)  # kept for those that catch up
 
 
 class EntryLog:
@@ -38,7 +38,7 @@
         end = (self._ends[-1] if self._ends else self._base_end) + len(entry.payload)
         self._entries.append(entry)
         self._ends.append(end)
-        while len(self._entries) > MOST_ENTRIES or end - self._base_end > MOST_BYTES:
+        while len(self._entries) > MAX_ENTRIES or end - self._base_end > MAX_BYTES:
             oldest = self._entries.popleft()
             self._base_end = self._ends.popleft()
             self.base = (oldest.term, oldest.index)
@@ -65,11 +65,11 @@
         """Bytes of the payloads behind one index up to another, as far as they are held."""
         return self._end_of(end) - self._end_of(start)
 
-    def index_within(self, start: int, most_bytes: int) -> int:
+    def index_within(self, start: int, max_bytes: int) -> int:
         """The last index behind `start` up to which payloads have so many bytes; at least the next one."""
         if start >= self.last[1]:
             return start
-        offset = bisect_right(self._ends, self._end_of(start) + most_bytes)
+        offset = bisect_right(self._ends, self._end_of(start) + max_bytes)
         return min(self.last[1], max(start + 1, self.base[1] + offset))
 
     def _end_of(self, index: int) -> int:
--- a/crowwing/tier/replication/messages.py
+++ b/crowwing/tier/replication/messages.py
@@ -219,7 +219,7 @@
 
     term: Term
     sender: str
-    round: int
+    sequence: int
     view: View
 
 
@@ -234,10 +234,10 @@
 
     term: Term
     sender: str
-    round: int
+    sequence: int
     last: LogPosition
     synced: Term
-    whole: bool
+    recovered: bool
     sync_s: float
 
 
--- a/crowwing/tier/replication/prevote.py
+++ b/crowwing/tier/replication/prevote.py
@@ -29,7 +29,7 @@
         self._count_prevotes(now)
 
     def _on_pre_vote_request(self, now: float, x: messages.PreVoteRequest) -> None:
-        if self.whole:
+        if self.recovered:
             self._send(
                 x.sender, messages.PreVoteResponse(x.term, self.me, self._would_promise(now, x.sender))
             )
--- a/crowwing/tier/replication/primary.py
+++ b/crowwing/tier/replication/primary.py
@@ -65,16 +65,16 @@
             return None
         return sent, self.log.index_within(sent, APPEND_BYTES)
 
-    def beat_now(self, now: float) -> int:
+    def start_heartbeat(self, now: float) -> int:
         """Starts a round of heartbeats at once, and gives its number."""
-        self._beat(now)
-        return self._round
+        self._send_heartbeat(now)
+        return self._heartbeat_sequence
 
-    def round_confirmed(self, number: int) -> bool:
+    def is_heartbeat_confirmed(self, number: int) -> bool:
         """Whether a majority of the witnesses has answered this round or a later one."""
-        return any(number <= later and self._round_majority(later) for later in self._round_acks)
+        return any(number <= later and self._has_heartbeat_majority(later) for later in self._heartbeat_acks)
 
-    def lead_off(self, now: float) -> None:
+    def transfer_leadership(self, now: float) -> None:
         """Gives up the lease and hands the role over, where this is the primary and another can take it.
 
         The lease goes first: the new primary's witnesses don't wait until it would have ended.
@@ -90,47 +90,47 @@
             self._lease_released = True
             self._send(freshest, messages.LeadershipTransfer(self.promised, self.me))
 
-    def stand_down(self, now: float, why: str) -> None:
+    def resign(self, now: float, why: str) -> None:
         """Stops leading because its own machine can't go on; another member is asked to take over."""
-        self.lead_off(now)
+        self.transfer_leadership(now)
         self._step_down(now, why)
         self.leader = None
 
-    def _beat(self, now: float) -> None:
+    def _send_heartbeat(self, now: float) -> None:
         assert self.view is not None
-        self._beat_at = now
-        self._round += 1
-        self._rounds[self._round] = now
-        self._round_acks[self._round] = {self.me}
-        for old in [number for number, at in self._rounds.items() if now - at > 2.0]:
-            del self._rounds[old], self._round_acks[old]
+        self._heartbeat_at = now
+        self._heartbeat_sequence += 1
+        self._heartbeat_sent_at[self._heartbeat_sequence] = now
+        self._heartbeat_acks[self._heartbeat_sequence] = {self.me}
+        for old in [number for number, at in self._heartbeat_sent_at.items() if now - at > 2.0]:
+            del self._heartbeat_sent_at[old], self._heartbeat_acks[old]
         joiners = {x for x, at in self._joiners.items() if now - at < 2 * JOIN_FRESH_S}
-        heartbeat = messages.Heartbeat(self.promised, self.me, self._round, self.view)
+        heartbeat = messages.Heartbeat(self.promised, self.me, self._heartbeat_sequence, self.view)
         receivers = {*self.view.witnesses, *joiners}
         if now - self._announced_at >= ANNOUNCED_S:  # who lost its disk may have no other way to hear of us
             self._announced_at = now
             receivers |= self.announced - self.excluded
         for other in sorted(receivers - {self.me}):
             self._send(other, heartbeat)
-        if self._round_majority(self._round):
+        if self._has_heartbeat_majority(self._heartbeat_sequence):
             self.confirmed_at = now
 
-    def _round_majority(self, number: int) -> bool:
+    def _has_heartbeat_majority(self, number: int) -> bool:
         assert self.view is not None
-        answered = self._round_acks[number] & set(self.view.witnesses)
+        answered = self._heartbeat_acks[number] & set(self.view.witnesses)
         return len(answered) >= majority(len(self.view.witnesses))
 
     def _on_heartbeat_response(self, now: float, x: messages.HeartbeatResponse) -> None:
         if self.role is not Role.PRIMARY or x.term != self.promised or self.view is None:
             return
-        if not x.whole:
+        if not x.recovered:
             return  # counts as silent: it can neither promise nor keep anything yet
         self._heard[x.sender] = now
         self._sync_s[x.sender] = x.sync_s
-        if x.round in self._round_acks:
-            self._round_acks[x.round].add(x.sender)
-            if self._round_majority(x.round):
-                self.confirmed_at = max(self.confirmed_at, self._rounds[x.round])
+        if x.sequence in self._heartbeat_acks:
+            self._heartbeat_acks[x.sequence].add(x.sender)
+            if self._has_heartbeat_majority(x.sequence):
+                self.confirmed_at = max(self.confirmed_at, self._heartbeat_sent_at[x.sequence])
         behind = self.log.last[1] - x.last[1]
         if x.sender in self.view.members:
             if x.synced == self.promised:
@@ -179,8 +179,8 @@
 
     def _tick_primary(self, now: float) -> None:
         assert self.view is not None
-        if now - self._beat_at >= HEARTBEAT_S:
-            self._beat(now)
+        if now - self._heartbeat_at >= HEARTBEAT_S:
+            self._send_heartbeat(now)
         if now - max(self.confirmed_at, self._active_since) >= MEMBER_SILENT_S:
             self.leader_heard = now - STICKY_S
             self._step_down(now, "no majority of the witnesses answers its heartbeats")
@@ -188,15 +188,15 @@
         if now - self._active_since < RECONFIGURE_PAUSE_S:
             return
         if self.disk_stalled:
-            self.stand_down(now, "its disk does not answer")
+            self.resign(now, "its disk does not answer")
             return
         self._sync_s[self.me] = self.sync_s
         slow = self._slow_members()
-        enough_without = len(self.view.members) - len(slow) >= self.min_copies
+        enough_without = len(self.view.members) - len(slow) >= self.min_replicas
         if self.me in self.excluded or (self.me in slow and enough_without):
             if now - self._handover_at >= HANDOVER_PAUSE_S:
                 self._handover_at = now
-                self.lead_off(now)
+                self.transfer_leadership(now)
                 return
         reason = self._reason_to_reconfigure(now)
         if reason:
@@ -212,7 +212,7 @@
         if cut_off:
             return f"the log does not reach back to {', '.join(cut_off)}"
         slow = self._slow_members()
-        if slow and len(self.view.members) - len(slow) >= self.min_copies:
+        if slow and len(self.view.members) - len(slow) >= self.min_replicas:
             return f"the disk of {', '.join(sorted(slow))} is slow"
         leaving = self.excluded & {*self.view.members, *self.view.witnesses}
         if leaving and len(set(self.view.witnesses) - leaving) >= self.min_witnesses:
--- a/crowwing/tier/replication/range_transfer.py
+++ b/crowwing/tier/replication/range_transfer.py
@@ -11,8 +11,8 @@
 from crowwing.tier.replication.replica_state import Phase, RangeRepair, ReplicaState, Role
 from crowwing.tier.replication.timing import RANGES_WAIT_S, SYNC_LIMIT_S
 
-PIECE_BYTES = 128 * 1024  # of ranges in one message, unless a single one is longer
-PIECE_RANGES = 64  # asked for at once at most
+CHUNK_BYTES = 128 * 1024  # of ranges in one message, unless a single one is longer
+MAX_RANGES_PER_REQUEST = 64  # asked for at once at most
 
 
 class RangeTransfer(ReplicaState):
@@ -39,7 +39,7 @@
         size = 0
         for number in x.ranges:
             content = self._machine.dump_range(number)
-            if contents and size + len(content) > PIECE_BYTES:
+            if contents and size + len(content) > CHUNK_BYTES:
                 break
             contents.append((number, content))
             size += len(content)
@@ -79,7 +79,9 @@
         repair = self._repair
         assert repair is not None
         if repair.wanted:
-            self._send(sender, messages.RangesRequest(term, self.me, tuple(repair.wanted[:PIECE_RANGES])))
+            self._send(
+                sender, messages.RangesRequest(term, self.me, tuple(repair.wanted[:MAX_RANGES_PER_REQUEST]))
+            )
         else:
             positions = tuple({repair.start, *repair.positions.values()})
             self._send(sender, messages.EntriesRequest(term, self.me, positions))
--- a/crowwing/tier/replication/replica.py
+++ b/crowwing/tier/replication/replica.py
@@ -29,7 +29,7 @@
 
     def tick(self, now: float) -> None:
         """To be called every few hundredths of a second."""
-        if not self.whole:
+        if not self.recovered:
             if now - self._started >= LEARN_AFTER_S and now - self._asked_at >= LEARN_S:
                 self._asked_at = now
                 for peer in sorted(self.known):
@@ -59,7 +59,7 @@
 
     def _on_recovery_request(self, now: float, x: messages.RecoveryRequest) -> None:
         self.add_peers([x.sender])
-        if self.whole:
+        if self.recovered:
             self._send(x.sender, messages.RecoveryResponse(self.me, self.promised, self.view), durable=True)
 
     def _on_recovery_response(self, now: float, x: messages.RecoveryResponse) -> None:
@@ -69,7 +69,7 @@
         They were asked LEARN_AFTER_S into this life: whoever was to promise or accept beside it in a former
         one, for a candidate that still counts its word, had done so by then.
         """
-        if self.whole:
+        if self.recovered:
             return
         self._learned[x.sender] = x
         views = [answer.view for answer in self._learned.values() if answer.view is not None]
@@ -81,7 +81,7 @@
         count = len(view.witnesses)
         if len(answered) >= count - majority(count) + 1:
             self.promised = max(answer.promised for answer in self._learned.values())
-            self.whole = True
+            self.recovered = True
             self.view = view
             self._output.records += [
                 messages.PromisedTermRecord(self.promised),
@@ -97,7 +97,7 @@
             self._send(self.leader, messages.JoinRequest(x.sender, True))
 
     def _on_prepare(self, now: float, x: messages.Prepare) -> None:
-        if not self.whole:
+        if not self.recovered:
             return
         released = self._may_pass_lease(x.released)
         if now - self._started < STICKY_S and self._remembers and x.sender != self.me:
@@ -122,7 +122,7 @@
             self._campaign_at = self._turn(now)
 
     def _on_accept(self, now: float, x: messages.Accept) -> None:
-        if not self.whole:
+        if not self.recovered:
             return
         if x.view.term < self.promised:
             self._send(x.sender, messages.Nack(x.view.term, self.me, self.promised), durable=True)
@@ -140,22 +140,22 @@
             self._send(x.sender, messages.Nack(x.term, self.me, self.promised), durable=True)
             return
         self.add_peers([x.sender, *x.view.witnesses, *x.view.members])
-        if self.whole and x.term > self.promised:
+        if self.recovered and x.term > self.promised:
             self._promise(x.term)
-        if self.whole and (self.view is None or self.view.term < x.view.term):
+        if self.recovered and (self.view is None or self.view.term < x.view.term):
             self.view = x.view
             self._output.records.append(messages.AcceptedViewRecord(x.view))
         if self.role is not Role.FOLLOWER and x.sender != self.me:
             self._step_down(now, f"{x.sender} is primary with ballot {x.term}")
         self._heard_leader(now, x.sender, x.term)
-        whole = self.whole and not self.disk_stalled
+        recovered = self.recovered and not self.disk_stalled
         reply = messages.HeartbeatResponse(
-            x.term, self.me, x.round, self.log.last, self.synced, whole, self.sync_s
+            x.term, self.me, x.sequence, self.log.last, self.synced, recovered, self.sync_s
         )
         self._send(x.sender, reply, durable=bool(self._output.records))
 
     def _follows(self, now: float, term: messages.Term, sender: str) -> bool:
-        if not self.whole or sender == self.me:
+        if not self.recovered or sender == self.me:
             return False
         if term < self.promised:
             self._send(sender, messages.Nack(term, self.me, self.promised), durable=True)
--- a/crowwing/tier/replication/replica_state.py
+++ b/crowwing/tier/replication/replica_state.py
@@ -139,12 +139,12 @@
         """`started`: when this life began, if that was before `now`; nothing was answered in it yet."""
         self.me, self._machine, self._random = me, machine, random
         self._seeds = set(seeds) - {me}
-        self.min_copies, self.min_witnesses = faults + 1, 2 * faults + 1
+        self.min_replicas, self.min_witnesses = faults + 1, 2 * faults + 1
         self.log = EntryLog()
         self.promised: messages.Term = messages.NO_TERM
         self.view: messages.View | None = None
         self.synced: messages.Term = messages.NO_TERM
-        self.whole = False  # False: without memory of what this replica has promised
+        self.recovered = False  # False: without memory of what this replica has promised
         self.role = Role.FOLLOWER
         self.commit_index = 0
         self.excluded: frozenset[str] = frozenset()
@@ -164,7 +164,7 @@
         self._asked_at = -1e9
         self._prevote_at = -1e9
         self._willing: set[str] = set()  # who would help this replica to a ballot
-        self._seen_round = 0
+        self._highest_seen_term_number = 0
         self._learned: dict[str, messages.RecoveryResponse] = {}
         self._repair: RangeRepair | None = None
         self._peers: set[str] = set(self._seeds)
@@ -174,11 +174,11 @@
         self._acked: dict[str, int] = {}
         self._heard: dict[str, float] = {}
         self._lease_released = False
-        self._rounds: dict[int, float] = {}
-        self._round_acks: dict[int, set[str]] = {}
-        self._round = 0
+        self._heartbeat_sent_at: dict[int, float] = {}
+        self._heartbeat_acks: dict[int, set[str]] = {}
+        self._heartbeat_sequence = 0
         self.confirmed_at = now
-        self._beat_at = self._announced_at = -1e9
+        self._heartbeat_at = self._announced_at = -1e9
         self._active_since = now
         self._joiners: dict[str, float] = {}
         self._learner_wait: dict[str, float] = {}  # until when a learner is not sent more
@@ -193,7 +193,7 @@
         names = tuple(sorted(members))
         self.view = messages.View(messages.FIRST_TERM, names, names)
         self.promised = self.synced = messages.FIRST_TERM
-        self.whole = True
+        self.recovered = True
         if names and names[0] == self.me:
             self._campaign_at = self.leader_heard
         self.leader_heard -= STICKY_S
@@ -210,7 +210,7 @@
             match record:
                 case messages.PromisedTermRecord(term):
                     self.promised = max(self.promised, term)
-                    self.whole = True
+                    self.recovered = True
                 case messages.AcceptedViewRecord(view):
                     self.view, self.promised = view, max(self.promised, view.term)
                 case messages.SyncedTermRecord(term):
@@ -238,7 +238,7 @@
             messages.RangesRecord(self.log.last, ()),
             messages.SyncedTermRecord(self.synced),
         ]
-        if self.whole:
+        if self.recovered:
             records.append(messages.PromisedTermRecord(self.promised))
         if self.view is not None:
             records.append(messages.AcceptedViewRecord(self.view))
--- a/crowwing/tier/store/disk.py
+++ b/crowwing/tier/store/disk.py
@@ -14,7 +14,7 @@
 
 log = logging.getLogger("crowwing.disk")
 
-LEAST_REWRITE_BYTES = 8 * 1024 * 1024
+MIN_COMPACTION_BYTES = 8 * 1024 * 1024
 REWRITE_FACTOR = 3
 CROWDED_SHARE, CROWDED_FACTOR = 0.4, 1.5  # of the disk's room, from which a file is rewritten sooner
 REWRITE_PAUSE_S = 2.0  # after a rewriting that failed
@@ -63,7 +63,7 @@
             return False
         if self._room and size + compacted_bytes > USABLE_SHARE * self._room:
             return False
-        if size > max(LEAST_REWRITE_BYTES, REWRITE_FACTOR * self._compacted_bytes):
+        if size > max(MIN_COMPACTION_BYTES, REWRITE_FACTOR * self._compacted_bytes):
             return True
         crowded = self._room and size > CROWDED_SHARE * self._room
         return bool(crowded) and size > CROWDED_FACTOR * compacted_bytes
--- a/crowwing/tier/store/machine.py
+++ b/crowwing/tier/store/machine.py
@@ -19,7 +19,7 @@
 from crowwing.tier.store.list_reader import ListReader, ReadList
 from crowwing.tier.store.node import DISK_RETRY_S, ReplicaNode
 from crowwing.tier.store.service import StoreService
-from crowwing.tier.wire.connection import Connection, Links, serve
+from crowwing.tier.wire.connection import Connection, ConnectionPool, serve
 from crowwing.tier.wire.network import TCP, Listener, Network
 
 log = logging.getLogger("crowwing.store")
@@ -42,17 +42,25 @@
         """`started`: when this process began, on the monotonic clock."""
         self._settings, self._random, self._network = settings, random, network
         self.documents = Documents()
-        self._links = Links(settings.internal_port, self._handle, network)
-        self._urgent_links = Links(settings.internal_port, self._handle, network)
+        self._connections = ConnectionPool(settings.internal_port, self._handle, network)
+        self._urgent_connections = ConnectionPool(settings.internal_port, self._handle, network)
         faults, seeds = settings.fault_tolerance.store_machines, settings.seed_hosts
         self.node = ReplicaNode(
-            settings.ip, seeds, faults, disk, self._links, random, self._urgent_links, clock, started
+            settings.ip,
+            seeds,
+            faults,
+            disk,
+            self._connections,
+            random,
+            self._urgent_connections,
+            clock,
+            started,
         )
-        self.service = StoreService(settings, self.node, disk, self._links, self.documents)
+        self.service = StoreService(settings, self.node, disk, self._connections, self.documents)
         me = Peer(settings.ip, "store", settings.zone, 0)
-        self.relay = Relay(me, seeds, self.documents, self._links, random, clock)
-        self.relay.root_order = self._root_order
-        self.relay.root_hint = lambda: self.node.leader
+        self.relay = Relay(me, seeds, self.documents, self._connections, random, clock)
+        self.relay.root_term_number = self._root_order
+        self.relay.probable_root = lambda: self.node.leader
         self.relay.count_fronts = self.service.leasing.count_fronts
         self.node.find_stores = self._stores_heard_of
         self.node.on_role.append(self._role_changed)
@@ -62,7 +70,7 @@
 
     def _role_changed(self, is_primary: bool) -> None:
         if is_primary:
-            self.relay.became_root()
+            self.relay.on_became_root()
 
     def _stores_heard_of(self) -> Iterable[str]:
         return [peer.host for peer in self.relay.view.peers("store")]
@@ -104,11 +112,11 @@
             works.append(ListReader(read_list, self.node, self.documents, self._random).run())
         return works
 
-    def lead_off(self) -> None:
+    def transfer_leadership(self) -> None:
         """Asks another member to take over, where this machine is the primary."""
-        self.node.lead_off()
+        self.node.transfer_leadership()
 
     def close(self) -> None:
         """Ends all connections."""
-        self._links.close()
-        self._urgent_links.close()
+        self._connections.close()
+        self._urgent_connections.close()
--- a/crowwing/tier/store/main.py
+++ b/crowwing/tier/store/main.py
@@ -51,7 +51,7 @@
     log.info("store machine listens at %s:%d", settings.ip, settings.internal_port)
 
     await stop.wait()
-    machine.lead_off()
+    machine.transfer_leadership()
     await asyncio.sleep(HANDOVER_S)
     listener.close()
     tasks.cancel()
--- a/crowwing/tier/store/node.py
+++ b/crowwing/tier/store/node.py
@@ -26,7 +26,7 @@
 from crowwing.tier.store.decisions import Decision
 from crowwing.tier.store.disk import Disk
 from crowwing.tier.wire.codec import encode
-from crowwing.tier.wire.connection import Links
+from crowwing.tier.wire.connection import ConnectionPool
 
 log = logging.getLogger("crowwing.store")
 
@@ -59,9 +59,9 @@
         seeds: tuple[str, ...],
         faults: int,
         disk: Disk,
-        links: Links,
+        connections: ConnectionPool,
         random: Random,
-        urgent_links: Links | None = None,
+        urgent_connections: ConnectionPool | None = None,
         clock: Clock = SYSTEM_CLOCK,
         started: float = started_at,
     ) -> None:
@@ -73,8 +73,8 @@
         self.state = TierState()
         now = self.clock.monotonic()
         self.replica = Replica(me, seeds, self.state, faults, now, random.random, started)
-        self._disk, self._links = disk, links
-        self._urgent_links = urgent_links or links
+        self._disk, self._connections = disk, connections
+        self._urgent_connections = urgent_connections or connections
         self._pending: list[Pending] = []
         self._queue: list[Output] = []
         self._work = asyncio.Event()
@@ -150,7 +150,7 @@
         No message that waited for the failed records is sent, so to the others this replica has stood still.
         """
         log.error("the disk failed, stands aside: %s", error)
-        self.replica.stand_down(self.clock.monotonic(), "its disk failed")
+        self.replica.resign(self.clock.monotonic(), "its disk failed")
         self.step()
         self.disk_failed = True
         while self.disk_failed:
@@ -163,9 +163,9 @@
                 log.warning("the disk still fails: %s", still)
         log.info("the disk holds everything again, takes part")
 
-    def lead_off(self) -> None:
+    def transfer_leadership(self) -> None:
         """Asks another member to take over, where this replica is the primary."""
-        self.replica.lead_off(self.clock.monotonic())
+        self.replica.transfer_leadership(self.clock.monotonic())
         self.step()
 
     def receive(self, message: Message) -> None:
@@ -182,8 +182,10 @@
                 self.replica.receive(self.clock.monotonic(), message)
                 receivers.remove(self.replica.me)
             if receivers:
-                links = self._links if isinstance(message, DATA_MESSAGES) else self._urgent_links
-                links.notify_all(receivers, message)
+                connections = (
+                    self._connections if isinstance(message, DATA_MESSAGES) else self._urgent_connections
+                )
+                connections.notify_all(receivers, message)
 
     def step(self) -> None:
         """Carries out what the replica asks for."""
@@ -252,7 +254,7 @@
         except TimeoutError:
             pass
 
-    async def decide(self, decide: Decide, by_round: bool = False) -> Any:  # noqa: ANN401
+    async def decide(self, decide: Decide, by_heartbeat: bool = False) -> Any:  # noqa: ANN401
         """Decides a command on the newest state; its outcome is told once everything it rests on is kept.
 
         What changes nothing also waits until it is sure that no later primary had decided before it: by a
@@ -278,7 +280,7 @@
             return commands.Indeterminate("the store machines did not agree in time")
         if decision.events:
             return decision.outcome
-        if not await (self.confirm_round() if by_round else self.confirm()):
+        if not await (self.confirm_by_heartbeat() if by_heartbeat else self.confirm()):
             return commands.Indeterminate("it is not known whether this machine still decides")
         return decision.outcome
 
@@ -286,19 +288,19 @@
         """Whether this replica is still the only primary, shown by a lease or a round that starts now."""
         if self.replica.holds_lease(self.clock.monotonic()):
             return True
-        return await self.confirm_round()
+        return await self.confirm_by_heartbeat()
 
-    async def confirm_round(self) -> bool:
+    async def confirm_by_heartbeat(self) -> bool:
         """Whether a majority of the witnesses still knows this replica as primary at this moment."""
         if self.replica.role is not Role.PRIMARY:
             return False
-        term, number = self.replica.promised, self.replica.beat_now(self.clock.monotonic())
+        term, number = self.replica.promised, self.replica.start_heartbeat(self.clock.monotonic())
         self.step()
         deadline = self.clock.monotonic() + READ_LIMIT_S
         while self.clock.monotonic() < deadline:
             if self.replica.role is not Role.PRIMARY or self.replica.promised != term:
                 return False
-            if self.replica.round_confirmed(number):
+            if self.replica.is_heartbeat_confirmed(number):
                 return True
             await self._next_change(0.1)
         return False
--- a/crowwing/tier/store/service.py
+++ b/crowwing/tier/store/service.py
@@ -15,7 +15,7 @@
 from crowwing.tier.store.disk import Disk
 from crowwing.tier.store.item_leasing import ItemLeasing
 from crowwing.tier.store.node import Decide, ReplicaNode
-from crowwing.tier.wire.connection import CallError, Links
+from crowwing.tier.wire.connection import CallError, ConnectionPool
 
 log = logging.getLogger("crowwing.store")
 
@@ -29,9 +29,14 @@
     """The commands of one store machine."""
 
     def __init__(
-        self, settings: Settings, node: ReplicaNode, disk: Disk, links: Links, documents: Documents
+        self,
+        settings: Settings,
+        node: ReplicaNode,
+        disk: Disk,
+        connections: ConnectionPool,
+        documents: Documents,
     ) -> None:
-        self._settings, self._node, self._disk, self._links = settings, node, disk, links
+        self._settings, self._node, self._disk, self._connections = settings, node, disk, connections
         self._documents, self._clock = documents, node.clock
         self.leasing = ItemLeasing(node, lambda: self.configuration)
         self._readers = BatchJobReaders()
@@ -100,7 +105,7 @@
         if leader is None or leader == self._settings.ip:
             return outcome
         try:
-            return await self._links.call(leader, commands.ForwardedCommand(command), FORWARD_S)
+            return await self._connections.call(leader, commands.ForwardedCommand(command), FORWARD_S)
         except CallError as error:
             return commands.Indeterminate(error.reason) if error.sent else commands.NotPrimary(None)
 
@@ -140,7 +145,7 @@
 
     async def _read_surely(self, decide: Decide) -> Any:  # noqa: ANN401
         """A read that no later primary can have overtaken, whatever the clocks do."""
-        return await self._node.decide(decide, by_round=True)
+        return await self._node.decide(decide, by_heartbeat=True)
 
     def _disk_left(self) -> bool:
         limit = self._settings.limits.disk_mb * MEGABYTE
--- a/crowwing/tier/wire/connection.py
+++ b/crowwing/tier/wire/connection.py
@@ -173,7 +173,7 @@
     return Connection(reader, writer, handler)
 
 
-class Links:
+class ConnectionPool:
     """Connections that this process has opened to others, one for each address, opened when first used."""
 
     def __init__(self, port: int, handler: Handler | None = None, network: Network = TCP) -> None:
--- a/tests/tier/exploration.py
+++ b/tests/tier/exploration.py
@@ -221,7 +221,7 @@
             restart(state, what, wiped=True)
         case "handover":
             state.handovers += 1
-            state.nodes[what].replica.lead_off(state.now)
+            state.nodes[what].replica.transfer_leadership(state.now)
             collect(state, what)
         case "propose":
             propose(state, what)
--- a/tests/tier/many_seeds.py
+++ b/tests/tier/many_seeds.py
@@ -21,12 +21,12 @@
 
 def play_with_short_logs(seed: int, hosts: tuple[str, ...]) -> object:
     """Random troubles in which whoever missed a few entries is repaired by ranges."""
-    kept = log.MOST_ENTRIES, range_transfer.PIECE_RANGES
-    log.MOST_ENTRIES, range_transfer.PIECE_RANGES = 3, 2
+    kept = log.MAX_ENTRIES, range_transfer.MAX_RANGES_PER_REQUEST
+    log.MAX_ENTRIES, range_transfer.MAX_RANGES_PER_REQUEST = 3, 2
     try:
         return random_troubles(seed, hosts)
     finally:
-        log.MOST_ENTRIES, range_transfer.PIECE_RANGES = kept
+        log.MAX_ENTRIES, range_transfer.MAX_RANGES_PER_REQUEST = kept
 
 
 def play_with_disks(seed: int, hosts: tuple[str, ...]) -> object:
--- a/tests/tier/simulation/checkers/distribution.py
+++ b/tests/tier/simulation/checkers/distribution.py
@@ -9,16 +9,16 @@
     contents: dict[tuple[str, tuple[int, ...]], bytes] = {}
     for host, documents in taken.items():
         for document in documents:
-            name = (document.kind, document.order)
+            name = (document.kind, document.version)
             if contents.setdefault(name, document.body) != document.body:
-                broken.append(f"{host}: two {document.kind} documents are both {document.order}")
+                broken.append(f"{host}: two {document.kind} documents are both {document.version}")
         broken += _check_order(host, [x for x in documents if x.kind == SIDECARS])
     return broken
 
 
 def _check_order(host: str, documents: list[Document]) -> list[str]:
     return [
-        f"{host}: list {later.order} after {earlier.order}"
+        f"{host}: list {later.version} after {earlier.version}"
         for earlier, later in zip(documents, documents[1:], strict=False)
-        if later.order <= earlier.order
+        if later.version <= earlier.version
     ]
--- a/tests/tier/simulation/faults.py
+++ b/tests/tier/simulation/faults.py
@@ -85,7 +85,7 @@
 
     def _may_lose_disk(self, host: str) -> bool:
         """Whether one more disk may be lost: those lost before are whole again once they are members."""
-        self.without_data -= self.world.whole_members()
+        self.without_data -= self.world.synchronized_members()
         return len(self.without_data | {host}) <= self.world.faults
 
     def _others(self, host: str) -> list[str]:
--- a/tests/tier/simulation/figures.py
+++ b/tests/tier/simulation/figures.py
@@ -35,7 +35,7 @@
     def took(host: str, document) -> None:  # noqa: ANN001
         original(host, document)
         if document.kind == CONFIGURATION:
-            taken_at.setdefault(document.order[0], []).append(world.now)
+            taken_at.setdefault(document.version[0], []).append(world.now)
 
     world.took_document = took  # type: ignore[method-assign]
 
--- a/tests/tier/simulation/machines.py
+++ b/tests/tier/simulation/machines.py
@@ -21,7 +21,7 @@
 from crowwing.tier.store import commands
 from crowwing.tier.store.disk import Disk
 from crowwing.tier.store.machine import RELAYED, StoreMachine
-from crowwing.tier.wire.connection import Connection, Links, serve
+from crowwing.tier.wire.connection import Connection, ConnectionPool, serve
 from tests.tier.simulation.disk import DiskTrouble, SimulatedFiles, SimulatedWorkers
 from tests.tier.simulation.loop import Life, new_life
 from tests.tier.simulation.network import LifeNetwork
@@ -162,7 +162,7 @@
         """SIGTERM: hands over, and ends."""
         life = self.life
         if self.machine is not None and self.is_awake:
-            self.machine.lead_off()
+            self.machine.transfer_leadership()
         await asyncio.sleep(0.3)
         if self.life is life:
             self.stop()
@@ -195,16 +195,16 @@
         network = LifeNetwork(self.world.network, life)
         documents = self.documents = Documents()
         documents.listen(self._take_document)
-        links = Links(PORT, self._handle, network)
+        connections = ConnectionPool(PORT, self._handle, network)
         me = Peer(self.host, "front", "z", 0)
-        relay = self.relay = Relay(me, tuple(self.world.seeds), documents, links, random, self.clock())
+        relay = self.relay = Relay(me, tuple(self.world.seeds), documents, connections, random, self.clock())
 
         def stores() -> list[str]:
             hosts = sorted({peer.host for peer in relay.view.peers("store")} | set(relay.seeds))
             random.shuffle(hosts)
             return hosts
 
-        store = self.store = StoreClient(links, stores, self.clock())
+        store = self.store = StoreClient(connections, stores, self.clock())
         relay.on_root.append(store.moved)
         await serve(self.host, PORT, self._handle, network)
         for work in (relay.run_child(), relay.run_shuffles(), self._run_items(store, random)):
--- a/tests/tier/simulation/plays.py
+++ b/tests/tier/simulation/plays.py
@@ -26,8 +26,8 @@
     beyond: bool = False
     span_s: float = 30.0
     gap_s: float = 4.0
-    rewrite_bytes: int = disk.LEAST_REWRITE_BYTES  # of a file, from which it may be rewritten
-    log_entries: int = log.MOST_ENTRIES  # kept for those that catch up; the others are repaired by ranges
+    rewrite_bytes: int = disk.MIN_COMPACTION_BYTES  # of a file, from which it may be rewritten
+    log_entries: int = log.MAX_ENTRIES  # kept for those that catch up; the others are repaired by ranges
 
 
 KINDS = {
@@ -47,12 +47,12 @@
 
 def play(seed: int, kind: Kind) -> World:
     """Plays a seed; raises RuleBroken with all that broke."""
-    kept = disk.LEAST_REWRITE_BYTES, log.MOST_ENTRIES
-    disk.LEAST_REWRITE_BYTES, log.MOST_ENTRIES = kind.rewrite_bytes, kind.log_entries
+    kept = disk.MIN_COMPACTION_BYTES, log.MAX_ENTRIES
+    disk.MIN_COMPACTION_BYTES, log.MAX_ENTRIES = kind.rewrite_bytes, kind.log_entries
     try:
         return _play(seed, kind)
     finally:
-        disk.LEAST_REWRITE_BYTES, log.MOST_ENTRIES = kept
+        disk.MIN_COMPACTION_BYTES, log.MAX_ENTRIES = kept
 
 
 def _play(seed: int, kind: Kind) -> World:
--- a/tests/tier/simulation/world.py
+++ b/tests/tier/simulation/world.py
@@ -180,7 +180,7 @@
         replica = self.replica(primary) if primary is not None else None
         return set(replica.view.members) if replica is not None and replica.view is not None else set()
 
-    def whole_members(self) -> set[str]:
+    def synchronized_members(self) -> set[str]:
         """Its members that run and hold its data: a machine that lost its disk stays a member for a while."""
         held = {host: replica.synced for host, replica in self.replicas().items()}
         primary = self.primary()
@@ -213,7 +213,7 @@
         """Checks the rules after each step of a store machine, and counts what it sends."""
         assert store.machine is not None
         node, host = store.machine.node, store.host
-        step, notify_all = node.step, node._links.notify_all
+        step, notify_all = node.step, node._connections.notify_all
 
         def watched_step() -> None:
             step()
@@ -224,7 +224,7 @@
             self._count(host, receivers, message, notify_all)
 
         node.step = watched_step  # type: ignore[method-assign]
-        node._links.notify_all = counted  # type: ignore[method-assign]
+        node._connections.notify_all = counted  # type: ignore[method-assign]
 
     def _count(self, host: str, receivers: list[str], message: Any, send: Callable[..., None]) -> None:  # noqa: ANN401
         entries = getattr(message, "entries", ())
@@ -269,7 +269,7 @@
             other = self.replica(member)
             if other is None or other._started > replica._active_since or member == host:
                 continue
-            if other.log.last[1] < replica.commit_index and other.whole:
+            if other.log.last[1] < replica.commit_index and other.recovered:
                 self._break(f"{host} committed {replica.commit_index} that member {member} lacks")
 
     def _break(self, what: str) -> None:
--- a/tests/tier/test_connection.py
+++ b/tests/tier/test_connection.py
@@ -8,7 +8,7 @@
 
 from crowwing.tier.distribution.sampling import Peer
 from crowwing.tier.wire.codec import MessageError, decode, encode
-from crowwing.tier.wire.connection import CallError, Connection, Links, serve
+from crowwing.tier.wire.connection import CallError, Connection, ConnectionPool, serve
 
 HOST = "127.0.0.1"
 PEER = Peer("10.0.0.1", "front", "z1", 3)
@@ -38,14 +38,14 @@
 def test_calls_are_answered_and_a_defect_ends_neither_side() -> None:
     async def play() -> None:
         server, port = await listening()
-        links = Links(port)
-        answers = await asyncio.gather(*(links.call(HOST, number, 5.0) for number in range(50)))
+        connections = ConnectionPool(port)
+        answers = await asyncio.gather(*(connections.call(HOST, number, 5.0) for number in range(50)))
         assert answers == list(range(50))
         with pytest.raises(CallError) as told:
-            await links.call(HOST, "fails", 5.0)
+            await connections.call(HOST, "fails", 5.0)
         assert told.value.sent
-        assert await links.call(HOST, PEER, 5.0) == PEER
-        links.close()
+        assert await connections.call(HOST, PEER, 5.0) == PEER
+        connections.close()
         server.close()
 
     uvloop.run(play())
@@ -54,15 +54,15 @@
 def test_a_call_says_whether_it_can_have_been_seen() -> None:
     async def play() -> None:
         server, port = await listening()
-        links = Links(port)
+        connections = ConnectionPool(port)
         with pytest.raises(CallError) as ended:
-            await links.call(HOST, "ends", 5.0)
+            await connections.call(HOST, "ends", 5.0)
         assert ended.value.sent
         server.close()
         await server.wait_closed()
-        links = Links(port)
+        connections = ConnectionPool(port)
         with pytest.raises(CallError) as refused:
-            await links.call(HOST, "never", 5.0)
+            await connections.call(HOST, "never", 5.0)
         assert not refused.value.sent
 
     uvloop.run(play())
@@ -71,8 +71,8 @@
 def test_a_connection_that_the_loop_has_closed_takes_messages_without_a_defect() -> None:
     async def play() -> None:
         server, port = await listening()
-        links = Links(port)
-        connection = await links.get(HOST)
+        connections = ConnectionPool(port)
+        connection = await connections.get(HOST)
         connection._writer.transport.abort()
         while not connection._writer.transport.is_closing():
             await asyncio.sleep(0)
--- a/tests/tier/test_control_safety_steps.py
+++ b/tests/tier/test_control_safety_steps.py
@@ -43,10 +43,10 @@
 
 def test_a_primary_that_hands_over_has_given_up_its_lease_before_the_message_leaves() -> None:
     replica = primary_of_three(10.0)
-    replica.lead_off(10.01)
+    replica.transfer_leadership(10.01)
     assert not replica.holds_lease(10.01)
     assert len(sent(replica, messages.LeadershipTransfer)) == 1
-    replica.beat_now(10.02)
+    replica.start_heartbeat(10.02)
     for host in HOSTS[1:]:
         reply = messages.HeartbeatResponse(
             replica.promised, host, 2, messages.LOG_START, replica.promised, True, 0.0
--- a/tests/tier/test_disk_troubles.py
+++ b/tests/tier/test_disk_troubles.py
@@ -15,7 +15,7 @@
 from crowwing.tier.store.decisions import Decision
 from crowwing.tier.store.disk import Disk
 from crowwing.tier.store.node import ReplicaNode
-from crowwing.tier.wire.connection import Links
+from crowwing.tier.wire.connection import ConnectionPool
 from tests.tier.simulation.world import World
 from tests.tier.test_replication import CATCH_UP_S, HOSTS, quick_world
 
@@ -178,7 +178,7 @@
 
     async def play() -> None:
         disk = FailingDisk(tmp_path)
-        node = ReplicaNode("127.0.0.1", ("127.0.0.1",), 0, disk, Links(1), Random(1))
+        node = ReplicaNode("127.0.0.1", ("127.0.0.1",), 0, disk, ConnectionPool(1), Random(1))
         node.start(True, ("127.0.0.1",))
         tasks = [asyncio.ensure_future(node.run_disk()), asyncio.ensure_future(node.run_clock())]
         await wait_until(lambda: node.replica.role is Role.PRIMARY)
--- a/tests/tier/test_letter_scenarios.py
+++ b/tests/tier/test_letter_scenarios.py
@@ -285,7 +285,7 @@
     assert old is not None
     machine = world.stores[old].machine
     assert machine is not None
-    machine.lead_off()
+    machine.transfer_leadership()
     world.run_for(0.0002 * seed)  # the message is on its way
     world.cut([old], [host for host in STORES if host != old])
     world.run_for(2.0)  # each step checks that there is one lease
--- a/tests/tier/test_recorded_bytes.py
+++ b/tests/tier/test_recorded_bytes.py
@@ -73,7 +73,7 @@
         "view": to_json(replica.view),
         "synced": to_json(replica.synced),
         "last": to_json(replica.log.last),
-        "complete": replica.whole,
+        "complete": replica.recovered,
         "version": state.version,
         "configuration": None if state.configuration is None else state.configuration.hex(),
         "batch_jobs": [
--- a/tests/tier/test_relay_steps.py
+++ b/tests/tier/test_relay_steps.py
@@ -13,12 +13,12 @@
     RootHeartbeat,
 )
 from crowwing.tier.distribution.sampling import Peer
-from crowwing.tier.wire.connection import Connection, Links
+from crowwing.tier.wire.connection import Connection, ConnectionPool
 
 
 def relay_of(host: str) -> Relay:
     """A backend's place in the tree, without connections."""
-    return Relay(Peer(host, "front", "z", 0), ("a",), Documents(), Links(1), Random(1))
+    return Relay(Peer(host, "front", "z", 0), ("a",), Documents(), ConnectionPool(1), Random(1))
 
 
 def test_beats_and_lists_of_an_old_root_are_not_taken_after_a_new_ones() -> None:
@@ -28,8 +28,8 @@
         relay._parent = parent  # noqa: SLF001
         roots: list[str] = []
         relay.on_root.append(roots.append)
-        for beat, root in (((5, 1), "a"), ((6, 1), "c"), ((5, 2), "a"), ((6, 1), "a"), ((6, 2), "c")):
-            await relay.handle(parent, RootHeartbeat(beat, root, {}, 0))
+        for heartbeat, root in (((5, 1), "a"), ((6, 1), "c"), ((5, 2), "a"), ((6, 1), "a"), ((6, 2), "c")):
+            await relay.handle(parent, RootHeartbeat(heartbeat, root, {}, 0))
         assert roots == ["a", "c"] and relay.root == "c"
         await relay.handle(parent, DocumentPush(Document(SIDECARS, (6, 1), b"new")))
         await relay.handle(parent, DocumentPush(Document(SIDECARS, (5, 40), b"old")))
@@ -44,7 +44,7 @@
     child = object.__new__(Connection)
     child.closed = False
     assert isinstance(relay._attach(child, AttachRequest("g", {})), AttachResponse)  # noqa: SLF001
-    relay._beat_at -= 10  # noqa: SLF001
+    relay._heartbeat_at -= 10  # noqa: SLF001
     assert relay._attach(child, AttachRequest("h", {})) == AttachRedirect(())  # noqa: SLF001
 
 
--- a/tests/tier/test_repair.py
+++ b/tests/tier/test_repair.py
@@ -11,8 +11,8 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_random_troubles_with_short_logs_lose_nothing(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(log, "MOST_ENTRIES", 3)  # whoever missed more is repaired by ranges
-    monkeypatch.setattr(range_transfer, "PIECE_RANGES", 2)
+    monkeypatch.setattr(log, "MAX_ENTRIES", 3)  # whoever missed more is repaired by ranges
+    monkeypatch.setattr(range_transfer, "MAX_RANGES_PER_REQUEST", 2)
     hosts = HOSTS if seed % 2 else FIVE[:4]
     world = random_troubles(seed, hosts)
     assert world.acknowledged and world.pieces_sent
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_machine_that_missed_little_is_sent_little(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(log, "MOST_ENTRIES", 3)
+    monkeypatch.setattr(log, "MAX_ENTRIES", 3)
     world = quick_world(seed, HOSTS, HOSTS)
     world.settle()
     for number in range(30):
@@ -39,8 +39,8 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_repair_in_pieces_lets_entries_come_meanwhile(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(log, "MOST_ENTRIES", 60)
-    monkeypatch.setattr(range_transfer, "PIECE_RANGES", 1)
+    monkeypatch.setattr(log, "MAX_ENTRIES", 60)
+    monkeypatch.setattr(range_transfer, "MAX_RANGES_PER_REQUEST", 1)
     world = quick_world(seed, HOSTS, HOSTS)
     world.settle()
     for number in range(70):
