--- a/benchmarks/tier_stand/stand.py
+++ b/benchmarks/tier_stand/stand.py
@@ -134,7 +134,7 @@
         said: dict[str, str] = {}
         for host in STORES:
             for line in (self.folder / f"{host}.log").read_text().splitlines():
-                if " primary with ballot " in line:
+                if " primary_elected " in line:
                     said[line.split()[0]] = host
         return said[max(said)]
 
--- a/crowwing/tier/replication/log.py
+++ b/crowwing/tier/replication/log.py
@@ -3,7 +3,8 @@
 from bisect import bisect_right
 from collections import deque
 
-from crowwing.tier.replication.messages import LOG_START, LogEntry, LogPosition
+from crowwing.tier.replication.records import LogEntry
+from crowwing.tier.replication.terms import LOG_START, LogPosition
 
 MAX_ENTRIES, MAX_BYTES = (4000, 16 * 1024 * 1024)  # kept for those that catch up
 
--- a/crowwing/tier/replication/messages.py
+++ b/crowwing/tier/replication/messages.py
@@ -1,41 +1,16 @@
-"""What replicas say to each other, and what they keep on disk."""
+"""Messages between replicas."""
 
 from dataclasses import dataclass
 
+from crowwing.tier.replication.records import LogEntry
+from crowwing.tier.replication.terms import LogPosition, Term, View
 from crowwing.tier.wire.codec import message
 
-Term = tuple[int, str]  # a round and the replica that opened it; later rounds win
-LogPosition = tuple[Term, int]  # of a log entry: the ballot that it was written under and its index
-
-NO_TERM: Term = (-1, "")
-FIRST_TERM: Term = (0, "")
-LOG_START: LogPosition = (FIRST_TERM, 0)
-
-
-@message("View")
-@dataclass(frozen=True)
-class View:
-    """Who keeps the data, and who decides failover, from one ballot on."""
-
-    term: Term
-    members: tuple[str, ...]
-    witnesses: tuple[str, ...]
-
-
-@message("Entry")
-@dataclass(frozen=True)
-class LogEntry:
-    """One entry of the log."""
-
-    term: Term
-    index: int
-    payload: bytes
-
 
 @message("AskPreVote")
 @dataclass(frozen=True)
 class PreVoteRequest:
-    """A member bound to `ballot` asks whether a witness would promise it a higher one."""
+    """A member bound to `term` asks whether a witness would promise it a higher one."""
 
     term: Term
     sender: str
@@ -44,7 +19,7 @@
 @message("PreVote")
 @dataclass(frozen=True)
 class PreVoteResponse:
-    """Whether it would; binds nobody."""
+    """Whether the witness would promise a higher term; binds nobody."""
 
     term: Term
     sender: str
@@ -54,10 +29,10 @@
 @message("Prepare")
 @dataclass(frozen=True)
 class Prepare:
-    """A candidate asks a witness not to serve lower ballots.
+    """Phase 1: a candidate asks a witness to serve no lower term from now on.
 
-    `released`: the ballot of a primary that has given up its lease for good, NO_BALLOT where none has. A
-    witness that vouches for no later primary need not wait until that lease would have ended.
+    `released`: the term of a primary that has given up its lease for good, NO_TERM where none has. A
+    witness that has answered no later primary need not wait until that lease would have ended.
     """
 
     term: Term
@@ -68,7 +43,7 @@
 @message("Promise")
 @dataclass(frozen=True)
 class Promise:
-    """A witness' yes, with the highest view that it has accepted and how far its own data goes.
+    """The positive response to Prepare: the highest view accepted, and how far the sender's data goes.
 
     `sync_s`: seconds that its disk takes for a write.
     """
@@ -84,7 +59,7 @@
 @message("Refuse")
 @dataclass(frozen=True)
 class Nack:
-    """A witness' or member's no to anything sent under `ballot`, with the ballot that it is bound to."""
+    """The negative response to anything sent under `term`, with the term that the sender is bound to."""
 
     term: Term
     sender: str
@@ -96,7 +71,7 @@
 class SyncRequest:
     """The data of a candidate or primary: entries that follow `previous`, of a log that ends at `last`.
 
-    Only a receiver whose log reaches `last` holds all that was committed before the ballot.
+    Only a receiver whose log reaches `last` holds all that was committed before the term.
     """
 
     term: Term
@@ -155,8 +130,10 @@
 @message("Synced")
 @dataclass(frozen=True)
 class SyncResponse:
-    """The receiver's data equals the sender's, on disk, up to `last`. `matched` is False if it could not
-    follow; `last` may lie before the end of the sender's log, which then sends more.
+    """The data of the response's sender equals that of the request's, on disk, up to `last`.
+
+    `matched` is False where the entries did not follow its log. `last` may lie before the end of the other
+    log, whose owner then sends more.
     """
 
     term: Term
@@ -168,7 +145,7 @@
 @message("Syncing")
 @dataclass(frozen=True)
 class SyncInProgress:
-    """A candidate is still bringing the others to its data: they need not campaign meanwhile."""
+    """A candidate is still synchronizing the others with its data: they need not campaign meanwhile."""
 
     term: Term
     sender: str
@@ -177,7 +154,7 @@
 @message("Accept")
 @dataclass(frozen=True)
 class Accept:
-    """A candidate asks witnesses to accept a view."""
+    """Phase 2: a candidate asks witnesses to accept a view."""
 
     sender: str
     view: View
@@ -215,7 +192,7 @@
 @message("Heartbeat")
 @dataclass(frozen=True)
 class Heartbeat:
-    """The primary is there."""
+    """The primary is alive; a majority of responses to one `sequence` renews its lease."""
 
     term: Term
     sender: str
@@ -228,8 +205,8 @@
 class HeartbeatResponse:
     """The answer to one heartbeat.
 
-    `whole` is False while the sender's own disk lacks what it promised, or does not answer. `sync_s`: seconds
-    that it takes for a write.
+    `recovered` is False while the sender's own disk lacks what it promised, or does not answer. `sync_s`:
+    seconds that its disk takes for a write.
     """
 
     term: Term
@@ -244,7 +221,7 @@
 @message("Join")
 @dataclass(frozen=True)
 class JoinRequest:
-    """A replica that hears no primary asks to be taken in; a member passes this on to the primary once."""
+    """A replica that hears no primary asks to become a member; forwarded to the primary at most once."""
 
     sender: str
     forwarded: bool
@@ -271,51 +248,12 @@
 @message("Handover")
 @dataclass(frozen=True)
 class LeadershipTransfer:
-    """The primary asks a member to take over; it has given up its lease under this ballot for good."""
+    """The primary asks a member to take over; it has given up its lease under this term for good."""
 
     term: Term
     sender: str
 
 
-# Records on disk.
-
-
-@message("PromiseRecord")
-@dataclass(frozen=True)
-class PromisedTermRecord:
-    """The highest ballot promised."""
-
-    term: Term
-
-
-@message("ViewRecord")
-@dataclass(frozen=True)
-class AcceptedViewRecord:
-    """The highest view accepted."""
-
-    view: View
-
-
-@message("SyncedRecord")
-@dataclass(frozen=True)
-class SyncedTermRecord:
-    """The ballot whose candidate last made this replica's data equal to its own."""
-
-    term: Term
-
-
-@message("RangesRecord")
-@dataclass(frozen=True)
-class RangesRecord:
-    """Ranges that replace those of what stood before.
-
-    With what stood before, or further such records of the same position, they are the state there.
-    """
-
-    last: LogPosition
-    contents: tuple[tuple[int, bytes], ...]
-
-
 Message = (
     PreVoteRequest
     | PreVoteResponse
@@ -340,4 +278,3 @@
     | RecoveryResponse
     | LeadershipTransfer
 )
-Record = PromisedTermRecord | AcceptedViewRecord | SyncedTermRecord | LogEntry | RangesRecord
--- a/crowwing/tier/replication/primary.py
+++ b/crowwing/tier/replication/primary.py
@@ -4,21 +4,24 @@
 
 from crowwing.tier.replication import messages
 from crowwing.tier.replication.candidate import Candidate
-from crowwing.tier.replication.replica_state import Role, majority, slow_disks
+from crowwing.tier.replication.records import LogEntry
+from crowwing.tier.replication.replica_state import Role, slow_disks
+from crowwing.tier.replication.terms import majority
 from crowwing.tier.replication.timing import (
-    ANNOUNCED_S,
-    APPEND_BYTES,
-    GONE_S,
-    HANDOVER_PAUSE_S,
-    HEARTBEAT_S,
-    JOIN_FRESH_S,
-    MEMBER_SILENT_S,
-    NEAR_ENTRIES,
-    RECONFIGURE_PAUSE_S,
-    RESEND_S,
-    SLOW_SYNC_S,
-    STICKY_S,
-    WINDOW_BYTES,
+    ANNOUNCEMENT_INTERVAL_S,
+    HEARTBEAT_HISTORY_S,
+    HEARTBEAT_INTERVAL_S,
+    JOIN_REQUEST_VALID_S,
+    LEADER_STICKINESS_S,
+    MAX_APPEND_BYTES,
+    MAX_LEARNER_LAG_ENTRIES,
+    MEMBER_TIMEOUT_S,
+    RECONFIGURATION_PAUSE_S,
+    RESEND_AFTER_S,
+    SEND_WINDOW_BYTES,
+    SLOW_DISK_SYNC_S,
+    TRANSFER_PAUSE_S,
+    WITNESS_GONE_S,
 )
 
 log = logging.getLogger("crowwing.replication")
@@ -31,7 +34,7 @@
         """Appends one entry; gives its index, or None where this is not the primary."""
         if self.role is not Role.PRIMARY or self.view is None:
             return None
-        entry = messages.LogEntry(self.promised, self.log.last[1] + 1, payload)
+        entry = LogEntry(self.promised, self.log.last[1] + 1, payload)
         self._take_entries([entry])
         self._send(self.me, messages.AppendResponse(self.promised, self.me, entry.index), durable=True)
         return entry.index
@@ -61,9 +64,9 @@
         sent, acked = self._sent[member], self._acked.get(member, -1)
         if acked < 0 or sent >= self.log.last[1] or sent < self.log.base[1]:
             return None
-        if acked < sent and self.log.bytes_between(acked, sent) >= WINDOW_BYTES:
+        if acked < sent and self.log.bytes_between(acked, sent) >= SEND_WINDOW_BYTES:
             return None
-        return sent, self.log.index_within(sent, APPEND_BYTES)
+        return sent, self.log.index_within(sent, MAX_APPEND_BYTES)
 
     def start_heartbeat(self, now: float) -> int:
         """Starts a round of heartbeats at once, and gives its number."""
@@ -81,11 +84,16 @@
         """
         if self.role is not Role.PRIMARY or self.view is None:
             return
-        others = [x for x in self.view.members if x != self.me and x not in self.excluded]
+        others = [member for member in self.view.members if member != self.me and member not in self.excluded]
         if others:
             slow = self._slow_members()
             freshest = max(
-                others, key=lambda x: (x not in slow, self._acked.get(x, 0), self._heard.get(x, 0.0))
+                others,
+                key=lambda member: (
+                    member not in slow,
+                    self._acked.get(member, 0),
+                    self._heard.get(member, 0.0),
+                ),
             )
             self._lease_released = True
             self._send(freshest, messages.LeadershipTransfer(self.promised, self.me))
@@ -102,12 +110,16 @@
         self._heartbeat_sequence += 1
         self._heartbeat_sent_at[self._heartbeat_sequence] = now
         self._heartbeat_acks[self._heartbeat_sequence] = {self.me}
-        for old in [number for number, at in self._heartbeat_sent_at.items() if now - at > 2.0]:
+        for old in [
+            number for number, at in self._heartbeat_sent_at.items() if now - at > HEARTBEAT_HISTORY_S
+        ]:
             del self._heartbeat_sent_at[old], self._heartbeat_acks[old]
-        joiners = {x for x, at in self._joiners.items() if now - at < 2 * JOIN_FRESH_S}
+        joiners = {member for member, at in self._joiners.items() if now - at < 2 * JOIN_REQUEST_VALID_S}
         heartbeat = messages.Heartbeat(self.promised, self.me, self._heartbeat_sequence, self.view)
         receivers = {*self.view.witnesses, *joiners}
-        if now - self._announced_at >= ANNOUNCED_S:  # who lost its disk may have no other way to hear of us
+        if (
+            now - self._announced_at >= ANNOUNCEMENT_INTERVAL_S
+        ):  # who lost its disk may have no other way to hear of us
             self._announced_at = now
             receivers |= self.announced - self.excluded
         for other in sorted(receivers - {self.me}):
@@ -120,72 +132,77 @@
         answered = self._heartbeat_acks[number] & set(self.view.witnesses)
         return len(answered) >= majority(len(self.view.witnesses))
 
-    def _on_heartbeat_response(self, now: float, x: messages.HeartbeatResponse) -> None:
-        if self.role is not Role.PRIMARY or x.term != self.promised or self.view is None:
+    def _on_heartbeat_response(self, now: float, response: messages.HeartbeatResponse) -> None:
+        if self.role is not Role.PRIMARY or response.term != self.promised or self.view is None:
             return
-        if not x.recovered:
+        if not response.recovered:
             return  # counts as silent: it can neither promise nor keep anything yet
-        self._heard[x.sender] = now
-        self._sync_s[x.sender] = x.sync_s
-        if x.sequence in self._heartbeat_acks:
-            self._heartbeat_acks[x.sequence].add(x.sender)
-            if self._has_heartbeat_majority(x.sequence):
-                self.confirmed_at = max(self.confirmed_at, self._heartbeat_sent_at[x.sequence])
-        behind = self.log.last[1] - x.last[1]
-        if x.sender in self.view.members:
-            if x.synced == self.promised:
-                self._resend_if_stuck(now, x)
+        self._heard[response.sender] = now
+        self._sync_s[response.sender] = response.sync_s
+        if response.sequence in self._heartbeat_acks:
+            self._heartbeat_acks[response.sequence].add(response.sender)
+            if self._has_heartbeat_majority(response.sequence):
+                self.confirmed_at = max(self.confirmed_at, self._heartbeat_sent_at[response.sequence])
+        behind = self.log.last[1] - response.last[1]
+        if response.sender in self.view.members:
+            if response.synced == self.promised:
+                self._resend_if_stuck(now, response)
             else:  # it has lost its disk since
-                self._acked[x.sender] = -1
-                self._lost_member(now, x.sender)
-        elif x.sender not in self.excluded:
-            self._joiners[x.sender] = now  # also one that was shown the primary and did not ask by itself
-            near = x.synced == self.promised and 0 <= behind <= NEAR_ENTRIES
-            if near and x.sync_s < SLOW_SYNC_S / 2:
-                self._ready.add(x.sender)
+                self._acked[response.sender] = -1
+                self._lost_member(now, response.sender)
+        elif response.sender not in self.excluded:
+            self._joiners[response.sender] = (
+                now  # also one that was shown the primary and did not ask by itself
+            )
+            near = response.synced == self.promised and 0 <= behind <= MAX_LEARNER_LAG_ENTRIES
+            if near and response.sync_s < SLOW_DISK_SYNC_S / 2:
+                self._ready.add(response.sender)
                 return
-            self._ready.discard(x.sender)  # a slow disk is shown to be quick again by what is sent
-            if now >= self._learner_wait.get(x.sender, now):
-                self._learner_wait[x.sender] = now + self._send_sync(x.sender, x.last)
+            self._ready.discard(response.sender)  # a slow disk is shown to be quick again by what is sent
+            if now >= self._learner_wait.get(response.sender, now):
+                self._learner_wait[response.sender] = now + self._send_sync(response.sender, response.last)
 
-    def _resend_if_stuck(self, now: float, x: messages.HeartbeatResponse) -> None:
+    def _resend_if_stuck(self, now: float, response: messages.HeartbeatResponse) -> None:
         """A member that has not moved for a while is sent again what it has not told to hold."""
-        acked = self._acked.get(x.sender, -1)
-        if not 0 <= acked < self._sent[x.sender] or now - self._moved_at.get(x.sender, now) < RESEND_S:
+        acked = self._acked.get(response.sender, -1)
+        if (
+            not 0 <= acked < self._sent[response.sender]
+            or now - self._moved_at.get(response.sender, now) < RESEND_AFTER_S
+        ):
             return
-        self._moved_at[x.sender] = now
-        if x.last[1] >= self._sent[x.sender]:  # only its answer was lost
-            self._send(x.sender, messages.AppendRequest(self.promised, self.me, ()))
-        elif self.log.contains(x.last):
-            self._sent[x.sender] = x.last[1]
-            self._send_windows(now, [x.sender])
+        self._moved_at[response.sender] = now
+        if response.last[1] >= self._sent[response.sender]:  # only its answer was lost
+            self._send(response.sender, messages.AppendRequest(self.promised, self.me, ()))
+        elif self.log.contains(response.last):
+            self._sent[response.sender] = response.last[1]
+            self._send_windows(now, [response.sender])
 
     def _lost_member(self, now: float, member: str) -> None:
-        if now - self._active_since >= RECONFIGURE_PAUSE_S:
-            log.info("member %s came back without its data", member)
-            self._start_campaign(now)
+        if now - self.active_since >= RECONFIGURATION_PAUSE_S:
+            log.info("member_lost_data member=%s", member)
+            self.start_campaign(now)
 
-    def _on_append_response(self, now: float, x: messages.AppendResponse) -> None:
-        if self.role is not Role.PRIMARY or x.term != self.promised or self.view is None:
+    def _on_append_response(self, now: float, response: messages.AppendResponse) -> None:
+        if self.role is not Role.PRIMARY or response.term != self.promised or self.view is None:
             return
-        if x.index > self._acked.get(x.sender, -1) >= 0:
-            self._acked[x.sender] = x.index
-            self._moved_at[x.sender] = now
-        if x.sender != self.me:
-            self._heard[x.sender] = now
-            if x.sender in self._sent:
-                self._send_windows(now, [x.sender])
+        if response.index > self._acked.get(response.sender, -1) >= 0:
+            self._acked[response.sender] = response.index
+            self._moved_at[response.sender] = now
+        if response.sender != self.me:
+            self._heard[response.sender] = now
+            if response.sender in self._sent:
+                self._send_windows(now, [response.sender])
         self.commit_index = max(self.commit_index, min(self._acked[member] for member in self.view.members))
 
     def _tick_primary(self, now: float) -> None:
         assert self.view is not None
-        if now - self._heartbeat_at >= HEARTBEAT_S:
+        if now - self._heartbeat_at >= HEARTBEAT_INTERVAL_S:
             self._send_heartbeat(now)
-        if now - max(self.confirmed_at, self._active_since) >= MEMBER_SILENT_S:
-            self.leader_heard = now - STICKY_S
+        if now - max(self.confirmed_at, self.active_since) >= MEMBER_TIMEOUT_S:
+            self.leader_heard = now - LEADER_STICKINESS_S
             self._step_down(now, "no majority of the witnesses answers its heartbeats")
             return
-        if now - self._active_since < RECONFIGURE_PAUSE_S:
+        if now - self.active_since < RECONFIGURATION_PAUSE_S:
             return
         if self.disk_stalled:
             self.resign(now, "its disk does not answer")
@@ -194,21 +211,25 @@
         slow = self._slow_members()
         enough_without = len(self.view.members) - len(slow) >= self.min_replicas
         if self.me in self.excluded or (self.me in slow and enough_without):
-            if now - self._handover_at >= HANDOVER_PAUSE_S:
+            if now - self._handover_at >= TRANSFER_PAUSE_S:
                 self._handover_at = now
                 self.transfer_leadership(now)
                 return
         reason = self._reason_to_reconfigure(now)
         if reason:
-            log.info("changes its view: %s", reason)
-            self._start_campaign(now)
+            log.info("view_change_started reason=%r", reason)
+            self.start_campaign(now)
 
     def _reason_to_reconfigure(self, now: float) -> str:
         assert self.view is not None
-        silent = [x for x in self.view.members if x != self.me and now - self._heard[x] >= MEMBER_SILENT_S]
+        silent = [
+            member
+            for member in self.view.members
+            if member != self.me and now - self._heard[member] >= MEMBER_TIMEOUT_S
+        ]
         if silent:
             return f"no answer from {', '.join(silent)}"
-        cut_off = [x for x, sent in self._sent.items() if sent < self.log.base[1]]
+        cut_off = [member for member, sent in self._sent.items() if sent < self.log.base[1]]
         if cut_off:
             return f"the log does not reach back to {', '.join(cut_off)}"
         slow = self._slow_members()
@@ -217,10 +238,14 @@
         leaving = self.excluded & {*self.view.members, *self.view.witnesses}
         if leaving and len(set(self.view.witnesses) - leaving) >= self.min_witnesses:
             return f"{', '.join(sorted(leaving))} is to leave"
-        ready = {x for x in self._ready if now - self._heard.get(x, -1e9) < 2 * HEARTBEAT_S}
+        ready = {
+            member for member in self._ready if now - self._heard.get(member, -1e9) < 2 * HEARTBEAT_INTERVAL_S
+        }
         if ready:
             return f"{', '.join(sorted(ready))} has caught up"
-        gone = [w for w in self.view.witnesses if now - self._heard.get(w, now) >= GONE_S and w != self.me]
+        gone = [
+            w for w in self.view.witnesses if now - self._heard.get(w, now) >= WITNESS_GONE_S and w != self.me
+        ]
         if gone and len(self.view.witnesses) - 1 >= self.min_witnesses:
             return f"{', '.join(gone)} is gone"
         return ""
--- a/crowwing/tier/replication/timing.py
+++ b/crowwing/tier/replication/timing.py
@@ -1,30 +1,119 @@
-"""The times and bounds that replicas go by, in seconds where no other unit stands."""
-
-HEARTBEAT_S = 0.07
-SUSPECT_S, SUSPECT_TURN_S, SUSPECT_SPREAD_S = 0.4, 0.12, 0.05  # silence after which the first member
-# campaigns, the time that each next one waits longer, and a random part
-SUSPECT_SYNCS = 3.0  # writes of its own disk that it waits longer, so that slow ones don't campaign in turns
-PREVOTE_RETRY_S = 0.1  # between two rounds of asking whether the witnesses would help
-STICKY_S = 0.35  # a witness that heard the primary so lately helps nobody else
-MEMBER_SILENT_S = 0.4  # after which the primary leaves a member out
-LEASE_S = 0.3  # under STICKY_S: a primary confirmed so lately is the only one
-PREPARE_GRACE_S, PREPARE_LIMIT_S = 0.08, 1.0
-SYNC_GRACE_S, SYNC_LIMIT_S, ACCEPT_LIMIT_S = 0.6, 3.0, 1.2
-RECONFIGURE_PAUSE_S = 0.3
-HANDOVER_PAUSE_S = 0.4  # after a member was asked to take over
-WINDOW_BYTES, APPEND_BYTES = 512 * 1024, 64 * 1024  # sent to a member without its answer, and in one message
-SYNC_BYTES = 1024 * 1024  # of entries that a learner is sent at once
-RESEND_S = 0.35  # without progress, after which a member is sent again what it lacks
-LEARNER_SYNC_S, RANGES_WAIT_S = 0.5, 1.5  # after which a learner that does not answer is sent entries, or
-# digests, once more
-LEARN_S, JOIN_S = 0.2, 0.3
-LEARN_AFTER_S = 1.4  # of a life without memory before it asks: over PREPARE_LIMIT_S and ACCEPT_LIMIT_S, in
-# which a candidate may still count what this replica has promised or accepted in a former life
-JOIN_FRESH_S = 1.0  # how long one request to join counts
-LISTEN_S = 0.15  # after a start, for heartbeats of a primary that is there
-GONE_S, REPLACED_S = 2.0, 1.0  # silence after which a witness is dropped; where another takes its place.
-# Both lie well under catchUpS: a dead witness beside its successor would make one more loss one too many
-ANNOUNCED_S = 1.0  # between heartbeats to store machines that are no witnesses
-NEAR_ENTRIES = 200  # a learner so close behind is taken in
-SLOW_SYNC_S, SLOW_FACTOR = 0.1, 4.0  # a write that takes so long, and so much longer than at most other
-# members, is left out where enough copies stay; with half of that time it is taken back
+"""Times and bounds of replication, each with the decision that it stands for.
+
+Durations are in seconds (`_S`), sizes in bytes (`_BYTES`), lengths of the log in entries (`_ENTRIES`).
+"""
+
+# Heartbeats and the lease.
+
+# Between two heartbeats of the primary, and two SyncInProgress of a candidate.
+HEARTBEAT_INTERVAL_S = 0.07
+
+# A witness that heard the primary so recently promises nobody else a term.
+LEADER_STICKINESS_S = 0.35
+
+# A primary confirmed so recently is the only one. Under LEADER_STICKINESS_S.
+LEASE_S = 0.3
+
+# Responses to heartbeats that are older are not counted any more.
+HEARTBEAT_HISTORY_S = 2.0
+
+# Between heartbeats to store machines that are no witnesses.
+ANNOUNCEMENT_INTERVAL_S = 1.0
+
+# Elections.
+
+# After a start, for heartbeats of a primary that is there already.
+STARTUP_LISTEN_S = 0.15
+
+# Silence of the primary after which the first member campaigns.
+ELECTION_TIMEOUT_S = 0.4
+
+# How much longer each further member waits, so that one campaigns at a time.
+ELECTION_STAGGER_S = 0.12
+
+# Upper bound of the random part, for members that wait equally long.
+ELECTION_JITTER_S = 0.05
+
+# Writes of its own disk that a member waits longer, so that slow disks don't campaign in turns.
+ELECTION_DISK_WRITES = 3.0
+
+# Between two rounds of pre-votes.
+PRE_VOTE_RETRY_S = 0.1
+
+# How long a candidate with a majority of promises waits for the others.
+PREPARE_GRACE_S = 0.08
+
+# After which a candidate without a majority of promises steps down.
+PREPARE_TIMEOUT_S = 1.0
+
+# After which a candidate goes on with those that are synchronized, where they are enough.
+SYNC_GRACE_S = 0.6
+
+# After which a candidate that has synchronized too few steps down.
+SYNC_TIMEOUT_S = 3.0
+
+# After which a candidate whose view was not accepted steps down.
+ACCEPT_TIMEOUT_S = 1.2
+
+# Changes of the view.
+
+# Between the start of a view and the next change of it by its primary.
+RECONFIGURATION_PAUSE_S = 0.3
+
+# Between two requests to a member to take over.
+TRANSFER_PAUSE_S = 0.4
+
+# Silence after which the primary leaves a member out.
+MEMBER_TIMEOUT_S = 0.4
+
+# Silence after which a witness is dropped. Well under catchUpS, as the next one: a dead witness beside
+# its successor would make one more loss one too many.
+WITNESS_GONE_S = 2.0
+
+# The same, where another witness takes its place.
+WITNESS_REPLACED_S = 1.0
+
+# A learner that is so close behind becomes a member.
+MAX_LEARNER_LAG_ENTRIES = 200
+
+# A member whose disk takes so long for a write is left out where enough members stay, if it is also
+# SLOW_DISK_FACTOR slower than most. With half of that time it is taken back.
+SLOW_DISK_SYNC_S = 0.1
+
+# How many times the median write time of the members.
+SLOW_DISK_FACTOR = 4.0
+
+# Entries on their way.
+
+# Sent to a member without its acknowledgement.
+SEND_WINDOW_BYTES = 512 * 1024
+
+# Of entries in one AppendRequest.
+MAX_APPEND_BYTES = 64 * 1024
+
+# Of entries that a learner is sent at once.
+MAX_SYNC_BYTES = 1024 * 1024
+
+# Without progress, after which a member is sent again what it lacks.
+RESEND_AFTER_S = 0.35
+
+# After which a learner that does not respond is sent entries once more.
+LEARNER_ENTRIES_WAIT_S = 0.5
+
+# The same for digests of ranges.
+LEARNER_RANGES_WAIT_S = 1.5
+
+# Joining and recovery.
+
+# Between two requests to join.
+JOIN_RETRY_S = 0.3
+
+# How long one request to join counts.
+JOIN_REQUEST_VALID_S = 1.0
+
+# Between two recovery requests.
+RECOVERY_RETRY_S = 0.2
+
+# Of an incarnation without its disk before its first recovery request. Over PREPARE_TIMEOUT_S and
+# ACCEPT_TIMEOUT_S, during which a candidate may still count what an earlier incarnation promised or accepted.
+RECOVERY_DELAY_S = 1.4
--- a/crowwing/tier/store/node.py
+++ b/crowwing/tier/store/node.py
@@ -15,9 +15,9 @@
     Message,
     RangeDigests,
     RangesResponse,
-    Record,
     SyncRequest,
 )
+from crowwing.tier.replication.records import Record
 from crowwing.tier.replication.replica import Replica
 from crowwing.tier.replication.replica_state import Output, Role
 from crowwing.tier.state.views import TierState
--- a/tests/tier/exploration.py
+++ b/tests/tier/exploration.py
@@ -14,8 +14,10 @@
 from typing import Any
 
 from crowwing.tier.replication import messages
+from crowwing.tier.replication.records import Record
 from crowwing.tier.replication.replica import Replica
 from crowwing.tier.replication.replica_state import Output, Role
+from crowwing.tier.replication.terms import Term
 
 HOSTS = ("a", "b", "c")
 SHORT_S, LONG_S = 0.2, 0.5  # under a lease, and over every wait of a follower
@@ -64,7 +66,7 @@
     """One replica, its disk, and what waits for it."""
 
     replica: Replica
-    disk: list[messages.Record] = field(default_factory=list)
+    disk: list[Record] = field(default_factory=list)
     waiting: list[Output] = field(default_factory=list)
 
 
@@ -75,7 +77,7 @@
     nodes: dict[str, Node]
     on_the_way: list[tuple[str, messages.Message]]
     now: float
-    committed: dict[int, messages.Term] = field(default_factory=dict)
+    committed: dict[int, Term] = field(default_factory=dict)
     crashes: int = 0
     wipes: int = 0
     handovers: int = 0
@@ -106,7 +108,7 @@
         replica.bootstrap(HOSTS)
         state.nodes[host] = Node(replica)
         collect(state, host)
-    state.nodes["a"].replica._start_campaign(state.now)
+    state.nodes["a"].replica.start_campaign(state.now)
     for _ in range(40):
         for host in HOSTS:
             collect(state, host)
--- a/tests/tier/simulation/world.py
+++ b/tests/tier/simulation/world.py
@@ -10,6 +10,7 @@
 from crowwing.tier.replication import messages
 from crowwing.tier.replication.replica import Replica
 from crowwing.tier.replication.replica_state import Role
+from crowwing.tier.replication.terms import NO_TERM, Term
 from crowwing.tier.state import events
 from crowwing.tier.state.views import TierState
 from crowwing.tier.store import commands
@@ -59,8 +60,8 @@
         self.on_acknowledged: Callable[[str], None] = lambda host: None
         self.documents_taken: dict[str, list[Document]] = {}
         self.watches_leases = True  # off where clocks run at other rates than leases assume
-        self._highest_lease: messages.Term = messages.NO_TERM
-        self._committed: dict[str, tuple[messages.Term, int]] = {}
+        self._highest_lease: Term = NO_TERM
+        self._committed: dict[str, tuple[Term, int]] = {}
         self.pieces_sent = self.ranges_sent = self.entry_bytes_sent = 0
         self.piece_s = 0.0
         self._piece_free: dict[tuple[str, str], float] = {}
@@ -267,7 +268,7 @@
         self._committed[host] = seen
         for member in replica.view.members:
             other = self.replica(member)
-            if other is None or other._started > replica._active_since or member == host:
+            if other is None or other.started_at > replica.active_since or member == host:
                 continue
             if other.log.last[1] < replica.commit_index and other.recovered:
                 self._break(f"{host} committed {replica.commit_index} that member {member} lacks")
--- a/tests/tier/test_control_safety_steps.py
+++ b/tests/tier/test_control_safety_steps.py
@@ -3,8 +3,10 @@
 import pytest
 
 from crowwing.tier.replication import messages, timing
+from crowwing.tier.replication.records import AcceptedViewRecord, LogEntry, PromisedTermRecord
 from crowwing.tier.replication.replica import Replica
 from crowwing.tier.replication.replica_state import Campaign, Phase
+from crowwing.tier.replication.terms import FIRST_TERM, LOG_START, NO_TERM, Term, View
 from crowwing.tier.state.views import TierState
 
 HOSTS = ("a", "b", "c")
@@ -27,13 +29,13 @@
 def primary_of_three(at: float) -> Replica:
     """Replica a as the primary of all three, with a lease from `at` on."""
     replica = replica_of("a")
-    replica._start_campaign(at)  # noqa: SLF001
+    replica.start_campaign(at)  # noqa: SLF001
     term = replica.promised
-    first = messages.View(messages.FIRST_TERM, HOSTS, HOSTS)
+    first = View(FIRST_TERM, HOSTS, HOSTS)
     for host in HOSTS:
-        replica.receive(at, messages.Promise(term, host, first, messages.FIRST_TERM, messages.LOG_START, 0.0))
+        replica.receive(at, messages.Promise(term, host, first, FIRST_TERM, LOG_START, 0.0))
     for host in HOSTS:
-        replica.receive(at, messages.SyncResponse(term, host, messages.LOG_START, True))
+        replica.receive(at, messages.SyncResponse(term, host, LOG_START, True))
     for host in HOSTS:
         replica.receive(at, messages.Accepted(term, host))
     replica.take_output()
@@ -48,24 +50,20 @@
     assert len(sent(replica, messages.LeadershipTransfer)) == 1
     replica.start_heartbeat(10.02)
     for host in HOSTS[1:]:
-        reply = messages.HeartbeatResponse(
-            replica.promised, host, 2, messages.LOG_START, replica.promised, True, 0.0
-        )
+        reply = messages.HeartbeatResponse(replica.promised, host, 2, LOG_START, replica.promised, True, 0.0)
         replica.receive(10.03, reply)
-    assert not replica.holds_lease(10.03), "not under this ballot any more, whatever comes back"
+    assert not replica.holds_lease(10.03), "not under this term any more, whatever comes back"
 
 
 def test_a_view_that_was_accepted_late_gives_no_lease_beyond_what_its_witnesses_vouch_for() -> None:
     replica = replica_of("a")
-    replica._start_campaign(10.0)  # noqa: SLF001
+    replica.start_campaign(10.0)  # noqa: SLF001
     term = replica.promised
-    first = messages.View(messages.FIRST_TERM, HOSTS, HOSTS)
+    first = View(FIRST_TERM, HOSTS, HOSTS)
     for host in HOSTS:
-        replica.receive(
-            10.0, messages.Promise(term, host, first, messages.FIRST_TERM, messages.LOG_START, 0.0)
-        )
+        replica.receive(10.0, messages.Promise(term, host, first, FIRST_TERM, LOG_START, 0.0))
     for host in HOSTS:
-        replica.receive(10.0, messages.SyncResponse(term, host, messages.LOG_START, True))
+        replica.receive(10.0, messages.SyncResponse(term, host, LOG_START, True))
     for host in HOSTS:
         replica.receive(10.9, messages.Accepted(term, host))
     assert replica.role.value == "primary"
@@ -75,27 +73,27 @@
 @pytest.mark.parametrize("late", [messages.Promise, messages.Accepted])
 def test_a_word_that_comes_after_the_limit_is_not_counted(late: type) -> None:
     replica = replica_of("a")
-    replica._start_campaign(10.0)  # noqa: SLF001
+    replica.start_campaign(10.0)  # noqa: SLF001
     term = replica.promised
-    first = messages.View(messages.FIRST_TERM, HOSTS, HOSTS)
-    at = 10.0 if late is messages.Accepted else 10.01 + timing.PREPARE_LIMIT_S
+    first = View(FIRST_TERM, HOSTS, HOSTS)
+    at = 10.0 if late is messages.Accepted else 10.01 + timing.PREPARE_TIMEOUT_S
     for host in HOSTS:
-        replica.receive(at, messages.Promise(term, host, first, messages.FIRST_TERM, messages.LOG_START, 0.0))
+        replica.receive(at, messages.Promise(term, host, first, FIRST_TERM, LOG_START, 0.0))
     for host in HOSTS:
-        replica.receive(10.0, messages.SyncResponse(term, host, messages.LOG_START, True))
+        replica.receive(10.0, messages.SyncResponse(term, host, LOG_START, True))
     for host in HOSTS:
-        replica.receive(10.01 + timing.ACCEPT_LIMIT_S, messages.Accepted(term, host))
+        replica.receive(10.01 + timing.ACCEPT_TIMEOUT_S, messages.Accepted(term, host))
     assert replica.role.value == "candidate"
 
 
-def test_a_witness_lets_only_the_ballot_pass_whose_lease_has_been_given_up() -> None:
+def test_a_witness_lets_only_the_term_pass_whose_lease_has_been_given_up() -> None:
     witness = replica_of("b")
-    view = messages.View((5, "a"), HOSTS, HOSTS)
+    view = View((5, "a"), HOSTS, HOSTS)
     witness.receive(10.0, messages.Heartbeat((5, "a"), "a", 1, view))
     witness.take_output()
     witness.receive(10.01, messages.Prepare((6, "c"), "c", (4, "c")))
-    assert sent(witness, messages.Nack) and witness.promised == (5, "a"), "the lease of ballot 5 may stand"
-    witness.receive(10.02, messages.Prepare((6, "c"), "c", messages.NO_TERM))
+    assert sent(witness, messages.Nack) and witness.promised == (5, "a"), "the lease of term 5 may stand"
+    witness.receive(10.02, messages.Prepare((6, "c"), "c", NO_TERM))
     assert sent(witness, messages.Nack)
     witness.receive(10.03, messages.Prepare((6, "c"), "c", (5, "a")))
     assert sent(witness, messages.Promise) and witness.promised == (6, "c")
@@ -103,58 +101,47 @@
 
 def test_one_round_has_one_primary_so_that_documents_of_two_can_be_told_apart() -> None:
     witness = replica_of("b")
-    witness.receive(10.0, messages.Prepare((6, "a"), "a", messages.NO_TERM))
+    witness.receive(10.0, messages.Prepare((6, "a"), "a", NO_TERM))
     assert sent(witness, messages.Promise)
-    witness.receive(10.1, messages.Prepare((6, "c"), "c", messages.NO_TERM))
+    witness.receive(10.1, messages.Prepare((6, "c"), "c", NO_TERM))
     assert sent(witness, messages.Nack) and witness.promised == (6, "a")
 
 
-def entry(number: int) -> messages.LogEntry:
-    """An entry of the first ballot."""
-    return messages.LogEntry(messages.FIRST_TERM, number, b"%d" % number)
+def entry(number: int) -> LogEntry:
+    """An entry of the first term."""
+    return LogEntry(FIRST_TERM, number, b"%d" % number)
 
 
 def test_a_member_that_has_taken_in_a_part_does_not_count_as_whole() -> None:
     """Else a wiped member of the last view could lead with that part, and bring the others to it."""
     learner = replica_of("c")
-    term, last = (3, "a"), (messages.FIRST_TERM, 4)
-    learner.receive(10.0, messages.SyncRequest(term, "a", messages.LOG_START, (entry(1), entry(2)), last))
-    assert learner.synced == messages.FIRST_TERM
-    assert [x.last for _, x in sent(learner, messages.SyncResponse)] == [(messages.FIRST_TERM, 2)]
-    learner.receive(
-        10.1, messages.SyncRequest(term, "a", (messages.FIRST_TERM, 2), (entry(3), entry(4)), last)
-    )
+    term, last = (3, "a"), (FIRST_TERM, 4)
+    learner.receive(10.0, messages.SyncRequest(term, "a", LOG_START, (entry(1), entry(2)), last))
+    assert learner.synced == FIRST_TERM
+    assert [x.last for _, x in sent(learner, messages.SyncResponse)] == [(FIRST_TERM, 2)]
+    learner.receive(10.1, messages.SyncRequest(term, "a", (FIRST_TERM, 2), (entry(3), entry(4)), last))
     assert learner.synced == term
 
 
 def test_a_restarted_witness_promises_nobody_until_a_lease_it_may_have_vouched_for_has_ended() -> None:
     witness = Replica("b", HOSTS, TierState(), 1, 10.0, lambda: 0.5)
-    witness.recover(
-        [
-            messages.PromisedTermRecord((5, "a")),
-            messages.AcceptedViewRecord(messages.View((5, "a"), HOSTS, HOSTS)),
-        ]
-    )
+    witness.recover([PromisedTermRecord((5, "a")), AcceptedViewRecord(View((5, "a"), HOSTS, HOSTS))])
     witness.receive(10.1, messages.Prepare((6, "c"), "c", (5, "a")))
-    assert not sent(witness, messages.Promise), "the released ballot may not be the one that it vouched for"
+    assert not sent(witness, messages.Promise), "the released term may not be the one that it vouched for"
     witness.receive(10.2, messages.PreVoteRequest((5, "a"), "c"))
     assert [answer.willing for _, answer in sent(witness, messages.PreVoteResponse)] == [False]
-    witness.receive(10.01 + timing.STICKY_S, messages.Prepare((6, "c"), "c", messages.NO_TERM))
+    witness.receive(10.01 + timing.LEADER_STICKINESS_S, messages.Prepare((6, "c"), "c", NO_TERM))
     assert sent(witness, messages.Promise)
 
 
 def test_a_candidate_with_fewer_promises_than_a_majority_sends_nobody_its_data() -> None:
     replica = replica_of("a")
-    replica._start_campaign(10.0)  # noqa: SLF001
-    first = messages.View(messages.FIRST_TERM, HOSTS, HOSTS)
-    replica.receive(
-        10.0, messages.Promise(replica.promised, "a", first, messages.FIRST_TERM, messages.LOG_START, 0.0)
-    )
+    replica.start_campaign(10.0)  # noqa: SLF001
+    first = View(FIRST_TERM, HOSTS, HOSTS)
+    replica.receive(10.0, messages.Promise(replica.promised, "a", first, FIRST_TERM, LOG_START, 0.0))
     replica.tick(10.5)
     assert replica.role.value == "candidate" and not sent(replica, messages.SyncRequest)
-    replica.receive(
-        10.5, messages.Promise(replica.promised, "b", first, messages.FIRST_TERM, messages.LOG_START, 0.0)
-    )
+    replica.receive(10.5, messages.Promise(replica.promised, "b", first, FIRST_TERM, LOG_START, 0.0))
     replica.tick(10.6)
     assert sent(replica, messages.SyncRequest)
 
@@ -162,32 +149,30 @@
 @pytest.mark.parametrize("members", [("b", "c"), HOSTS])
 def test_who_missed_the_last_view_or_its_data_does_not_lead(members: tuple[str, ...]) -> None:
     replica = replica_of("a")
-    replica._start_campaign(10.0, above=(5, "c"))  # noqa: SLF001
-    first, last = messages.View(messages.FIRST_TERM, HOSTS, HOSTS), messages.View((5, "c"), members, HOSTS)
-    replica.receive(
-        10.0, messages.Promise(replica.promised, "a", first, messages.FIRST_TERM, messages.LOG_START, 0.0)
-    )
+    replica.start_campaign(10.0, above=(5, "c"))  # noqa: SLF001
+    first, last = View(FIRST_TERM, HOSTS, HOSTS), View((5, "c"), members, HOSTS)
+    replica.receive(10.0, messages.Promise(replica.promised, "a", first, FIRST_TERM, LOG_START, 0.0))
     replica.receive(10.0, messages.Promise(replica.promised, "b", last, (5, "c"), ((5, "c"), 1), 0.0))
     replica.tick(10.2)
     assert replica.role.value == "follower" and not sent(replica, messages.SyncRequest)
 
 
 def test_a_member_without_the_views_data_acknowledges_no_entry() -> None:
-    """It has lost its disk since it became a member, and has learned its ballot from the others."""
+    """It has lost its disk since it became a member, and has learned its term from the others."""
     term = (5, "a")
     replica = Replica("b", HOSTS, TierState(), 1, 10.0, lambda: 0.5)
     for host in ("a", "c"):
-        replica.receive(12.0, messages.RecoveryResponse(host, term, messages.View(term, HOSTS, HOSTS)))
+        replica.receive(12.0, messages.RecoveryResponse(host, term, View(term, HOSTS, HOSTS)))
     assert replica.promised == term
-    replica.receive(12.1, messages.AppendRequest(term, "a", (messages.LogEntry(term, 1, b"\xf6"),)))
-    assert not sent(replica, messages.AppendResponse) and replica.log.last == messages.LOG_START
+    replica.receive(12.1, messages.AppendRequest(term, "a", (LogEntry(term, 1, b"\xf6"),)))
+    assert not sent(replica, messages.AppendResponse) and replica.log.last == LOG_START
 
 
-def test_a_witness_of_a_later_ballot_confirms_no_earlier_primary() -> None:
+def test_a_witness_of_a_later_term_confirms_no_earlier_primary() -> None:
     witness = replica_of("b")
-    witness.receive(10.0, messages.Prepare((6, "c"), "c", messages.NO_TERM))
+    witness.receive(10.0, messages.Prepare((6, "c"), "c", NO_TERM))
     witness.take_output()
-    view = messages.View((5, "a"), HOSTS, HOSTS)
+    view = View((5, "a"), HOSTS, HOSTS)
     for message in (messages.Heartbeat((5, "a"), "a", 1, view), messages.Accept("a", view)):
         witness.receive(10.1, message)
         output = witness.take_output()
@@ -198,11 +183,11 @@
 def test_a_view_with_other_witnesses_needs_a_majority_of_the_old_ones_too() -> None:
     """Else b and c, which know nothing of it, could make another one of the old view's data."""
     replica = replica_of("a")
-    replica._start_campaign(10.0)  # noqa: SLF001
+    replica.start_campaign(10.0)  # noqa: SLF001
     term = replica.promised
-    campaign = Campaign(Phase.ACCEPT, 10.0, messages.NO_TERM)
-    campaign.base = messages.View(messages.FIRST_TERM, HOSTS, HOSTS)
-    campaign.view = messages.View(term, ("a", "d"), ("a", "b", "d"))
+    campaign = Campaign(Phase.ACCEPT, 10.0, NO_TERM)
+    campaign.base = View(FIRST_TERM, HOSTS, HOSTS)
+    campaign.view = View(term, ("a", "d"), ("a", "b", "d"))
     replica._campaign = campaign  # noqa: SLF001
     for host in ("a", "d"):
         replica.receive(10.1, messages.Accepted(term, host))
@@ -211,11 +196,11 @@
     assert replica.role.value == "primary"
 
 
-def follower(term: messages.Term) -> Replica:
-    """Replica b as a member of a view under a ballot."""
+def follower(term: Term) -> Replica:
+    """Replica b as a member of a view under a term."""
     replica = replica_of("b")
-    replica.receive(9.0, messages.SyncRequest(term, "a", messages.LOG_START, (), messages.LOG_START))
-    replica.receive(9.0, messages.Accept("a", messages.View(term, HOSTS, HOSTS)))
+    replica.receive(9.0, messages.SyncRequest(term, "a", LOG_START, (), LOG_START))
+    replica.receive(9.0, messages.Accept("a", View(term, HOSTS, HOSTS)))
     replica.take_output()
     return replica
 
@@ -224,17 +209,12 @@
     ("message", "answer"),
     [
         (messages.Prepare((6, "c"), "c", (5, "a")), messages.Promise),
-        (messages.Accept("a", messages.View((6, "a"), HOSTS, HOSTS)), messages.Accepted),
+        (messages.Accept("a", View((6, "a"), HOSTS, HOSTS)), messages.Accepted),
         (
-            messages.SyncRequest(
-                (6, "a"), "a", messages.LOG_START, (messages.LogEntry((5, "a"), 1, b"\xf6"),), ((5, "a"), 1)
-            ),
+            messages.SyncRequest((6, "a"), "a", LOG_START, (LogEntry((5, "a"), 1, b"\xf6"),), ((5, "a"), 1)),
             messages.SyncResponse,
         ),
-        (
-            messages.AppendRequest((5, "a"), "a", (messages.LogEntry((5, "a"), 1, b"\xf6"),)),
-            messages.AppendResponse,
-        ),
+        (messages.AppendRequest((5, "a"), "a", (LogEntry((5, "a"), 1, b"\xf6"),)), messages.AppendResponse),
         (messages.RecoveryRequest("c"), messages.RecoveryResponse),
     ],
 )
@@ -248,15 +228,15 @@
 
 def test_a_machine_without_memory_asks_only_once_no_candidate_counts_its_former_word() -> None:
     replica = Replica("c", HOSTS, TierState(), 1, 10.0, lambda: 0.5)
-    replica.tick(10.0 + max(timing.PREPARE_LIMIT_S, timing.ACCEPT_LIMIT_S))
+    replica.tick(10.0 + max(timing.PREPARE_TIMEOUT_S, timing.ACCEPT_TIMEOUT_S))
     assert not sent(replica, messages.RecoveryRequest)
-    replica.tick(10.0 + timing.LEARN_AFTER_S)
+    replica.tick(10.0 + timing.RECOVERY_DELAY_S)
     assert sent(replica, messages.RecoveryRequest)
 
 
 def test_a_machine_without_memory_asks_whoever_its_heartbeats_name() -> None:
     replica = Replica("d", ("gone",), TierState(), 1, 10.0, lambda: 0.5)
-    replica.receive(10.1, messages.Heartbeat((5, "a"), "a", 1, messages.View((5, "a"), HOSTS, HOSTS)))
+    replica.receive(10.1, messages.Heartbeat((5, "a"), "a", 1, View((5, "a"), HOSTS, HOSTS)))
     replica.tick(12.0)
     assert {to for to, _ in sent(replica, messages.RecoveryRequest)} == {"gone", *HOSTS}
 
@@ -264,8 +244,7 @@
 def test_a_replica_that_answers_without_having_asked_is_taken_in() -> None:
     replica = primary_of_three(10.0)
     replica.receive(
-        10.31,
-        messages.HeartbeatResponse(replica.promised, "d", 1, messages.LOG_START, replica.promised, True, 0.0),
+        10.31, messages.HeartbeatResponse(replica.promised, "d", 1, LOG_START, replica.promised, True, 0.0)
     )
     replica.tick(10.32)
     assert "d" in {to for to, _ in sent(replica, messages.Prepare)}, (
--- a/tests/tier/test_repair.py
+++ b/tests/tier/test_repair.py
@@ -89,7 +89,7 @@
     six = (*FIVE, "f")
     world = quick_world(seed, six, HOSTS, faults=2)
     far_behind(world, six)
-    world.run_for(timing.LEARN_AFTER_S + 0.7)
+    world.run_for(timing.RECOVERY_DELAY_S + 0.7)
     world.stop(world.primary())
     world.acknowledge("third", 2.0)
 
@@ -98,7 +98,7 @@
 def test_where_too_few_copies_are_left_one_candidate_waits_for_a_repair_undisturbed(seed: int) -> None:
     world = quick_world(seed, FIVE, HOSTS, faults=2)
     far_behind(world, FIVE)
-    world.run_for(timing.LEARN_AFTER_S + 0.1)
+    world.run_for(timing.RECOVERY_DELAY_S + 0.1)
     world.stop(world.primary())
     world.acknowledge("third", 4.5)
     assert world.pieces_sent <= 8
--- a/tests/tier/test_windows.py
+++ b/tests/tier/test_windows.py
@@ -33,7 +33,7 @@
     for number in range(100):
         world.propose(f"{number}/" + "x" * 40_000)
     world.run_for(0.2)
-    each = timing.WINDOW_BYTES + 2 * timing.APPEND_BYTES
+    each = timing.SEND_WINDOW_BYTES + 2 * timing.MAX_APPEND_BYTES
     assert world.entry_bytes_sent <= each + 100 * 40_010, "one member stands still, the other gets on"
     world.run_for(3.0)
     assert len(world.acknowledged) == 101
