--- /dev/null
+++ b/crowwing/tier/replication/campaign.py
@@ -0,0 +1,52 @@
+"""How far a candidate has come on its way to a new view."""
+
+import enum
+from dataclasses import dataclass, field
+
+from crowwing.tier.replication.messages import Promise
+from crowwing.tier.replication.peers import NEVER
+from crowwing.tier.replication.terms import Term, View
+from crowwing.tier.replication.timing import SYNC_TIMEOUT_S
+
+
+class Phase(enum.Enum):
+    """The phases of a campaign, in their order."""
+
+    PREPARE = "prepare"  # witnesses promise the term
+    SYNC = "sync"  # the members to be are brought to the candidate's data
+    ACCEPT = "accept"  # witnesses accept the view
+
+
+@dataclass
+class Campaign:
+    """One campaign; owned by its Candidate.
+
+    Attributes:
+        phase: the present phase.
+        since: when it began.
+        released: term of the primary that has given up its lease for this campaign, NO_TERM where none has.
+        promises: promises by sender.
+        prepared: replicas that were sent a Prepare.
+        majority_at: when a majority of the base view's witnesses had promised.
+        base: the highest view that was accepted by those who promised.
+        targets: replicas that are to be members.
+        sync_limit_s: how long the synchronization may take; learners that get on extend it.
+        progress_sent_at: when the others were last told that the synchronization goes on.
+        synced: replicas that hold the candidate's data on disk.
+        view: the view that is proposed.
+        accepted: replicas that have accepted it.
+    """
+
+    phase: Phase
+    since: float
+    released: Term
+    promises: dict[str, Promise] = field(default_factory=dict)
+    prepared: set[str] = field(default_factory=set)
+    majority_at: float | None = None
+    base: View | None = None
+    targets: set[str] = field(default_factory=set)
+    sync_limit_s: float = SYNC_TIMEOUT_S
+    progress_sent_at: float = NEVER
+    synced: set[str] = field(default_factory=set)
+    view: View | None = None
+    accepted: set[str] = field(default_factory=set)
--- /dev/null
+++ b/crowwing/tier/replication/follower.py
@@ -0,0 +1,83 @@
+"""A replica that is neither primary nor candidate: it watches the primary, and campaigns when it is silent.
+
+The pre-vote of Raft (Ongaro 2014, section 9.6): a member asks the witnesses whether they would promise it a
+term before it raises one. A machine that is cut off alone finds nobody willing, so it raises no term, and the
+primary need not change its view to get above that one when the partition is over. Nothing of this is kept on
+disk.
+"""
+
+from typing import ClassVar
+
+from crowwing.tier.replication import messages
+from crowwing.tier.replication.core import ReplicaCore, Role
+from crowwing.tier.replication.peers import NEVER
+from crowwing.tier.replication.roles import RoleChanges, RoleState, role_handlers
+from crowwing.tier.replication.terms import majority
+from crowwing.tier.replication.timing import PRE_VOTE_RETRY_S
+
+
+class Follower(RoleState):
+    """Owns the pre-votes for this replica's next campaign."""
+
+    role: ClassVar[Role] = Role.FOLLOWER
+
+    def __init__(self, core: ReplicaCore, changes: RoleChanges) -> None:
+        """A follower that has not asked for pre-votes yet."""
+        super().__init__(core, changes)
+        self._pre_votes_requested_at = NEVER
+        self._willing: set[str] = set()
+
+    def tick(self, now: float) -> None:
+        """Where the primary is silent: asks for pre-votes as a member, else to be made one."""
+        if not self._core.monitor.may_campaign(now):
+            return
+        if self._core.may_lead():
+            self._request_pre_votes(now)
+        else:
+            self._core.request_to_join(now)
+
+    def _request_pre_votes(self, now: float) -> None:
+        """Asks all witnesses, and again after a while; campaigns at once where no other one is needed."""
+        if now - self._pre_votes_requested_at < PRE_VOTE_RETRY_S:
+            return
+        core = self._core
+        assert core.durable.view is not None, "a replica that may lead has a view"
+        self._pre_votes_requested_at = now
+        self._willing = {core.me}
+        for witness in sorted(set(core.durable.view.witnesses) - {core.me}):
+            core.send(witness, messages.PreVoteRequest(core.durable.promised, core.me))
+        self._count_pre_votes(now)
+
+    def on_pre_vote_response(self, now: float, response: messages.PreVoteResponse) -> None:
+        """Counts one response; a witness that hears another primary has it asked to take this replica in."""
+        if response.term != self._core.durable.promised or now < self._core.monitor.campaign_at:
+            return
+        if response.willing:
+            self._willing.add(response.sender)
+            self._count_pre_votes(now)
+        else:
+            self._core.request_to_join(now)
+
+    def _count_pre_votes(self, now: float) -> None:
+        view = self._core.durable.view
+        witnesses = view.witnesses if view is not None else ()
+        if len(self._willing & set(witnesses)) >= majority(len(witnesses)) and self._core.may_lead():
+            self._changes.start_campaign(now)
+
+    def on_leadership_transfer(self, now: float, transfer: messages.LeadershipTransfer) -> None:
+        """Campaigns at once: the primary has given up its lease."""
+        if transfer.term == self._core.durable.promised and self._core.may_lead():
+            self._changes.start_campaign(now, released=transfer.term)
+
+    def on_sync_in_progress(self, now: float, progress: messages.SyncInProgress) -> None:
+        """Waits longer with its own campaign."""
+        if progress.term == self._core.durable.promised:
+            self._core.delay_campaign(now)
+
+    handlers = role_handlers(
+        {
+            messages.LeadershipTransfer: on_leadership_transfer,
+            messages.PreVoteResponse: on_pre_vote_response,
+            messages.SyncInProgress: on_sync_in_progress,
+        }
+    )
--- a/crowwing/tier/replication/log.py
+++ b/crowwing/tier/replication/log.py
@@ -6,13 +6,16 @@
 from crowwing.tier.replication.records import LogEntry
 from crowwing.tier.replication.terms import LOG_START, LogPosition
 
-MAX_ENTRIES, MAX_BYTES = (4000, 16 * 1024 * 1024)  # kept for those that catch up
+# Kept in memory for replicas that catch up; whoever lacks older entries is repaired by ranges.
+MAX_ENTRIES = 4000
+MAX_BYTES = 16 * 1024 * 1024
 
 
 class EntryLog:
     """A contiguous run of entries."""
 
     def __init__(self) -> None:
+        """An empty log at the start of all entries."""
         self.base: LogPosition = LOG_START
         self._entries: deque[LogEntry] = deque()
         self._ends: deque[int] = deque()  # bytes of all payloads up to each entry
@@ -60,7 +63,7 @@
         """The entries behind an index that is not before the base, up to the newest or to an index."""
         first = max(0, index - self.base[1])
         end = len(self._entries) if upto is None else min(len(self._entries), upto - self.base[1])
-        return tuple(self._entries[place] for place in range(first, end))
+        return tuple(self._entries[offset] for offset in range(first, end))
 
     def bytes_between(self, start: int, end: int) -> int:
         """Bytes of the payloads behind one index up to another, as far as they are held."""
--- a/crowwing/tier/replication/primary.py
+++ b/crowwing/tier/replication/primary.py
@@ -1,24 +1,27 @@
-"""A replica that is the primary: appends entries, confirms its role, and sees to the view's members."""
+"""A replica that is the primary: appends entries, renews its lease, and sees to the view's members."""
 
 import logging
+from collections.abc import Iterator
+from typing import ClassVar
 
-from crowwing.tier.replication import messages
-from crowwing.tier.replication.candidate import Candidate
+from crowwing.tier.replication import messages, range_transfer
+from crowwing.tier.replication.candidate import ViewLimits
+from crowwing.tier.replication.core import ReplicaCore, Role
+from crowwing.tier.replication.lease import Lease
+from crowwing.tier.replication.member_progress import Learners, MemberProgress
+from crowwing.tier.replication.peers import NEVER
 from crowwing.tier.replication.records import LogEntry
-from crowwing.tier.replication.replica_state import Role, slow_disks
-from crowwing.tier.replication.terms import majority
+from crowwing.tier.replication.roles import RoleChanges, RoleState, role_handlers
+from crowwing.tier.replication.terms import Term, View
 from crowwing.tier.replication.timing import (
     ANNOUNCEMENT_INTERVAL_S,
-    HEARTBEAT_HISTORY_S,
     HEARTBEAT_INTERVAL_S,
     JOIN_REQUEST_VALID_S,
     LEADER_STICKINESS_S,
-    MAX_APPEND_BYTES,
+    LEARNER_RANGES_WAIT_S,
     MAX_LEARNER_LAG_ENTRIES,
     MEMBER_TIMEOUT_S,
     RECONFIGURATION_PAUSE_S,
-    RESEND_AFTER_S,
-    SEND_WINDOW_BYTES,
     SLOW_DISK_SYNC_S,
     TRANSFER_PAUSE_S,
     WITNESS_GONE_S,
@@ -27,229 +30,283 @@
 log = logging.getLogger("crowwing.replication")
 
 
-class Primary(Candidate):
+class Primary(RoleState):
     """Decides the order of entries while its view holds."""
 
-    def propose(self, now: float, payload: bytes) -> int | None:
-        """Appends one entry; gives its index, or None where this is not the primary."""
-        if self.role is not Role.PRIMARY or self.view is None:
-            return None
-        entry = LogEntry(self.promised, self.log.last[1] + 1, payload)
-        self._take_entries([entry])
-        self._send(self.me, messages.AppendResponse(self.promised, self.me, entry.index), durable=True)
+    role: ClassVar[Role] = Role.PRIMARY
+
+    def __init__(self, core: ReplicaCore, changes: RoleChanges, lease: Lease, limits: ViewLimits) -> None:
+        """The primary of the view that the core holds, which begins now."""
+        super().__init__(core, changes)
+        self._lease = lease
+        self._limits = limits
+        self._progress = MemberProgress(core.me, self._view().members, core.log.last[1])
+        self._learners = Learners()
+        self._heartbeat_at = NEVER
+        self._announced_at = NEVER
+        self._transfer_at = NEVER
+
+    def _view(self) -> View:
+        assert self._core.durable.view is not None, "a primary has a view"
+        return self._core.durable.view
+
+    # Entries
+
+    def propose(self, payload: bytes) -> int:
+        """Appends one entry and returns its index; it is committed once `commit_index` reaches it."""
+        core = self._core
+        term = core.durable.promised
+        entry = LogEntry(term, core.log.last[1] + 1, payload)
+        core.append_entries([entry])
+        core.send(core.me, messages.AppendResponse(term, core.me, entry.index), durable=True)
         return entry.index
 
     def send_entries(self, now: float) -> None:
-        """Sends the other members what was proposed, as far as their windows are open.
-
-        To be called when the own disk begins a write, since a commit waits for that write anyway.
-        """
-        if self.role is Role.PRIMARY:
-            self._send_windows(now, list(self._sent))
+        """Sends the other members what was proposed, as far as their windows are open."""
+        self._send_windows(now, list(self._progress.sent))
 
     def _send_windows(self, now: float, members: list[str]) -> None:
         """Members that are sent the same entries are sent the same message, so that it is encoded once."""
-        appends: dict[tuple[int, int], messages.AppendRequest] = {}
+        core = self._core
+        term = core.durable.promised
+        requests: dict[tuple[int, int], messages.AppendRequest] = {}
         for member in members:
-            while (span := self._next_span(member)) is not None:
-                if span not in appends:
-                    appends[span] = messages.AppendRequest(self.promised, self.me, self.log.after(*span))
-                if self._acked[member] >= span[0]:
-                    self._moved_at[member] = now  # it had nothing to answer before
-                self._sent[member] = span[1]
-                self._send(member, appends[span])
-
-    def _next_span(self, member: str) -> tuple[int, int] | None:
-        """The indexes behind which, and up to which, a member is sent entries next."""
-        sent, acked = self._sent[member], self._acked.get(member, -1)
-        if acked < 0 or sent >= self.log.last[1] or sent < self.log.base[1]:
-            return None
-        if acked < sent and self.log.bytes_between(acked, sent) >= SEND_WINDOW_BYTES:
-            return None
-        return sent, self.log.index_within(sent, MAX_APPEND_BYTES)
+            while (span := self._progress.next_span(member, core.log)) is not None:
+                if span not in requests:
+                    requests[span] = messages.AppendRequest(term, core.me, core.log.after(*span))
+                self._progress.mark_sent(now, member, span)
+                core.send(member, requests[span])
+
+    def on_append_response(self, now: float, response: messages.AppendResponse) -> None:
+        """Counts one acknowledgement: an entry is committed once every member has it on disk."""
+        core = self._core
+        if response.term != core.durable.promised:
+            return
+        progress = self._progress
+        progress.acknowledge(now, response.sender, response.index)
+        if response.sender != core.me:
+            core.peers.heard_at[response.sender] = now
+            if response.sender in progress.sent:
+                self._send_windows(now, [response.sender])
+        core.commit_index = max(core.commit_index, progress.committed(self._view().members))
+
+    # The lease
 
     def start_heartbeat(self, now: float) -> int:
-        """Starts a round of heartbeats at once, and gives its number."""
-        self._send_heartbeat(now)
-        return self._heartbeat_sequence
+        """Sends a heartbeat at once, and returns its number."""
+        self.send_heartbeat(now)
+        return self._lease.sequence
 
     def is_heartbeat_confirmed(self, number: int) -> bool:
-        """Whether a majority of the witnesses has answered this round or a later one."""
-        return any(number <= later and self._has_heartbeat_majority(later) for later in self._heartbeat_acks)
+        """Whether a majority of the witnesses has answered this heartbeat or a later one."""
+        return self._lease.is_confirmed(number, self._view().witnesses)
 
-    def transfer_leadership(self, now: float) -> None:
-        """Gives up the lease and hands the role over, where this is the primary and another can take it.
-
-        The lease goes first: the new primary's witnesses don't wait until it would have ended.
-        """
-        if self.role is not Role.PRIMARY or self.view is None:
-            return
-        others = [member for member in self.view.members if member != self.me and member not in self.excluded]
-        if others:
-            slow = self._slow_members()
-            freshest = max(
-                others,
-                key=lambda member: (
-                    member not in slow,
-                    self._acked.get(member, 0),
-                    self._heard.get(member, 0.0),
-                ),
-            )
-            self._lease_released = True
-            self._send(freshest, messages.LeadershipTransfer(self.promised, self.me))
-
-    def resign(self, now: float, why: str) -> None:
-        """Stops leading because its own machine can't go on; another member is asked to take over."""
-        self.transfer_leadership(now)
-        self._step_down(now, why)
-        self.leader = None
-
-    def _send_heartbeat(self, now: float) -> None:
-        assert self.view is not None
+    def send_heartbeat(self, now: float) -> None:
+        """Sends a heartbeat to the witnesses, to learners and, now and then, to all store machines."""
+        core = self._core
+        view = self._view()
         self._heartbeat_at = now
-        self._heartbeat_sequence += 1
-        self._heartbeat_sent_at[self._heartbeat_sequence] = now
-        self._heartbeat_acks[self._heartbeat_sequence] = {self.me}
-        for old in [
-            number for number, at in self._heartbeat_sent_at.items() if now - at > HEARTBEAT_HISTORY_S
-        ]:
-            del self._heartbeat_sent_at[old], self._heartbeat_acks[old]
-        joiners = {member for member, at in self._joiners.items() if now - at < 2 * JOIN_REQUEST_VALID_S}
-        heartbeat = messages.Heartbeat(self.promised, self.me, self._heartbeat_sequence, self.view)
-        receivers = {*self.view.witnesses, *joiners}
-        if (
-            now - self._announced_at >= ANNOUNCEMENT_INTERVAL_S
-        ):  # who lost its disk may have no other way to hear of us
+        sequence = self._lease.start_round(now, core.me)
+        receivers = {*view.witnesses, *core.peers.joined_within(now, 2 * JOIN_REQUEST_VALID_S)}
+        if now - self._announced_at >= ANNOUNCEMENT_INTERVAL_S:
             self._announced_at = now
-            receivers |= self.announced - self.excluded
-        for other in sorted(receivers - {self.me}):
-            self._send(other, heartbeat)
-        if self._has_heartbeat_majority(self._heartbeat_sequence):
-            self.confirmed_at = now
-
-    def _has_heartbeat_majority(self, number: int) -> bool:
-        assert self.view is not None
-        answered = self._heartbeat_acks[number] & set(self.view.witnesses)
-        return len(answered) >= majority(len(self.view.witnesses))
-
-    def _on_heartbeat_response(self, now: float, response: messages.HeartbeatResponse) -> None:
-        if self.role is not Role.PRIMARY or response.term != self.promised or self.view is None:
+            # A replica that lost its disk may have no other way to hear of this one.
+            receivers |= core.announced - core.excluded
+        heartbeat = messages.Heartbeat(core.durable.promised, core.me, sequence, view)
+        for other in sorted(receivers - {core.me}):
+            core.send(other, heartbeat)
+        if self._lease.has_majority(sequence, view.witnesses):
+            self._lease.confirmed_at = now
+
+    def on_heartbeat_response(self, now: float, response: messages.HeartbeatResponse) -> None:
+        """Renews the lease, and sees to the data of the sender."""
+        core = self._core
+        if response.term != core.durable.promised:
             return
         if not response.recovered:
             return  # counts as silent: it can neither promise nor keep anything yet
-        self._heard[response.sender] = now
-        self._sync_s[response.sender] = response.sync_s
-        if response.sequence in self._heartbeat_acks:
-            self._heartbeat_acks[response.sequence].add(response.sender)
-            if self._has_heartbeat_majority(response.sequence):
-                self.confirmed_at = max(self.confirmed_at, self._heartbeat_sent_at[response.sequence])
-        behind = self.log.last[1] - response.last[1]
-        if response.sender in self.view.members:
-            if response.synced == self.promised:
-                self._resend_if_stuck(now, response)
-            else:  # it has lost its disk since
-                self._acked[response.sender] = -1
-                self._lost_member(now, response.sender)
-        elif response.sender not in self.excluded:
-            self._joiners[response.sender] = (
-                now  # also one that was shown the primary and did not ask by itself
-            )
-            near = response.synced == self.promised and 0 <= behind <= MAX_LEARNER_LAG_ENTRIES
-            if near and response.sync_s < SLOW_DISK_SYNC_S / 2:
-                self._ready.add(response.sender)
-                return
-            self._ready.discard(response.sender)  # a slow disk is shown to be quick again by what is sent
-            if now >= self._learner_wait.get(response.sender, now):
-                self._learner_wait[response.sender] = now + self._send_sync(response.sender, response.last)
-
-    def _resend_if_stuck(self, now: float, response: messages.HeartbeatResponse) -> None:
-        """A member that has not moved for a while is sent again what it has not told to hold."""
-        acked = self._acked.get(response.sender, -1)
-        if (
-            not 0 <= acked < self._sent[response.sender]
-            or now - self._moved_at.get(response.sender, now) < RESEND_AFTER_S
-        ):
+        view = self._view()
+        core.peers.heard_at[response.sender] = now
+        self._progress.disk_sync_s[response.sender] = response.sync_s
+        self._lease.acknowledge(response.sequence, response.sender, view.witnesses)
+        if response.sender in view.members:
+            self._check_member(now, response)
+        elif response.sender not in core.excluded:
+            self._bring_up_to_date(now, response)
+
+    def transfer_leadership(self) -> None:
+        """Gives up the lease and asks the member that is best up to date to take over, if there is one.
+
+        The lease goes before the message: the new primary's witnesses don't wait until it would have ended.
+        """
+        core = self._core
+        members = self._view().members
+        others = [member for member in members if member != core.me and member not in core.excluded]
+        if not others:
             return
-        self._moved_at[response.sender] = now
-        if response.last[1] >= self._sent[response.sender]:  # only its answer was lost
-            self._send(response.sender, messages.AppendRequest(self.promised, self.me, ()))
-        elif self.log.contains(response.last):
-            self._sent[response.sender] = response.last[1]
-            self._send_windows(now, [response.sender])
-
-    def _lost_member(self, now: float, member: str) -> None:
-        if now - self.active_since >= RECONFIGURATION_PAUSE_S:
+        slow = self._progress.slow_members(members)
+
+        def preference(member: str) -> tuple[bool, int, float]:
+            acknowledged = self._progress.acknowledged.get(member, 0)
+            return member not in slow, acknowledged, core.peers.heard_at.get(member, 0.0)
+
+        freshest = max(others, key=preference)
+        self._lease.is_released = True
+        core.send(freshest, messages.LeadershipTransfer(core.durable.promised, core.me))
+
+    # Members and learners
+
+    def _check_member(self, now: float, response: messages.HeartbeatResponse) -> None:
+        member = response.sender
+        if response.synced == self._core.durable.promised:
+            if self._progress.is_stuck(now, member):
+                self._resend(now, response)
+            return
+        self._progress.mark_data_lost(member)  # its disk, since it became a member
+        if now - self._lease.active_since >= RECONFIGURATION_PAUSE_S:
             log.info("member_lost_data member=%s", member)
-            self.start_campaign(now)
+            self._changes.start_campaign(now)
 
-    def _on_append_response(self, now: float, response: messages.AppendResponse) -> None:
-        if self.role is not Role.PRIMARY or response.term != self.promised or self.view is None:
+    def _resend(self, now: float, response: messages.HeartbeatResponse) -> None:
+        """Sends a member again what it has not acknowledged."""
+        core = self._core
+        member = response.sender
+        self._progress.start_resending(now, member)
+        if response.last[1] >= self._progress.sent[member]:  # only its response was lost
+            core.send(member, messages.AppendRequest(core.durable.promised, core.me, ()))
+        elif core.log.contains(response.last):
+            self._progress.sent[member] = response.last[1]
+            self._send_windows(now, [member])
+
+    def _bring_up_to_date(self, now: float, response: messages.HeartbeatResponse) -> None:
+        core = self._core
+        learner = response.sender
+        core.peers.joined_at[learner] = now  # also one that was shown the primary and did not ask by itself
+        lag_entries = core.log.last[1] - response.last[1]
+        is_near = response.synced == core.durable.promised and 0 <= lag_entries <= MAX_LEARNER_LAG_ENTRIES
+        if is_near and response.sync_s < SLOW_DISK_SYNC_S / 2:
+            self._learners.ready.add(learner)
             return
-        if response.index > self._acked.get(response.sender, -1) >= 0:
-            self._acked[response.sender] = response.index
-            self._moved_at[response.sender] = now
-        if response.sender != self.me:
-            self._heard[response.sender] = now
-            if response.sender in self._sent:
-                self._send_windows(now, [response.sender])
-        self.commit_index = max(self.commit_index, min(self._acked[member] for member in self.view.members))
+        self._learners.ready.discard(learner)
+        if self._learners.may_be_sent(now, learner):  # also shows that a slow disk is quick again
+            wait_s = core.send_sync(learner, response.last)
+            self._learners.wait(learner, now + wait_s)
+
+    def on_sync_response(self, _now: float, response: messages.SyncResponse) -> None:
+        """Sends digests to a learner that could not follow; any other is sent more at its next response."""
+        if response.term != self._core.durable.promised:
+            return
+        if response.matched:
+            self._learners.stop_waiting(response.sender)
+        else:
+            self._core.send_digests(response.sender)
+
+    def on_ranges_request(self, now: float, request: messages.RangesRequest) -> None:
+        """Sends ranges to a learner."""
+        if self._serves(request.term):
+            range_transfer.send_ranges(self._core, request)
+            self._learners.wait(request.sender, now + LEARNER_RANGES_WAIT_S)
+
+    def on_entries_request(self, now: float, request: messages.EntriesRequest) -> None:
+        """Sends the entries that end a repair."""
+        if self._serves(request.term) and range_transfer.send_entries_since(self._core, request):
+            self._learners.wait(request.sender, now + LEARNER_RANGES_WAIT_S)
 
-    def _tick_primary(self, now: float) -> None:
-        assert self.view is not None
+    def _serves(self, term: Term) -> bool:
+        return term == self._core.durable.promised
+
+    # Changes of the view
+
+    def on_nack(self, now: float, nack: messages.Nack) -> None:
+        """Goes above a term that somebody raised meanwhile, or steps down where it may not lead."""
+        if nack.term != self._core.durable.promised or not self._is_outbid(nack):
+            return
+        if self._core.may_lead():
+            self._changes.start_campaign(now, above=nack.promised)
+        else:
+            self._yield_to_higher_term(now, nack)
+
+    def tick(self, now: float) -> None:
+        """Sends heartbeats, and changes the view where its members or witnesses ask for it."""
+        core = self._core
         if now - self._heartbeat_at >= HEARTBEAT_INTERVAL_S:
-            self._send_heartbeat(now)
-        if now - max(self.confirmed_at, self.active_since) >= MEMBER_TIMEOUT_S:
-            self.leader_heard = now - LEADER_STICKINESS_S
-            self._step_down(now, "no majority of the witnesses answers its heartbeats")
+            self.send_heartbeat(now)
+        if now - max(self._lease.confirmed_at, self._lease.active_since) >= MEMBER_TIMEOUT_S:
+            core.monitor.heard_at = now - LEADER_STICKINESS_S
+            self._changes.step_down(now, "no majority of the witnesses answers its heartbeats")
+            return
+        if now - self._lease.active_since < RECONFIGURATION_PAUSE_S:
             return
-        if now - self.active_since < RECONFIGURATION_PAUSE_S:
+        if core.disk_stalled:
+            self._changes.resign(now, "its disk does not answer")
             return
-        if self.disk_stalled:
-            self.resign(now, "its disk does not answer")
+        self._progress.disk_sync_s[core.me] = core.sync_s
+        if self._should_hand_over() and now - self._transfer_at >= TRANSFER_PAUSE_S:
+            self._transfer_at = now
+            self.transfer_leadership()
             return
-        self._sync_s[self.me] = self.sync_s
-        slow = self._slow_members()
-        enough_without = len(self.view.members) - len(slow) >= self.min_replicas
-        if self.me in self.excluded or (self.me in slow and enough_without):
-            if now - self._handover_at >= TRANSFER_PAUSE_S:
-                self._handover_at = now
-                self.transfer_leadership(now)
-                return
-        reason = self._reason_to_reconfigure(now)
-        if reason:
+        reason = next(self._reasons_to_change_view(now), None)
+        if reason is not None:
             log.info("view_change_started reason=%r", reason)
-            self.start_campaign(now)
+            self._changes.start_campaign(now)
 
-    def _reason_to_reconfigure(self, now: float) -> str:
-        assert self.view is not None
+    def _should_hand_over(self) -> bool:
+        """Whether this replica is to leave, or its disk is slow where enough members have better ones."""
+        core = self._core
+        members = self._view().members
+        slow = self._progress.slow_members(members)
+        enough_without = len(members) - len(slow) >= self._limits.min_replicas
+        return core.me in core.excluded or (core.me in slow and enough_without)
+
+    def _reasons_to_change_view(self, now: float) -> Iterator[str]:
+        yield from self._reasons_of_members(now)
+        yield from self._reasons_of_witnesses(now)
+
+    def _reasons_of_members(self, now: float) -> Iterator[str]:
+        core = self._core
+        heard_at = core.peers.heard_at
+        members = self._view().members
         silent = [
-            member
-            for member in self.view.members
-            if member != self.me and now - self._heard[member] >= MEMBER_TIMEOUT_S
+            member for member in members if member != core.me and now - heard_at[member] >= MEMBER_TIMEOUT_S
         ]
         if silent:
-            return f"no answer from {', '.join(silent)}"
-        cut_off = [member for member, sent in self._sent.items() if sent < self.log.base[1]]
-        if cut_off:
-            return f"the log does not reach back to {', '.join(cut_off)}"
-        slow = self._slow_members()
-        if slow and len(self.view.members) - len(slow) >= self.min_replicas:
-            return f"the disk of {', '.join(sorted(slow))} is slow"
-        leaving = self.excluded & {*self.view.members, *self.view.witnesses}
-        if leaving and len(set(self.view.witnesses) - leaving) >= self.min_witnesses:
-            return f"{', '.join(sorted(leaving))} is to leave"
+            yield f"no answer from {', '.join(silent)}"
+        beyond_log = self._progress.beyond_log(core.log.base)
+        if beyond_log:
+            yield f"the log does not reach back to {', '.join(beyond_log)}"
+        slow = self._progress.slow_members(members)
+        if slow and len(members) - len(slow) >= self._limits.min_replicas:
+            yield f"the disk of {', '.join(sorted(slow))} is slow"
+
+    def _reasons_of_witnesses(self, now: float) -> Iterator[str]:
+        core = self._core
+        heard_at = core.peers.heard_at
+        view = self._view()
+        leaving = core.excluded & {*view.members, *view.witnesses}
+        if leaving and len(set(view.witnesses) - leaving) >= self._limits.min_witnesses:
+            yield f"{', '.join(sorted(leaving))} is to leave"
         ready = {
-            member for member in self._ready if now - self._heard.get(member, -1e9) < 2 * HEARTBEAT_INTERVAL_S
+            learner
+            for learner in self._learners.ready
+            if now - heard_at.get(learner, NEVER) < 2 * HEARTBEAT_INTERVAL_S
         }
         if ready:
-            return f"{', '.join(sorted(ready))} has caught up"
+            yield f"{', '.join(sorted(ready))} has caught up"
         gone = [
-            w for w in self.view.witnesses if now - self._heard.get(w, now) >= WITNESS_GONE_S and w != self.me
+            witness
+            for witness in view.witnesses
+            if now - heard_at.get(witness, now) >= WITNESS_GONE_S and witness != core.me
         ]
-        if gone and len(self.view.witnesses) - 1 >= self.min_witnesses:
-            return f"{', '.join(gone)} is gone"
-        return ""
+        if gone and len(view.witnesses) - 1 >= self._limits.min_witnesses:
+            yield f"{', '.join(gone)} is gone"
 
-    def _slow_members(self) -> set[str]:
-        assert self.view is not None
-        return slow_disks({member: self._sync_s.get(member, 0.0) for member in self.view.members})
+    handlers = role_handlers(
+        {
+            messages.AppendResponse: on_append_response,
+            messages.EntriesRequest: on_entries_request,
+            messages.HeartbeatResponse: on_heartbeat_response,
+            messages.Nack: on_nack,
+            messages.RangesRequest: on_ranges_request,
+            messages.SyncResponse: on_sync_response,
+        }
+    )
--- a/crowwing/tier/replication/replica.py
+++ b/crowwing/tier/replication/replica.py
@@ -1,5 +1,7 @@
 """The decisions of one replica: no input or output, no clock and no chance of its own.
 
+Primary-backup replication with reconfiguration by witnesses, after Vertical Paxos (Lamport, Malkhi, Zhou
+2009).
 A view names the members that hold the data and the witnesses that decide failover. An entry is committed once
 every member of the view has it on disk. A new view needs, in this order: promises of a majority of the
 witnesses of the highest accepted view (after which nothing more is committed under it), a candidate that was
@@ -9,240 +11,276 @@
 """
 
 import logging
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 
 from crowwing.tier.replication import messages
-from crowwing.tier.replication.prevote import PreVote
+from crowwing.tier.replication.campaign import Campaign, Phase
+from crowwing.tier.replication.candidate import Candidate, ViewLimits
+from crowwing.tier.replication.core import ReplicaCore, Role
+from crowwing.tier.replication.follower import Follower
+from crowwing.tier.replication.leader_monitor import LeaderMonitor
+from crowwing.tier.replication.lease import Lease
+from crowwing.tier.replication.machine import Machine
+from crowwing.tier.replication.member import Member
+from crowwing.tier.replication.output import Output
 from crowwing.tier.replication.primary import Primary
-from crowwing.tier.replication.records import AcceptedViewRecord, PromisedTermRecord, SyncedTermRecord
-from crowwing.tier.replication.replica_state import Role
-from crowwing.tier.replication.terms import Term, majority
-from crowwing.tier.replication.timing import (
-    JOIN_RETRY_S,
-    LEADER_STICKINESS_S,
-    RECOVERY_DELAY_S,
-    RECOVERY_RETRY_S,
-)
+from crowwing.tier.replication.recovery import Recovery
+from crowwing.tier.replication.roles import Handler, RoleState
+from crowwing.tier.replication.terms import NO_TERM, Term, View
+from crowwing.tier.replication.timing import JOIN_REQUEST_VALID_S
+from crowwing.tier.replication.witness import Witness
 
 log = logging.getLogger("crowwing.replication")
 
 
-class Replica(Primary, PreVote):
-    """One replica. Feed it `tick` and `receive`, then carry out `take_output()`.
+@dataclass(frozen=True)
+class ReplicaSettings:
+    """What a replica is given once.
 
-    What stands here is its part as member and witness; those as candidate and primary are its bases.
+    Attributes:
+        me: its own name, by which others send to it.
+        seeds: names of replicas that it knows from the start.
+        faults: how many machines may fail at once without loss.
     """
 
-    def tick(self, now: float) -> None:
-        """To be called every few hundredths of a second."""
-        if not self.recovered:
-            if now - self.started_at >= RECOVERY_DELAY_S and now - self._asked_at >= RECOVERY_RETRY_S:
-                self._asked_at = now
-                for peer in sorted(self.known):
-                    self._send(peer, messages.RecoveryRequest(self.me))
-        elif self.role is Role.PRIMARY:
-            self._tick_primary(now)
-        elif self.role is Role.CANDIDATE:
-            self._tick_candidate(now)
-        elif now - self.leader_heard >= LEADER_STICKINESS_S and now >= max(
-            self._campaign_at, self._listen_until
-        ):
-            self._tick_follower(now)
+    me: str
+    seeds: Iterable[str]
+    faults: int
 
-    def _tick_follower(self, now: float) -> None:
-        if self._may_lead():
-            self._ask_prevotes(now)
-        else:
-            self._ask_to_join(now)
 
-    def _ask_to_join(self, now: float) -> None:
-        if now - self._asked_at >= JOIN_RETRY_S:
-            self._asked_at = now
-            for peer in sorted(self.known):
-                self._send(peer, messages.JoinRequest(self.me, False))
+class Replica(ReplicaCore):
+    """One replica as a step function: feed it `tick`, `receive`, `propose`, then carry out `take_output()`.
+
+    Owned by one Node (store/node.py), which calls it from one event loop. All times are seconds on one
+    monotonic clock. It holds the one role object of the present role, and the parts that are the same in all.
+    """
+
+    def __init__(
+        self,
+        settings: ReplicaSettings,
+        machine: Machine,
+        now: float,
+        random: Callable[[], float],
+        started: float | None = None,
+    ) -> None:
+        """A follower that knows nothing yet: call `recover` or `bootstrap` next, or leave it to recover.
+
+        Args:
+            settings: who it is.
+            machine: the state that committed entries are applied to.
+            now: the present time.
+            random: gives numbers from 0 to 1 for the jitter of elections.
+            started: when this incarnation began, if before `now`; nothing was answered in it yet.
+        """
+        super().__init__(settings.me, settings.seeds, machine, LeaderMonitor(now, started), random)
+        self.min_replicas = settings.faults + 1
+        self.min_witnesses = 2 * settings.faults + 1
+        self._limits = ViewLimits(self.min_replicas, self.min_witnesses)
+        self._lease = Lease(now, confirmed_at=now)
+        self._recovery = Recovery(self)
+        self._witness = Witness(self, self)
+        self._member = Member(self, self)
+        self.role_state: RoleState = Follower(self, self)
+
+    @property
+    def role(self) -> Role:
+        """What this replica is doing."""
+        return self.role_state.role
+
+    @property
+    def promised(self) -> Term:
+        """The highest term that it has promised; its own term while it is candidate or primary."""
+        return self.durable.promised
+
+    @property
+    def view(self) -> View | None:
+        """The highest view that it knows of."""
+        return self.durable.view
+
+    @property
+    def synced(self) -> Term:
+        """The term whose candidate or primary last made its data equal to its own."""
+        return self.durable.synced
+
+    @property
+    def recovered(self) -> bool:
+        """Whether it knows what it has promised."""
+        return self.durable.recovered
+
+    @property
+    def leader(self) -> str | None:
+        """The replica that it takes for the primary."""
+        return self.monitor.leader
+
+    @property
+    def started_at(self) -> float:
+        """When this incarnation began."""
+        return self.monitor.started_at
+
+    @property
+    def confirmed_at(self) -> float:
+        """When a majority of the witnesses last vouched for it as primary."""
+        return self._lease.confirmed_at
+
+    @property
+    def active_since(self) -> float:
+        """When the last view began that it was primary of."""
+        return self._lease.active_since
+
+    # Steps
+
+    def tick(self, now: float) -> None:
+        """Does what is due; to be called every few hundredths of a second."""
+        if self.durable.recovered:
+            self.role_state.tick(now)
+        else:
+            self._recovery.tick(now)
 
     def receive(self, now: float, message: messages.Message) -> None:
         """Takes one message in."""
-        _HANDLERS[type(message)](self, now, message)
+        kind = type(message)
+        if kind in _MEMBER_HANDLERS:
+            _MEMBER_HANDLERS[kind](self._member, now, message)
+        elif kind in _WITNESS_HANDLERS:
+            _WITNESS_HANDLERS[kind](self._witness, now, message)
+        elif kind in _RECOVERY_HANDLERS:
+            _RECOVERY_HANDLERS[kind](self._recovery, now, message)
+        elif isinstance(message, messages.JoinRequest):
+            self._on_join_request(now, message)
+        else:
+            self.role_state.handlers[kind](self.role_state, now, message)
 
-    def _on_recovery_request(self, now: float, request: messages.RecoveryRequest) -> None:
-        self.add_peers([request.sender])
-        if self.recovered:
-            self._send(
-                request.sender, messages.RecoveryResponse(self.me, self.promised, self.view), durable=True
-            )
+    def propose(self, _now: float, payload: bytes) -> int | None:
+        """Appends one entry; returns its index, or None where this is not the primary."""
+        return self.role_state.propose(payload) if isinstance(self.role_state, Primary) else None
 
-    def _on_recovery_response(self, now: float, response: messages.RecoveryResponse) -> None:
-        """Each majority that this replica was in has another of its members among those that answered.
+    def send_entries(self, now: float) -> None:
+        """Sends the other members what was proposed, as far as their windows are open.
 
-        It may have promised their highest term, and accepted their highest view, so it is bound to both.
-        They were asked LEARN_AFTER_S into this life: whoever was to promise or accept beside it in a former
-        one, for a candidate that still counts its word, had done so by then.
+        To be called when the own disk begins a write, since a commit waits for that write anyway.
         """
-        if self.recovered:
-            return
-        self._learned[response.sender] = response
-        views = [answer.view for answer in self._learned.values() if answer.view is not None]
-        if not views:
-            return
-        view = max(views, key=lambda view: view.term)
-        self.add_peers(view.witnesses)
-        answered = set(self._learned) & set(view.witnesses) - {self.me}
-        count = len(view.witnesses)
-        if len(answered) >= count - majority(count) + 1:
-            self.promised = max(answer.promised for answer in self._learned.values())
-            self.recovered = True
-            self.view = view
-            self._output.records += [PromisedTermRecord(self.promised), AcceptedViewRecord(view)]
-            log.info("recovered promised=%s", self.promised)
+        if isinstance(self.role_state, Primary):
+            self.role_state.send_entries(now)
+
+    def take_output(self) -> Output:
+        """Returns what is to be carried out since the last call."""
+        return self.outbox.take()
+
+    def add_peers(self, hosts: Iterable[str]) -> None:
+        """Adds replicas that this one has heard of, to be asked where it lacks a memory or a primary."""
+        self.peers.add(hosts)
 
     def _on_join_request(self, now: float, request: messages.JoinRequest) -> None:
-        self.add_peers([request.sender])
+        """Notes as primary who wants to become a member; forwards it once to the primary else."""
+        self.peers.add([request.sender])
         if self.role is Role.PRIMARY and request.sender not in self.excluded:
-            self._joiners[request.sender] = now
-        elif not request.forwarded and self.leader not in (None, self.me, request.sender):
-            self._send(self.leader, messages.JoinRequest(request.sender, True))
-
-    def _on_prepare(self, now: float, prepare: messages.Prepare) -> None:
-        if not self.recovered:
-            return
-        released = self._may_pass_lease(prepare.released)
-        if now - self.started_at < LEADER_STICKINESS_S and self._remembers and prepare.sender != self.me:
-            return  # it may have vouched for a primary just before it ended
-        leader_age_s = now - self.leader_heard
-        is_leader_alive = self.leader not in (None, prepare.sender) and leader_age_s < LEADER_STICKINESS_S
-        if self.role is Role.PRIMARY and prepare.sender != self.me:
-            is_leader_alive = self.holds_lease(now)
-        # One candidate a term number, so that documents of two primaries can be told apart.
-        is_bound = prepare.term[0] <= self.promised[0] and prepare.term != self.promised
-        if prepare.sender != self.me and (
-            is_bound or prepare.term == self.promised or (is_leader_alive and not released)
+            self.peers.joined_at[request.sender] = now
+        elif (
+            not request.forwarded and self.leader is not None and self.leader not in (self.me, request.sender)
         ):
-            self._send(prepare.sender, messages.Nack(prepare.term, self.me, self.promised), durable=True)
-            return
-        if prepare.sender != self.me:
-            if self.role is not Role.FOLLOWER:
-                self._step_down(now, f"{prepare.sender} prepares term {prepare.term}")
-            self._promise(prepare.term)
-            self._campaign_at = self._turn(now)
-        promise = messages.Promise(prepare.term, self.me, self.view, self.synced, self.log.last, self.sync_s)
-        self._send(prepare.sender, promise, durable=True)
-
-    def _on_sync_in_progress(self, now: float, progress: messages.SyncInProgress) -> None:
-        if progress.term == self.promised and self.role is Role.FOLLOWER:
-            self._campaign_at = self._turn(now)
-
-    def _on_accept(self, now: float, accept: messages.Accept) -> None:
-        if not self.recovered:
-            return
-        if accept.view.term < self.promised:
-            self._send(accept.sender, messages.Nack(accept.view.term, self.me, self.promised), durable=True)
-            return
-        if accept.sender != self.me and self.role is not Role.FOLLOWER:
-            self._step_down(now, f"{accept.sender} has term {accept.view.term}")
-        self.promised, self.view = accept.view.term, accept.view
-        self._output.records.append(AcceptedViewRecord(accept.view))
-        if accept.sender != self.me:
-            self._heard_leader(now, accept.sender, accept.view.term)
-        self._send(accept.sender, messages.Accepted(accept.view.term, self.me), durable=True)
-
-    def _on_heartbeat(self, now: float, heartbeat: messages.Heartbeat) -> None:
-        if heartbeat.term < self.promised:
-            self._send(heartbeat.sender, messages.Nack(heartbeat.term, self.me, self.promised), durable=True)
-            return
-        self.add_peers([heartbeat.sender, *heartbeat.view.witnesses, *heartbeat.view.members])
-        if self.recovered and heartbeat.term > self.promised:
-            self._promise(heartbeat.term)
-        if self.recovered and (self.view is None or self.view.term < heartbeat.view.term):
-            self.view = heartbeat.view
-            self._output.records.append(AcceptedViewRecord(heartbeat.view))
-        if self.role is not Role.FOLLOWER and heartbeat.sender != self.me:
-            self._step_down(now, f"{heartbeat.sender} is primary with term {heartbeat.term}")
-        self._heard_leader(now, heartbeat.sender, heartbeat.term)
-        recovered = self.recovered and not self.disk_stalled
-        reply = messages.HeartbeatResponse(
-            heartbeat.term, self.me, heartbeat.sequence, self.log.last, self.synced, recovered, self.sync_s
-        )
-        self._send(heartbeat.sender, reply, durable=bool(self._output.records))
-
-    def _follows(self, now: float, term: Term, sender: str) -> bool:
-        if not self.recovered or sender == self.me:
-            return False
-        if term < self.promised:
-            self._send(sender, messages.Nack(term, self.me, self.promised), durable=True)
-            return False
+            self.send(self.leader, messages.JoinRequest(request.sender, True))
+
+    # The lease
+
+    def holds_lease(self, now: float) -> bool:
+        """Whether this replica is certainly the only primary."""
+        return self.role is Role.PRIMARY and self._lease.is_valid(now)
+
+    def start_heartbeat(self, now: float) -> int:
+        """Sends a heartbeat at once, and returns its number; this must be the primary."""
+        assert isinstance(self.role_state, Primary), "only a primary sends heartbeats"
+        return self.role_state.start_heartbeat(now)
+
+    def is_heartbeat_confirmed(self, number: int) -> bool:
+        """Whether a majority of the witnesses has answered this heartbeat or a later one of the same view."""
+        return isinstance(self.role_state, Primary) and self.role_state.is_heartbeat_confirmed(number)
+
+    # Changes of the role
+
+    def transfer_leadership(self, _now: float) -> None:
+        """Gives up the lease and hands the role over, where this is the primary and another can take it."""
+        if isinstance(self.role_state, Primary):
+            self.role_state.transfer_leadership()
+
+    def resign(self, now: float, reason: str) -> None:
+        """Stops leading because its own machine can't go on; another member is asked to take over."""
+        self.transfer_leadership(now)
+        self.step_down(now, reason)
+        self.monitor.leader = None
+
+    def start_campaign(self, now: float, released: Term = NO_TERM, above: Term = NO_TERM) -> None:
+        """Becomes a candidate, under a new term.
+
+        Args:
+            now: the present time.
+            released: the term whose primary has handed over. A primary releases its own by campaigning.
+            above: a term that others are bound to.
+        """
+        view = self.durable.view
+        assert view is not None, "only a replica that may lead campaigns"
+        receivers = {*view.witnesses, *view.members, self.me}
+        was_primary = self.role is Role.PRIMARY
+        if was_primary:
+            released = self.durable.promised
+            receivers |= self.peers.joined_within(now, JOIN_REQUEST_VALID_S)
+        number = max(self.durable.promised[0], above[0], self.highest_seen_term_number) + 1
+        self.durable.promise((number, self.me))
+        candidate = Candidate(self, self, Campaign(Phase.PREPARE, now, released), self._limits)
+        self._begin(candidate)
+        if not was_primary:
+            log.info("campaign_started term=%s", self.durable.promised)
+        candidate.send_prepares(receivers)
+
+    def activate(self, now: float, view: View, requested_at: float) -> None:
+        """Becomes the primary of a view that the witnesses have accepted.
+
+        Args:
+            now: the present time.
+            view: the view.
+            requested_at: when they were asked to accept it; they vouch for it from then on, not from when
+                their last response came, since they may have promised another candidate meanwhile.
+        """
+        self._lease = Lease(now, confirmed_at=requested_at)
+        self.durable.view = view
+        self.hear_leader(now, self.me, view.term)
+        self.peers.begin_view(now, view)
+        self.commit_index = self.log.last[1]
+        primary = Primary(self, self, self._lease, self._limits)
+        self._begin(primary)
+        log.info("primary_elected term=%s members=%s witnesses=%s", view.term, view.members, view.witnesses)
+        primary.send_heartbeat(now)
+
+    def step_down(self, now: float, reason: str) -> None:
+        """Becomes a follower, and waits for its turn before it campaigns again."""
+        if self.role is not Role.FOLLOWER:
+            log.info("stepped_down role=%s term=%s reason=%r", self.role.value, self.durable.promised, reason)
+            self._begin(Follower(self, self))
+        self.monitor.campaign_at = max(self.monitor.campaign_at, self.next_campaign_at(now))
+
+    def step_down_from_leading(self, now: float, reason: str) -> None:
+        """Steps down where this replica is candidate or primary."""
         if self.role is not Role.FOLLOWER:
-            self._step_down(now, f"{sender} has term {term}")
-        if term > self.promised:
-            self._promise(term)
-        self._heard_leader(now, sender, term)
-        return True
-
-    def _on_sync_request(self, now: float, request: messages.SyncRequest) -> None:
-        if not self._follows(now, request.term, request.sender):
-            return
-        if self._completes_repair(request):
-            self._finish_repair(request)
-        elif not self._append_sync(request):
-            self._send(request.sender, messages.SyncResponse(request.term, self.me, self.log.last, False))
-            return
-        if self.log.last == request.last:
-            self.synced = request.term
-            self._output.records.append(SyncedTermRecord(request.term))
-        self._send(
-            request.sender, messages.SyncResponse(request.term, self.me, self.log.last, True), durable=True
-        )
-
-    def _append_sync(self, request: messages.SyncRequest) -> bool:
-        """Takes in what follows `previous`; False where this replica's log has anything else there."""
-        if not self.log.contains(request.previous):
-            return False
-        held = self.log.after(request.previous[1])
-        if len(held) > len(request.entries):
-            return False
-        for mine, theirs in zip(held, request.entries, strict=False):
-            if mine.term != theirs.term:
-                return False
-        self._take_entries(request.entries[len(held) :])
-        return True
-
-    def _on_append_request(self, now: float, request: messages.AppendRequest) -> None:
-        if request.term != self.promised or self.synced != request.term:
-            if request.term < self.promised:
-                self._send(request.sender, messages.Nack(request.term, self.me, self.promised), durable=True)
-            return
-        self._heard_leader(now, request.sender, request.term)
-        last = self.log.last[1]
-        fresh = [entry for entry in request.entries if entry.index > last]
-        if fresh and fresh[0].index != last + 1:
-            return  # something was lost on the way; the next heartbeat's answer tells the primary
-        self._take_entries(fresh)
-        response = messages.AppendResponse(request.term, self.me, self.log.last[1])
-        self._send(request.sender, response, durable=True)
-
-
-_HANDLERS: dict[type, Callable[[Replica, float, Any], None]] = {
-    messages.Accept: Replica._on_accept,
-    messages.Accepted: Replica._on_accepted,
-    messages.AppendRequest: Replica._on_append_request,
-    messages.AppendResponse: Replica._on_append_response,
-    messages.EntriesRequest: Replica._on_entries_request,
-    messages.Heartbeat: Replica._on_heartbeat,
-    messages.HeartbeatResponse: Replica._on_heartbeat_response,
-    messages.JoinRequest: Replica._on_join_request,
-    messages.LeadershipTransfer: Replica._on_leadership_transfer,
-    messages.Nack: Replica._on_nack,
-    messages.PreVoteRequest: Replica._on_pre_vote_request,
-    messages.PreVoteResponse: Replica._on_pre_vote_response,
-    messages.Prepare: Replica._on_prepare,
-    messages.Promise: Replica._on_promise,
-    messages.RangeDigests: Replica._on_range_digests,
-    messages.RangesRequest: Replica._on_ranges_request,
-    messages.RangesResponse: Replica._on_ranges_response,
-    messages.RecoveryRequest: Replica._on_recovery_request,
-    messages.RecoveryResponse: Replica._on_recovery_response,
-    messages.SyncInProgress: Replica._on_sync_in_progress,
-    messages.SyncRequest: Replica._on_sync_request,
-    messages.SyncResponse: Replica._on_sync_response,
+            self.step_down(now, reason)
+
+    def _begin(self, role_state: RoleState) -> None:
+        self.role_state = role_state
+        self._witness.own_lease = self._lease if role_state.role is Role.PRIMARY else None
+
+
+_MEMBER_HANDLERS: dict[type, Handler] = {
+    messages.AppendRequest: Member.on_append_request,
+    messages.RangeDigests: Member.on_range_digests,
+    messages.RangesResponse: Member.on_ranges_response,
+    messages.SyncRequest: Member.on_sync_request,
+}
+_WITNESS_HANDLERS: dict[type, Handler] = {
+    messages.Accept: Witness.on_accept,
+    messages.Heartbeat: Witness.on_heartbeat,
+    messages.PreVoteRequest: Witness.on_pre_vote_request,
+    messages.Prepare: Witness.on_prepare,
+}
+_RECOVERY_HANDLERS: dict[type, Handler] = {
+    messages.RecoveryRequest: Recovery.on_request,
+    messages.RecoveryResponse: Recovery.on_response,
 }
--- a/crowwing/tier/store/item_leasing.py
+++ b/crowwing/tier/store/item_leasing.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from crowwing.tier.configuration import Configuration
-from crowwing.tier.replication.replica_state import Role
+from crowwing.tier.replication.core import Role
 from crowwing.tier.state.batch_jobs import BatchJob
 from crowwing.tier.state.events import BatchItem
 from crowwing.tier.store import commands
--- a/crowwing/tier/store/machine.py
+++ b/crowwing/tier/store/machine.py
@@ -11,7 +11,7 @@
 from crowwing.tier.distribution.relay import AttachRequest, DocumentPush, Relay, RootHeartbeat, ShuffleRequest
 from crowwing.tier.distribution.sampling import Peer
 from crowwing.tier.early import started_at
-from crowwing.tier.replication.replica_state import Role
+from crowwing.tier.replication.core import Role
 from crowwing.tier.settings import Settings
 from crowwing.tier.storage.record_file import StorageError
 from crowwing.tier.store import commands
--- a/crowwing/tier/store/node.py
+++ b/crowwing/tier/store/node.py
@@ -10,6 +10,7 @@
 
 from crowwing.tier.clock import SYSTEM_CLOCK, Clock
 from crowwing.tier.early import started_at
+from crowwing.tier.replication.core import Role
 from crowwing.tier.replication.messages import (
     AppendRequest,
     Message,
@@ -17,9 +18,9 @@
     RangesResponse,
     SyncRequest,
 )
+from crowwing.tier.replication.output import Output
 from crowwing.tier.replication.records import Record
-from crowwing.tier.replication.replica import Replica
-from crowwing.tier.replication.replica_state import Output, Role
+from crowwing.tier.replication.replica import Replica, ReplicaSettings
 from crowwing.tier.state.views import TierState
 from crowwing.tier.storage.record_file import StorageError
 from crowwing.tier.store import commands
@@ -72,7 +73,7 @@
         self.clock = clock
         self.state = TierState()
         now = self.clock.monotonic()
-        self.replica = Replica(me, seeds, self.state, faults, now, random.random, started)
+        self.replica = Replica(ReplicaSettings(me, seeds, faults), self.state, now, random.random, started)
         self._disk, self._connections = disk, connections
         self._urgent_connections = urgent_connections or connections
         self._pending: list[Pending] = []
--- a/crowwing/tier/store/service.py
+++ b/crowwing/tier/store/service.py
@@ -6,7 +6,7 @@
 
 from crowwing.tier.configuration import Configuration, parse_configuration
 from crowwing.tier.distribution.documents import CONFIGURATION, Document, Documents
-from crowwing.tier.replication.replica_state import Role
+from crowwing.tier.replication.core import Role
 from crowwing.tier.settings import MEGABYTE, Settings
 from crowwing.tier.state import events
 from crowwing.tier.state.views import TierState
--- a/tests/tier/exploration.py
+++ b/tests/tier/exploration.py
@@ -14,9 +14,10 @@
 from typing import Any
 
 from crowwing.tier.replication import messages
+from crowwing.tier.replication.core import Role
+from crowwing.tier.replication.output import Output
 from crowwing.tier.replication.records import Record
-from crowwing.tier.replication.replica import Replica
-from crowwing.tier.replication.replica_state import Output, Role
+from crowwing.tier.replication.replica import Replica, ReplicaSettings
 from crowwing.tier.replication.terms import Term
 
 HOSTS = ("a", "b", "c")
@@ -104,7 +105,7 @@
     """A primary with a lease, with one entry on its way."""
     state = State({}, [], START_S)
     for host in HOSTS:
-        replica = Replica(host, HOSTS, Ledger(), 1, START_S - 5, half)
+        replica = Replica(ReplicaSettings(host, HOSTS, 1), Ledger(), START_S - 5, half)
         replica.bootstrap(HOSTS)
         state.nodes[host] = Node(replica)
         collect(state, host)
@@ -162,7 +163,7 @@
     node.waiting = []
     if wiped:
         node.disk = []
-    node.replica = Replica(host, HOSTS, Ledger(), 1, state.now, half)
+    node.replica = Replica(ReplicaSettings(host, HOSTS, 1), Ledger(), state.now, half)
     if node.disk:
         node.replica.recover(node.disk)
     collect(state, host)
--- a/tests/tier/simulation/world.py
+++ b/tests/tier/simulation/world.py
@@ -8,8 +8,8 @@
 
 from crowwing.tier.distribution.documents import Document
 from crowwing.tier.replication import messages
+from crowwing.tier.replication.core import Role
 from crowwing.tier.replication.replica import Replica
-from crowwing.tier.replication.replica_state import Role
 from crowwing.tier.replication.terms import NO_TERM, Term
 from crowwing.tier.state import events
 from crowwing.tier.state.views import TierState
--- a/tests/tier/test_control_safety_steps.py
+++ b/tests/tier/test_control_safety_steps.py
@@ -3,9 +3,10 @@
 import pytest
 
 from crowwing.tier.replication import messages, timing
+from crowwing.tier.replication.campaign import Campaign, Phase
+from crowwing.tier.replication.candidate import Candidate
 from crowwing.tier.replication.records import AcceptedViewRecord, LogEntry, PromisedTermRecord
-from crowwing.tier.replication.replica import Replica
-from crowwing.tier.replication.replica_state import Campaign, Phase
+from crowwing.tier.replication.replica import Replica, ReplicaSettings
 from crowwing.tier.replication.terms import FIRST_TERM, LOG_START, NO_TERM, Term, View
 from crowwing.tier.state.views import TierState
 
@@ -14,7 +15,7 @@
 
 def replica_of(host: str) -> Replica:
     """One of three machines at their first start."""
-    replica = Replica(host, HOSTS, TierState(), 1, 0.0, lambda: 0.5)
+    replica = Replica(ReplicaSettings(host, HOSTS, 1), TierState(), 0.0, lambda: 0.5)
     replica.bootstrap(HOSTS)
     replica.take_output()
     return replica
@@ -29,7 +30,7 @@
 def primary_of_three(at: float) -> Replica:
     """Replica a as the primary of all three, with a lease from `at` on."""
     replica = replica_of("a")
-    replica.start_campaign(at)  # noqa: SLF001
+    replica.start_campaign(at)
     term = replica.promised
     first = View(FIRST_TERM, HOSTS, HOSTS)
     for host in HOSTS:
@@ -57,7 +58,7 @@
 
 def test_a_view_that_was_accepted_late_gives_no_lease_beyond_what_its_witnesses_vouch_for() -> None:
     replica = replica_of("a")
-    replica.start_campaign(10.0)  # noqa: SLF001
+    replica.start_campaign(10.0)
     term = replica.promised
     first = View(FIRST_TERM, HOSTS, HOSTS)
     for host in HOSTS:
@@ -73,7 +74,7 @@
 @pytest.mark.parametrize("late", [messages.Promise, messages.Accepted])
 def test_a_word_that_comes_after_the_limit_is_not_counted(late: type) -> None:
     replica = replica_of("a")
-    replica.start_campaign(10.0)  # noqa: SLF001
+    replica.start_campaign(10.0)
     term = replica.promised
     first = View(FIRST_TERM, HOSTS, HOSTS)
     at = 10.0 if late is messages.Accepted else 10.01 + timing.PREPARE_TIMEOUT_S
@@ -124,7 +125,7 @@
 
 
 def test_a_restarted_witness_promises_nobody_until_a_lease_it_may_have_vouched_for_has_ended() -> None:
-    witness = Replica("b", HOSTS, TierState(), 1, 10.0, lambda: 0.5)
+    witness = Replica(ReplicaSettings("b", HOSTS, 1), TierState(), 10.0, lambda: 0.5)
     witness.recover([PromisedTermRecord((5, "a")), AcceptedViewRecord(View((5, "a"), HOSTS, HOSTS))])
     witness.receive(10.1, messages.Prepare((6, "c"), "c", (5, "a")))
     assert not sent(witness, messages.Promise), "the released term may not be the one that it vouched for"
@@ -136,7 +137,7 @@
 
 def test_a_candidate_with_fewer_promises_than_a_majority_sends_nobody_its_data() -> None:
     replica = replica_of("a")
-    replica.start_campaign(10.0)  # noqa: SLF001
+    replica.start_campaign(10.0)
     first = View(FIRST_TERM, HOSTS, HOSTS)
     replica.receive(10.0, messages.Promise(replica.promised, "a", first, FIRST_TERM, LOG_START, 0.0))
     replica.tick(10.5)
@@ -149,7 +150,7 @@
 @pytest.mark.parametrize("members", [("b", "c"), HOSTS])
 def test_who_missed_the_last_view_or_its_data_does_not_lead(members: tuple[str, ...]) -> None:
     replica = replica_of("a")
-    replica.start_campaign(10.0, above=(5, "c"))  # noqa: SLF001
+    replica.start_campaign(10.0, above=(5, "c"))
     first, last = View(FIRST_TERM, HOSTS, HOSTS), View((5, "c"), members, HOSTS)
     replica.receive(10.0, messages.Promise(replica.promised, "a", first, FIRST_TERM, LOG_START, 0.0))
     replica.receive(10.0, messages.Promise(replica.promised, "b", last, (5, "c"), ((5, "c"), 1), 0.0))
@@ -160,7 +161,7 @@
 def test_a_member_without_the_views_data_acknowledges_no_entry() -> None:
     """It has lost its disk since it became a member, and has learned its term from the others."""
     term = (5, "a")
-    replica = Replica("b", HOSTS, TierState(), 1, 10.0, lambda: 0.5)
+    replica = Replica(ReplicaSettings("b", HOSTS, 1), TierState(), 10.0, lambda: 0.5)
     for host in ("a", "c"):
         replica.receive(12.0, messages.RecoveryResponse(host, term, View(term, HOSTS, HOSTS)))
     assert replica.promised == term
@@ -183,12 +184,13 @@
 def test_a_view_with_other_witnesses_needs_a_majority_of_the_old_ones_too() -> None:
     """Else b and c, which know nothing of it, could make another one of the old view's data."""
     replica = replica_of("a")
-    replica.start_campaign(10.0)  # noqa: SLF001
+    replica.start_campaign(10.0)
     term = replica.promised
     campaign = Campaign(Phase.ACCEPT, 10.0, NO_TERM)
     campaign.base = View(FIRST_TERM, HOSTS, HOSTS)
     campaign.view = View(term, ("a", "d"), ("a", "b", "d"))
-    replica._campaign = campaign  # noqa: SLF001
+    assert isinstance(replica.role_state, Candidate)
+    replica.role_state.campaign = campaign
     for host in ("a", "d"):
         replica.receive(10.1, messages.Accepted(term, host))
     assert replica.role.value == "candidate", "two of the new ones, and one of the old ones"
@@ -227,7 +229,7 @@
 
 
 def test_a_machine_without_memory_asks_only_once_no_candidate_counts_its_former_word() -> None:
-    replica = Replica("c", HOSTS, TierState(), 1, 10.0, lambda: 0.5)
+    replica = Replica(ReplicaSettings("c", HOSTS, 1), TierState(), 10.0, lambda: 0.5)
     replica.tick(10.0 + max(timing.PREPARE_TIMEOUT_S, timing.ACCEPT_TIMEOUT_S))
     assert not sent(replica, messages.RecoveryRequest)
     replica.tick(10.0 + timing.RECOVERY_DELAY_S)
@@ -235,7 +237,7 @@
 
 
 def test_a_machine_without_memory_asks_whoever_its_heartbeats_name() -> None:
-    replica = Replica("d", ("gone",), TierState(), 1, 10.0, lambda: 0.5)
+    replica = Replica(ReplicaSettings("d", ("gone",), 1), TierState(), 10.0, lambda: 0.5)
     replica.receive(10.1, messages.Heartbeat((5, "a"), "a", 1, View((5, "a"), HOSTS, HOSTS)))
     replica.tick(12.0)
     assert {to for to, _ in sent(replica, messages.RecoveryRequest)} == {"gone", *HOSTS}
--- a/tests/tier/test_disk_troubles.py
+++ b/tests/tier/test_disk_troubles.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from crowwing.tier.replication.replica_state import Role
+from crowwing.tier.replication.core import Role
 from crowwing.tier.storage.record_file import RecordFile, Replacement, StorageError
 from crowwing.tier.store import node as store_node
 from crowwing.tier.store.decisions import Decision
--- a/tests/tier/test_exploration.py
+++ b/tests/tier/test_exploration.py
@@ -14,6 +14,9 @@
     state = first_state()
     check(state)
     other = state.nodes["b"].replica
-    other.role, other.confirmed_at = state.nodes["a"].replica.role, state.now
+    view = state.nodes["a"].replica.view
+    assert view is not None
+    other.activate(state.now, view, requested_at=state.now)
+    assert other.holds_lease(state.now)
     with pytest.raises(Broken):
         check(state)
--- a/tests/tier/test_recorded_bytes.py
+++ b/tests/tier/test_recorded_bytes.py
@@ -10,7 +10,7 @@
 import crowwing.tier.front.main
 import crowwing.tier.operator_commands
 import crowwing.tier.store.main  # noqa: F401  these three register all messages
-from crowwing.tier.replication.replica import Replica
+from crowwing.tier.replication.replica import Replica, ReplicaSettings
 from crowwing.tier.state.views import TierState
 from crowwing.tier.storage.record_file import RecordFile, decode_records, encode_record
 from crowwing.tier.wire import codec
@@ -61,7 +61,7 @@
 def open_recorded(path: Path) -> tuple[Replica, TierState]:
     """The replica and the state that a file of records stands for."""
     state = TierState()
-    replica = Replica("m0", ("m0", "m1", "m2"), state, 1, 10.0, lambda: 0.5)
+    replica = Replica(ReplicaSettings("m0", ("m0", "m1", "m2"), 1), state, 10.0, lambda: 0.5)
     replica.recover([codec.decode(record) for record in RecordFile(path).open()])
     return replica, state
 
--- a/tests/tier/test_replication.py
+++ b/tests/tier/test_replication.py
@@ -6,7 +6,7 @@
 
 from crowwing.tier.replication import messages
 from crowwing.tier.replication.records import AcceptedViewRecord
-from crowwing.tier.replication.replica import Replica
+from crowwing.tier.replication.replica import Replica, ReplicaSettings
 from crowwing.tier.replication.terms import NO_TERM, View
 from crowwing.tier.state.views import TierState
 from tests.tier.simulation.world import World
@@ -180,7 +180,7 @@
 def test_a_machine_without_memory_is_bound_to_the_view_that_it_may_have_accepted() -> None:
     older = View((3, "a"), HOSTS, HOSTS)
     newer = View((5, "a"), ("a", "c"), HOSTS)
-    replica = Replica("c", HOSTS, TierState(), 1, 0.0, lambda: 0.5)
+    replica = Replica(ReplicaSettings("c", HOSTS, 1), TierState(), 0.0, lambda: 0.5)
     replica.receive(1.0, messages.RecoveryResponse("b", (9, "b"), older))
     replica.receive(1.0, messages.RecoveryResponse("a", (5, "a"), newer))
     replica.receive(2.0, messages.Prepare((10, "b"), "b", NO_TERM))
