--- a/tests/tier/exploration.py
+++ b/tests/tier/exploration.py
@@ -14,8 +14,11 @@
 from typing import Any
 
 from crowwing.tier.replication import messages
-from crowwing.tier.replication.replica import Replica
-from crowwing.tier.replication.replica_state import Output, Role
+from crowwing.tier.replication.core import Role
+from crowwing.tier.replication.output import Output
+from crowwing.tier.replication.records import Record
+from crowwing.tier.replication.replica import Replica, ReplicaSettings
+from crowwing.tier.replication.terms import Term
 
 HOSTS = ("a", "b", "c")
 SHORT_S, LONG_S = 0.2, 0.5  # under a lease, and over every wait of a follower
@@ -64,7 +67,7 @@
     """One replica, its disk, and what waits for it."""
 
     replica: Replica
-    disk: list[messages.Record] = field(default_factory=list)
+    disk: list[Record] = field(default_factory=list)
     waiting: list[Output] = field(default_factory=list)
 
 
@@ -75,7 +78,7 @@
     nodes: dict[str, Node]
     on_the_way: list[tuple[str, messages.Message]]
     now: float
-    committed: dict[int, messages.Term] = field(default_factory=dict)
+    committed: dict[int, Term] = field(default_factory=dict)
     crashes: int = 0
     wipes: int = 0
     handovers: int = 0
@@ -102,11 +105,11 @@
     """A primary with a lease, with one entry on its way."""
     state = State({}, [], START_S)
     for host in HOSTS:
-        replica = Replica(host, HOSTS, Ledger(), 1, START_S - 5, half)
+        replica = Replica(ReplicaSettings(host, HOSTS, 1), Ledger(), START_S - 5, half)
         replica.bootstrap(HOSTS)
         state.nodes[host] = Node(replica)
         collect(state, host)
-    state.nodes["a"].replica._start_campaign(state.now)
+    state.nodes["a"].replica.start_campaign(state.now)
     for _ in range(40):
         for host in HOSTS:
             collect(state, host)
@@ -160,7 +163,7 @@
     node.waiting = []
     if wiped:
         node.disk = []
-    node.replica = Replica(host, HOSTS, Ledger(), 1, state.now, half)
+    node.replica = Replica(ReplicaSettings(host, HOSTS, 1), Ledger(), state.now, half)
     if node.disk:
         node.replica.recover(node.disk)
     collect(state, host)
