--- a/crowwing/tier/front/batch_api.py
+++ b/crowwing/tier/front/batch_api.py
@@ -13,7 +13,7 @@
 from crowwing.tier.front.asgi import ClientRequest, refuse, respond, respond_json
 from crowwing.tier.front.store_client import StoreClient
 from crowwing.tier.state.events import BatchItem
-from crowwing.tier.store import commands
+from crowwing.tier.store import commands, outcomes
 
 log = logging.getLogger("crowwing.batch")
 
@@ -100,7 +100,7 @@
         command = commands.ReadBatchJob(job_id, int(start), wait_ms)
         limit_s = wait_ms / 1000 + READ_LIMIT_S
         outcome = await self._store.call(command, limit_s, answer_s=wait_ms / 1000 + 0.6)
-        if isinstance(outcome, commands.BatchJobPage):
+        if isinstance(outcome, outcomes.BatchJobPage):
             results = [{"id": x.item, "state": x.state, "text": x.text} for x in outcome.results]
             page = {"total": outcome.total, "nextToken": int(start) + len(results), "results": results}
             await respond_json(send, 200, page)
@@ -110,15 +110,15 @@
     @staticmethod
     async def _tell(outcome: object, send: Send, done: int) -> None:
         match outcome:
-            case commands.Done():
+            case outcomes.Done():
                 await respond_json(send, done, {})
-            case commands.ItemBody(body):
+            case outcomes.ItemBody(body):
                 await respond(send, 200, body, [(b"content-type", b"application/octet-stream")])
-            case commands.NotFound():
+            case outcomes.NotFound():
                 await respond_json(send, 404, {"error": "there is no such lot or item"})
-            case commands.Rejected(status, reason):
+            case outcomes.Rejected(status, reason):
                 await respond_json(send, status, {"error": reason}, [(b"retry-after", b"1")])
-            case commands.Indeterminate(reason):
+            case outcomes.Indeterminate(reason):
                 await respond_json(send, 504, {"error": reason})
             case _:
                 await refuse(send, "no store machine decides at this moment", COME_BACK_S)
--- a/crowwing/tier/front/batch_job_runner.py
+++ b/crowwing/tier/front/batch_job_runner.py
@@ -15,7 +15,7 @@
 from crowwing.tier.front.store_client import StoreClient
 from crowwing.tier.front.upstream import Headers, StreamBroken, read_body
 from crowwing.tier.state.events import COMPLETED, DEAD_LETTER, ItemResult
-from crowwing.tier.store import commands
+from crowwing.tier.store import commands, outcomes
 
 log = logging.getLogger("crowwing.lots")
 
@@ -73,7 +73,7 @@
             given_up = tuple(self._given_up)
             command = commands.LeaseItemsRequest(self._name, room, tuple(self._running), wait_ms, given_up)
             outcome = await self._store.call(command, 2.0, answer_s=1.2)
-            if not isinstance(outcome, commands.LeaseItemsResponse):
+            if not isinstance(outcome, outcomes.LeaseItemsResponse):
                 await asyncio.sleep(PAUSE_S)
                 continue
             self._given_up.difference_update(given_up)
@@ -107,7 +107,7 @@
         ]
         return max(0, max(rooms, default=0))
 
-    def _start(self, leased: commands.LeasedItem) -> None:
+    def _start(self, leased: outcomes.LeasedItem) -> None:
         key = (leased.job_id, leased.item.id)
         if key in self._running:
             return
@@ -123,7 +123,7 @@
         if not task.cancelled() and task.exception() is not None:
             log.error("item %s", key, exc_info=task.exception())
 
-    async def _run_item(self, leased: commands.LeasedItem) -> None:
+    async def _run_item(self, leased: outcomes.LeasedItem) -> None:
         table = self._pool.table
         route = table.find(leased.host, leased.item.path) if table is not None else None
         if route is None:
@@ -200,7 +200,7 @@
     async def _report(self, report: Report) -> None:
         for _ in range(8):
             outcome: Any = await self._store.call(report, REPORT_LIMIT_S)
-            if isinstance(outcome, commands.Done):
+            if isinstance(outcome, outcomes.Done):
                 return
         log.warning("the result of item %s could not be reported", report.item)
 
@@ -215,12 +215,12 @@
 class ItemRun:
     """An item on its way: the job, which knows its last event, and the data of all events so far."""
 
-    leased: commands.LeasedItem
+    leased: outcomes.LeasedItem
     job: Job
     data: list[str] = field(default_factory=list)
 
 
-def make_job(leased: commands.LeasedItem, route: Route, service: str) -> Job:
+def make_job(leased: outcomes.LeasedItem, route: Route, service: str) -> Job:
     """An item as a request for its sidecar."""
     item = leased.item
     headers: Headers = [
--- a/crowwing/tier/front/store_client.py
+++ b/crowwing/tier/front/store_client.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from crowwing.tier.clock import SYSTEM_CLOCK, Clock
-from crowwing.tier.store import commands
+from crowwing.tier.store import commands, outcomes
 from crowwing.tier.wire.connection import CallError, ConnectionPool
 
 log = logging.getLogger("crowwing.client")
@@ -53,18 +53,18 @@
                 self._forget(host)
                 await asyncio.sleep(min(left, PAUSE_S))
                 continue
-            if isinstance(outcome, commands.NotPrimary):
+            if isinstance(outcome, outcomes.NotPrimary):
                 self._forget(host)
                 if outcome.leader is not None and outcome.leader != host:
                     self._primary = outcome.leader
                 await asyncio.sleep(min(left, PAUSE_S))
-            elif isinstance(outcome, commands.Indeterminate):
+            elif isinstance(outcome, outcomes.Indeterminate):
                 unsure = True
                 self._forget(host)
                 await asyncio.sleep(min(left, PAUSE_S))
             else:
                 return outcome
-        return commands.Indeterminate("no clear answer in time") if unsure else commands.NotPrimary(None)
+        return outcomes.Indeterminate("no clear answer in time") if unsure else outcomes.NotPrimary(None)
 
     async def _call_until_moved(self, host: str, command: Any, limit_s: float) -> Any:  # noqa: ANN401
         call = asyncio.ensure_future(
--- a/crowwing/tier/operator_commands.py
+++ b/crowwing/tier/operator_commands.py
@@ -13,7 +13,8 @@
 
 from crowwing.tier.configuration import InvalidConfiguration, parse_configuration
 from crowwing.tier.settings import SettingsError, read_settings
-from crowwing.tier.store.commands import GetStatus, StoreStatus
+from crowwing.tier.store.commands import GetStatus
+from crowwing.tier.store.outcomes import StoreStatus
 from crowwing.tier.wire.connection import CallError, ConnectionPool
 
 DONE, FAILED, WRONG_USE = 0, 1, 2
--- a/crowwing/tier/state/__init__.py
+++ b/crowwing/tier/state/__init__.py
@@ -1,1 +1,1 @@
-"""The state that the store machines keep: events in order, and the views folded from them."""
+"""The replicated state machine: events in the order of the log, and the state folded from them."""
--- a/crowwing/tier/state/batch_jobs.py
+++ b/crowwing/tier/state/batch_jobs.py
@@ -1,27 +1,43 @@
-"""A lot as it is kept, and its plain form for snapshots and repairs."""
+"""A batch job as the state holds it, and its plain form for snapshots and repair."""
 
 from dataclasses import dataclass, field
 from typing import Any
 
 from crowwing.tier.state import events
 
-ENTRY_BYTES = 64  # about what an item or a result takes beside its texts
+ENTRY_BYTES = 64  # estimated overhead of an item or a result, beside its texts
 
 
 def item_bytes(item: events.BatchItem) -> int:
-    """About what an item takes on disk and in memory."""
+    """The estimated size of an item on disk and in memory, in bytes."""
     headers = sum(len(name) + len(value) for name, value in item.headers)
     return ENTRY_BYTES + len(item.body) + len(item.path) + headers
 
 
 def result_bytes(result: events.ItemResult) -> int:
-    """About what a result takes on disk and in memory."""
+    """The estimated size of a result on disk and in memory, in bytes."""
     return ENTRY_BYTES + len(result.text)
 
 
 @dataclass
 class BatchJob:
-    """One lot: what was handed in, what has a result, and in which order."""
+    """One batch job: its open items, and its results in the order of their positions.
+
+    Owned by `TierState`, which alone changes it.
+
+    Attributes:
+        id: The job's name, unique among all jobs.
+        host: The host that it was submitted to; with `path` it names the route.
+        path: The path that it was submitted to.
+        at_ms: When the primary accepted it, by its time of day in milliseconds.
+        total: How many items were submitted.
+        open_items: The items without a result, by id, in the order of submission.
+        results: The final results; the index of one is its position, which never changes.
+        failures: The attempts at open items that ended with a 500, by item. Attempts have names, so that one
+            that is reported twice counts once.
+        ended: Whether the client ended the job.
+        digest: A digest of all events that the job went through, in their order; replicas compare it.
+    """
 
     id: str
     host: str
@@ -30,23 +46,23 @@
     total: int
     open_items: dict[str, events.BatchItem] = field(default_factory=dict)
     results: list[events.ItemResult] = field(default_factory=list)
-    failures: dict[str, list[str]] = field(default_factory=dict)  # attempts that ended with a 500, by item
+    failures: dict[str, list[str]] = field(default_factory=dict)
     ended: bool = False
-    digest: bytes = b""  # of all events that it went through, in their order
+    digest: bytes = b""
 
     @property
     def done(self) -> bool:
-        """Whether nothing of it is left to run."""
+        """Whether no item is left to run."""
         return self.ended or not self.open_items
 
     @property
     def stored_bytes(self) -> int:
-        """About what it takes on disk and in memory."""
+        """The estimated size of the job on disk and in memory, in bytes."""
         items = sum(item_bytes(item) for item in self.open_items.values())
         return items + sum(result_bytes(result) for result in self.results)
 
     def to_plain(self) -> tuple[Any, ...]:
-        """Its fields as they are now, to be encoded."""
+        """The fields as they are now, in the order that is encoded; the order is a stored form and stays."""
         return (
             self.id,
             self.host,
@@ -62,7 +78,7 @@
 
     @classmethod
     def from_plain(cls, plain: tuple[Any, ...]) -> "BatchJob":
-        """The lot that `to_plain` gave the fields of."""
+        """The job whose fields `to_plain` gave."""
         job_id, host, path, at_ms, total, items, results, failures, ended, digest = plain
         open_items = {item.id: item for item in items}
         results = list(results)
--- a/crowwing/tier/state/events.py
+++ b/crowwing/tier/state/events.py
@@ -1,16 +1,21 @@
-"""Everything that can happen to the state. Each event is one entry of the replicated log."""
+"""The events of the replicated log; each changes the state once, in the order of the log.
+
+The wire names and the order of the fields are a stored form and stay (`crowwing/tier/wire/codec.py`).
+"""
 
 from dataclasses import dataclass
 
 from crowwing.tier.wire.codec import message
 
-COMPLETED, DEAD_LETTER = "completed", "dead_letter"
+# States of an item's result, as the batch interface names them.
+COMPLETED = "completed"
+DEAD_LETTER = "dead_letter"
 
 
 @message("ConfigurationTaken")
 @dataclass(frozen=True)
 class ConfigurationAccepted:
-    """A configuration is in force from now on. `base` is the version that it was built on."""
+    """A configuration is in force from now on; `base` is the version that it was built on."""
 
     version: int
     base: int
@@ -20,7 +25,7 @@
 @message("Item")
 @dataclass(frozen=True)
 class BatchItem:
-    """One item of a lot as it was handed in. `headers` are names and values in order."""
+    """One item of a batch job as it was submitted; `headers` are names and values in order."""
 
     id: str
     path: str
@@ -32,7 +37,7 @@
 @message("Result")
 @dataclass(frozen=True)
 class ItemResult:
-    """The final result of an item."""
+    """The final result of an item; `state` is COMPLETED or DEAD_LETTER."""
 
     item: str
     state: str
@@ -42,7 +47,7 @@
 @message("LotTaken")
 @dataclass(frozen=True)
 class BatchJobAccepted:
-    """A lot is this system's to keep. `at_ms` is the time of day at the primary."""
+    """A batch job was accepted; `at_ms` is the time of day at the primary, in milliseconds."""
 
     job_id: str
     host: str
@@ -54,7 +59,7 @@
 @message("ItemsEnded")
 @dataclass(frozen=True)
 class ItemsCompleted:
-    """Results take the next positions of their lot, in this order."""
+    """Results get the next positions of their job, in this order."""
 
     job_id: str
     results: tuple[ItemResult, ...]
@@ -63,7 +68,7 @@
 @message("AttemptFailed")
 @dataclass(frozen=True)
 class AttemptFailed:
-    """A sidecar answered 500 to an attempt at an item."""
+    """An attempt at an item ended with a 500 of the sidecar; `attempt` is its name."""
 
     job_id: str
     item: str
@@ -73,7 +78,7 @@
 @message("LotEnded")
 @dataclass(frozen=True)
 class BatchJobEnded:
-    """The client wants no more of a lot."""
+    """The client ended a job: its open items are not run any more."""
 
     job_id: str
 
@@ -81,7 +86,7 @@
 @message("LotDropped")
 @dataclass(frozen=True)
 class BatchJobRemoved:
-    """Nobody may ask for a lot any more."""
+    """A job's retention time is over."""
 
     job_id: str
 
@@ -89,7 +94,7 @@
 @message("StoreSeen")
 @dataclass(frozen=True)
 class StoreRegistered:
-    """A store machine has its data under this name and address."""
+    """A store machine has its data under this name, at this address."""
 
     node: str
     host: str
@@ -98,7 +103,7 @@
 @message("RetireAsked")
 @dataclass(frozen=True)
 class RetireRequested:
-    """A store machine is to be emptied."""
+    """A store machine is to be decommissioned."""
 
     node: str
 
--- a/crowwing/tier/state/views.py
+++ b/crowwing/tier/state/tier_state.py
@@ -1,4 +1,4 @@
-"""The views that are folded from the events."""
+"""The state that is folded from the events of the log; equal logs give equal states."""
 
 from collections.abc import Iterator, Mapping
 from typing import Any
@@ -11,50 +11,69 @@
 
 
 class TierState:
-    """The folded state. It is changed by `apply` and `load` alone."""
+    """The configuration, the batch jobs and the store machines.
+
+    The replica owns it and changes it by `apply` and `replace_ranges` alone; everything else reads it. For
+    repair it is divided in ranges: jobs by the hash of their id, and one common range for the rest.
+
+    Attributes:
+        version: The version of the configuration, 0 without one.
+        configuration: The newest configuration as it was submitted.
+        changes: Which changes of the configuration were accepted.
+        jobs: The batch jobs by id, in the order in which they were accepted.
+        stores: The addresses of the store machines by name.
+        retired: The names of the store machines that are to be decommissioned.
+        stored_bytes: The estimated size of all jobs on disk.
+    """
 
     def __init__(self) -> None:
+        """The empty state."""
         self.version = 0
         self.changes = AcceptedChanges()
         self.configuration: bytes | None = None
         self.jobs: dict[str, BatchJob] = {}
-        self.stores: dict[str, str] = {}  # name to address
-        self.retired: set[str] = set()  # names
-        self.stored_bytes = 0  # about what all of it takes
+        self.stores: dict[str, str] = {}
+        self.retired: set[str] = set()
+        self.stored_bytes = 0
 
     def apply(self, payload: bytes, index: int) -> None:
-        """Folds in the event with this place in the log."""
+        """Folds in the event that is encoded in an entry of the log; raises MessageError.
+
+        `index` is the entry's position, which the replica's protocol hands over; this state does not need it.
+        """
+        del index
         event = decode(payload)
         self.fold(event)
         job = self.jobs.get(getattr(event, "job_id", ""))
         if job is not None:
             job.digest = digest_of((job.digest, payload))
 
-    def fold(self, event: Any) -> None:  # noqa: ANN401
+    def fold(self, event: events.Event) -> None:
         """Folds one event in."""
         match event:
             case events.ConfigurationAccepted(version, base, text):
-                self.version, self.configuration = version, text
+                self.version = version
+                self.configuration = text
                 self.changes.add(version, base, text)
             case events.BatchJobAccepted(job_id, host, path, items, at_ms):
                 self._add_job(
                     BatchJob(job_id, host, path, at_ms, len(items), {item.id: item for item in items})
                 )
             case events.ItemsCompleted(job_id, results):
-                self._end_items(self.jobs[job_id], results)
+                self._complete_items(self.jobs[job_id], results)
             case events.AttemptFailed(job_id, item, attempt):
                 self.jobs[job_id].failures.setdefault(item, []).append(attempt)
             case events.BatchJobEnded(job_id):
                 self._end_job(self.jobs[job_id])
             case events.BatchJobRemoved(job_id):
-                self._drop_job(job_id)
+                self._remove_job(job_id)
             case events.StoreRegistered(node, host):
                 self._add_store(node, host)
             case events.RetireRequested(node):
                 self.retired.add(node)
 
     def _add_store(self, node: str, host: str) -> None:
-        """A name has one address, and an address one name: a later machine may be given an earlier one's."""
+        """Registers a store machine; an address has one name: a later machine may get an earlier one's."""
         self.stores = {name: other for name, other in self.stores.items() if other != host}
         self.stores[node] = host
 
@@ -62,7 +81,7 @@
         self.jobs[job.id] = job
         self.stored_bytes += job.stored_bytes
 
-    def _end_items(self, job: BatchJob, results: tuple[events.ItemResult, ...]) -> None:
+    def _complete_items(self, job: BatchJob, results: tuple[events.ItemResult, ...]) -> None:
         for result in results:
             item = job.open_items.pop(result.item, None)
             if item is not None:
@@ -75,25 +94,26 @@
         job.ended = True
         job.open_items.clear()
 
-    def _drop_job(self, job_id: str) -> None:
+    def _remove_job(self, job_id: str) -> None:
         job = self.jobs.pop(job_id, None)
         if job is not None:
             self.stored_bytes -= job.stored_bytes
 
     def retired_hosts(self) -> frozenset[str]:
-        """The addresses of the machines that are to be emptied."""
+        """The addresses of the store machines that are to be decommissioned."""
         return frozenset(self.stores[node] for node in self.retired if node in self.stores)
 
     def _common(self) -> tuple[Any, ...]:
-        """What belongs to no lot, equal where it is the same."""
+        """The content of the common range; equal states give equal content, so the names are sorted."""
         stores = sorted(self.stores.items())
         changes = self.changes.to_plain()
         return (self.version, changes, self.configuration, stores, sorted(self.retired))
 
-    def _take_common(self, common: tuple[Any, ...]) -> None:
+    def _load_common(self, common: tuple[Any, ...]) -> None:
         self.version, changes, self.configuration, stores, retired = common
         self.changes = AcceptedChanges.from_plain(changes)
-        self.stores, self.retired = dict(stores), set(retired)
+        self.stores = dict(stores)
+        self.retired = set(retired)
 
     # Ranges
 
@@ -104,15 +124,18 @@
         return COMMON_RANGE if job_id is None else range_of_key(job_id)
 
     def digests(self) -> tuple[bytes, ...]:
-        """A digest of each range."""
+        """A digest of each range, in the order of their numbers; replicas compare them for repair."""
         jobs: list[list[bytes]] = [[] for _ in range(RANGES)]
         for job in self.jobs.values():
             jobs[range_of_key(job.id)].append(job.id.encode() + job.digest)
         jobs[COMMON_RANGE] = [encode(self._common())]
-        return tuple(digest_of(sorted(parts)) for parts in jobs)
+        return tuple(digest_of(sorted(digests)) for digests in jobs)
 
     def freeze(self) -> Iterator[tuple[int, bytes]]:
-        """All ranges that are not empty with their content as it is now, encoded when iterated."""
+        """A snapshot of all ranges that are not empty, as they are now; encoded while it is iterated.
+
+        The disk's thread iterates it while the state goes on changing, so nothing mutable is shared.
+        """
         jobs: dict[int, list[tuple[Any, ...]]] = {}
         for job in self.jobs.values():
             jobs.setdefault(range_of_key(job.id), []).append(job.to_plain())
@@ -120,7 +143,7 @@
         return ((number, encode(content)) for number, content in contents.items())
 
     def dump_range(self, number: int) -> bytes:
-        """The content of one range."""
+        """The encoded content of one range."""
         if number == COMMON_RANGE:
             return encode(self._common())
         return encode([job.to_plain() for job in self._jobs_in(number)])
@@ -129,12 +152,12 @@
         return [job for job in self.jobs.values() if range_of_key(job.id) == number]
 
     def replace_ranges(self, contents: Mapping[int, bytes]) -> None:
-        """Replaces the content of some ranges by dumped ones."""
+        """Replaces the content of some ranges by what `dump_range` gave at another replica."""
         for number, content in contents.items():
             if number == COMMON_RANGE:
-                self._take_common(decode(content))
+                self._load_common(decode(content))
                 continue
             for job in self._jobs_in(number):
-                self._drop_job(job.id)
+                self._remove_job(job.id)
             for plain in decode(content):
                 self._add_job(BatchJob.from_plain(plain))
--- a/crowwing/tier/store/__init__.py
+++ b/crowwing/tier/store/__init__.py
@@ -1,3 +1,1 @@
-"""The store role: the replicated state, the operator's API, the leases of items, the reader of the platform's
-list.
-"""
+"""The store role: replicated state, commands, the operator's API, leases of items, the platform's list."""
--- a/crowwing/tier/store/commands.py
+++ b/crowwing/tier/store/commands.py
@@ -1,7 +1,11 @@
-"""What fronts and the operator's API ask of the primary, and the tagged outcomes."""
+"""The commands that fronts, store machines and the operator's API send to the primary.
+
+Each is answered with an outcome (`outcomes.py`). The wire names and the order of the fields are the form that
+other versions read, and stay.
+"""
 
 from dataclasses import dataclass
-from typing import Any
+from typing import get_args
 
 from crowwing.tier.state.events import BatchItem, ItemResult
 from crowwing.tier.wire.codec import message
@@ -10,7 +14,7 @@
 @message("PutConfiguration")
 @dataclass(frozen=True)
 class PutConfiguration:
-    """Takes a configuration that was built on `base`."""
+    """Replaces the configuration of version `base` by this one."""
 
     base: int
     text: bytes
@@ -25,7 +29,7 @@
 @message("SubmitLot")
 @dataclass(frozen=True)
 class SubmitBatchJob:
-    """Hands a lot in."""
+    """Submits a batch job; idempotent by `job_id`."""
 
     job_id: str
     host: str
@@ -36,7 +40,7 @@
 @message("ReadLot")
 @dataclass(frozen=True)
 class ReadBatchJob:
-    """Reads results from a position on, waiting up to `wait_ms` for the first."""
+    """Reads a job's results from position `start` on, and waits up to `wait_ms` for the first of them."""
 
     job_id: str
     start: int
@@ -55,7 +59,7 @@
 @message("EndLot")
 @dataclass(frozen=True)
 class EndBatchJob:
-    """Ends a lot."""
+    """Ends a batch job: its open items are not run any more."""
 
     job_id: str
 
@@ -63,7 +67,7 @@
 @message("Retire")
 @dataclass(frozen=True)
 class RetireStore:
-    """Asks that a store machine be emptied."""
+    """Asks for the decommissioning of the store machine with this name."""
 
     node: str
 
@@ -71,7 +75,7 @@
 @message("ReadRetire")
 @dataclass(frozen=True)
 class ReadRetirement:
-    """Asks how far that is."""
+    """Reads how far the decommissioning of a store machine is."""
 
     node: str
 
@@ -79,10 +83,18 @@
 @message("LeaseItems")
 @dataclass(frozen=True)
 class LeaseItemsRequest:
-    """A front asks for items to run, and tells which ones (lot, item) it still runs and has given up."""
+    """A front renews its leases, gives some up, and asks for up to `max_items` more.
+
+    Attributes:
+        front: The front's name, unique among the incarnations of all fronts.
+        max_items: How many items it can start now.
+        running: The job and the item of each lease to be renewed.
+        wait_ms: How long to wait for items where there are none.
+        given_up: The job and the item of each lease that ended without a result.
+    """
 
     front: str
-    most: int
+    max_items: int
     running: tuple[tuple[str, str], ...]
     wait_ms: int
     given_up: tuple[tuple[str, str], ...] = ()
@@ -91,7 +103,7 @@
 @message("ReportItem")
 @dataclass(frozen=True)
 class ReportItemResult:
-    """An item has its result."""
+    """Reports the final result of an item."""
 
     job_id: str
     item: str
@@ -101,7 +113,7 @@
 @message("ReportFailure")
 @dataclass(frozen=True)
 class ReportItemFailure:
-    """An attempt at an item ended with a 500. `attempt` names it, so that a report sent again counts once."""
+    """Reports an attempt at an item that ended with a 500; it has a name, so that a retry counts once."""
 
     job_id: str
     item: str
@@ -111,133 +123,29 @@
 @message("ShowStatus")
 @dataclass(frozen=True)
 class GetStatus:
-    """Asks a store machine for its role, view and numbers."""
-
-
-# Outcomes.
-
-
-@message("NotPrimary")
-@dataclass(frozen=True)
-class NotPrimary:
-    """Another store machine decides, as far as this one knows."""
-
-    leader: str | None
-
-
-@message("Unsure")
-@dataclass(frozen=True)
-class Indeterminate:
-    """Whether it was done is not known; it may be asked again."""
-
-    reason: str
-
-
-@message("Done")
-@dataclass(frozen=True)
-class Done:
-    """It is done and kept."""
-
-
-@message("Missing")
-@dataclass(frozen=True)
-class NotFound:
-    """There is no such thing, for certain."""
-
-
-@message("Rejected")
-@dataclass(frozen=True)
-class Rejected:
-    """It can't be taken: `status` is the HTTP status that says so."""
-
-    status: int
-    reason: str
-
-
-@message("CurrentConfiguration")
-@dataclass(frozen=True)
-class CurrentConfiguration:
-    """The newest configuration."""
-
-    version: int
-    text: bytes
-
-
-@message("LotPage")
-@dataclass(frozen=True)
-class BatchJobPage:
-    """Results of a lot from the position asked for."""
-
-    total: int
-    results: tuple[ItemResult, ...]
-
-
-@message("ItemBody")
-@dataclass(frozen=True)
-class ItemBody:
-    """The body of an item."""
-
-    body: bytes
-
-
-@message("RetireState")
-@dataclass(frozen=True)
-class RetirementStatus:
-    """How far the emptying of a machine is."""
-
-    completed: bool
-
-
-@message("LeasedItem")
-@dataclass(frozen=True)
-class LeasedItem:
-    """An item to run, with the host of its lot and what is left until its lot is due."""
-
-    job_id: str
-    host: str
-    item: BatchItem
-    age_ms: int
-
-
-@message("ItemsLeased")
-@dataclass(frozen=True)
-class LeaseItemsResponse:
-    """Items to run, and those among the running ones that are wanted no more."""
-
-    items: tuple[LeasedItem, ...]
-    stop: tuple[tuple[str, str], ...]
-
-
-@message("Status")
-@dataclass(frozen=True)
-class StoreStatus:
-    """A store machine's role, view and numbers."""
-
-    node: str
-    role: str
-    term: tuple[int, str]
-    members: tuple[str, ...]
-    witnesses: tuple[str, ...]
-    index: int
-    commit: int
-    version: int
-    jobs: int
-    open_items: int
-    stores: dict[str, str]
+    """Reads the role, the view and the counts of the store machine that receives it."""
 
 
 @message("Announce")
 @dataclass(frozen=True)
 class RegisterStore:
-    """A store machine tells its name and address."""
+    """Registers the name and the address of a store machine."""
 
     node: str
     host: str
 
 
+ConfigurationCommand = PutConfiguration | GetConfiguration
+BatchJobCommand = SubmitBatchJob | ReadBatchJob | ReadItemBody | EndBatchJob
+ItemCommand = LeaseItemsRequest | ReportItemResult | ReportItemFailure
+StoreCommand = RetireStore | ReadRetirement | RegisterStore | GetStatus
+Command = ConfigurationCommand | BatchJobCommand | ItemCommand | StoreCommand
+COMMAND_TYPES: tuple[type[Command], ...] = get_args(Command)
+
+
 @message("Forwarded")
 @dataclass(frozen=True)
 class ForwardedCommand:
-    """A command that another store machine passes on to the primary; it is not passed on again."""
+    """A command that another store machine or a front forwards to the primary; not forwarded once more."""
 
-    command: Any
+    command: Command
--- a/crowwing/tier/store/control_api.py
+++ b/crowwing/tier/store/control_api.py
@@ -1,81 +1,89 @@
-"""The operator's API over HTTP: configurations, and store machines that are to be emptied."""
+"""The operator's API over HTTP: the configuration, and the decommissioning of store machines."""
 
 import json
+from collections.abc import Mapping
 from typing import Any
 
 from litestar import Litestar, Request, Response, get, post, put
 from litestar.datastructures import State
 
-from crowwing.tier.store import commands
+from crowwing.tier.store import commands, outcomes
 from crowwing.tier.store.service import StoreService
 
 JSON = "application/json"
 RETRY_AFTER = {"Retry-After": "0.3"}
+MAX_REQUEST_BODY_BYTES = 64 * 1024 * 1024
 
 
-def json_answer(status: int, value: dict[str, Any]) -> Response[bytes]:
-    """An answer in JSON."""
+def json_response(status: int, body: Mapping[str, str]) -> Response[bytes]:
+    """A response in JSON; a 503 says when to come back."""
     headers = RETRY_AFTER if status == 503 else {}
-    return Response(json.dumps(value).encode(), status_code=status, media_type=JSON, headers=headers)
+    return Response(json.dumps(body).encode(), status_code=status, media_type=JSON, headers=headers)
 
 
-def outcome_answer(outcome: Any) -> Response[bytes]:  # noqa: ANN401
-    """The HTTP answer that tells an outcome."""
+def error_response(status: int, reason: str) -> Response[bytes]:
+    """A response that says why a command had no success."""
+    return json_response(status, {"error": reason})
+
+
+def outcome_response(outcome: outcomes.Outcome) -> Response[bytes]:
+    """The HTTP response for the outcome of a command."""
     match outcome:
-        case commands.Done():
-            return json_answer(200, {})
-        case commands.NotFound():
-            return json_answer(404, {"error": "there is no such thing"})
-        case commands.Rejected(status, reason):
-            return json_answer(status, {"error": reason})
-        case commands.CurrentConfiguration(_, text):
-            return Response(text, status_code=200, media_type=JSON)
-        case commands.RetirementStatus(completed):
-            return json_answer(200, {"state": "completed" if completed else "running"})
-        case commands.Indeterminate(reason):
-            return json_answer(504, {"error": reason})
-    return json_answer(503, {"error": "no store machine decides at this moment; ask again"})
-
-
-def get_outcome_answer(outcome: Any) -> Response[bytes]:  # noqa: ANN401
-    """The same for a reading of the configuration: one that can't be sure of the newest says 503."""
-    if isinstance(outcome, commands.Indeterminate):
-        return json_answer(503, {"error": outcome.reason})
-    return outcome_answer(outcome)
+        case outcomes.Done():
+            response = json_response(200, {})
+        case outcomes.NotFound():
+            response = error_response(404, "there is no such thing")
+        case outcomes.Rejected(status, reason):
+            response = error_response(status, reason)
+        case outcomes.CurrentConfiguration(_, text):
+            response = Response(text, status_code=200, media_type=JSON)
+        case outcomes.RetirementStatus(completed):
+            response = json_response(200, {"state": "completed" if completed else "running"})
+        case outcomes.Indeterminate(reason):
+            response = error_response(504, reason)
+        case _:
+            response = error_response(503, "no store machine decides at this moment; ask again")
+    return response
+
+
+def read_outcome_response(outcome: outcomes.Outcome) -> Response[bytes]:
+    """The same for a read of the configuration: one that may be stale is a 503, since it changed nothing."""
+    if isinstance(outcome, outcomes.Indeterminate):
+        return error_response(503, outcome.reason)
+    return outcome_response(outcome)
 
 
 @put("/config", status_code=200)
 async def put_config(request: Request[Any, Any, State], state: State) -> Response[bytes]:
-    """Takes a whole configuration."""
+    """Replaces the configuration of the version in `If-Match` by the one in the body."""
     try:
         base = int(request.headers.get("if-match", ""))
     except ValueError:
-        return json_answer(
-            400, {"error": "If-Match: must be the version that this one builds on, 0 at first"}
-        )
+        return error_response(400, "If-Match: must be the version that this one builds on, 0 at first")
     service: StoreService = state.service
-    return outcome_answer(await service.command(commands.PutConfiguration(base, await request.body())))
+    command = commands.PutConfiguration(base, await request.body())
+    return outcome_response(await service.execute(command))
 
 
 @get("/config")
 async def get_config(state: State) -> Response[bytes]:
-    """The newest configuration, whole."""
+    """The newest configuration, complete."""
     service: StoreService = state.service
-    return get_outcome_answer(await service.command(commands.GetConfiguration()))
+    return read_outcome_response(await service.execute(commands.GetConfiguration()))
 
 
 @post("/retire/{node:str}", status_code=200)
 async def post_retire(node: str, state: State) -> Response[bytes]:
-    """Asks that a store machine be emptied."""
+    """Starts the decommissioning of a store machine."""
     service: StoreService = state.service
-    return outcome_answer(await service.command(commands.RetireStore(node)))
+    return outcome_response(await service.execute(commands.RetireStore(node)))
 
 
 @get("/retire/{node:str}")
 async def get_retire(node: str, state: State) -> Response[bytes]:
-    """Tells how far that is."""
+    """How far the decommissioning of a store machine is."""
     service: StoreService = state.service
-    return outcome_answer(await service.command(commands.ReadRetirement(node)))
+    return outcome_response(await service.execute(commands.ReadRetirement(node)))
 
 
 def make_app(service: StoreService) -> Litestar:
@@ -85,5 +93,5 @@
         state=State({"service": service}),
         openapi_config=None,
         logging_config=None,
-        request_max_body_size=64 * 1024 * 1024,
+        request_max_body_size=MAX_REQUEST_BODY_BYTES,
     )
--- a/crowwing/tier/store/decisions.py
+++ b/crowwing/tier/store/decisions.py
@@ -1,136 +1,227 @@
-"""What the primary answers to a command, and which events that makes. Pure."""
+"""Pure functions from the state and a command to the events and the outcome that the primary decides on.
+
+The node (`node.py`) proposes the events and holds the outcome back until they are committed.
+"""
 
 from collections.abc import Collection
 from dataclasses import dataclass
-from typing import Any
 
 from crowwing.tier.configuration import Configuration, InvalidConfiguration, RoutingTable, parse_configuration
 from crowwing.tier.state import events
-from crowwing.tier.state.views import TierState
-from crowwing.tier.store import commands
+from crowwing.tier.state.batch_jobs import BatchJob
+from crowwing.tier.state.tier_state import TierState
+from crowwing.tier.store import commands, outcomes
 
-MOST_PAGE_BYTES = 900_000
-DISK_SHARE = 0.7  # of the disk, beyond which no further lots are taken
+MAX_PAGE_BYTES = 900_000  # of the results in one page
+RESULT_OVERHEAD_BYTES = 64  # of a result in a page, beside its texts
+UNBOUNDED_ATTEMPTS = 1_000_000  # where no route gives a bound
+MAX_WAIT_MARGIN_S = 5.0  # beyond a route's maxWaitS, for clocks that differ
 
 
 @dataclass(frozen=True)
 class Decision:
-    """The events that a command makes, and its outcome once they are kept."""
+    """The events that a command makes, and its outcome once they are committed."""
+
+    events: tuple[events.Event, ...]
+    outcome: outcomes.Outcome
+
 
-    events: tuple[Any, ...]
-    outcome: Any
+DONE = Decision((), outcomes.Done())
+NOT_FOUND = Decision((), outcomes.NotFound())
+
+
+def _rejected(status: int, reason: str) -> Decision:
+    return Decision((), outcomes.Rejected(status, reason))
 
 
 def put_configuration(state: TierState, command: commands.PutConfiguration) -> Decision:
-    """Takes a valid configuration that was built on the newest one; one that was taken is never refused."""
-    if state.changes.has_taken(command.base, command.text):
-        return Decision((), commands.Done())  # the same change again
+    """Accepts a valid configuration that was built on the newest one.
+
+    A change that was accepted before is acknowledged again, never rejected: the first response may have been
+    lost. Where it is too old to know, the outcome is indeterminate.
+    """
+    if state.changes.has_accepted(command.base, command.text):
+        return DONE
     parsed = parse_configuration(command.text)
     if isinstance(parsed, InvalidConfiguration):
-        return Decision((), commands.Rejected(400, f"{parsed.place}: {parsed.reason}"))
+        return _rejected(400, f"{parsed.place}: {parsed.reason}")
     if parsed.version <= state.changes.forgotten:
-        return Decision(
-            (), commands.Indeterminate(f"version {parsed.version} is too old to tell whether it was taken")
-        )
+        reason = f"version {parsed.version} is too old to tell whether it was taken"
+        return Decision((), outcomes.Indeterminate(reason))
     if command.base != state.version:
-        return Decision(
-            (), commands.Rejected(412, f"version {state.version} is in place; read it and build on it")
-        )
+        return _rejected(412, f"version {state.version} is in place; read it and build on it")
     if parsed.version <= state.version:
-        return Decision((), commands.Rejected(400, f"version: must be above {state.version}"))
-    return Decision(
-        (events.ConfigurationAccepted(parsed.version, command.base, command.text),), commands.Done()
-    )
+        return _rejected(400, f"version: must be above {state.version}")
+    accepted = events.ConfigurationAccepted(parsed.version, command.base, command.text)
+    return Decision((accepted,), outcomes.Done())
 
 
 def get_configuration(state: TierState) -> Decision:
     """The newest configuration."""
     if state.configuration is None:
-        return Decision((), commands.NotFound())
-    return Decision((), commands.CurrentConfiguration(state.version, state.configuration))
+        return NOT_FOUND
+    return Decision((), outcomes.CurrentConfiguration(state.version, state.configuration))
 
 
 def submit_batch_job(
-    state: TierState, command: commands.SubmitBatchJob, now_ms: int, disk_left: bool
+    state: TierState, command: commands.SubmitBatchJob, now_ms: int, has_disk_capacity: bool
 ) -> Decision:
-    """Takes a lot once."""
+    """Accepts a batch job, once for each id.
+
+    Args:
+        state: The state that the decision is made on.
+        command: The job.
+        now_ms: The primary's time of day, in milliseconds.
+        has_disk_capacity: Whether the primary's disk may get further jobs.
+    """
     if command.job_id in state.jobs:
-        return Decision((), commands.Done())
-    if not disk_left:
-        return Decision((), commands.Rejected(503, "the disk is nearly full"))
-    taken = events.BatchJobAccepted(command.job_id, command.host, command.path, command.items, now_ms)
-    return Decision((taken,), commands.Done())
+        return DONE
+    if not has_disk_capacity:
+        return _rejected(503, "the disk is nearly full")
+    accepted = events.BatchJobAccepted(command.job_id, command.host, command.path, command.items, now_ms)
+    return Decision((accepted,), outcomes.Done())
 
 
 def read_batch_job(state: TierState, command: commands.ReadBatchJob) -> Decision:
-    """Results from a position on, as many as fit in one answer."""
+    """Results from a position on, as many as fit in MAX_PAGE_BYTES, but one at least."""
     job = state.jobs.get(command.job_id)
     if job is None:
-        return Decision((), commands.NotFound())
+        return NOT_FOUND
     page: list[events.ItemResult] = []
-    size = 0
+    page_bytes = 0
     for result in job.results[max(0, command.start) :]:
-        size += len(result.text) + len(result.item) + 64
-        if page and size > MOST_PAGE_BYTES:
+        page_bytes += len(result.text) + len(result.item) + RESULT_OVERHEAD_BYTES
+        if page and page_bytes > MAX_PAGE_BYTES:
             break
         page.append(result)
-    return Decision((), commands.BatchJobPage(job.total, tuple(page)))
+    return Decision((), outcomes.BatchJobPage(job.total, tuple(page)))
 
 
 def read_item_body(state: TierState, command: commands.ReadItemBody) -> Decision:
     """The body of an item that has no result yet."""
     job = state.jobs.get(command.job_id)
     item = job.open_items.get(command.item) if job is not None else None
-    return Decision((), commands.NotFound() if item is None else commands.ItemBody(item.body))
+    return NOT_FOUND if item is None else Decision((), outcomes.ItemBody(item.body))
 
 
 def end_batch_job(state: TierState, command: commands.EndBatchJob) -> Decision:
-    """Ends a lot; what is listed stays."""
+    """Ends a batch job; its results stay."""
     job = state.jobs.get(command.job_id)
     if job is None:
-        return Decision((), commands.NotFound())
-    return Decision(() if job.ended else (events.BatchJobEnded(command.job_id),), commands.Done())
+        return NOT_FOUND
+    if job.ended:
+        return DONE
+    return Decision((events.BatchJobEnded(command.job_id),), outcomes.Done())
 
 
-def retire(
-    state: TierState, command: commands.RetireStore, witnesses: Collection[str], least: int
+def register_store(state: TierState, command: commands.RegisterStore) -> Decision:
+    """Registers a store machine's name and address, where the state has not got them."""
+    if state.stores.get(command.node) == command.host:
+        return DONE
+    return Decision((events.StoreRegistered(command.node, command.host),), outcomes.Done())
+
+
+def retire_store(
+    state: TierState, command: commands.RetireStore, witnesses: Collection[str], min_witnesses: int
 ) -> Decision:
-    """Notes that a store machine is to be emptied, if at least so many others go on as witnesses."""
+    """Starts the decommissioning of a store machine, if at least `min_witnesses` others stay witnesses.
+
+    Args:
+        state: The state that the decision is made on.
+        command: The machine.
+        witnesses: The addresses of the view's witnesses.
+        min_witnesses: How many the fault tolerance of the settings needs.
+    """
     if command.node in state.retired:
-        return Decision((), commands.Done())
+        return DONE
     if command.node not in state.stores:
-        return Decision((), commands.NotFound())
-    left = set(witnesses) - state.retired_hosts() - {state.stores[command.node]}
-    if len(left) < least:
-        return Decision((), commands.Rejected(409, f"fewer than {least} store machines would be left"))
-    return Decision((events.RetireRequested(command.node),), commands.Done())
+        return NOT_FOUND
+    remaining = set(witnesses) - state.retired_hosts() - {state.stores[command.node]}
+    if len(remaining) < min_witnesses:
+        return _rejected(409, f"fewer than {min_witnesses} store machines would be left")
+    return Decision((events.RetireRequested(command.node),), outcomes.Done())
+
+
+def read_retirement(
+    state: TierState, node: str, members: Collection[str], witnesses: Collection[str], min_members: int
+) -> Decision:
+    """Whether a store machine may be switched off.
+
+    It has left the view, and the data is on as many members as the fault tolerance needs: its own replica was
+    one of them until then.
+    """
+    if node not in state.retired:
+        return NOT_FOUND
+    host = state.stores.get(node)
+    has_left = host not in members and host not in witnesses
+    is_replicated = len(members) >= min_members
+    return Decision((), outcomes.RetirementStatus(has_left and is_replicated))
 
 
 def report_item(state: TierState, command: commands.ReportItemResult) -> Decision:
-    """Gives an item its one result."""
-    job = state.jobs.get(command.job_id)
-    if job is None or command.item not in job.open_items:
-        return Decision((), commands.Done())
-    return Decision((events.ItemsCompleted(command.job_id, (command.result,)),), commands.Done())
+    """Gives an item its one result; a further one changes nothing."""
+    if not _is_open(state, command.job_id, command.item):
+        return DONE
+    return Decision((events.ItemsCompleted(command.job_id, (command.result,)),), outcomes.Done())
 
 
 def report_failure(
     state: TierState, command: commands.ReportItemFailure, configuration: Configuration | None
 ) -> Decision:
-    """Counts a failed attempt once; the last that its route allows ends the item."""
-    job = state.jobs.get(command.job_id)
-    if job is None or command.item not in job.open_items:
-        return Decision((), commands.Done())
+    """Counts a failed attempt once; the last that the job's route allows gives the item its result."""
+    if not _is_open(state, command.job_id, command.item):
+        return DONE
+    job = state.jobs[command.job_id]
     failures = job.failures.get(command.item, [])
     if command.attempt in failures:
-        return Decision((), commands.Done())
+        return DONE
     if len(failures) + 1 >= max_attempts(configuration, job.host, job.path):
-        dead = events.ItemResult(command.item, events.DEAD_LETTER, "")
-        return Decision((events.ItemsCompleted(command.job_id, (dead,)),), commands.Done())
-    return Decision((events.AttemptFailed(command.job_id, command.item, command.attempt),), commands.Done())
+        return Decision((_dead_letters(job, (command.item,)),), outcomes.Done())
+    failed = events.AttemptFailed(command.job_id, command.item, command.attempt)
+    return Decision((failed,), outcomes.Done())
+
+
+def _is_open(state: TierState, job_id: str, item: str) -> bool:
+    job = state.jobs.get(job_id)
+    return job is not None and item in job.open_items
+
+
+def _dead_letters(job: BatchJob, items: Collection[str]) -> events.ItemsCompleted:
+    results = tuple(events.ItemResult(item, events.DEAD_LETTER, "") for item in items)
+    return events.ItemsCompleted(job.id, results)
 
 
 def max_attempts(configuration: Configuration | None, host: str, path: str) -> int:
-    """How many answers of 500 end an item of a lot."""
+    """How many attempts that end with a 500 give an item of a job its result."""
     route = RoutingTable(configuration).find(host, path) if configuration is not None else None
-    return route.max_attempts if route is not None else 1_000_000
+    return route.max_attempts if route is not None else UNBOUNDED_ATTEMPTS
+
+
+def expire_jobs(
+    state: TierState, configuration: Configuration | None, now_ms: int, retention_s: float
+) -> Decision:
+    """Removes jobs whose retention is over, and completes items that have waited too long as dead letters.
+
+    Args:
+        state: The state that the decision is made on.
+        configuration: The routes, whose `maxWaitS` bounds the wait of items.
+        now_ms: The primary's time of day, in milliseconds.
+        retention_s: For how long after its acceptance a completed job may be read.
+    """
+    made: list[events.Event] = []
+    routes = RoutingTable(configuration) if configuration is not None else None
+    for job in state.jobs.values():
+        age_s = (now_ms - job.at_ms) / 1000
+        if job.done and age_s > retention_s:
+            made.append(events.BatchJobRemoved(job.id))
+        elif not job.done and routes is not None and _has_waited_too_long(job, routes, age_s):
+            made.append(_dead_letters(job, job.open_items))
+    return Decision(tuple(made), outcomes.Done())
+
+
+def _has_waited_too_long(job: BatchJob, routes: RoutingTable, age_s: float) -> bool:
+    """Also where the configuration has no route for the job any more: nothing could run it."""
+    route = routes.find(job.host, job.path)
+    if route is None:
+        return True
+    return route.max_wait_s is not None and age_s > route.max_wait_s + MAX_WAIT_MARGIN_S
--- a/crowwing/tier/store/item_leasing.py
+++ b/crowwing/tier/store/item_leasing.py
@@ -1,4 +1,4 @@
-"""Hands the items of lots out to the fronts that ask for some, in the order in which they asked."""
+"""Leases the items of batch jobs to the fronts that ask, in the order in which they asked."""
 
 import asyncio
 import math
@@ -10,15 +10,13 @@
 from crowwing.tier.replication.replica_state import Role
 from crowwing.tier.state.batch_jobs import BatchJob
 from crowwing.tier.state.events import BatchItem
-from crowwing.tier.store import commands
-from crowwing.tier.store.leases import ItemKey, Leases
+from crowwing.tier.store import commands, outcomes
+from crowwing.tier.store.leases import ItemKey, JobItem, Leases
 from crowwing.tier.store.node import ReplicaNode
 
-FRONT_HEARD_S = 3.0  # after its last call a front is not counted any more
-HAND_OUT_S = 0.1  # between looks for leases that have ended
-RUN_MARGIN_MS = 1500.0  # what an item takes, once it is leased
-
-JobItem = tuple[BatchJob, BatchItem]
+FRONT_TIMEOUT_S = 3.0  # after its last call a front is not counted any more
+LEASE_SCAN_INTERVAL_S = 0.1  # between scans for leases that have expired
+MIN_RUN_MS = 1500.0  # what an item is expected to take, once it is leased
 
 
 @dataclass
@@ -26,44 +24,55 @@
     """A front that waits for items."""
 
     front: str
-    most: int
-    found: "asyncio.Future[list[JobItem]]" = field(repr=False)
+    max_items: int
+    leased: "asyncio.Future[list[JobItem]]" = field(repr=False)
 
 
 class ItemLeasing:
-    """The leases of a store machine while it is the primary."""
+    """The leases of a store machine while it is the primary; owned by `StoreService`."""
 
     def __init__(self, node: ReplicaNode, configuration: Callable[[], Configuration | None]) -> None:
-        self._node, self._configuration = node, configuration
+        """No leases.
+
+        Args:
+            node: Tells the role and the state of this machine.
+            configuration: Gives the newest configuration, parsed.
+        """
+        self._node = node
+        self._configuration = configuration
         self._clock = node.clock
         self._leases = Leases(self._clock.monotonic())
         self._waiting: deque[WaitingFront] = deque()
-        self._uncommitted: deque[tuple[int, str]] = deque()  # index and lot
-        self._heard: dict[str, float] = {}  # fronts, and when they called
-        self._since = self._clock.monotonic()
+        self._uncommitted: deque[tuple[int, str]] = deque()  # index in the log, and the job submitted there
+        self._last_call_at: dict[str, float] = {}  # by front
+        self._primary_since = self._clock.monotonic()
 
-    def became_primary(self) -> None:
-        """Starts anew: all lots of the state are committed."""
+    def on_became_primary(self) -> None:
+        """Starts anew: at this moment all jobs of the state are committed."""
         self._leases = Leases(self._clock.monotonic())
         self._uncommitted.clear()
-        self._heard.clear()
-        self._since = self._clock.monotonic()
+        self._last_call_at.clear()
+        self._primary_since = self._clock.monotonic()
         for job in self._node.state.jobs.values():
             self._leases.add_job(job)
 
     def count_fronts(self) -> int:
         """How many fronts call this primary; 0 until all have had the time to."""
         now = self._clock.monotonic()
-        if now - self._since < FRONT_HEARD_S:
+        if now - self._primary_since < FRONT_TIMEOUT_S:
             return 0
-        self._heard = {front: at for front, at in self._heard.items() if now - at < FRONT_HEARD_S}
-        return len(self._heard)
-
-    def job_proposed(self, index: int, job_id: str) -> None:
-        """A lot stands at an index of the log; its items may run once that is committed."""
+        self._last_call_at = {
+            front: called_at
+            for front, called_at in self._last_call_at.items()
+            if now - called_at < FRONT_TIMEOUT_S
+        }
+        return len(self._last_call_at)
+
+    def on_job_proposed(self, index: int, job_id: str) -> None:
+        """A job was proposed at an index of the log; its items may run once that is committed."""
         self._uncommitted.append((index, job_id))
 
-    def committed(self, index: int) -> None:
+    def on_committed(self, index: int) -> None:
         """The log is committed up to an index."""
         if not self._uncommitted or self._uncommitted[0][0] > index:
             return
@@ -71,76 +80,88 @@
             job = self._node.state.jobs.get(self._uncommitted.popleft()[1])
             if job is not None:
                 self._leases.add_job(job)
-        self._hand_out()
+        self._lease_to_waiting_fronts()
 
     def release(self, key: ItemKey) -> None:
-        """A front has reported on an item."""
+        """Ends the lease of an item that a front has reported on."""
         self._leases.release(self._node.state, key)
 
     async def lease(
         self, command: commands.LeaseItemsRequest
-    ) -> commands.LeaseItemsResponse | commands.NotPrimary:
-        """Renews what a front runs, and waits for as many items as it wants, or for some of them."""
+    ) -> outcomes.LeaseItemsResponse | outcomes.NotPrimary:
+        """Renews a front's leases, and waits until there are items for it or its `wait_ms` is over."""
         if not self._node.replica.holds_lease(self._clock.monotonic()):
             if self._node.replica.role is not Role.FOLLOWER:
-                return commands.LeaseItemsResponse((), ())
-            return commands.NotPrimary(self._node.leader)
-        self._heard[command.front] = self._clock.monotonic()
-        self._leases.give_up(self._node.state, command.front, command.given_up)
-        stop = self._leases.renew(self._node.state, command.front, command.running, self._clock.monotonic())
-        found = (
-            [] if not command.most else await self._wait_for_items(command, 0 if stop else command.wait_ms)
-        )
-        return commands.LeaseItemsResponse(tuple(self._leased(job, item) for job, item in found), stop)
-
-    def _leased(self, job: BatchJob, item: BatchItem) -> commands.LeasedItem:
-        return commands.LeasedItem(job.id, job.host, item, max(0, self._clock.now_ms() - job.at_ms))
+                return outcomes.LeaseItemsResponse((), ())
+            return outcomes.NotPrimary(self._node.leader)
+        state = self._node.state
+        self._last_call_at[command.front] = self._clock.monotonic()
+        self._leases.give_up(state, command.front, command.given_up)
+        stop = self._leases.renew(state, command.front, command.running, self._clock.monotonic())
+        leased: list[JobItem] = []
+        if command.max_items:
+            # A front that has something to stop hears of it at once.
+            leased = await self._wait_for_items(command, 0 if stop else command.wait_ms)
+        return outcomes.LeaseItemsResponse(tuple(self._to_leased(job, item) for job, item in leased), stop)
+
+    def _to_leased(self, job: BatchJob, item: BatchItem) -> outcomes.LeasedItem:
+        age_ms = max(0, self._clock.now_ms() - job.at_ms)
+        return outcomes.LeasedItem(job.id, job.host, item, age_ms)
 
     async def _wait_for_items(self, command: commands.LeaseItemsRequest, wait_ms: int) -> list[JobItem]:
-        waiting = WaitingFront(command.front, command.most, asyncio.get_running_loop().create_future())
+        future: asyncio.Future[list[JobItem]] = asyncio.get_running_loop().create_future()
+        waiting = WaitingFront(command.front, command.max_items, future)
         self._waiting.append(waiting)
-        self._hand_out()
+        self._lease_to_waiting_fronts()
         try:
             async with asyncio.timeout(wait_ms / 1000):
-                return await waiting.found
+                return await future
         except TimeoutError:
-            found = waiting.found
-            return found.result() if found.done() and not found.cancelled() else []
+            # The items may have been leased in the same turn of the loop in which the time-out fell.
+            return future.result() if future.done() and not future.cancelled() else []
         finally:
             if waiting in self._waiting:
                 self._waiting.remove(waiting)
 
     async def run(self) -> None:
-        """Hands out again what fronts have given up."""
+        """Leases out again what has expired, for as long as the process runs."""
         while True:
-            await asyncio.sleep(HAND_OUT_S)
+            await asyncio.sleep(LEASE_SCAN_INTERVAL_S)
             if self._waiting:
-                self._hand_out()
+                self._lease_to_waiting_fronts()
 
-    def _hand_out(self) -> None:
+    def _lease_to_waiting_fronts(self) -> None:
+        """Divides the free items evenly among the waiting fronts, the longest waiting first."""
         now = self._clock.monotonic()
         if not self._waiting or not self._node.replica.holds_lease(now):
             return
-        self._leases.free_expired(self._node.state, now)
-        due_ms, clock = self._due_ms(), self._clock.now_ms()
-
-        def hopeless(job: BatchJob) -> bool:
-            return clock - job.at_ms > due_ms.get(job.host, math.inf) - RUN_MARGIN_MS
-
+        state = self._node.state
+        self._leases.free_expired(state, now)
+        is_past_deadline = self._deadline_check()
         while self._waiting and (free := self._leases.free_count):
             waiting = self._waiting[0]
-            share = math.ceil(free / len(self._waiting))
-            found = self._leases.lease(
-                self._node.state, waiting.front, min(waiting.most, share), now, hopeless
-            )
-            if not found:
+            max_items = min(waiting.max_items, math.ceil(free / len(self._waiting)))
+            leased = self._leases.lease(state, waiting.front, max_items, now, is_past_deadline)
+            if not leased:
                 return
             self._waiting.popleft()
-            if not waiting.found.done():
-                waiting.found.set_result(found)
+            if not waiting.leased.done():
+                waiting.leased.set_result(leased)
+
+    def _deadline_check(self) -> Callable[[BatchJob], bool]:
+        """Whether a job can't be completed any more within the completion SLO of its host."""
+        slo_ms = self._completion_slo_ms()
+        now_ms = self._clock.now_ms()
+
+        def is_past_deadline(job: BatchJob) -> bool:
+            return now_ms - job.at_ms > slo_ms.get(job.host, math.inf) - MIN_RUN_MS
+
+        return is_past_deadline
 
-    def _due_ms(self) -> dict[str, float]:
-        """By host, the time after which the results of its lots earn less."""
+    def _completion_slo_ms(self) -> dict[str, float]:
+        """The latency target of batch jobs by host, where a route has one."""
         configuration = self._configuration()
         routes = configuration.routes if configuration is not None else []
-        return {x.host: x.completion_slo_ms for x in routes if x.completion_slo_ms is not None}
+        return {
+            route.host: route.completion_slo_ms for route in routes if route.completion_slo_ms is not None
+        }
--- a/crowwing/tier/store/leases.py
+++ b/crowwing/tier/store/leases.py
@@ -1,5 +1,6 @@
-"""Which front runs which item. Kept in memory by the primary alone: a lost lease only means a run that is
-repeated.
+"""Which front runs which item, and until when.
+
+The primary has it in memory alone: a lost lease only means that an item is run once more.
 """
 
 import heapq
@@ -8,103 +9,138 @@
 
 from crowwing.tier.state.batch_jobs import BatchJob
 from crowwing.tier.state.events import BatchItem
-from crowwing.tier.state.views import TierState
+from crowwing.tier.state.tier_state import TierState
 
 LEASE_S = 1.8
-GRACE_S = 0.8  # after a change of primary, in which fronts tell what they run
+TAKEOVER_GRACE_S = 0.8  # after a change of primary, for fronts to renew their leases at the new one
 
-ItemKey = tuple[str, str]  # lot, item
+ItemKey = tuple[str, str]  # job, item
+JobItem = tuple[BatchJob, BatchItem]
 
 
 class Leases:
-    """Leases of items to fronts. What a call costs does not grow with the items that are leased."""
+    """Leases of items to fronts; owned by `ItemLeasing`.
+
+    What a call costs does not grow with the items that are leased. All times are seconds of one monotonic
+    clock.
+    """
 
     def __init__(self, now: float) -> None:
-        self._until: dict[ItemKey, float] = {}
-        self._holder: dict[ItemKey, str] = {}
-        self._ends: list[tuple[float, ItemKey]] = []  # a heap; a lease that was renewed stands in it again
-        self._free: dict[str, deque[str]] = {}  # items by lot, oldest lot first
-        self._not_before = now + GRACE_S
+        """No leases, at a machine that became the primary at `now`."""
+        self._expires_at: dict[ItemKey, float] = {}
+        self._owners: dict[ItemKey, str] = {}
+        self._expirations: list[tuple[float, ItemKey]] = []  # a heap; a renewed lease is in it several times
+        self._free: dict[str, deque[str]] = {}  # items by job, oldest job first
+        self._not_before = now + TAKEOVER_GRACE_S
 
     def add_job(self, job: BatchJob) -> None:
-        """The items of a lot may be leased from now on."""
+        """The items of a job may be leased from now on."""
         self._free[job.id] = deque(job.open_items)
 
     @property
     def free_count(self) -> int:
-        """About how many items wait for a front."""
+        """About how many items wait for a front; those that have a result by now are counted too."""
         return sum(len(items) for items in self._free.values())
 
     def renew(
         self, state: TierState, front: str, running: Iterable[ItemKey], now: float
     ) -> tuple[ItemKey, ...]:
-        """Renews what a front runs; gives what it need not run any more."""
+        """Renews the leases of what a front runs.
+
+        Returns:
+            What it is to stop: items that have a result, and those whose lease ended and went to another.
+        """
         stop: list[ItemKey] = []
         for key in running:
-            if not _is_open(state, key) or self._held_by_other(key, front, now):
+            # Without the second condition two fronts would go on with one item after a time-out of the first.
+            if not _is_open(state, key) or self._is_leased_to_another(key, front, now):
                 stop.append(key)
             else:
                 self._grant(key, front, now)
         return tuple(stop)
 
     def give_up(self, state: TierState, front: str, keys: Iterable[ItemKey]) -> None:
-        """Items that a front has stopped without a result may be leased again at once."""
+        """Items that a front has stopped without a result may be leased again at once.
+
+        A retry of the same call may come when another front has the lease by now, which stays.
+        """
         for key in keys:
-            if self._holder.get(key) == front:
+            if self._owners.get(key) == front:
                 self.release(state, key)
 
     def lease(
-        self, state: TierState, front: str, most: int, now: float, hopeless: Callable[[BatchJob], bool]
-    ) -> list[tuple[BatchJob, BatchItem]]:
-        """Leases waiting items, oldest lot first, but lots that can't be in time any more last."""
+        self,
+        state: TierState,
+        front: str,
+        max_items: int,
+        now: float,
+        is_past_deadline: Callable[[BatchJob], bool],
+    ) -> list[JobItem]:
+        """Leases waiting items, oldest job first, but jobs that are past their deadline last.
+
+        Args:
+            state: The state whose items are leased.
+            front: The owner of the leases.
+            max_items: How many items at most.
+            now: The time on the monotonic clock.
+            is_past_deadline: Whether a job can't be completed in time any more.
+        """
         self.free_expired(state, now)
         if now < self._not_before:
             return []
-        leased: list[tuple[BatchJob, BatchItem]] = []
-        for job in self._jobs_with_free_items(state, hopeless):
-            self._lease_of(job, front, most, now, leased)
-            if len(leased) >= most:
+        leased: list[JobItem] = []
+        for job in self._jobs_with_free_items(state, is_past_deadline):
+            self._lease_items_of(job, front, max_items, now, leased)
+            if len(leased) >= max_items:
                 break
         return leased
 
-    def _jobs_with_free_items(self, state: TierState, hopeless: Callable[[BatchJob], bool]) -> list[BatchJob]:
-        for job_id in [x for x, items in self._free.items() if not items or x not in state.jobs]:
+    def _jobs_with_free_items(
+        self, state: TierState, is_past_deadline: Callable[[BatchJob], bool]
+    ) -> list[BatchJob]:
+        """The jobs in the order of leasing; forgets those that have no free items or were removed."""
+        obsolete = [job_id for job_id, items in self._free.items() if not items or job_id not in state.jobs]
+        for job_id in obsolete:
             del self._free[job_id]
-        return sorted((state.jobs[job_id] for job_id in self._free), key=hopeless)
+        return sorted((state.jobs[job_id] for job_id in self._free), key=is_past_deadline)
 
-    def _lease_of(
-        self, job: BatchJob, front: str, most: int, now: float, leased: list[tuple[BatchJob, BatchItem]]
+    def _lease_items_of(
+        self, job: BatchJob, front: str, max_items: int, now: float, leased: list[JobItem]
     ) -> None:
         free = self._free[job.id]
-        while free and len(leased) < most:
+        while free and len(leased) < max_items:
             item = job.open_items.get(free.popleft())
-            if item is None or self._until.get((job.id, item.id), 0.0) > now:
+            # A new primary has all open items among the free ones; fronts may have renewed their leases.
+            if item is None or self._expires_at.get((job.id, item.id), 0.0) > now:
                 continue
             self._grant((job.id, item.id), front, now)
             leased.append((job, item))
 
     def free_expired(self, state: TierState, now: float) -> None:
-        """Items whose lease has ended may be leased again."""
-        while self._ends and self._ends[0][0] <= now:
-            _, key = heapq.heappop(self._ends)
-            if self._until.get(key, now + 1) <= now:
+        """Items whose lease has expired may be leased again."""
+        while self._expirations and self._expirations[0][0] <= now:
+            _, key = heapq.heappop(self._expirations)
+            if self._expires_at.get(key, now + 1) <= now:
                 self.release(state, key)
 
     def release(self, state: TierState, key: ItemKey) -> None:
-        """The item may be leased again at once, before others, unless it has its result."""
-        self._until.pop(key, None)
-        self._holder.pop(key, None)
+        """Ends a lease: the item may be leased again at once, before others, unless it has its result."""
+        self._expires_at.pop(key, None)
+        self._owners.pop(key, None)
         if _is_open(state, key):
             self._free.setdefault(key[0], deque()).appendleft(key[1])
 
     def _grant(self, key: ItemKey, front: str, now: float) -> None:
-        self._until[key], self._holder[key] = now + LEASE_S, front
-        heapq.heappush(self._ends, (now + LEASE_S, key))
+        expires_at = now + LEASE_S
+        self._expires_at[key] = expires_at
+        self._owners[key] = front
+        heapq.heappush(self._expirations, (expires_at, key))
 
-    def _held_by_other(self, key: ItemKey, front: str, now: float) -> bool:
-        return self._until.get(key, 0.0) > now and self._holder.get(key) != front
+    def _is_leased_to_another(self, key: ItemKey, front: str, now: float) -> bool:
+        return self._expires_at.get(key, 0.0) > now and self._owners.get(key) != front
 
 
 def _is_open(state: TierState, key: ItemKey) -> bool:
-    job = state.jobs.get(key[0])
-    return job is not None and key[1] in job.open_items
+    job_id, item = key
+    job = state.jobs.get(job_id)
+    return job is not None and item in job.open_items
--- a/crowwing/tier/store/list_reader.py
+++ b/crowwing/tier/store/list_reader.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list while this machine is the primary, and publishes each change."""
+"""Reads the platform's list of sidecars while this machine is the primary, and publishes each change."""
 
 import asyncio
 import logging
@@ -12,39 +12,59 @@
 
 log = logging.getLogger("crowwing.list")
 
-READ_EVERY_S = 0.6
+LIST_READ_INTERVAL_S = 0.6
+MIN_JITTER, JITTER_SPREAD = 0.9, 0.2  # factors of the interval
+ROLE_POLL_INTERVAL_S = 0.05
 
 ReadList = Callable[[], Awaitable[SidecarList | ListUnreadable]]
 
 
 class ListReader:
-    """The one reader of the list: the role goes with that of the primary, whose election fills both."""
+    """The one reader of the platform's list: a singleton role that goes with the primary's lease.
+
+    A published list has the primary's term and a number within it as its version, so that a list of a later
+    primary is newer than all of an earlier one's.
+    """
 
     def __init__(self, read: ReadList, node: ReplicaNode, documents: Documents, random: Random) -> None:
-        self._read_list, self._node, self._documents, self._random = read, node, documents, random
+        """A reader that publishes nothing until `run`.
+
+        Args:
+            read: Reads the list once.
+            node: Tells the role and the term of this machine.
+            documents: Where lists are published.
+            random: Draws the jitter between reads.
+        """
+        self._read_list = read
+        self._node = node
+        self._documents = documents
+        self._random = random
         self._published: SidecarList | None = None
-        self._round = -1
-        self._number = 0
+        self._published_term = -1
+        self._published_number = 0
 
     async def run(self) -> None:
-        """Reads the list again and again."""
+        """Reads the list again and again, for as long as the process runs."""
         while True:
             if self._node.replica.holds_lease(self._node.clock.monotonic()):
                 await self._read()
-                await asyncio.sleep(READ_EVERY_S * (0.9 + 0.2 * self._random.random()))
+                jitter = MIN_JITTER + JITTER_SPREAD * self._random.random()
+                await asyncio.sleep(LIST_READ_INTERVAL_S * jitter)
             else:
-                await asyncio.sleep(0.05)
+                await asyncio.sleep(ROLE_POLL_INTERVAL_S)
 
     async def _read(self) -> None:
         listed = await self._read_list()
         if isinstance(listed, ListUnreadable):
-            log.warning("the platform's list: %s", listed.reason)
+            log.warning("list_unreadable reason=%r", listed.reason)
             return
-        round_number = self._node.replica.promised[0]
+        term_number = self._node.replica.promised[0]
+        # The lease may have ended while the list was read: a later primary may have published a newer one.
         if not self._node.replica.holds_lease(self._node.clock.monotonic()):
             return
-        if round_number == self._round and listed == self._published:
+        if term_number == self._published_term and listed == self._published:
             return
-        self._number = self._number + 1 if round_number == self._round else 1
-        self._round, self._published = round_number, listed
-        self._documents.offer(Document(SIDECARS, (round_number, self._number), encode(listed)))
+        self._published_number = self._published_number + 1 if term_number == self._published_term else 1
+        self._published_term = term_number
+        self._published = listed
+        self._documents.offer(Document(SIDECARS, (term_number, self._published_number), encode(listed)))
--- a/crowwing/tier/store/machine.py
+++ b/crowwing/tier/store/machine.py
@@ -1,122 +1,153 @@
-"""One store machine put together: replica, commands, place in the relay tree, reader of the list."""
+"""One store machine put together: replica, commands, relay of documents, reader of the platform's list."""
 
 import asyncio
 import logging
 from collections.abc import Callable, Coroutine, Iterable
-from random import Random
 from typing import Any
 
-from crowwing.tier.clock import SYSTEM_CLOCK, Clock
 from crowwing.tier.distribution.documents import Documents
 from crowwing.tier.distribution.relay import AttachRequest, DocumentPush, Relay, RootHeartbeat, ShuffleRequest
 from crowwing.tier.distribution.sampling import Peer
-from crowwing.tier.early import started_at
 from crowwing.tier.replication.replica_state import Role
 from crowwing.tier.settings import Settings
 from crowwing.tier.storage.record_file import StorageError
 from crowwing.tier.store import commands
 from crowwing.tier.store.disk import Disk
+from crowwing.tier.store.disk_writer import DISK_RETRY_INTERVAL_S
+from crowwing.tier.store.environment import Environment
 from crowwing.tier.store.list_reader import ListReader, ReadList
-from crowwing.tier.store.node import DISK_RETRY_S, ReplicaNode
+from crowwing.tier.store.message_sender import ReplicaConnections
+from crowwing.tier.store.node import ReplicaIdentity, ReplicaNode
 from crowwing.tier.store.service import StoreService
 from crowwing.tier.wire.connection import Connection, ConnectionPool, serve
-from crowwing.tier.wire.network import TCP, Listener, Network
+from crowwing.tier.wire.network import Listener
 
 log = logging.getLogger("crowwing.store")
 
-RELAYED = (AttachRequest, RootHeartbeat, DocumentPush, ShuffleRequest)
+STORE_ROLE = "store"
+RELAY_MESSAGES = (AttachRequest, RootHeartbeat, DocumentPush, ShuffleRequest)
 
 
 class StoreMachine:
-    """What a store machine's process runs, without signals and the operator's HTTP server."""
-
-    def __init__(
-        self,
-        settings: Settings,
-        disk: Disk,
-        random: Random,
-        network: Network = TCP,
-        clock: Clock = SYSTEM_CLOCK,
-        started: float = started_at,
-    ) -> None:
-        """`started`: when this process began, on the monotonic clock."""
-        self._settings, self._random, self._network = settings, random, network
+    """What a store machine's process runs, without signals and the operator's HTTP server.
+
+    Attributes:
+        documents: The newest documents that this machine knows.
+        node: The replica.
+        service: The commands.
+        relay: The machine's position in the relay tree, whose root is the primary.
+    """
+
+    def __init__(self, settings: Settings, disk: Disk, environment: Environment) -> None:
+        """A machine that does nothing until `start` and its `background_tasks`."""
+        self._settings = settings
+        self._environment = environment
         self.documents = Documents()
-        self._connections = ConnectionPool(settings.internal_port, self._handle, network)
-        self._urgent_connections = ConnectionPool(settings.internal_port, self._handle, network)
-        faults, seeds = settings.fault_tolerance.store_machines, settings.seed_hosts
-        self.node = ReplicaNode(
-            settings.ip,
-            seeds,
-            faults,
-            disk,
-            self._connections,
-            random,
-            self._urgent_connections,
-            clock,
-            started,
+        self._connections = ReplicaConnections(
+            data=ConnectionPool(settings.internal_port, self._handle, environment.network),
+            urgent=ConnectionPool(settings.internal_port, self._handle, environment.network),
         )
-        self.service = StoreService(settings, self.node, disk, self._connections, self.documents)
-        me = Peer(settings.ip, "store", settings.zone, 0)
-        self.relay = Relay(me, seeds, self.documents, self._connections, random, clock)
-        self.relay.root_term_number = self._root_order
-        self.relay.probable_root = lambda: self.node.leader
-        self.relay.count_fronts = self.service.leasing.count_fronts
-        self.node.find_stores = self._stores_heard_of
-        self.node.on_role.append(self._role_changed)
-
-    def _root_order(self) -> int | None:
-        return self.node.replica.promised[0] if self.node.replica.role is Role.PRIMARY else None
-
-    def _role_changed(self, is_primary: bool) -> None:
+        faults = settings.fault_tolerance.store_machines
+        identity = ReplicaIdentity(settings.ip, settings.seed_hosts, faults)
+        self.node = ReplicaNode(identity, disk, self._connections, environment)
+        self.node.discover_stores = self._discover_stores
+        self.service = StoreService(settings, self.node, disk, self._connections.data, self.documents)
+        self.relay = self._make_relay()
+        self.node.role_listeners.append(self._on_role_changed)
+
+    def _make_relay(self) -> Relay:
+        peer = Peer(self._settings.ip, STORE_ROLE, self._settings.zone, 0)
+        relay = Relay(
+            peer,
+            self._settings.seed_hosts,
+            self.documents,
+            self._connections.data,
+            self._environment.random,
+            self._environment.clock,
+        )
+        relay.root_term_number = self._root_term_number
+        relay.probable_root = lambda: self.node.leader
+        relay.count_fronts = self.service.leasing.count_fronts
+        return relay
+
+    def _root_term_number(self) -> int | None:
+        replica = self.node.replica
+        return replica.promised[0] if replica.role is Role.PRIMARY else None
+
+    def _on_role_changed(self, is_primary: bool) -> None:
         if is_primary:
             self.relay.on_became_root()
 
-    def _stores_heard_of(self) -> Iterable[str]:
-        return [peer.host for peer in self.relay.view.peers("store")]
+    def _discover_stores(self) -> Iterable[str]:
+        return [peer.host for peer in self.relay.view.peers(STORE_ROLE)]
 
-    async def _handle(self, connection: Connection, body: Any) -> Any:  # noqa: ANN401
-        if isinstance(body, RELAYED):
+    async def _handle(self, connection: Connection, body: Any) -> Any:  # noqa: ANN401  whatever the codec reads
+        """Dispatches a request or a notification of another machine, and gives the response."""
+        if isinstance(body, RELAY_MESSAGES):
             return await self.relay.handle(connection, body)
         if isinstance(body, commands.ForwardedCommand):
-            return await self.service.command(body.command, may_forward=False)
-        if type(body).__module__ == commands.__name__:
-            return await self.service.command(body)
+            return await self.service.execute(body.command, may_forward=False)
+        if isinstance(body, commands.COMMAND_TYPES):
+            return await self.service.execute(body)
         self.node.receive(body)
         return None
 
-    def take_seeds(self, hosts: tuple[str, ...]) -> None:
-        """The settings name other seeds now."""
+    def update_seeds(self, hosts: tuple[str, ...]) -> None:
+        """Takes over the seeds of changed settings."""
         self.relay.seeds = hosts
         self.node.replica.add_peers(hosts)
 
     async def start(self, is_wanted: Callable[[], bool] = lambda: True) -> Listener:
-        """Opens the disk, again and again while that can't be done and it is wanted, and listens."""
+        """Recovers from the disk and listens.
+
+        A disk that can't be opened is tried again, since an operator may free or replace it meanwhile.
+
+        Args:
+            is_wanted: Whether to go on trying; False once the process is to end.
+        """
         while is_wanted():
-            try:
-                self.node.start(self._settings.bootstrap, self._settings.seed_hosts)
+            error = self._start_node()
+            if error is None:
                 break
-            except StorageError as error:
-                log.error("the disk can't be opened: %s", error)
-                await asyncio.sleep(DISK_RETRY_S)
-        return await serve(self._settings.ip, self._settings.internal_port, self._handle, self._network)
-
-    def works(self, read_list: ReadList | None) -> list[Coroutine[Any, Any, None]]:
-        """What runs for as long as the process; `read_list` reads the platform's list, where there is one."""
-        works = [
-            self.node.run_disk(), self.node.run_clock(), self.service.run_housekeeping(),
-            self.service.leasing.run(), self.relay.run_root(), self.relay.run_child(),
+            log.error("disk_open_failed error=%r", str(error))
+            await asyncio.sleep(DISK_RETRY_INTERVAL_S)
+        listener: Listener = await serve(
+            self._settings.ip, self._settings.internal_port, self._handle, self._environment.network
+        )
+        return listener
+
+    def _start_node(self) -> StorageError | None:
+        try:
+            self.node.start(self._settings.bootstrap, self._settings.seed_hosts)
+        except StorageError as error:
+            return error
+        return None
+
+    def background_tasks(self, read_list: ReadList | None) -> list[Coroutine[Any, Any, None]]:
+        """What runs for as long as the process.
+
+        Args:
+            read_list: Reads the platform's list, where there is one.
+        """
+        tasks = [
+            self.node.run_disk(),
+            self.node.run_clock(),
+            self.service.run_housekeeping(),
+            self.service.leasing.run(),
+            self.relay.run_root(),
+            self.relay.run_child(),
             self.relay.run_shuffles(),
-        ]  # fmt: skip
+        ]
         if read_list is not None:
-            works.append(ListReader(read_list, self.node, self.documents, self._random).run())
-        return works
+            reader = ListReader(read_list, self.node, self.documents, self._environment.random)
+            tasks.append(reader.run())
+        return tasks
 
     def transfer_leadership(self) -> None:
         """Asks another member to take over, where this machine is the primary."""
         self.node.transfer_leadership()
 
     def close(self) -> None:
-        """Ends all connections."""
-        self._connections.close()
-        self._urgent_connections.close()
+        """Closes all connections."""
+        self._connections.data.close()
+        self._connections.urgent.close()
--- /dev/null
+++ b/crowwing/tier/store/message_sender.py
@@ -0,0 +1,59 @@
+"""Delivers the messages of a replica: over connections to the others, and at once to itself."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from itertools import groupby
+
+from crowwing.tier.replication.messages import (
+    AppendRequest,
+    Message,
+    RangeDigests,
+    RangesResponse,
+    SyncRequest,
+)
+from crowwing.tier.wire.connection import ConnectionPool
+
+DATA_MESSAGES = (AppendRequest, SyncRequest, RangeDigests, RangesResponse)  # which can be long
+
+
+@dataclass(frozen=True)
+class ReplicaConnections:
+    """Connections to the other replicas.
+
+    Attributes:
+        data: For messages that carry data.
+        urgent: For heartbeats and votes, which would come too late behind long messages.
+    """
+
+    data: ConnectionPool
+    urgent: ConnectionPool
+
+
+class MessageSender:
+    """Delivers messages in the order in which the replica gave them; owned by `ReplicaNode`."""
+
+    def __init__(
+        self, address: str, connections: ReplicaConnections, receive: Callable[[Message], None]
+    ) -> None:
+        """A sender for one replica.
+
+        Args:
+            address: The replica's own address.
+            connections: The connections to the others.
+            receive: Takes in a message of the replica to itself.
+        """
+        self._address = address
+        self._connections = connections
+        self._receive = receive
+
+    def deliver(self, messages: list[tuple[str, Message]]) -> None:
+        """Delivers messages, each with its receiver; one that goes to several in a row is encoded once."""
+        for message, group in groupby(messages, key=lambda addressed: addressed[1]):
+            receivers = [receiver for receiver, _ in group]
+            if self._address in receivers:
+                self._receive(message)
+                receivers.remove(self._address)
+            if receivers:
+                is_data = isinstance(message, DATA_MESSAGES)
+                pool = self._connections.data if is_data else self._connections.urgent
+                pool.notify_all(receivers, message)
--- a/crowwing/tier/store/node.py
+++ b/crowwing/tier/store/node.py
@@ -1,94 +1,115 @@
-"""Runs one replica on a clock, a disk and a network."""
+"""Runs one replica on a clock, a disk and a network, and decides commands on its state."""
 
 import asyncio
 import logging
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
-from itertools import groupby
-from random import Random
-from typing import Any
-
-from crowwing.tier.clock import SYSTEM_CLOCK, Clock
-from crowwing.tier.early import started_at
-from crowwing.tier.replication.messages import (
-    AppendRequest,
-    Message,
-    RangeDigests,
-    RangesResponse,
-    Record,
-    SyncRequest,
-)
+from dataclasses import dataclass
+
+from crowwing.tier.replication.messages import Message
 from crowwing.tier.replication.replica import Replica
-from crowwing.tier.replication.replica_state import Output, Role
-from crowwing.tier.state.views import TierState
+from crowwing.tier.replication.replica_state import Role
+from crowwing.tier.state.tier_state import TierState
 from crowwing.tier.storage.record_file import StorageError
-from crowwing.tier.store import commands
+from crowwing.tier.store import outcomes
 from crowwing.tier.store.decisions import Decision
 from crowwing.tier.store.disk import Disk
+from crowwing.tier.store.disk_writer import DiskWriter
+from crowwing.tier.store.environment import Environment
+from crowwing.tier.store.message_sender import MessageSender, ReplicaConnections
+from crowwing.tier.store.pending_decisions import PendingDecisions
+from crowwing.tier.store.role_notifier import RoleListener, RoleNotifier
 from crowwing.tier.wire.codec import encode
-from crowwing.tier.wire.connection import ConnectionPool
 
 log = logging.getLogger("crowwing.store")
 
-TICK_S = 0.02
-DISK_RETRY_S = 0.4  # between rewritings of a disk that has failed
-DISK_STALLED_S = 0.6  # a write under way for so long
-SYNC_SMOOTHING = 0.3  # part of the newest write in the smoothed time of one
-READ_LIMIT_S = 1.5
-COMMIT_LIMIT_S = 3.0
-
-DATA_MESSAGES = (AppendRequest, SyncRequest, RangeDigests, RangesResponse)  # which can be long
+TICK_INTERVAL_S = 0.02
+READ_TIMEOUT_S = 1.5  # for the witnesses to confirm a read
+COMMIT_TIMEOUT_S = 3.0  # for the members to commit a decision
+CHANGE_POLL_INTERVAL_S = 0.1  # between looks at the replica, where no step wakes who waits
 
 Decide = Callable[[TierState], Decision]
 
 
-@dataclass
-class Pending:
-    """An outcome that waits until the log is committed up to an index."""
+@dataclass(frozen=True)
+class ReplicaIdentity:
+    """Which replica of which group this is.
+
+    Attributes:
+        address: Its own address.
+        seeds: Addresses of replicas to ask at first.
+        faults: How many machines may fail at once.
+    """
 
-    index: int
-    future: asyncio.Future[bool] = field(repr=False)
+    address: str
+    seeds: tuple[str, ...]
+    faults: int
 
 
 class ReplicaNode:
-    """One replica with its disk and its links; asks the replica for decisions and carries them out."""
+    """One replica with its disk and its connections; owned by `StoreMachine`.
+
+    The replica itself does no input or output: after each message, tick or proposal `step` carries out what
+    it asks for. Records go to the disk writer, and `run_disk` sends the messages that wait for them.
+
+    Attributes:
+        clock: The clocks of this incarnation.
+        state: The replicated state, which only the replica changes.
+        replica: The replica.
+        discover_stores: Gives addresses of store machines that are known from elsewhere.
+        commit_listeners: Called at the primary with the commit index, when that or the lease has changed.
+    """
 
     def __init__(
-        self,
-        me: str,
-        seeds: tuple[str, ...],
-        faults: int,
-        disk: Disk,
-        connections: ConnectionPool,
-        random: Random,
-        urgent_connections: ConnectionPool | None = None,
-        clock: Clock = SYSTEM_CLOCK,
-        started: float = started_at,
+        self, identity: ReplicaIdentity, disk: Disk, connections: ReplicaConnections, environment: Environment
     ) -> None:
-        """`urgent_links`: connections of their own for heartbeats and votes, which wait behind no data.
-
-        `started`: when this process began, on the monotonic clock.
-        """
-        self.clock = clock
+        """A replica that does nothing until `start` and the two `run_` tasks."""
+        self.clock = environment.clock
+        self.connections = connections
         self.state = TierState()
-        now = self.clock.monotonic()
-        self.replica = Replica(me, seeds, self.state, faults, now, random.random, started)
-        self._disk, self._connections = disk, connections
-        self._urgent_connections = urgent_connections or connections
-        self._pending: list[Pending] = []
-        self._queue: list[Output] = []
-        self._work = asyncio.Event()
-        self.changed = asyncio.Event()  # replaced at each step that may matter to who waits
-        self._was = Role.FOLLOWER
-        self._seen: tuple[Role, int, float] | None = None  # role, commit index, last confirmation
-        self._write_since: float | None = None
-        self.disk_failed = False  # neither ticks nor receives until the disk takes a rewriting
-        self.find_stores: Callable[[], Iterable[str]] = lambda: ()  # heard of by other ways
-        self.on_role: list[Callable[[bool], None]] = []
-        self.on_commit: list[Callable[[int], None]] = []
+        self.replica = Replica(
+            identity.address,
+            identity.seeds,
+            self.state,
+            identity.faults,
+            self.clock.monotonic(),
+            environment.random.random,
+            environment.started_at,
+        )
+        self._disk = disk
+        self._writer = DiskWriter(self.replica, self.state, disk, self.clock)
+        self._sender = MessageSender(identity.address, connections, self._receive_own)
+        self._pending = PendingDecisions()
+        self._roles = RoleNotifier()
+        self._changed = asyncio.Event()  # replaced at each step that may matter to who waits
+        self._last_seen: tuple[Role, int, float] | None = None  # role, commit index, last confirmation
+        self.discover_stores: Callable[[], Iterable[str]] = lambda: ()
+        self.commit_listeners: list[Callable[[int], None]] = []
+
+    @property
+    def role_listeners(self) -> list[RoleListener]:
+        """Called when this replica becomes the primary or ceases to be it."""
+        return self._roles.listeners
+
+    @property
+    def leader(self) -> str | None:
+        """The primary, as far as this replica knows."""
+        return self.replica.leader
+
+    @property
+    def disk_failed(self) -> bool:
+        """Whether this replica neither ticks nor receives, until its disk holds what its memory does."""
+        return self._writer.has_failed
 
     def start(self, bootstrap: bool, bootstrap_members: tuple[str, ...]) -> None:
-        """Takes in the disk, or starts anew; raises StorageError where the disk can't be opened."""
+        """Recovers from the disk, or from none.
+
+        Args:
+            bootstrap: Whether the settings ask for the first view to be made.
+            bootstrap_members: The members of the first view.
+
+        Raises:
+            StorageError: The disk can't be opened.
+        """
         records = self._disk.open()
         if records:
             self.replica.recover(records)
@@ -97,71 +118,39 @@
         self.step()
 
     async def run_clock(self) -> None:
-        """Ticks the replica."""
+        """Ticks the replica, for as long as the process runs."""
         while True:
             if not self.disk_failed:
                 self.replica.excluded = self.state.retired_hosts()
                 self.replica.announced = frozenset(self.state.stores.values())
-                self.replica.add_peers(self.find_stores())
-                now = self.clock.monotonic()
-                since = self._write_since
-                self.replica.disk_stalled = since is not None and now - since >= DISK_STALLED_S
+                self.replica.add_peers(self.discover_stores())
+                self.replica.disk_stalled = self._writer.is_stalled(self.clock.monotonic())
                 self.replica.tick(self.clock.monotonic())
                 self.step()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     async def run_disk(self) -> None:
-        """Writes what has gathered, then sends what waited for it."""
+        """Writes what has gathered and then sends what waited for it, for as long as the process runs."""
         while True:
-            await self._work.wait()
-            self._work.clear()
+            await self._writer.wait_for_work()
             self.replica.send_entries(self.clock.monotonic())
             self.step()
-            queue, self._queue = self._queue, []
-            records = [record for output in queue for record in output.records]
+            outputs = self._writer.take_queue()
             try:
-                await self._keep(records)
+                await self._writer.write(outputs)
             except StorageError as error:
-                await self._wait_for_disk(error)
+                await self._recover_disk(error)
                 continue
-            for output in queue:
-                self._deliver_all(output.durable)
+            for output in outputs:
+                self._sender.deliver(output.durable)
             self.step()
 
-    async def _keep(self, records: list[Record]) -> None:
-        if not records:
-            return
-        is_long = self._disk.is_long(self.state.stored_bytes)
-        compacted = self.replica.compacted() if is_long else None  # at this moment it holds just `records`
-        self._write_since = began = self.clock.monotonic()
-        try:
-            await self._disk.write(records)
-        finally:
-            self._write_since = None
-        taken = min(DISK_STALLED_S, self.clock.monotonic() - began)
-        self.replica.sync_s += SYNC_SMOOTHING * (taken - self.replica.sync_s)
-        if compacted is not None:
-            log.info("rewrites %d bytes", self._disk.size)
-            self._disk.begin_rewriting(compacted)
-
-    async def _wait_for_disk(self, error: StorageError) -> None:
-        """Takes no part until the disk holds all that memory does.
-
-        No message that waited for the failed records is sent, so to the others this replica has stood still.
-        """
-        log.error("the disk failed, stands aside: %s", error)
+    async def _recover_disk(self, error: StorageError) -> None:
+        """Resigns, and takes no part until the disk holds all that memory does."""
+        log.error("disk_failed error=%r", str(error))
         self.replica.resign(self.clock.monotonic(), "its disk failed")
         self.step()
-        self.disk_failed = True
-        while self.disk_failed:
-            self._queue.clear()
-            await asyncio.sleep(DISK_RETRY_S)
-            try:
-                await self._disk.rewrite(self.replica.compacted())
-                self.disk_failed = False
-            except StorageError as still:
-                log.warning("the disk still fails: %s", still)
-        log.info("the disk holds everything again, takes part")
+        await self._writer.recover()
 
     def transfer_leadership(self) -> None:
         """Asks another member to take over, where this replica is the primary."""
@@ -169,138 +158,117 @@
         self.step()
 
     def receive(self, message: Message) -> None:
-        """Takes a message of another replica in."""
+        """Takes in a message of another replica."""
         if not self.disk_failed:
             self.replica.receive(self.clock.monotonic(), message)
             self.step()
 
-    def _deliver_all(self, messages: list[tuple[str, Message]]) -> None:
-        """Delivers messages in order; one that goes to several receivers is encoded once."""
-        for message, group in groupby(messages, key=lambda sent: sent[1]):
-            receivers = [receiver for receiver, _ in group]
-            if self.replica.me in receivers:
-                self.replica.receive(self.clock.monotonic(), message)
-                receivers.remove(self.replica.me)
-            if receivers:
-                connections = (
-                    self._connections if isinstance(message, DATA_MESSAGES) else self._urgent_connections
-                )
-                connections.notify_all(receivers, message)
+    def _receive_own(self, message: Message) -> None:
+        """Takes in a message of the replica to itself, which the step that delivers it carries out."""
+        self.replica.receive(self.clock.monotonic(), message)
 
     def step(self) -> None:
-        """Carries out what the replica asks for."""
+        """Carries out what the replica asks for, and notifies who waits for a change of it."""
         output = self.replica.take_output()
-        self._deliver_all(output.immediate)
+        self._sender.deliver(output.immediate)
         if output.records or output.durable:
-            self._queue.append(output)
-            self._work.set()
-        role, committed = self.replica.role, self.replica.commit_index
-        confirmed = self.replica.confirmed_at
-        if (role, committed, confirmed) == self._seen:
+            self._writer.enqueue(output)
+        role, commit_index = self.replica.role, self.replica.commit_index
+        seen = (role, commit_index, self.replica.confirmed_at)
+        if seen == self._last_seen:
             return
-        self._seen = (role, committed, confirmed)
-        self._settle()
-        self._tell_role(role)
+        self._last_seen = seen
+        self._resolve_pending()
+        self._roles.notify(role)
         if role is Role.PRIMARY:
-            for on_commit in self.on_commit:
-                on_commit(committed)
-        changed, self.changed = self.changed, asyncio.Event()
+            for listener in self.commit_listeners:
+                listener(commit_index)
+        changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
-    def _tell_role(self, role: Role) -> None:
-        if role is Role.CANDIDATE:
-            return
-        if (role is Role.PRIMARY) != (self._was is Role.PRIMARY):
-            for listener in self.on_role:
-                listener(role is Role.PRIMARY)
-        self._was = role
-
-    def _settle(self) -> None:
-        role, committed = self.replica.role, self.replica.commit_index
-        if role is Role.CANDIDATE and self._was is Role.PRIMARY:
+    def _resolve_pending(self) -> None:
+        role = self.replica.role
+        if self._roles.is_changing_own_view(role):
             return  # it may be the primary again in a moment, with the same log
-        rest: list[Pending] = []
-        for pending in self._pending:
-            if pending.future.done():
-                continue
-            if role is not Role.PRIMARY:
-                pending.future.set_result(False)
-            elif pending.index <= committed:
-                pending.future.set_result(True)
-            else:
-                rest.append(pending)
-        self._pending = rest
-
-    @property
-    def leader(self) -> str | None:
-        """The primary, as far as this replica knows."""
-        return self.replica.leader
-
-    async def _wait_primary(self) -> bool:
-        """Waits out a change of its own view; False where this is not the primary."""
-        deadline = self.clock.monotonic() + COMMIT_LIMIT_S
-        while (
-            self.replica.role is Role.CANDIDATE
-            and self._was is Role.PRIMARY
-            and self.clock.monotonic() < deadline
-        ):
-            await self._next_change(0.1)
+        if role is Role.PRIMARY:
+            self._pending.resolve(self.replica.commit_index)
+        else:
+            self._pending.abandon()
+
+    async def _wait_until_primary(self) -> bool:
+        """Waits out a change of this primary's own view; False where this is not the primary."""
+        deadline = self.clock.monotonic() + COMMIT_TIMEOUT_S
+        while self._roles.is_changing_own_view(self.replica.role) and self.clock.monotonic() < deadline:
+            await self._wait_for_change()
         return self.replica.role is Role.PRIMARY
 
-    async def _next_change(self, limit_s: float) -> None:
+    async def _wait_for_change(self) -> None:
         try:
-            async with asyncio.timeout(limit_s):
-                await self.changed.wait()
+            async with asyncio.timeout(CHANGE_POLL_INTERVAL_S):
+                await self._changed.wait()
         except TimeoutError:
             pass
 
-    async def decide(self, decide: Decide, by_heartbeat: bool = False) -> Any:  # noqa: ANN401
-        """Decides a command on the newest state; its outcome is told once everything it rests on is kept.
+    async def decide(self, decide: Decide, *, by_heartbeat: bool = False) -> outcomes.Outcome:
+        """Decides a command on the newest state; returns once all that the outcome rests on is committed.
+
+        A decision without events rests on the state alone, which a later primary may have changed already:
+        its outcome also waits until it is certain that there was none before it.
 
-        What changes nothing also waits until it is sure that no later primary had decided before it: by a
-        lease, or with `by_round` by a round that starts after the decision, whatever the clocks do.
+        Args:
+            decide: Makes the decision; called once, and only where this replica is the primary.
+            by_heartbeat: Makes that certain by a heartbeat that starts after the decision, whatever the
+                clocks do, and not by the lease.
+
+        Returns:
+            The outcome, NotPrimary where nothing was done, or Indeterminate.
         """
-        if not await self._wait_primary():
-            return commands.NotPrimary(self.leader)
+        if not await self._wait_until_primary():
+            return outcomes.NotPrimary(self.leader)
         now = self.clock.monotonic()
         decision = decide(self.state)
         for event in decision.events:
             self.replica.propose(now, encode(event))
-        index = self.replica.log.last[1]
-        future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self._pending.append(Pending(index, future))
-        self.step()
-        self._settle()
-        try:
-            async with asyncio.timeout(COMMIT_LIMIT_S):
-                committed = await future
-        except TimeoutError:
-            committed = False
-        if not committed:
-            return commands.Indeterminate("the store machines did not agree in time")
+        if not await self._wait_until_committed(self.replica.log.last[1]):
+            return outcomes.Indeterminate("the store machines did not agree in time")
         if decision.events:
             return decision.outcome
         if not await (self.confirm_by_heartbeat() if by_heartbeat else self.confirm()):
-            return commands.Indeterminate("it is not known whether this machine still decides")
+            return outcomes.Indeterminate("it is not known whether this machine still decides")
         return decision.outcome
 
+    async def _wait_until_committed(self, index: int) -> bool:
+        """Whether the log is committed up to an index under this primary and in time."""
+        committed = self._pending.add(index)
+        self.step()
+        self._resolve_pending()  # the step does not where nothing has changed, as for a read
+        try:
+            async with asyncio.timeout(COMMIT_TIMEOUT_S):
+                return await committed
+        except TimeoutError:
+            return False
+
     async def confirm(self) -> bool:
-        """Whether this replica is still the only primary, shown by a lease or a round that starts now."""
+        """Whether this replica is still the only primary, by its lease or a heartbeat that starts now."""
         if self.replica.holds_lease(self.clock.monotonic()):
             return True
         return await self.confirm_by_heartbeat()
 
     async def confirm_by_heartbeat(self) -> bool:
-        """Whether a majority of the witnesses still knows this replica as primary at this moment."""
+        """Whether a majority of the witnesses still knows this replica as the primary.
+
+        Only responses to a heartbeat that starts now count: an earlier one says nothing of this moment.
+        """
         if self.replica.role is not Role.PRIMARY:
             return False
-        term, number = self.replica.promised, self.replica.start_heartbeat(self.clock.monotonic())
+        term = self.replica.promised
+        sequence = self.replica.start_heartbeat(self.clock.monotonic())
         self.step()
-        deadline = self.clock.monotonic() + READ_LIMIT_S
+        deadline = self.clock.monotonic() + READ_TIMEOUT_S
         while self.clock.monotonic() < deadline:
             if self.replica.role is not Role.PRIMARY or self.replica.promised != term:
                 return False
-            if self.replica.is_heartbeat_confirmed(number):
+            if self.replica.is_heartbeat_confirmed(sequence):
                 return True
-            await self._next_change(0.1)
+            await self._wait_for_change()
         return False
--- a/crowwing/tier/store/service.py
+++ b/crowwing/tier/store/service.py
@@ -1,17 +1,17 @@
-"""Answers commands, where this store machine is the primary."""
+"""Executes commands: at this store machine where it is the primary, else by forwarding them there."""
 
 import asyncio
 import logging
-from typing import Any
 
 from crowwing.tier.configuration import Configuration, parse_configuration
 from crowwing.tier.distribution.documents import CONFIGURATION, Document, Documents
 from crowwing.tier.replication.replica_state import Role
 from crowwing.tier.settings import MEGABYTE, Settings
 from crowwing.tier.state import events
-from crowwing.tier.state.views import TierState
-from crowwing.tier.store import commands, decisions
+from crowwing.tier.state.tier_state import TierState
+from crowwing.tier.store import commands, decisions, outcomes
 from crowwing.tier.store.batch_job_readers import BatchJobReaders
+from crowwing.tier.store.decisions import Decision
 from crowwing.tier.store.disk import Disk
 from crowwing.tier.store.item_leasing import ItemLeasing
 from crowwing.tier.store.node import Decide, ReplicaNode
@@ -19,14 +19,17 @@
 
 log = logging.getLogger("crowwing.store")
 
-FORWARD_S = 3.5
-KEEP_MARGIN_S = 30.0  # beyond statusS, for clocks that differ
-HOUSEKEEPING_S = 0.5
-GIVE_UP_MARGIN_S = 5.0  # beyond maxWaitS, for clocks that differ
+FORWARD_TIMEOUT_S = 3.5
+HOUSEKEEPING_INTERVAL_S = 0.5
+RETENTION_MARGIN_S = 30.0  # beyond the retention of the settings, for clocks that differ
+MAX_DISK_SHARE = 0.7  # of the disk's capacity, beyond which no further jobs are accepted
 
 
 class StoreService:
-    """The commands of one store machine."""
+    """The commands of one store machine; owned by `StoreMachine`.
+
+    Called by the connections from fronts and other store machines, and by the operator's API.
+    """
 
     def __init__(
         self,
@@ -36,186 +39,238 @@
         connections: ConnectionPool,
         documents: Documents,
     ) -> None:
-        self._settings, self._node, self._disk, self._connections = settings, node, disk, connections
-        self._documents, self._clock = documents, node.clock
+        """A service that listens to the node.
+
+        Args:
+            settings: Name, address and bounds of this machine.
+            node: The replica that commands are decided on.
+            disk: Its disk, whose length bounds what is accepted.
+            connections: Connections to the other store machines.
+            documents: Where committed configurations are published.
+        """
+        self._settings = settings
+        self._node = node
+        self._disk = disk
+        self._connections = connections
+        self._documents = documents
+        self._clock = node.clock
         self.leasing = ItemLeasing(node, lambda: self.configuration)
         self._readers = BatchJobReaders()
-        self._parsed: tuple[int, Configuration | None] = (0, None)
+        self._parsed: tuple[int, Configuration | None] = (0, None)  # of the version that it is of
         self._unpublished: list[tuple[int, Document]] = []  # with the index that must be committed first
-        node.on_role.append(self._role_changed)
-        node.on_commit.append(self._committed)
+        node.role_listeners.append(self._on_role_changed)
+        node.commit_listeners.append(self._on_committed)
+
+    # Notifications of the node
 
-    def _role_changed(self, is_primary: bool) -> None:
+    def _on_role_changed(self, is_primary: bool) -> None:
         self._unpublished.clear()
-        self._readers.role_changed()
-        if is_primary:  # at this moment the whole log is committed
-            self.leasing.became_primary()
+        self._readers.on_role_changed()
+        if is_primary:  # at this moment the complete log is committed
+            self.leasing.on_became_primary()
             state = self._node.state
             if state.configuration is not None:
                 self._documents.offer(Document(CONFIGURATION, (state.version,), state.configuration))
 
-    def _committed(self, index: int) -> None:
+    def _on_committed(self, index: int) -> None:
         while self._unpublished and self._unpublished[0][0] <= index:
             self._documents.offer(self._unpublished.pop(0)[1])
-        self.leasing.committed(index)
-        self._readers.committed(index)
+        self.leasing.on_committed(index)
+        self._readers.on_committed(index)
 
-    def _put_configuration(self, state: TierState, command: commands.PutConfiguration) -> decisions.Decision:
-        decision = decisions.put_configuration(state, command)
-        for event in decision.events:
-            document = Document(CONFIGURATION, (event.version,), event.text)
-            self._unpublished.append((self._node.replica.log.last[1] + 1, document))
-        return decision
+    # Commands
 
-    def _submit_batch_job(self, state: TierState, command: commands.SubmitBatchJob) -> decisions.Decision:
-        decision = decisions.submit_batch_job(state, command, self._clock.now_ms(), self._disk_left())
-        if decision.events:
-            self.leasing.job_proposed(self._node.replica.log.last[1] + 1, command.job_id)
-        return decision
-
-    def _report_failure(self, state: TierState, command: commands.ReportItemFailure) -> decisions.Decision:
-        decision = decisions.report_failure(state, command, self.configuration)
-        if decision.events:
-            self.leasing.release((command.job_id, command.item))
-        return self._tell_readers(decision)
-
-    def _tell_readers(self, decision: decisions.Decision) -> decisions.Decision:
-        """Readers of the lots that the decision changes look again once it is committed."""
-        first = self._node.replica.log.last[1] + 1
-        for index, event in enumerate(decision.events, first):
-            if isinstance(event, (events.ItemsCompleted, events.BatchJobEnded)):
-                self._readers.changed(index, event.job_id)
-        return decision
-
-    @property
-    def configuration(self) -> Configuration | None:
-        """The newest configuration, parsed."""
-        state = self._node.state
-        if state.configuration is not None and self._parsed[0] != state.version:
-            parsed = parse_configuration(state.configuration)
-            self._parsed = (state.version, parsed if isinstance(parsed, Configuration) else None)
-        return self._parsed[1]
+    async def execute(self, command: commands.Command, *, may_forward: bool = True) -> outcomes.Outcome:
+        """The outcome of a command.
 
-    async def command(self, command: Any, may_forward: bool = True) -> Any:  # noqa: ANN401
-        """Answers a command here, or passes it on to the primary once."""
-        outcome = await self._answer(command)
-        if not isinstance(outcome, commands.NotPrimary) or not may_forward:
+        Args:
+            command: The command.
+            may_forward: Whether it may be forwarded to the primary, which is done once: two machines that
+                each take the other for the primary would forward it for ever.
+        """
+        outcome = await self._execute_here(command)
+        if not isinstance(outcome, outcomes.NotPrimary) or not may_forward:
             return outcome
         leader = outcome.leader
         if leader is None or leader == self._settings.ip:
             return outcome
+        return await self._forward(command, leader)
+
+    async def _forward(self, command: commands.Command, leader: str) -> outcomes.Outcome:
+        request = commands.ForwardedCommand(command)
         try:
-            return await self._connections.call(leader, commands.ForwardedCommand(command), FORWARD_S)
+            response: outcomes.Outcome = await self._connections.call(leader, request, FORWARD_TIMEOUT_S)
         except CallError as error:
-            return commands.Indeterminate(error.reason) if error.sent else commands.NotPrimary(None)
+            return outcomes.Indeterminate(error.reason) if error.sent else outcomes.NotPrimary(None)
+        return response
 
-    async def _answer(self, command: Any) -> Any:  # noqa: ANN401
-        decide, node = self._node.decide, self._node
+    async def _execute_here(self, command: commands.Command) -> outcomes.Outcome:
+        if isinstance(command, commands.ItemCommand):
+            return await self._execute_item_command(command)
+        if isinstance(command, commands.BatchJobCommand):
+            return await self._execute_job_command(command)
+        if isinstance(command, commands.ConfigurationCommand):
+            return await self._execute_configuration_command(command)
+        if isinstance(command, commands.StoreCommand):
+            return await self._execute_store_command(command)
+        return outcomes.Rejected(400, f"unknown command {type(command).__name__}")
+
+    async def _execute_item_command(self, command: commands.ItemCommand) -> outcomes.Outcome:
+        match command:
+            case commands.LeaseItemsRequest():
+                return await self.leasing.lease(command)
+            case commands.ReportItemResult():
+                return await self._node.decide(lambda state: self._report_item(state, command))
+            case commands.ReportItemFailure():
+                return await self._node.decide(lambda state: self._report_failure(state, command))
+
+    async def _execute_job_command(self, command: commands.BatchJobCommand) -> outcomes.Outcome:
         match command:
-            case commands.PutConfiguration():
-                return await decide(lambda state: self._put_configuration(state, command))
-            case commands.GetConfiguration():
-                return await self._read_surely(decisions.get_configuration)
             case commands.SubmitBatchJob():
-                return await decide(lambda state: self._submit_batch_job(state, command))
+                return await self._node.decide(lambda state: self._submit_batch_job(state, command))
             case commands.ReadBatchJob():
                 return await self._read_batch_job(command)
             case commands.ReadItemBody():
-                return await decide(lambda state: decisions.read_item_body(state, command))
+                return await self._node.decide(lambda state: decisions.read_item_body(state, command))
             case commands.EndBatchJob():
-                return await decide(lambda state: self._tell_readers(decisions.end_batch_job(state, command)))
+                return await self._node.decide(lambda state: self._end_batch_job(state, command))
+
+    async def _execute_configuration_command(
+        self, command: commands.ConfigurationCommand
+    ) -> outcomes.Outcome:
+        match command:
+            case commands.PutConfiguration():
+                return await self._node.decide(lambda state: self._put_configuration(state, command))
+            case commands.GetConfiguration():
+                return await self._read_linearizable(decisions.get_configuration)
+
+    async def _execute_store_command(self, command: commands.StoreCommand) -> outcomes.Outcome:
+        match command:
             case commands.RetireStore():
-                view = node.replica.view
-                witnesses = view.witnesses if view else ()
-                least = node.replica.min_witnesses
-                return await decide(lambda state: decisions.retire(state, command, witnesses, least))
+                return await self._retire_store(command)
             case commands.ReadRetirement():
-                return await self._read_surely(lambda state: self._retire_state(state, command.node))
-            case commands.LeaseItemsRequest():
-                return await self.leasing.lease(command)
-            case commands.ReportItemResult():
-                return await decide(lambda state: self._tell_readers(decisions.report_item(state, command)))
-            case commands.ReportItemFailure():
-                return await decide(lambda state: self._report_failure(state, command))
+                return await self._read_linearizable(lambda state: self._read_retirement(state, command))
             case commands.RegisterStore():
-                return await decide(lambda state: self._announce(state, command))
+                return await self._node.decide(lambda state: decisions.register_store(state, command))
             case commands.GetStatus():
                 return self._status()
-        return commands.Rejected(400, f"unknown command {type(command).__name__}")
 
-    async def _read_surely(self, decide: Decide) -> Any:  # noqa: ANN401
-        """A read that no later primary can have overtaken, whatever the clocks do."""
+    async def _read_linearizable(self, decide: Decide) -> outcomes.Outcome:
+        """A read that misses nothing that was acknowledged before it, whatever the clocks do."""
         return await self._node.decide(decide, by_heartbeat=True)
 
-    def _disk_left(self) -> bool:
-        limit = self._settings.limits.disk_mb * MEGABYTE
-        return not limit or self._disk.size < decisions.DISK_SHARE * limit
-
-    def _retire_state(self, state: TierState, name: str) -> decisions.Decision:
-        if name not in state.retired:
-            return decisions.Decision((), commands.NotFound())
-        view, host = self._node.replica.view, state.stores.get(name)
-        assert view is not None
-        gone = host not in view.members and host not in view.witnesses
-        safe = len(view.members) >= self._node.replica.min_witnesses
-        return decisions.Decision((), commands.RetirementStatus(gone and safe))
-
-    @staticmethod
-    def _announce(state: TierState, command: commands.RegisterStore) -> decisions.Decision:
-        if state.stores.get(command.node) == command.host:
-            return decisions.Decision((), commands.Done())
-        return decisions.Decision((events.StoreRegistered(command.node, command.host),), commands.Done())
-
-    async def _read_batch_job(self, command: commands.ReadBatchJob) -> Any:  # noqa: ANN401
+    # Configuration
+
+    def _put_configuration(self, state: TierState, command: commands.PutConfiguration) -> Decision:
+        decision = decisions.put_configuration(state, command)
+        for event in decision.events:
+            if isinstance(event, events.ConfigurationAccepted):
+                # Published once it is committed: a front must not use what a later primary may not have.
+                document = Document(CONFIGURATION, (event.version,), event.text)
+                self._unpublished.append((self._next_index(), document))
+        return decision
+
+    @property
+    def configuration(self) -> Configuration | None:
+        """The newest configuration, parsed; None without one, or where this release can't read it."""
+        state = self._node.state
+        if state.configuration is not None and self._parsed[0] != state.version:
+            parsed = parse_configuration(state.configuration)
+            self._parsed = (state.version, parsed if isinstance(parsed, Configuration) else None)
+        return self._parsed[1]
+
+    # Batch jobs
+
+    def _submit_batch_job(self, state: TierState, command: commands.SubmitBatchJob) -> Decision:
+        decision = decisions.submit_batch_job(state, command, self._clock.now_ms(), self._has_disk_capacity())
+        if decision.events:
+            self.leasing.on_job_proposed(self._next_index(), command.job_id)
+        return decision
+
+    def _has_disk_capacity(self) -> bool:
+        capacity_bytes = self._settings.limits.disk_mb * MEGABYTE
+        return not capacity_bytes or self._disk.size < MAX_DISK_SHARE * capacity_bytes
+
+    async def _read_batch_job(self, command: commands.ReadBatchJob) -> outcomes.Outcome:
+        """Waits for a first result as long as the command allows, and then reads."""
         deadline = self._clock.monotonic() + command.wait_ms / 1000
         while True:
             job = self._node.state.jobs.get(command.job_id)
-            waits = job is not None and len(job.results) <= command.start and not job.done
-            left = deadline - self._clock.monotonic()
-            if not waits or left <= 0 or self._node.replica.role is not Role.PRIMARY:
+            has_to_wait = job is not None and len(job.results) <= command.start and not job.done
+            left_s = deadline - self._clock.monotonic()
+            if not has_to_wait or left_s <= 0 or self._node.replica.role is not Role.PRIMARY:
                 return await self._node.decide(lambda state: decisions.read_batch_job(state, command))
-            await self._readers.wait(command.job_id, left)
+            await self._readers.wait(command.job_id, left_s)
+
+    def _end_batch_job(self, state: TierState, command: commands.EndBatchJob) -> Decision:
+        return self._notify_readers(decisions.end_batch_job(state, command))
+
+    def _report_item(self, state: TierState, command: commands.ReportItemResult) -> Decision:
+        return self._notify_readers(decisions.report_item(state, command))
+
+    def _report_failure(self, state: TierState, command: commands.ReportItemFailure) -> Decision:
+        decision = decisions.report_failure(state, command, self.configuration)
+        if decision.events:
+            self.leasing.release((command.job_id, command.item))
+        return self._notify_readers(decision)
+
+    def _notify_readers(self, decision: Decision) -> Decision:
+        """Readers of the jobs that a decision changes look again once it is committed."""
+        for index, event in enumerate(decision.events, self._next_index()):
+            if isinstance(event, (events.ItemsCompleted, events.BatchJobEnded)):
+                self._readers.on_job_changed(index, event.job_id)
+        return decision
+
+    def _next_index(self) -> int:
+        """The index in the log of the first event of the decision that is being made."""
+        return self._node.replica.log.last[1] + 1
+
+    # Store machines
+
+    async def _retire_store(self, command: commands.RetireStore) -> outcomes.Outcome:
+        view = self._node.replica.view
+        witnesses = view.witnesses if view is not None else ()
+        min_witnesses = self._node.replica.min_witnesses
+        return await self._node.decide(
+            lambda state: decisions.retire_store(state, command, witnesses, min_witnesses)
+        )
+
+    def _read_retirement(self, state: TierState, command: commands.ReadRetirement) -> Decision:
+        view = self._node.replica.view
+        assert view is not None  # decided by a primary, which has one
+        min_members = self._node.replica.min_witnesses
+        return decisions.read_retirement(state, command.node, view.members, view.witnesses, min_members)
+
+    def _status(self) -> outcomes.StoreStatus:
+        replica = self._node.replica
+        state = self._node.state
+        view = replica.view
+        return outcomes.StoreStatus(
+            node=self._settings.node,
+            role=replica.role.value,
+            term=replica.promised,
+            members=view.members if view is not None else (),
+            witnesses=view.witnesses if view is not None else (),
+            index=replica.log.last[1],
+            commit=replica.commit_index,
+            version=state.version,
+            jobs=len(state.jobs),
+            open_items=sum(len(job.open_items) for job in state.jobs.values()),
+            stores=dict(state.stores),
+        )
+
+    # Housekeeping
 
     async def run_housekeeping(self) -> None:
-        """Announces this machine, and ends what is over."""
+        """Registers this machine, and expires jobs at the primary, for as long as the process runs."""
         while True:
-            await asyncio.sleep(HOUSEKEEPING_S)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             if self._node.state.stores.get(self._settings.node) != self._settings.ip:
-                await self.command(commands.RegisterStore(self._settings.node, self._settings.ip))
+                await self.execute(commands.RegisterStore(self._settings.node, self._settings.ip))
             if self._node.replica.holds_lease(self._clock.monotonic()):
-                await self._node.decide(self._clean)
-
-    def _clean(self, state: TierState) -> decisions.Decision:
-        """Drops lots that nobody may ask for any more, and gives up items that have waited too long."""
-        ended: list[Any] = []
-        now = self._clock.now_ms()
-        configuration = self.configuration
-        table = decisions.RoutingTable(configuration) if configuration is not None else None
-        for job in state.jobs.values():
-            age_s = (now - job.at_ms) / 1000
-            if job.done and age_s > self._settings.bounds.status_s + KEEP_MARGIN_S:
-                ended.append(events.BatchJobRemoved(job.id))
-            elif not job.done and table is not None:
-                route = table.find(job.host, job.path)
-                wait = route.max_wait_s if route is not None else None
-                if route is None or (wait is not None and age_s > wait + GIVE_UP_MARGIN_S):
-                    dead = tuple(events.ItemResult(item, events.DEAD_LETTER, "") for item in job.open_items)
-                    ended.append(events.ItemsCompleted(job.id, dead))
-        return self._tell_readers(decisions.Decision(tuple(ended), commands.Done()))
-
-    def _status(self) -> commands.StoreStatus:
-        replica, state = self._node.replica, self._node.state
-        view = replica.view
-        return commands.StoreStatus(
-            self._settings.node,
-            replica.role.value,
-            replica.promised,
-            view.members if view else (),
-            view.witnesses if view else (),
-            replica.log.last[1],
-            replica.commit_index,
-            state.version,
-            len(state.jobs),
-            sum(len(job.open_items) for job in state.jobs.values()),
-            dict(state.stores),
-        )
+                await self._node.decide(self._expire_jobs)
+
+    def _expire_jobs(self, state: TierState) -> Decision:
+        retention_s = self._settings.bounds.status_s + RETENTION_MARGIN_S
+        decision = decisions.expire_jobs(state, self.configuration, self._clock.now_ms(), retention_s)
+        return self._notify_readers(decision)
--- a/crowwing/tier/store/workers.py
+++ b/crowwing/tier/store/workers.py
@@ -1,48 +1,50 @@
-"""Where the disk's blocking work is done: two threads, or a simulated machine's time in tests."""
+"""Where the disk's blocking work is done: two threads, or simulated time in tests."""
 
 import asyncio
 from collections.abc import Callable
 from concurrent.futures import Future, ThreadPoolExecutor
 from typing import Any, Protocol, TypeVar
 
-T = TypeVar("T")
+ResultT = TypeVar("ResultT")
+ResultT_co = TypeVar("ResultT_co", covariant=True)
 
 
-class Outcome(Protocol[T]):
-    """Work that was handed over."""
+class PendingResult(Protocol[ResultT_co]):
+    """The result of work that was handed over."""
 
     def done(self) -> bool:
-        """Whether it has ended."""
+        """Whether the work has ended."""
         ...
 
-    def result(self) -> T:
-        """What it gave; waits for its end, and raises what it raised."""
+    def result(self) -> ResultT_co:
+        """The result; waits for the end of the work, and raises what it raised."""
         ...
 
 
 class DiskWorkers(Protocol):
-    """Does one piece of writing after another, and rewriting beside it."""
+    """Does one write after another, and compaction beside the writes."""
 
-    async def write(self, work: Callable[..., T], *arguments: Any) -> T:  # noqa: ANN401
-        """Does a piece of writing, after those before it."""
+    async def write(self, work: Callable[..., ResultT], *arguments: Any) -> ResultT:  # noqa: ANN401  `work` takes them
+        """Does a write, after those before it; raises what it raises."""
         ...
 
-    def rewrite(self, work: Callable[..., T], *arguments: Any) -> Outcome[T]:  # noqa: ANN401
-        """Starts a piece of rewriting."""
+    def compact(self, work: Callable[..., ResultT], *arguments: Any) -> PendingResult[ResultT]:  # noqa: ANN401  `work` takes them
+        """Starts a compaction."""
         ...
 
 
 class ThreadWorkers:
-    """A thread that writes and one that rewrites."""
+    """A thread that writes and one that compacts; owned by `Disk`."""
 
     def __init__(self) -> None:
+        """Threads that start with the first work."""
         self._writer = ThreadPoolExecutor(1, "disk")
-        self._rewriter = ThreadPoolExecutor(1, "rewriter")
+        self._compactor = ThreadPoolExecutor(1, "compaction")
 
-    async def write(self, work: Callable[..., T], *arguments: Any) -> T:  # noqa: ANN401
-        """Does a piece of writing, after those before it."""
+    async def write(self, work: Callable[..., ResultT], *arguments: Any) -> ResultT:  # noqa: ANN401  `work` takes them
+        """Does a write, after those before it; raises what it raises."""
         return await asyncio.get_running_loop().run_in_executor(self._writer, work, *arguments)
 
-    def rewrite(self, work: Callable[..., T], *arguments: Any) -> Future[T]:  # noqa: ANN401
-        """Starts a piece of rewriting."""
-        return self._rewriter.submit(work, *arguments)
+    def compact(self, work: Callable[..., ResultT], *arguments: Any) -> Future[ResultT]:  # noqa: ANN401  `work` takes them
+        """Starts a compaction."""
+        return self._compactor.submit(work, *arguments)
--- a/tests/tier/simulation/clients.py
+++ b/tests/tier/simulation/clients.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from crowwing.tier.store import commands
-from crowwing.tier.store.control_api import get_outcome_answer, outcome_answer
+from crowwing.tier.store.control_api import outcome_response, read_outcome_response
 from tests.tier.simulation.history import Call, Change, hash_of
 from tests.tier.simulation.machines import BATCH_PREFIX, Machine, Store, configuration_text
 from tests.tier.simulation.world import World
@@ -76,8 +76,10 @@
         async def work() -> tuple[int, bytes] | None:
             if machine.machine is None:
                 raise ConnectionRefusedError
-            outcome = await machine.machine.service.command(command)
-            tell = get_outcome_answer if isinstance(command, commands.GetConfiguration) else outcome_answer
+            outcome = await machine.machine.service.execute(command)
+            tell = (
+                read_outcome_response if isinstance(command, commands.GetConfiguration) else outcome_response
+            )
             response = tell(outcome)
             return response.status_code, bytes(response.content)
 
--- a/tests/tier/simulation/disk.py
+++ b/tests/tier/simulation/disk.py
@@ -198,7 +198,7 @@
             self.under_way = None
             return work(*arguments)
 
-    def rewrite(self, work: Callable[..., Any], *arguments: Any) -> Rewriting:  # noqa: ANN401
+    def compact(self, work: Callable[..., Any], *arguments: Any) -> Rewriting:  # noqa: ANN401
         """Does it beside the writes."""
         rewriting = Rewriting(lambda: work(*arguments))
         self._loop.call_later(self._random.uniform(*REWRITE_S) * self._trouble.factor, rewriting.run)
--- a/tests/tier/simulation/faults.py
+++ b/tests/tier/simulation/faults.py
@@ -345,7 +345,7 @@
         self.world.seeds = tuple(self.random.sample(hosts, min(3, len(hosts))))
         for store in self.world.stores.values():
             if store.machine is not None and store.is_awake:
-                store.machine.take_seeds(self.world.seeds)
+                store.machine.update_seeds(self.world.seeds)
 
     async def front(self, host: str, span_s: float) -> None:
         """A front is killed."""
--- a/tests/tier/simulation/figures.py
+++ b/tests/tier/simulation/figures.py
@@ -59,7 +59,7 @@
         times = []
         for _ in range(CHANGES):
             sent = world.now
-            await machine.service.command(command)
+            await machine.service.execute(command)
             times.append(world.now - sent)
             await asyncio.sleep(0.013)
         return times
--- a/tests/tier/simulation/machines.py
+++ b/tests/tier/simulation/machines.py
@@ -18,9 +18,10 @@
 from crowwing.tier.platform_list import Sidecar, SidecarList
 from crowwing.tier.settings import Settings
 from crowwing.tier.state.events import COMPLETED, ItemResult
-from crowwing.tier.store import commands
+from crowwing.tier.store import commands, outcomes
 from crowwing.tier.store.disk import Disk
-from crowwing.tier.store.machine import RELAYED, StoreMachine
+from crowwing.tier.store.environment import Environment
+from crowwing.tier.store.machine import RELAY_MESSAGES, StoreMachine
 from crowwing.tier.wire.connection import Connection, ConnectionPool, serve
 from tests.tier.simulation.disk import DiskTrouble, SimulatedFiles, SimulatedWorkers
 from tests.tier.simulation.loop import Life, new_life
@@ -142,10 +143,10 @@
         settings = self.settings(bootstrap)
         disk = Disk(Path("/data"), self.world.disk_mb * 1024 * 1024, self.files, self.workers, self.clock())
         network = LifeNetwork(self.world.network, life)
-        self.machine = StoreMachine(settings, disk, random, network, self.clock(), started)
+        self.machine = StoreMachine(settings, disk, Environment(random, network, self.clock(), started))
         self.world.watch(self)
         await self.machine.start()
-        for work in self.machine.works(self._read_list):
+        for work in self.machine.background_tasks(self._read_list):
             self.spawn(work)
 
     def stop(self, power: bool = False, wipe: bool = False) -> None:
@@ -211,7 +212,7 @@
             self.spawn(work)
 
     async def _handle(self, connection: Connection, body: Any) -> Any:  # noqa: ANN401
-        if isinstance(body, RELAYED) and self.relay is not None:
+        if isinstance(body, RELAY_MESSAGES) and self.relay is not None:
             return await self.relay.handle(connection, body)
         return None
 
@@ -223,7 +224,7 @@
             room = 4 - len(self.running)
             command = commands.LeaseItemsRequest(self.host, max(0, room), tuple(self.running), 300)
             outcome = await store.call(command, 2.0, answer_s=1.2)
-            if isinstance(outcome, commands.LeaseItemsResponse):
+            if isinstance(outcome, outcomes.LeaseItemsResponse):
                 for key in outcome.stop:
                     task = self.running.pop(key, None)
                     if task is not None:
@@ -234,7 +235,7 @@
                         self.running[key] = self.spawn(self._run_item(store, leased, random))
             await asyncio.sleep(0.15)
 
-    async def _run_item(self, store: StoreClient, leased: commands.LeasedItem, random: Random) -> None:
+    async def _run_item(self, store: StoreClient, leased: outcomes.LeasedItem, random: Random) -> None:
         key = (leased.job_id, leased.item.id)
         world = self.world
         world.history.runs.append((world.loop.time(), leased.job_id, leased.item.id))
@@ -245,7 +246,7 @@
                 leased.job_id, leased.item.id, ItemResult(leased.item.id, COMPLETED, text)
             )
             for _ in range(8):
-                if isinstance(await store.call(report, 4.0), commands.Done):
+                if isinstance(await store.call(report, 4.0), outcomes.Done):
                     return
         finally:
             self.running.pop(key, None)
--- a/tests/tier/simulation/world.py
+++ b/tests/tier/simulation/world.py
@@ -11,8 +11,8 @@
 from crowwing.tier.replication.replica import Replica
 from crowwing.tier.replication.replica_state import Role
 from crowwing.tier.state import events
-from crowwing.tier.state.views import TierState
-from crowwing.tier.store import commands
+from crowwing.tier.state.tier_state import TierState
+from crowwing.tier.store import commands, outcomes
 from crowwing.tier.store.decisions import Decision
 from tests.tier.simulation.history import History
 from tests.tier.simulation.loop import Life, SimulatedLoop
@@ -199,7 +199,7 @@
         assert primary is not None
         machine = self.stores[primary].machine
         assert machine is not None
-        self.stores[primary].spawn(machine.service.command(commands.RetireStore(f"node-{host}")))
+        self.stores[primary].spawn(machine.service.execute(commands.RetireStore(f"node-{host}")))
 
     def fill_disk(self, host: str, span_s: float) -> None:
         """A disk takes no more bytes for a while."""
@@ -213,7 +213,7 @@
         """Checks the rules after each step of a store machine, and counts what it sends."""
         assert store.machine is not None
         node, host = store.machine.node, store.host
-        step, notify_all = node.step, node._connections.notify_all
+        step, notify_all = node.step, node.connections.data.notify_all
 
         def watched_step() -> None:
             step()
@@ -224,7 +224,7 @@
             self._count(host, receivers, message, notify_all)
 
         node.step = watched_step  # type: ignore[method-assign]
-        node._connections.notify_all = counted  # type: ignore[method-assign]
+        node.connections.data.notify_all = counted  # type: ignore[method-assign]
 
     def _count(self, host: str, receivers: list[str], message: Any, send: Callable[..., None]) -> None:  # noqa: ANN401
         entries = getattr(message, "entries", ())
@@ -295,10 +295,10 @@
         event = events.BatchJobAccepted(payload, "h", "/", (), FAR_MS)
 
         def decide(state: TierState) -> Decision:
-            return Decision(() if payload in state.jobs else (event,), commands.Done())
+            return Decision(() if payload in state.jobs else (event,), outcomes.Done())
 
         outcome = await store.machine.node.decide(decide)
-        if isinstance(outcome, commands.Done):
+        if isinstance(outcome, outcomes.Done):
             self.acknowledged.append(payload)
             self.on_acknowledged(store.host)
 
--- a/tests/tier/test_control_safety_steps.py
+++ b/tests/tier/test_control_safety_steps.py
@@ -5,7 +5,7 @@
 from crowwing.tier.replication import messages, timing
 from crowwing.tier.replication.replica import Replica
 from crowwing.tier.replication.replica_state import Campaign, Phase
-from crowwing.tier.state.views import TierState
+from crowwing.tier.state.tier_state import TierState
 
 HOSTS = ("a", "b", "c")
 
--- a/tests/tier/test_decisions.py
+++ b/tests/tier/test_decisions.py
@@ -9,9 +9,9 @@
 from crowwing.tier.state import changes, events
 from crowwing.tier.state.batch_jobs import BatchJob
 from crowwing.tier.state.changes import AcceptedChanges
-from crowwing.tier.state.views import TierState
-from crowwing.tier.store import commands, decisions
-from crowwing.tier.store.leases import GRACE_S, LEASE_S, Leases
+from crowwing.tier.state.tier_state import TierState
+from crowwing.tier.store import commands, decisions, outcomes
+from crowwing.tier.store.leases import LEASE_S, TAKEOVER_GRACE_S, Leases
 from crowwing.tier.wire.codec import encode
 
 
@@ -20,42 +20,42 @@
         "name": "r", "host": "h.example", "pathPrefix": "/p/", "kind": "batch_queue", "timeoutMs": 1000,
         "sloMs": 400, "service": "s", "maxAttempts": 3, "completionSloMs": 12000, **changes.pop("route", {}),
     }  # fmt: skip
-    whole = {"version": version, "routes": [route], "services": [{"name": "s"}], "limits": {}, **changes}
-    return json.dumps(whole).encode()
+    complete = {"version": version, "routes": [route], "services": [{"name": "s"}], "limits": {}, **changes}
+    return json.dumps(complete).encode()
 
 
-def played(state: TierState, decision: decisions.Decision) -> Any:  # noqa: ANN401
+def apply_decision(state: TierState, decision: decisions.Decision) -> Any:  # noqa: ANN401
     for event in decision.events:
         state.apply(encode(event), 1)
     return decision.outcome
 
 
 def put(state: TierState, base: int, text: bytes) -> Any:  # noqa: ANN401
-    return played(state, decisions.put_configuration(state, commands.PutConfiguration(base, text)))
+    return apply_decision(state, decisions.put_configuration(state, commands.PutConfiguration(base, text)))
 
 
 def test_of_two_changes_on_one_version_one_wins() -> None:
     state = TierState()
-    assert put(state, 0, configuration(3)) == commands.Done()
-    assert put(state, 3, configuration(5)) == commands.Done()
+    assert put(state, 0, configuration(3)) == outcomes.Done()
+    assert put(state, 3, configuration(5)) == outcomes.Done()
     assert put(state, 3, configuration(6)).status == 412
     assert put(state, 3, configuration(5, limits={"maxBodyBytes": 9})).status == 412, (
         "the same number, other content"
     )
 
 
-def test_a_change_that_was_taken_is_acknowledged_again_also_after_others() -> None:
+def test_an_accepted_change_is_acknowledged_again_also_after_others() -> None:
     state = TierState()
     put(state, 0, configuration(3))
-    assert put(state, 0, configuration(3)) == commands.Done()
+    assert put(state, 0, configuration(3)) == outcomes.Done()
     put(state, 3, configuration(5))
-    assert put(state, 0, configuration(3)) == commands.Done(), "its answer may have been lost"
-    assert state.version == 5, "and nothing is taken twice"
+    assert put(state, 0, configuration(3)) == outcomes.Done(), "its answer may have been lost"
+    assert state.version == 5, "and nothing is accepted twice"
     assert put(state, 0, configuration(3, limits={"maxBodyBytes": 9})).status == 412, "another one's change"
-    assert put(state, 3, configuration(3)).status == 412, "the same text on another base was never taken"
+    assert put(state, 3, configuration(3)).status == 412, "the same text on another base was never accepted"
 
 
-def test_a_change_is_remembered_through_a_repair_and_a_rewritten_file() -> None:
+def test_a_change_is_remembered_through_a_repair_and_a_compaction() -> None:
     state = TierState()
     for version in range(1, 40):
         put(state, version - 1, configuration(version))
@@ -63,10 +63,10 @@
     other.replace_ranges(dict(state.freeze()))
     assert other.digests() == state.digests()
     for version in range(1, 40):
-        assert put(other, version - 1, configuration(version)) == commands.Done()
+        assert put(other, version - 1, configuration(version)) == outcomes.Done()
 
 
-def test_what_is_remembered_of_changes_is_bounded_and_nothing_forgotten_is_refused(
+def test_remembered_changes_are_bounded_and_no_forgotten_one_is_rejected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(changes, "MAX_REMEMBERED_CHANGES", 20)
@@ -74,10 +74,10 @@
     for version in range(1, 31):
         put(state, version - 1, configuration(version))
     for version in range(11, 31):
-        assert put(state, version - 1, configuration(version)) == commands.Done()
+        assert put(state, version - 1, configuration(version)) == outcomes.Done()
     for version in range(1, 11):
-        assert isinstance(put(state, version - 1, configuration(version)), commands.Indeterminate), (
-            "never a refusal"
+        assert isinstance(put(state, version - 1, configuration(version)), outcomes.Indeterminate), (
+            "never rejected"
         )
     assert put(state, 11, configuration(31)).status == 412
     assert len(encode(state.changes.to_plain())) < 20 * 32
@@ -98,14 +98,14 @@
         (b"[]", "body"),
     ],
 )
-def test_an_invalid_configuration_is_refused_with_the_place(text: bytes, place: str) -> None:
+def test_an_invalid_configuration_is_rejected_with_the_field(text: bytes, place: str) -> None:
     parsed = parse_configuration(text)
     assert isinstance(parsed, InvalidConfiguration) and parsed.place == place
     state = TierState()
     assert put(state, 0, text).status == 400 and state.version == 0
 
 
-def test_two_routes_with_one_place_and_old_versions_are_refused() -> None:
+def test_duplicate_routes_and_old_versions_are_rejected() -> None:
     text = json.loads(configuration(4))
     text["routes"].append({**text["routes"][0], "name": "other"})
     assert isinstance(parse_configuration(json.dumps(text).encode()), InvalidConfiguration)
@@ -124,11 +124,15 @@
     assert routes.find("h.example", "/other/") is None
 
 
+def never_past_deadline(_: BatchJob) -> bool:
+    return False
+
+
 def submitted(count: int = 3) -> TierState:
     state = TierState()
     put(state, 0, configuration(3))
     items = tuple(events.BatchItem(f"i{number}", "/p/x", (), b"body", 10) for number in range(count))
-    played(
+    apply_decision(
         state,
         decisions.submit_batch_job(
             state, commands.SubmitBatchJob("lot", "h.example", "/p/x", items), 1000, True
@@ -138,28 +142,28 @@
 
 
 def report(state: TierState, item: str, result: events.ItemResult) -> Any:  # noqa: ANN401
-    return played(state, decisions.report_item(state, commands.ReportItemResult("lot", item, result)))
+    return apply_decision(state, decisions.report_item(state, commands.ReportItemResult("lot", item, result)))
 
 
 def report_failure(state: TierState, item: str, attempt: str) -> Any:  # noqa: ANN401
     parsed = parse_configuration(state.configuration)
-    return played(
+    return apply_decision(
         state, decisions.report_failure(state, commands.ReportItemFailure("lot", item, attempt), parsed)
     )
 
 
-def test_a_job_is_taken_once_and_keeps_its_positions() -> None:
+def test_a_job_is_accepted_once_and_keeps_its_positions() -> None:
     state = submitted()
     again = decisions.submit_batch_job(
         state, commands.SubmitBatchJob("lot", "h.example", "/p/x", ()), 2000, True
     )
-    assert again == decisions.Decision((), commands.Done())
+    assert again == decisions.Decision((), outcomes.Done())
     report(state, "i1", events.ItemResult("i1", events.COMPLETED, "one"))
     report(state, "i1", events.ItemResult("i1", events.COMPLETED, "two"))
     page = decisions.read_batch_job(state, commands.ReadBatchJob("lot", 0, 0)).outcome
-    assert page == commands.BatchJobPage(3, (events.ItemResult("i1", events.COMPLETED, "one"),))
-    assert decisions.read_item_body(state, commands.ReadItemBody("lot", "i1")).outcome == commands.NotFound()
-    assert decisions.read_item_body(state, commands.ReadItemBody("lot", "i0")).outcome == commands.ItemBody(
+    assert page == outcomes.BatchJobPage(3, (events.ItemResult("i1", events.COMPLETED, "one"),))
+    assert decisions.read_item_body(state, commands.ReadItemBody("lot", "i1")).outcome == outcomes.NotFound()
+    assert decisions.read_item_body(state, commands.ReadItemBody("lot", "i0")).outcome == outcomes.ItemBody(
         b"body"
     )
 
@@ -176,25 +180,29 @@
 def test_a_failed_attempt_that_is_reported_again_counts_once() -> None:
     state = submitted()
     for _ in range(5):  # each time without a clear answer
-        assert report_failure(state, "i0", "a") == commands.Done()
+        assert report_failure(state, "i0", "a") == outcomes.Done()
     assert state.jobs["lot"].failures == {"i0": ["a"]} and not state.jobs["lot"].results
 
 
-def test_an_ended_job_keeps_what_is_listed_and_takes_nothing_more() -> None:
+def test_an_ended_job_keeps_its_results_and_gets_no_more() -> None:
     state = submitted()
     report(state, "i0", events.ItemResult("i0", events.COMPLETED, "one"))
-    assert played(state, decisions.end_batch_job(state, commands.EndBatchJob("lot"))) == commands.Done()
-    assert played(state, decisions.end_batch_job(state, commands.EndBatchJob("lot"))) == commands.Done()
-    assert report(state, "i1", events.ItemResult("i1", events.COMPLETED, "late")) == commands.Done()
+    assert (
+        apply_decision(state, decisions.end_batch_job(state, commands.EndBatchJob("lot"))) == outcomes.Done()
+    )
+    assert (
+        apply_decision(state, decisions.end_batch_job(state, commands.EndBatchJob("lot"))) == outcomes.Done()
+    )
+    assert report(state, "i1", events.ItemResult("i1", events.COMPLETED, "late")) == outcomes.Done()
     assert len(state.jobs["lot"].results) == 1
-    assert decisions.end_batch_job(state, commands.EndBatchJob("unknown")).outcome == commands.NotFound()
+    assert decisions.end_batch_job(state, commands.EndBatchJob("unknown")).outcome == outcomes.NotFound()
 
 
 def test_a_dumped_state_loads_as_it_was() -> None:
     state = submitted()
     report(state, "i0", events.ItemResult("i0", events.COMPLETED, "one"))
     report_failure(state, "i2", "a")
-    played(
+    apply_decision(
         state,
         decisions.Decision(
             (events.StoreRegistered("store-1", "10.0.0.1"), events.RetireRequested("store-1")), None
@@ -206,59 +214,68 @@
     assert other.jobs["lot"].failures == {"i2": ["a"]}
 
 
-def test_a_machine_is_emptied_only_while_enough_others_stay() -> None:
+def test_a_store_is_decommissioned_only_while_enough_others_stay() -> None:
     state = TierState()
     for number in range(4):
         state.fold(events.StoreRegistered(f"store-{number}", f"10.0.0.{number}"))
     hosts = [f"10.0.0.{number}" for number in range(4)]
-    assert decisions.retire(state, commands.RetireStore("unknown"), hosts, 3).outcome == commands.NotFound()
     assert (
-        played(state, decisions.retire(state, commands.RetireStore("store-0"), hosts, 3)) == commands.Done()
+        decisions.retire_store(state, commands.RetireStore("unknown"), hosts, 3).outcome
+        == outcomes.NotFound()
     )
     assert (
-        played(state, decisions.retire(state, commands.RetireStore("store-0"), hosts, 3)) == commands.Done()
+        apply_decision(state, decisions.retire_store(state, commands.RetireStore("store-0"), hosts, 3))
+        == outcomes.Done()
     )
-    assert decisions.retire(state, commands.RetireStore("store-1"), hosts, 3).outcome.status == 409
+    assert (
+        apply_decision(state, decisions.retire_store(state, commands.RetireStore("store-0"), hosts, 3))
+        == outcomes.Done()
+    )
+    assert decisions.retire_store(state, commands.RetireStore("store-1"), hosts, 3).outcome.status == 409
 
 
-def test_a_machine_that_has_left_long_ago_keeps_no_other_from_leaving() -> None:
+def test_a_store_that_left_long_ago_keeps_no_other_from_leaving() -> None:
     state = TierState()
     for number in range(4):
         state.fold(events.StoreRegistered(f"store-{number}", f"10.0.0.{number}"))
     state.fold(events.RetireRequested("store-0"))
     state.fold(events.StoreRegistered("store-4", "10.0.0.4"))
     left = [f"10.0.0.{number}" for number in range(1, 5)]
-    assert played(state, decisions.retire(state, commands.RetireStore("store-1"), left, 3)) == commands.Done()
-    assert decisions.retire(state, commands.RetireStore("store-2"), left, 3).outcome.status == 409
+    assert (
+        apply_decision(state, decisions.retire_store(state, commands.RetireStore("store-1"), left, 3))
+        == outcomes.Done()
+    )
+    assert decisions.retire_store(state, commands.RetireStore("store-2"), left, 3).outcome.status == 409
 
 
-def test_a_machine_at_the_address_of_one_that_was_emptied_may_stay() -> None:
+def test_a_store_at_the_address_of_a_decommissioned_one_may_stay() -> None:
     state = TierState()
     state.fold(events.StoreRegistered("store-0", "10.0.0.1"))
     state.fold(events.RetireRequested("store-0"))
     assert state.retired_hosts() == {"10.0.0.1"}
     state.fold(events.StoreRegistered("store-9", "10.0.0.1"))
     assert state.retired_hosts() == frozenset()
-    assert decisions.retire(state, commands.RetireStore("store-0"), [], 0).outcome == commands.Done(), (
-        "it was taken, and is never refused"
+    assert decisions.retire_store(state, commands.RetireStore("store-0"), [], 0).outcome == outcomes.Done(), (
+        "it was accepted, and is never rejected"
     )
 
 
-def test_items_are_leased_once_until_the_lease_ends_and_hopeless_jobs_last() -> None:
+def test_items_are_leased_once_until_the_lease_expires_and_late_jobs_last() -> None:
     state = submitted(2)
     items = (events.BatchItem("j0", "/p/x", (), b"", 1),)
     state.fold(events.BatchJobAccepted("later", "h.example", "/p/x", items, 2000))
     leases = Leases(0.0)
     for job in state.jobs.values():
         leases.add_job(job)
-    hopeful = lambda job: False  # noqa: E731
-    assert leases.lease(state, "f1", 5, GRACE_S / 2, hopeful) == [], "fronts tell first what they run"
+    assert leases.lease(state, "f1", 5, TAKEOVER_GRACE_S / 2, never_past_deadline) == [], (
+        "fronts renew their leases first"
+    )
     late_first = leases.lease(state, "f1", 1, 1.0, lambda job: job.id == "lot")
     assert [item.id for _, item in late_first] == ["j0"]
-    assert [item.id for _, item in leases.lease(state, "f1", 5, 1.0, hopeful)] == ["i0", "i1"]
-    assert leases.lease(state, "f2", 5, 1.0, hopeful) == []
+    assert [item.id for _, item in leases.lease(state, "f1", 5, 1.0, never_past_deadline)] == ["i0", "i1"]
+    assert leases.lease(state, "f2", 5, 1.0, never_past_deadline) == []
     assert leases.renew(state, "f1", [("lot", "i0")], 1.0 + LEASE_S / 2) == ()
-    again = leases.lease(state, "f2", 5, 1.0 + LEASE_S, hopeful)
+    again = leases.lease(state, "f2", 5, 1.0 + LEASE_S, never_past_deadline)
     assert sorted(item.id for _, item in again) == ["i1", "j0"], "what was renewed stays"
     assert leases.renew(state, "f1", [("lot", "i1")], 1.1 + LEASE_S) == (("lot", "i1"),)
     state.fold(events.BatchJobEnded("lot"))
@@ -269,12 +286,11 @@
     state = submitted(2)
     leases = Leases(0.0)
     leases.add_job(state.jobs["lot"])
-    hopeful = lambda job: False  # noqa: E731
-    assert len(leases.lease(state, "f1", 5, 1.0, hopeful)) == 2
+    assert len(leases.lease(state, "f1", 5, 1.0, never_past_deadline)) == 2
     leases.release(state, ("lot", "i1"))
-    assert [item.id for _, item in leases.lease(state, "f2", 5, 1.1, hopeful)] == ["i1"]
+    assert [item.id for _, item in leases.lease(state, "f2", 5, 1.1, never_past_deadline)] == ["i1"]
     state.fold(events.BatchJobEnded("lot"))
-    assert leases.lease(state, "f3", 5, 1.2 + LEASE_S, hopeful) == []
+    assert leases.lease(state, "f3", 5, 1.2 + LEASE_S, never_past_deadline) == []
     assert leases.free_count == 0
 
 
@@ -282,12 +298,11 @@
     state = submitted(2)
     leases = Leases(0.0)
     leases.add_job(state.jobs["lot"])
-    hopeful = lambda job: False  # noqa: E731
-    assert len(leases.lease(state, "f1", 5, 1.0, hopeful)) == 2
+    assert len(leases.lease(state, "f1", 5, 1.0, never_past_deadline)) == 2
     leases.give_up(state, "f1", [("lot", "i1")])
-    assert [item.id for _, item in leases.lease(state, "f2", 5, 1.1, hopeful)] == ["i1"]
+    assert [item.id for _, item in leases.lease(state, "f2", 5, 1.1, never_past_deadline)] == ["i1"]
     leases.give_up(state, "f1", [("lot", "i1")])  # the same call once more, its answer was lost
-    assert leases.lease(state, "f3", 5, 1.2, hopeful) == [], "it is with f2"
+    assert leases.lease(state, "f3", 5, 1.2, never_past_deadline) == [], "it is with f2"
     state.fold(events.BatchJobEnded("lot"))
     leases.give_up(state, "f2", [("lot", "i1")])
     assert leases.free_count == 0
@@ -303,14 +318,14 @@
         leases.add_job(job)
     looked_at: list[str] = []
 
-    def hopeless(job: BatchJob) -> bool:
+    def is_past_deadline(job: BatchJob) -> bool:
         looked_at.append(job.id)
         return False
 
-    assert len(leases.lease(state, "f1", 10_000, 1.0, hopeless)) == 10_000
+    assert len(leases.lease(state, "f1", 10_000, 1.0, is_past_deadline)) == 10_000
     looked_at.clear()
-    assert leases.lease(state, "f2", 5, 1.1, hopeless) == []
-    assert looked_at == [], "lots without free items are not looked at"
+    assert leases.lease(state, "f2", 5, 1.1, is_past_deadline) == []
+    assert looked_at == [], "jobs without free items are not looked at"
 
 
 def test_a_state_is_brought_to_another_one_by_the_ranges_in_which_they_differ() -> None:
--- a/tests/tier/test_disk_troubles.py
+++ b/tests/tier/test_disk_troubles.py
@@ -11,10 +11,13 @@
 
 from crowwing.tier.replication.replica_state import Role
 from crowwing.tier.storage.record_file import RecordFile, Replacement, StorageError
-from crowwing.tier.store import node as store_node
+from crowwing.tier.store import disk_writer
 from crowwing.tier.store.decisions import Decision
 from crowwing.tier.store.disk import Disk
-from crowwing.tier.store.node import ReplicaNode
+from crowwing.tier.store.environment import Environment
+from crowwing.tier.store.message_sender import ReplicaConnections
+from crowwing.tier.store.node import ReplicaIdentity, ReplicaNode
+from crowwing.tier.store.outcomes import Done
 from crowwing.tier.wire.connection import ConnectionPool
 from tests.tier.simulation.world import World
 from tests.tier.test_replication import CATCH_UP_S, HOSTS, quick_world
@@ -23,7 +26,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_primary_whose_disk_is_full_hands_over_and_comes_back(seed: int) -> None:
+def test_a_primary_with_a_full_disk_transfers_leadership_and_comes_back(seed: int) -> None:
     world = quick_world(seed, HOSTS, HOSTS)
     world.settle()
     world.acknowledge("first")
@@ -80,7 +83,7 @@
 
 
 @pytest.mark.parametrize("of_primary", [True, False])
-def test_a_slow_disk_is_left_out_and_taken_back(of_primary: bool) -> None:
+def test_a_member_with_a_slow_disk_is_removed_and_joins_again(of_primary: bool) -> None:
     world = quick_world(12, HOSTS, HOSTS)
     world.settle()
     world.acknowledge("first")
@@ -98,14 +101,14 @@
     assert world.members() == set(HOSTS)
 
 
-def test_two_slow_disks_of_three_are_not_left_out() -> None:
+def test_two_members_of_three_with_slow_disks_are_not_removed() -> None:
     world = quick_world(13, HOSTS, HOSTS)
     world.settle()
     for host in HOSTS[:2]:
         world.stores[host].trouble.factor = 40.0
     for number in range(5):
         world.acknowledge(f"slow {number},", 3.0)
-    assert len(world.members()) >= 2, "a single copy is never acknowledged on"
+    assert len(world.members()) >= 2, "nothing is acknowledged on a single replica"
 
 
 def random_disk_troubles(seed: int) -> World:
@@ -157,11 +160,11 @@
             raise StorageError("state.log", "no space left on device")
         await super().write(records)
 
-    async def rewrite(self, records: list[Any]) -> None:
+    async def replace_all(self, records: list[Any]) -> None:
         """Fails while full."""
         if self.full:
             raise StorageError("state.log", "no space left on device")
-        await super().rewrite(records)
+        await super().replace_all(records)
 
 
 async def wait_until(condition: Any, limit_s: float = 5.0) -> None:  # noqa: ANN401
@@ -171,24 +174,26 @@
             await asyncio.sleep(0.005)
 
 
-def test_a_node_whose_disk_fills_stands_aside_and_keeps_its_memory(
+def test_a_node_with_a_full_disk_takes_no_part_and_keeps_its_memory(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(store_node, "DISK_RETRY_S", 0.02)
+    monkeypatch.setattr(disk_writer, "DISK_RETRY_INTERVAL_S", 0.02)
 
     async def play() -> None:
         disk = FailingDisk(tmp_path)
-        node = ReplicaNode("127.0.0.1", ("127.0.0.1",), 0, disk, ConnectionPool(1), Random(1))
+        identity = ReplicaIdentity("127.0.0.1", ("127.0.0.1",), 0)
+        connections = ReplicaConnections(ConnectionPool(1), ConnectionPool(1))
+        node = ReplicaNode(identity, disk, connections, Environment(Random(1)))
         node.start(True, ("127.0.0.1",))
         tasks = [asyncio.ensure_future(node.run_disk()), asyncio.ensure_future(node.run_clock())]
         await wait_until(lambda: node.replica.role is Role.PRIMARY)
         disk.full = True
-        outcome = asyncio.ensure_future(node.decide(lambda state: Decision((), "told")))
+        outcome = asyncio.ensure_future(node.decide(lambda _: Decision((), Done())))
         node.replica.propose(0.0, b"\xf6")
         node.step()
         await wait_until(lambda: node.disk_failed)
         assert node.replica.role is Role.FOLLOWER
-        assert await outcome != "told"
+        assert await outcome != Done()
         disk.full = False
         await wait_until(lambda: not node.disk_failed)
         await wait_until(lambda: node.replica.role is Role.PRIMARY)
@@ -199,7 +204,7 @@
     asyncio.run(play())
 
 
-def test_a_failed_rewrite_leaves_the_old_content_and_frees_its_room(
+def test_a_failed_rewrite_leaves_the_old_content_and_frees_its_space(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "state.log"
@@ -220,20 +225,20 @@
     assert RecordFile(path).open() == [b"kept", b"later"]
 
 
-def test_a_file_is_not_rewritten_where_both_do_not_fit_on_the_disk(tmp_path: Path) -> None:
+def test_a_file_is_not_compacted_where_both_do_not_fit_on_the_disk(tmp_path: Path) -> None:
     disk = Disk(tmp_path, 20 * MEGABYTE)
     disk.open()
     disk._file.append([bytes(12 * MEGABYTE)])
-    assert disk.is_long(2 * MEGABYTE)
-    assert not disk.is_long(9 * MEGABYTE), "9 MB more do not fit beside 12 of 20"
+    assert disk.needs_compaction(2 * MEGABYTE)
+    assert not disk.needs_compaction(9 * MEGABYTE), "9 MB more do not fit beside 12 of 20"
 
 
-def test_a_file_is_rewritten_sooner_on_a_small_disk(tmp_path: Path) -> None:
+def test_a_file_is_compacted_sooner_on_a_small_disk(tmp_path: Path) -> None:
     disk = Disk(tmp_path, 10 * MEGABYTE)
     disk.open()
     disk._file.append([bytes(5 * MEGABYTE)])
-    assert disk.is_long(2 * MEGABYTE)
-    assert not disk.is_long(4 * MEGABYTE), "little would be won"
+    assert disk.needs_compaction(2 * MEGABYTE)
+    assert not disk.needs_compaction(4 * MEGABYTE), "little would be won"
 
 
 class SlowPreparation:
@@ -248,17 +253,17 @@
         return iter(self._records)
 
 
-def test_writes_do_not_wait_for_a_rewriting_that_is_under_way(tmp_path: Path) -> None:
+def test_writes_do_not_wait_for_a_compaction_in_flight(tmp_path: Path) -> None:
     async def play() -> None:
         disk = Disk(tmp_path)
         disk.open()
         await disk.write(["old"])
         compacted = SlowPreparation(["all"])
-        disk.begin_rewriting(compacted)
+        disk.begin_compaction(compacted)
         await asyncio.wait_for(disk.write(["meanwhile"]), 2)
-        assert not disk.is_long(0), "one rewriting at a time"
+        assert not disk.needs_compaction(0), "one compaction at a time"
         compacted.may_go_on.set()
-        await wait_until(lambda: disk._preparing.done())
+        await wait_until(lambda: disk._compaction.replacement.done())
         await disk.write(["later"])
         await disk.write(["last"])
 
@@ -267,7 +272,7 @@
 
 
 @pytest.mark.parametrize("fails", ["while it is made", "at its end"])
-def test_a_rewriting_that_fails_loses_no_write(
+def test_a_compaction_that_fails_loses_no_write(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, fails: str
 ) -> None:
     def no_space(*_: object) -> None:
@@ -281,10 +286,10 @@
             if fails == "while it is made":
                 patched.setattr(Replacement, "_sync", no_space)
             compacted = SlowPreparation(["all"])
-            disk.begin_rewriting(compacted)
+            disk.begin_compaction(compacted)
             await disk.write(["meanwhile"])
             compacted.may_go_on.set()
-            await wait_until(lambda: disk._preparing.done())
+            await wait_until(lambda: disk._compaction.replacement.done())
             patched.setattr(Replacement, "_sync", no_space)
             await disk.write(["later"])
         await disk.write(["last"])
@@ -293,7 +298,7 @@
     assert Disk(tmp_path).open() == ["old", "meanwhile", "later", "last"]
 
 
-def test_a_loss_of_power_at_each_moment_of_a_rewriting_loses_no_write(tmp_path: Path) -> None:
+def test_a_loss_of_power_at_each_step_of_a_compaction_loses_no_write(tmp_path: Path) -> None:
     async def play(folder: Path, moment: int) -> list[Any]:
         disk = Disk(folder)
         disk.open()
@@ -302,7 +307,7 @@
             lambda: disk.write(["older"]),
             lambda: begin(disk),
             lambda: disk.write(["meanwhile"]),
-            lambda: wait_until(lambda: disk._preparing.done()),
+            lambda: wait_until(lambda: disk._compaction.replacement.done()),
             lambda: disk.write(["later"]),
             lambda: disk.write(["last"]),
         ]
@@ -311,7 +316,7 @@
         return Disk(folder).open()
 
     async def begin(disk: Disk) -> None:
-        disk.begin_rewriting(["old and older"])
+        disk.begin_compaction(["old and older"])
 
     def folded(records: list[Any]) -> list[Any]:
         return ["old", "older", *records[1:]] if records[:1] == ["old and older"] else records
--- a/tests/tier/test_letter_scenarios.py
+++ b/tests/tier/test_letter_scenarios.py
@@ -6,7 +6,7 @@
 import pytest
 
 from crowwing.tier.state.events import BatchItem
-from crowwing.tier.store import commands
+from crowwing.tier.store import commands, outcomes
 from tests.tier.simulation.checkers.configuration import check_configuration
 from tests.tier.simulation.clients import Operator
 from tests.tier.simulation.history import Call
@@ -259,7 +259,7 @@
                 item = BatchItem("i", "/p", (), bytes(512 * 1024), 1)
                 job = commands.SubmitBatchJob(f"lot-{number}", BATCH_HOST, BATCH_PREFIX, (item,))
                 assert store.machine is not None
-                assert isinstance(await store.machine.service.command(job), commands.Done)
+                assert isinstance(await store.machine.service.execute(job), outcomes.Done)
 
     world.run(fill())
     primary = str(world.primary())
--- a/tests/tier/test_recorded_bytes.py
+++ b/tests/tier/test_recorded_bytes.py
@@ -11,7 +11,7 @@
 import crowwing.tier.operator_commands
 import crowwing.tier.store.main  # noqa: F401  these three register all messages
 from crowwing.tier.replication.replica import Replica
-from crowwing.tier.state.views import TierState
+from crowwing.tier.state.tier_state import TierState
 from crowwing.tier.storage.record_file import RecordFile, decode_records, encode_record
 from crowwing.tier.wire import codec
 from crowwing.tier.wire.connection import encode_frame
--- a/tests/tier/test_replication.py
+++ b/tests/tier/test_replication.py
@@ -6,7 +6,7 @@
 
 from crowwing.tier.replication import messages
 from crowwing.tier.replication.replica import Replica
-from crowwing.tier.state.views import TierState
+from crowwing.tier.state.tier_state import TierState
 from tests.tier.simulation.world import World
 
 HOSTS = ("a", "b", "c")
