--- a/crowwing/tier/state/batch_jobs.py
+++ b/crowwing/tier/state/batch_jobs.py
@@ -1,13 +1,28 @@
 """A batch job as the state holds it, and its plain form for snapshots and repair."""
 
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
-from typing import Any
 
 from crowwing.tier.state import events
 
 ENTRY_BYTES = 64  # estimated overhead of an item or a result, beside its texts
 
 
+# The fields of a job in the order in which they are encoded.
+PlainBatchJob = tuple[
+    str,
+    str,
+    str,
+    int,
+    int,
+    Sequence[events.BatchItem],
+    Sequence[events.ItemResult],
+    Mapping[str, Sequence[str]],
+    bool,
+    bytes,
+]
+
+
 def item_bytes(item: events.BatchItem) -> int:
     """The estimated size of an item on disk and in memory, in bytes."""
     headers = sum(len(name) + len(value) for name, value in item.headers)
@@ -61,7 +76,7 @@
         items = sum(item_bytes(item) for item in self.open_items.values())
         return items + sum(result_bytes(result) for result in self.results)
 
-    def to_plain(self) -> tuple[Any, ...]:
+    def to_plain(self) -> PlainBatchJob:
         """The fields as they are now, in the order that is encoded; the order is a stored form and stays."""
         return (
             self.id,
@@ -77,10 +92,18 @@
         )
 
     @classmethod
-    def from_plain(cls, plain: tuple[Any, ...]) -> "BatchJob":
+    def from_plain(cls, plain: PlainBatchJob) -> "BatchJob":
         """The job whose fields `to_plain` gave."""
         job_id, host, path, at_ms, total, items, results, failures, ended, digest = plain
-        open_items = {item.id: item for item in items}
-        results = list(results)
-        failures = {item: list(attempts) for item, attempts in failures.items()}
-        return cls(job_id, host, path, at_ms, total, open_items, results, failures, ended, digest)
+        return cls(
+            id=job_id,
+            host=host,
+            path=path,
+            at_ms=at_ms,
+            total=total,
+            open_items={item.id: item for item in items},
+            results=list(results),
+            failures={item: list(attempts) for item, attempts in failures.items()},
+            ended=ended,
+            digest=digest,
+        )
--- a/crowwing/tier/state/changes.py
+++ b/crowwing/tier/state/changes.py
@@ -1,11 +1,14 @@
 """Which changes of the configuration were accepted, so that a retry of one is acknowledged again."""
 
-from typing import Any
+from collections.abc import Sequence
 
 from crowwing.tier.replication.ranges import digest_of
 
 MAX_REMEMBERED_CHANGES = 4096  # with version and digest each takes under 32 bytes on disk
 
+# The newest forgotten version, the remembered versions, and their digests one after another.
+PlainChanges = tuple[int, Sequence[int], bytes]
+
 
 class AcceptedChanges:
     """The newest accepted changes, by version, each with a digest of its base and its text.
@@ -39,12 +42,12 @@
         self._digests[version] = digest
         self._versions[digest] = version
 
-    def to_plain(self) -> tuple[Any, ...]:
+    def to_plain(self) -> PlainChanges:
         """The fields as they are now, to be encoded; equal records give equal fields."""
         return (self.forgotten, list(self._digests), b"".join(self._digests.values()))
 
     @classmethod
-    def from_plain(cls, plain: tuple[Any, ...]) -> "AcceptedChanges":
+    def from_plain(cls, plain: PlainChanges) -> "AcceptedChanges":
         """The record whose fields `to_plain` gave."""
         changes = cls()
         changes.forgotten, versions, digests = plain
--- a/crowwing/tier/state/tier_state.py
+++ b/crowwing/tier/state/tier_state.py
@@ -1,14 +1,16 @@
 """The state that is folded from the events of the log; equal logs give equal states."""
 
-from collections.abc import Iterator, Mapping
-from typing import Any
+from collections.abc import Iterator, Mapping, Sequence
 
 from crowwing.tier.replication.ranges import COMMON_RANGE, RANGES, digest_of, range_of_key
 from crowwing.tier.state import events
-from crowwing.tier.state.batch_jobs import BatchJob, item_bytes, result_bytes
-from crowwing.tier.state.changes import AcceptedChanges
+from crowwing.tier.state.batch_jobs import BatchJob, PlainBatchJob, item_bytes, result_bytes
+from crowwing.tier.state.changes import AcceptedChanges, PlainChanges
 from crowwing.tier.wire.codec import decode, encode
 
+# Version, changes and text of the configuration; names and addresses of stores; names of the retired ones.
+PlainCommon = tuple[int, PlainChanges, bytes | None, Sequence[tuple[str, str]], Sequence[str]]
+
 
 class TierState:
     """The configuration, the batch jobs and the store machines.
@@ -42,7 +44,7 @@
         `index` is the entry's position, which the replica's protocol hands over; this state does not need it.
         """
         del index
-        event = decode(payload)
+        event: events.Event = decode(payload)
         self.fold(event)
         job = self.jobs.get(getattr(event, "job_id", ""))
         if job is not None:
@@ -103,13 +105,13 @@
         """The addresses of the store machines that are to be decommissioned."""
         return frozenset(self.stores[node] for node in self.retired if node in self.stores)
 
-    def _common(self) -> tuple[Any, ...]:
+    def _common(self) -> PlainCommon:
         """The content of the common range; equal states give equal content, so the names are sorted."""
         stores = sorted(self.stores.items())
         changes = self.changes.to_plain()
         return (self.version, changes, self.configuration, stores, sorted(self.retired))
 
-    def _load_common(self, common: tuple[Any, ...]) -> None:
+    def _load_common(self, common: PlainCommon) -> None:
         self.version, changes, self.configuration, stores, retired = common
         self.changes = AcceptedChanges.from_plain(changes)
         self.stores = dict(stores)
@@ -136,10 +138,10 @@
 
         The disk's thread iterates it while the state goes on changing, so nothing mutable is shared.
         """
-        jobs: dict[int, list[tuple[Any, ...]]] = {}
+        jobs: dict[int, list[PlainBatchJob]] = {}
         for job in self.jobs.values():
             jobs.setdefault(range_of_key(job.id), []).append(job.to_plain())
-        contents: dict[int, Any] = {COMMON_RANGE: self._common(), **jobs}
+        contents: dict[int, PlainCommon | list[PlainBatchJob]] = {COMMON_RANGE: self._common(), **jobs}
         return ((number, encode(content)) for number, content in contents.items())
 
     def dump_range(self, number: int) -> bytes:
--- a/crowwing/tier/store/service.py
+++ b/crowwing/tier/store/service.py
@@ -3,14 +3,14 @@
 import asyncio
 import logging
 
-from crowwing.tier.configuration import Configuration, parse_configuration
-from crowwing.tier.distribution.documents import CONFIGURATION, Document, Documents
+from crowwing.tier.distribution.documents import Documents
 from crowwing.tier.replication.replica_state import Role
 from crowwing.tier.settings import MEGABYTE, Settings
 from crowwing.tier.state import events
 from crowwing.tier.state.tier_state import TierState
 from crowwing.tier.store import commands, decisions, outcomes
 from crowwing.tier.store.batch_job_readers import BatchJobReaders
+from crowwing.tier.store.configuration_publisher import ConfigurationPublisher
 from crowwing.tier.store.decisions import Decision
 from crowwing.tier.store.disk import Disk
 from crowwing.tier.store.item_leasing import ItemLeasing
@@ -52,29 +52,23 @@
         self._node = node
         self._disk = disk
         self._connections = connections
-        self._documents = documents
         self._clock = node.clock
-        self.leasing = ItemLeasing(node, lambda: self.configuration)
+        self._publisher = ConfigurationPublisher(node.state, documents)
+        self.leasing = ItemLeasing(node, lambda: self._publisher.configuration)
         self._readers = BatchJobReaders()
-        self._parsed: tuple[int, Configuration | None] = (0, None)  # of the version that it is of
-        self._unpublished: list[tuple[int, Document]] = []  # with the index that must be committed first
         node.role_listeners.append(self._on_role_changed)
         node.commit_listeners.append(self._on_committed)
 
     # Notifications of the node
 
     def _on_role_changed(self, is_primary: bool) -> None:
-        self._unpublished.clear()
         self._readers.on_role_changed()
-        if is_primary:  # at this moment the complete log is committed
+        if is_primary:
             self.leasing.on_became_primary()
-            state = self._node.state
-            if state.configuration is not None:
-                self._documents.offer(Document(CONFIGURATION, (state.version,), state.configuration))
+        self._publisher.on_role_changed(is_primary)
 
     def _on_committed(self, index: int) -> None:
-        while self._unpublished and self._unpublished[0][0] <= index:
-            self._documents.offer(self._unpublished.pop(0)[1])
+        self._publisher.on_committed(index)
         self.leasing.on_committed(index)
         self._readers.on_committed(index)
 
@@ -165,20 +159,9 @@
         decision = decisions.put_configuration(state, command)
         for event in decision.events:
             if isinstance(event, events.ConfigurationAccepted):
-                # Published once it is committed: a front must not use what a later primary may not have.
-                document = Document(CONFIGURATION, (event.version,), event.text)
-                self._unpublished.append((self._next_index(), document))
+                self._publisher.on_accepted(self._next_index(), event)
         return decision
 
-    @property
-    def configuration(self) -> Configuration | None:
-        """The newest configuration, parsed; None without one, or where this release can't read it."""
-        state = self._node.state
-        if state.configuration is not None and self._parsed[0] != state.version:
-            parsed = parse_configuration(state.configuration)
-            self._parsed = (state.version, parsed if isinstance(parsed, Configuration) else None)
-        return self._parsed[1]
-
     # Batch jobs
 
     def _submit_batch_job(self, state: TierState, command: commands.SubmitBatchJob) -> Decision:
@@ -209,7 +192,7 @@
         return self._notify_readers(decisions.report_item(state, command))
 
     def _report_failure(self, state: TierState, command: commands.ReportItemFailure) -> Decision:
-        decision = decisions.report_failure(state, command, self.configuration)
+        decision = decisions.report_failure(state, command, self._publisher.configuration)
         if decision.events:
             self.leasing.release((command.job_id, command.item))
         return self._notify_readers(decision)
@@ -272,5 +255,6 @@
 
     def _expire_jobs(self, state: TierState) -> Decision:
         retention_s = self._settings.bounds.status_s + RETENTION_MARGIN_S
-        decision = decisions.expire_jobs(state, self.configuration, self._clock.now_ms(), retention_s)
+        configuration = self._publisher.configuration
+        decision = decisions.expire_jobs(state, configuration, self._clock.now_ms(), retention_s)
         return self._notify_readers(decision)
--- a/crowwing/tier/store/workers.py
+++ b/crowwing/tier/store/workers.py
@@ -3,8 +3,9 @@
 import asyncio
 from collections.abc import Callable
 from concurrent.futures import Future, ThreadPoolExecutor
-from typing import Any, Protocol, TypeVar
+from typing import Protocol, TypeVar, TypeVarTuple
 
+ArgumentTs = TypeVarTuple("ArgumentTs")
 ResultT = TypeVar("ResultT")
 ResultT_co = TypeVar("ResultT_co", covariant=True)
 
@@ -24,11 +25,13 @@
 class DiskWorkers(Protocol):
     """Does one write after another, and compaction beside the writes."""
 
-    async def write(self, work: Callable[..., ResultT], *arguments: Any) -> ResultT:  # noqa: ANN401  `work` takes them
+    async def write(self, work: Callable[[*ArgumentTs], ResultT], *arguments: *ArgumentTs) -> ResultT:
         """Does a write, after those before it; raises what it raises."""
         ...
 
-    def compact(self, work: Callable[..., ResultT], *arguments: Any) -> PendingResult[ResultT]:  # noqa: ANN401  `work` takes them
+    def compact(
+        self, work: Callable[[*ArgumentTs], ResultT], *arguments: *ArgumentTs
+    ) -> PendingResult[ResultT]:
         """Starts a compaction."""
         ...
 
@@ -41,10 +44,10 @@
         self._writer = ThreadPoolExecutor(1, "disk")
         self._compactor = ThreadPoolExecutor(1, "compaction")
 
-    async def write(self, work: Callable[..., ResultT], *arguments: Any) -> ResultT:  # noqa: ANN401  `work` takes them
+    async def write(self, work: Callable[[*ArgumentTs], ResultT], *arguments: *ArgumentTs) -> ResultT:
         """Does a write, after those before it; raises what it raises."""
         return await asyncio.get_running_loop().run_in_executor(self._writer, work, *arguments)
 
-    def compact(self, work: Callable[..., ResultT], *arguments: Any) -> Future[ResultT]:  # noqa: ANN401  `work` takes them
+    def compact(self, work: Callable[[*ArgumentTs], ResultT], *arguments: *ArgumentTs) -> Future[ResultT]:
         """Starts a compaction."""
         return self._compactor.submit(work, *arguments)
--- /dev/null
+++ b/tests/tier/test_node_concerns.py
@@ -0,0 +1,75 @@
+"""The parts of a store machine's node alone: pending decisions, role notifications, delivery of messages."""
+
+import asyncio
+
+from crowwing.tier.replication.messages import Message, RecoveryRequest
+from crowwing.tier.replication.replica_state import Role
+from crowwing.tier.store.message_sender import MessageSender, ReplicaConnections
+from crowwing.tier.store.pending_decisions import PendingDecisions
+from crowwing.tier.store.role_notifier import RoleNotifier
+from crowwing.tier.wire.connection import ConnectionPool
+
+
+def test_decisions_resolve_up_to_the_commit_index_and_the_others_stay() -> None:
+    async def play() -> None:
+        decisions = PendingDecisions()
+        first, second = decisions.add(3), decisions.add(4)
+        decisions.resolve(3)
+        assert first.result() is True and not second.done()
+        decisions.resolve(4)
+        assert second.result() is True
+
+    asyncio.run(play())
+
+
+def test_decisions_of_a_former_primary_are_abandoned_once() -> None:
+    async def play() -> None:
+        decisions = PendingDecisions()
+        committed, timed_out, pending = decisions.add(1), decisions.add(2), decisions.add(3)
+        decisions.resolve(1)
+        timed_out.cancel()
+        decisions.abandon()
+        assert committed.result() is True and timed_out.cancelled() and pending.result() is False
+        decisions.resolve(9)
+        assert pending.result() is False, "what a later primary commits says nothing of it"
+
+    asyncio.run(play())
+
+
+def test_listeners_hear_of_a_change_of_role_but_not_of_a_change_of_the_own_view() -> None:
+    notifier = RoleNotifier()
+    heard: list[bool] = []
+    notifier.listeners.append(heard.append)
+    notifier.notify(Role.CANDIDATE)
+    assert not heard and not notifier.is_changing_own_view(Role.CANDIDATE)
+    notifier.notify(Role.PRIMARY)
+    assert notifier.is_changing_own_view(Role.CANDIDATE)
+    notifier.notify(Role.CANDIDATE)
+    notifier.notify(Role.PRIMARY)
+    assert heard == [True]
+    notifier.notify(Role.FOLLOWER)
+    notifier.notify(Role.FOLLOWER)
+    assert heard == [True, False]
+    assert not notifier.is_changing_own_view(Role.CANDIDATE)
+
+
+class RecordingPool(ConnectionPool):
+    """Connections that note what they are to send."""
+
+    def __init__(self) -> None:
+        super().__init__(1)
+        self.sent: list[tuple[list[str], object]] = []
+
+    def notify_all(self, receivers: list[str], message: object) -> None:
+        """Notes it."""
+        self.sent.append((list(receivers), message))
+
+
+def test_a_message_to_several_replicas_is_sent_once_and_the_own_one_is_received() -> None:
+    data, urgent = RecordingPool(), RecordingPool()
+    received: list[Message] = []
+    sender = MessageSender("m0", ReplicaConnections(data, urgent), received.append)
+    message = RecoveryRequest("m0")
+    sender.deliver([("m1", message), ("m0", message), ("m2", message)])
+    assert received == [message]
+    assert urgent.sent == [(["m1", "m2"], message)] and not data.sent
