--- a/tests/tier/test_control_safety_steps.py
+++ b/tests/tier/test_control_safety_steps.py
@@ -8,7 +8,7 @@
 from crowwing.tier.replication.records import AcceptedViewRecord, LogEntry, PromisedTermRecord
 from crowwing.tier.replication.replica import Replica, ReplicaSettings
 from crowwing.tier.replication.terms import FIRST_TERM, LOG_START, NO_TERM, Term, View
-from crowwing.tier.state.views import TierState
+from crowwing.tier.state.tier_state import TierState
 
 HOSTS = ("a", "b", "c")
 
--- a/tests/tier/test_replication.py
+++ b/tests/tier/test_replication.py
@@ -8,7 +8,7 @@
 from crowwing.tier.replication.records import AcceptedViewRecord
 from crowwing.tier.replication.replica import Replica, ReplicaSettings
 from crowwing.tier.replication.terms import NO_TERM, View
-from crowwing.tier.state.views import TierState
+from crowwing.tier.state.tier_state import TierState
 from tests.tier.simulation.world import World
 
 HOSTS = ("a", "b", "c")
