--- a/benchmarks/rolling_upgrade.py
+++ b/benchmarks/rolling_upgrade.py
@@ -17,22 +17,18 @@
 
 import argparse
 import asyncio
-import base64
 import subprocess
 import sys
 import tempfile
-import time
-from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 import httpx
 
+from benchmarks.tier_stand.client import ITEMS, Client, JobError, MachineError, StreamCounts, TierError
 from benchmarks.tier_stand.sidecar_stand_in import start_sidecars
 from benchmarks.tier_stand.stand import (
     FRONT,
-    HOST_NAME,
     ROOT,
     SERVICE,
     STORES,
@@ -45,41 +41,9 @@
 from crowwing.tier.plain_http import NO_CERTIFICATES
 
 SIDECARS = 2
-ITEMS = 60
 SLOW_PAUSE_MS = 400  # between the events of an item that runs during the upgrade: about two seconds in all
 STREAM_INTERVAL_S = 0.1
-STREAM_RETRY_LIMIT_S = 6.0
 REJOIN_S = 2.0  # for a store machine to catch up before the next one is replaced
-LIMIT_S = 40.0
-POLL_S = 0.1
-
-
-class UpgradeError(Exception):
-    """A check failed."""
-
-
-class TooLateError(UpgradeError):
-    """Something did not come in time."""
-
-    def __init__(self, what: str) -> None:
-        """Names what was waited for."""
-        super().__init__(f"{what}: not within {LIMIT_S:.0f} s")
-
-
-class JobError(UpgradeError):
-    """A batch job is not what it has to be."""
-
-    def __init__(self, job: str, found: str) -> None:
-        """Names the job and what was found."""
-        super().__init__(f"{job}: {found}")
-
-
-class MachineError(UpgradeError):
-    """A process does not do what it has to do."""
-
-    def __init__(self, host: str, found: str) -> None:
-        """Names the host and what was found."""
-        super().__init__(f"{host}: {found}")
 
 
 @dataclass(frozen=True)
@@ -90,117 +54,6 @@
     checkout: Path
 
 
-@dataclass
-class StreamCounts:
-    """Streams that were asked for while the tier was being upgraded."""
-
-    asked: int = 0
-    served: int = 0
-    retries: int = 0
-
-
-async def poll(what: str, read: Callable[[], Awaitable[Any]]) -> Any:  # noqa: ANN401  whatever `read` gives
-    """Reads until the answer is true; raises UpgradeError after a limit."""
-    deadline = time.monotonic() + LIMIT_S
-    while time.monotonic() < deadline:
-        try:
-            if found := await read():
-                return found
-        except httpx.HTTPError:
-            pass
-        await asyncio.sleep(POLL_S)
-    raise TooLateError(what)
-
-
-class Client:
-    """What clients and operators ask of the tier."""
-
-    def __init__(self, stand: Stand, http: httpx.AsyncClient) -> None:
-        """`http`: kept and closed by the caller."""
-        self._stand, self._http = stand, http
-        self._streams_asked = 0
-
-    def _url(self, host: str, path: str) -> str:
-        return f"http://{host}:{self._stand.port + 1}{path}"
-
-    async def wait_until_ready(self) -> None:
-        """Waits until the front serves."""
-
-        async def ready() -> bool:
-            answer = await self._http.get(f"http://{FRONT}:{self._stand.port + 2}/ready")
-            return answer.status_code == 200
-
-        await poll("a front that is ready", ready)
-
-    async def stream(self, counts: StreamCounts) -> None:
-        """Asks for one stream; comes back where the front refuses it."""
-        counts.asked += 1
-        self._streams_asked += 1
-        headers = {
-            "Host": HOST_NAME, "Request-Id": f"{self._streams_asked:016x}", "Deadline-Ms": "6000",
-        }  # fmt: skip
-        deadline = time.monotonic() + STREAM_RETRY_LIMIT_S
-        while time.monotonic() < deadline:
-            answer = await self._http.post(
-                self._url(FRONT, "/route0/x"), headers=headers, content=b"question"
-            )
-            if answer.status_code == 200 and answer.text.count("data: ") > 0:
-                counts.served += 1
-                return
-            if answer.status_code != 503:
-                return
-            counts.retries += 1
-            await asyncio.sleep(POLL_S)
-
-    async def submit(self, job: str, path: str, pause_ms: int) -> None:
-        """Hands a batch job in until it is accepted."""
-        body = base64.b64encode(b"text").decode()
-        requests = [
-            {"id": f"{job}-{number}", "path": path, "headers": {"Pause-Ms": str(pause_ms)}, "body": body}
-            for number in range(ITEMS)
-        ]
-        headers = {"Host": HOST_NAME, "Request-Id": job}
-
-        async def accepted() -> bool:
-            answer = await self._http.post(
-                self._url(FRONT, path), headers=headers, json={"requests": requests}
-            )
-            return answer.status_code == 202
-
-        await poll(f"acceptance of {job}", accepted)
-
-    async def listed(self, job: str) -> list[dict[str, Any]] | None:
-        """The results so far; None while the front can't tell."""
-        answer = await self._http.get(
-            self._url(FRONT, f"/lots/{job}?startAfter=0"), headers={"Host": HOST_NAME}
-        )
-        if answer.status_code == 404:
-            raise JobError(job, "was accepted and is unknown")
-        return answer.json()["results"] if answer.status_code == 200 else None
-
-    async def results(self, job: str) -> list[dict[str, Any]]:
-        """All results of a job, one for each item."""
-
-        async def complete() -> list[dict[str, Any]] | None:
-            found = await self.listed(job)
-            return found if found is not None and len(found) >= ITEMS else None
-
-        found: list[dict[str, Any]] = await poll(f"the results of {job}", complete)
-        if sorted(result["id"] for result in found) != sorted(f"{job}-{number}" for number in range(ITEMS)):
-            raise JobError(job, "not one result for each item")
-        return found
-
-    async def check_configuration(self, host: str, expected: bytes) -> None:
-        """A store machine serves the configuration that was confirmed."""
-
-        async def read() -> bytes | None:
-            answer = await self._http.get(self._url(host, "/config"))
-            return answer.content if answer.status_code == 200 else None
-
-        if await poll(f"the configuration of {host}", read) != expected:
-            raise MachineError(host, "serves another configuration")
-
-
 class Upgrade:
     """One direction: from a tier that runs `old` to one that runs `new`."""
 
@@ -211,7 +64,7 @@
         self.streams = StreamCounts()
 
     async def run(self) -> None:
-        """The whole direction; raises UpgradeError where a check fails."""
+        """The whole direction; raises TierError where a check fails."""
         client, number = self._client, self._number
         expected = configuration(number, held_service=f"held-{number}")
         await self._stand.put_text(number - 1, number, expected)
@@ -277,7 +130,7 @@
 
 
 def check_checkout(version: Version) -> None:
-    """Raises UpgradeError unless processes of a version import its own program."""
+    """Raises TierError unless processes of a version import its own program."""
     found = subprocess.run(
         [sys.executable, "-c", "import crowwing; print(crowwing.__file__)"],
         cwd=version.checkout,
@@ -311,7 +164,7 @@
         folder = Path(name)
         try:
             asyncio.run(run(folder, other, Version("own", ROOT)))
-        except (UpgradeError, NotAcknowledgedError, subprocess.SubprocessError) as error:
+        except (TierError, NotAcknowledgedError, subprocess.SubprocessError) as error:
             print(f"failed: {error}")
             for path in sorted(folder.glob("*.log")):
                 print(f"--- {path.name}\n{path.read_text()[-1500:]}")
