--- a/tests/tier/mutations.py
+++ b/tests/tier/mutations.py
@@ -21,7 +21,7 @@
 TESTS = (
     "test_control_safety_steps.py", "test_decisions.py", "test_storage.py", "test_replication.py",
     "test_relay_steps.py", "test_disk_troubles.py",
-    "test_repair.py", "test_letter_scenarios.py",
+    "test_repair.py", "test_control_scenarios.py",
 )  # fmt: skip
 KINDS = ("three", "short-files-beyond", "dense", "five-two", "short-logs")
 TEST_LIMIT_S, SEED_LIMIT_S = 400, 400
--- a/tests/tier/simulation/checkers/distribution.py
+++ b/tests/tier/simulation/checkers/distribution.py
@@ -3,17 +3,17 @@
 from crowwing.tier.distribution.documents import SIDECARS, Document
 
 
-def check_documents(taken: dict[str, list[Document]]) -> list[str]:
-    """What breaks the order in which fronts take documents in."""
-    broken = []
+def check_documents(accepted: dict[str, list[Document]]) -> list[str]:
+    """Violations of the order in which fronts receive documents."""
+    violations = []
     contents: dict[tuple[str, tuple[int, ...]], bytes] = {}
-    for host, documents in taken.items():
+    for host, documents in accepted.items():
         for document in documents:
             name = (document.kind, document.version)
             if contents.setdefault(name, document.body) != document.body:
-                broken.append(f"{host}: two {document.kind} documents are both {document.version}")
-        broken += _check_order(host, [x for x in documents if x.kind == SIDECARS])
-    return broken
+                violations.append(f"{host}: two {document.kind} documents are both {document.version}")
+        violations += _check_order(host, [x for x in documents if x.kind == SIDECARS])
+    return violations
 
 
 def _check_order(host: str, documents: list[Document]) -> list[str]:
--- a/tests/tier/simulation/clients.py
+++ b/tests/tier/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Operators and clients of lots that behave as PROTOCOL.md says."""
+"""Operators and batch clients that retry as the protocol asks of them."""
 
 import asyncio
 import base64
@@ -14,7 +14,7 @@
 from tests.tier.simulation.machines import BATCH_PREFIX, Machine, Store, configuration_text
 from tests.tier.simulation.world import World
 
-SILENCE_S = 1.0  # after which a client moves on
+SILENCE_S = 1.0  # after which a client tries another machine
 PAUSES_S = (0.05, 0.4)
 FINAL_STATUSES = (400, 409, 412, 413, 422)
 TRAVEL_S = (0.001, 0.003)
@@ -23,10 +23,10 @@
 async def call_machine(
     world: World, random: Random, machine: Machine, work: Callable[[], Any], limit_s: float, loss: float = 0.0
 ) -> Any:  # noqa: ANN401
-    """Has a machine do something for a client; None where no answer comes back."""
-    life = machine.life
-    if life is None:
-        if machine.host not in world.network.dark:
+    """Runs a client's request on a machine; None where no response comes back."""
+    incarnation = machine.incarnation
+    if incarnation is None:
+        if machine.host not in world.network.powered_off:
             await asyncio.sleep(random.uniform(*TRAVEL_S))
             return None  # refused
         await asyncio.sleep(limit_s)
@@ -47,7 +47,7 @@
 
     outside = contextvars.copy_context()
     await asyncio.sleep(random.uniform(*TRAVEL_S))
-    if life.ended or machine.life is not life:
+    if incarnation.ended or machine.incarnation is not incarnation:
         return None
     machine.spawn(do())
     try:
@@ -71,7 +71,7 @@
         return stores
 
     async def ask(self, machine: Store, command: Any) -> tuple[int, bytes] | None:  # noqa: ANN401
-        """One call at one machine, its status and body."""
+        """Sends one command to one machine; gives the status and body of its answer."""
 
         async def work() -> tuple[int, bytes] | None:
             if machine.machine is None:
@@ -84,7 +84,7 @@
         return await call_machine(self.world, self.random, machine, work, SILENCE_S, self.loss)
 
     async def read(self, machine: Store | None = None) -> Call:
-        """Asks one machine for the newest configuration."""
+        """Reads the newest configuration at one machine."""
         call = self.world.history.begin(self.world.now, self.name, "read", "")
         answer = await self.ask(machine or self._machines()[0], commands.GetConfiguration())
         call.ended_at = self.world.now
@@ -96,8 +96,8 @@
                 call.value = (0, "")
         return call
 
-    async def read_until_told(self, limit_s: float = 20.0) -> int:
-        """The newest version, asked for until it is told."""
+    async def read_until_definite(self, limit_s: float = 20.0) -> int:
+        """The newest version, read until a read succeeds; -1 after the limit."""
         deadline = self.world.now + limit_s
         machines: list[Store] = []
         while self.world.now < deadline:
@@ -120,7 +120,7 @@
         return call
 
     async def put(self, change: Change, limit_s: float = 30.0) -> int | None:
-        """Sends a change, unchanged, to one machine after another until the answer is clear."""
+        """Sends the same change to one machine after another until the answer is definite."""
         deadline, pause = self.world.now + limit_s, PAUSES_S[0]
         machines: list[Store] = []
         while self.world.now < deadline:
@@ -140,10 +140,10 @@
         )
 
     async def work(self, until: float) -> None:
-        """Makes changes until a time; now and then sends an old one, an invalid one, or gives one up."""
+        """Makes changes until a time; now and then resends, abandons or sends an invalid one."""
         mine: list[Change] = []
         while self.world.now < until:
-            base = await self.read_until_told(until - self.world.now)
+            base = await self.read_until_definite(until - self.world.now)
             if base < 0:
                 return
             change = self.change(base)
@@ -157,7 +157,7 @@
             await asyncio.sleep(self.random.uniform(0.0, 0.6))
 
     async def retire_once(self, name: str, machine: Store) -> Call:
-        """Asks one machine that a store machine be emptied."""
+        """Requests the decommissioning of a store machine at one machine."""
         call = self.world.history.begin(self.world.now, self.name, "retire", name)
         answer = await self.ask(machine, commands.RetireStore(name))
         call.ended_at = self.world.now
@@ -166,7 +166,7 @@
         return call
 
     async def retire(self, host: str, until: float) -> bool:
-        """Has a machine emptied; True once it is completed."""
+        """Decommissions a machine; True once that is completed."""
         name = f"node-{host}"
         while self.world.now < until:
             for command, status in ((commands.RetireStore(name), 200), (commands.ReadRetirement(name), 200)):
@@ -180,14 +180,14 @@
 
 
 class BatchJobClient:
-    """Hands lots in, reads them from any position at any front, and ends some."""
+    """Submits batch jobs, reads them from any position at any front, and ends some."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name = world, name
         self.random = Random(f"{world.seed}/{name}")
         self.jobs: list[str] = []
 
-    async def _call(
+    async def _call(  # noqa: PLR0913, PLR0917  the parts of a call and of its record
         self, kind: str, key: str, method: str, path: str, job_id: str, body: bytes = b""
     ) -> Call:
         front = self.world.fronts[self.random.choice(sorted(self.world.fronts))]
@@ -207,7 +207,7 @@
         return call
 
     def job_body(self, items: tuple[str, ...], size: int) -> bytes:
-        """A lot as it is handed in."""
+        """The body of a submission."""
         requests = [
             {
                 "id": item, "path": f"{BATCH_PREFIX}x", "headers": {"Model": "m"}, "tokens": 9,
@@ -218,7 +218,7 @@
         return json.dumps({"requests": requests}).encode()
 
     async def submit(self, job_id: str, until: float, size: int = 3) -> bool:
-        """Hands a lot in until it is taken, and at times once more."""
+        """Submits a job until it is accepted, and at times once more."""
         items = tuple(f"{job_id}.{number}" for number in range(self.random.randint(1, 4)))
         self.world.history.jobs[job_id] = items
         body = self.job_body(items, size)
@@ -244,11 +244,11 @@
         return await self._call("body", item, "GET", f"/items/{job}?id={item}", job)
 
     async def end(self, job_id: str) -> Call:
-        """Ends a lot."""
+        """Ends a job."""
         return await self._call("end", job_id, "DELETE", f"/lots/{job_id}", job_id)
 
     async def work(self, until: float) -> None:
-        """Hands in, reads, asks for bodies and ends until a time."""
+        """Submits jobs, reads results and bodies, and ends jobs until a time."""
         number = 0
         while self.world.now < until:
             number += 1
--- a/tests/tier/simulation/disk.py
+++ b/tests/tier/simulation/disk.py
@@ -1,4 +1,4 @@
-"""A simulated disk: files and names that last once synced, torn writes, and time for each write."""
+"""A simulated disk: files and names are durable once synced; writes take time and may be torn."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,12 +11,12 @@
 from tests.tier.simulation.loop import SimulatedLoop
 
 SYNC_S = (0.0005, 0.006)
-REWRITE_S = (0.01, 0.3)
+COMPACTION_S = (0.01, 0.3)
 POLL_S = 0.01
 
 
 class PowerLostError(Exception):
-    """The power went in the midst of an operation."""
+    """Power was lost during an operation."""
 
 
 @dataclass(eq=False)
@@ -73,7 +73,7 @@
         self._steps_left: int | None = None
 
     def step(self) -> None:
-        """One operation; raises PowerLostError where the power goes now."""
+        """Counts an operation; raises PowerLostError where the power is lost now."""
         if self._steps_left is not None:
             self._steps_left -= 1
             if self._steps_left < 0:
@@ -85,7 +85,7 @@
         return None if inode is None else bytes(inode.content)
 
     def open_at(self, path: Path, size: int) -> SimulatedFile:
-        """Opens a file cut to a size."""
+        """Opens a file truncated to a size."""
         inode = self._names.setdefault(path.name, Inode())
         del inode.content[size:]
         return SimulatedFile(self, path.name, inode)
@@ -99,7 +99,7 @@
         return SimulatedFile(self, path.name, inode)
 
     def sync(self, file: SimulatedFile) -> None:
-        """The content lasts, and a new name with it."""
+        """Makes the content durable, and a new name with it."""
         self.step()
         if self.is_full and file.inode.unsynced:
             raise OSError(28, "no space left on device")
@@ -118,7 +118,7 @@
         self._names.pop(path.name, None)
 
     def sync_folder(self, folder: Path) -> None:
-        """All names last."""
+        """Makes all names durable."""
         self.step()
         self._durable_names = dict(self._names)
 
@@ -127,7 +127,7 @@
         return sum(len(inode.content) for inode in self._names.values())
 
     def lose_power(self, work: Callable[[], None] | None) -> None:
-        """What is not synced is kept or lost by chance; `work` was under way and is broken off anywhere."""
+        """Keeps or loses what is not synced at random; `work` was in progress and is interrupted anywhere."""
         if work is not None:
             self._steps_left = self._random.randint(0, 6)
             try:
@@ -145,13 +145,13 @@
         self._names, self._durable_names = names, dict(names)
 
     def wipe(self) -> None:
-        """The disk is lost."""
+        """Loses all files."""
         self._names, self._durable_names = {}, {}
 
 
 @dataclass(eq=False)
-class Rewriting:
-    """Work of the rewriter."""
+class CompactionWork:
+    """A compaction that runs beside the writes."""
 
     work: Callable[[], Any]
     is_done: bool = False
@@ -159,13 +159,13 @@
     error: Exception | None = None
 
     def run(self) -> None:
-        """Does it, once."""
+        """Runs it, once."""
         if self.is_done:
             return
         self.is_done = True
         try:
             self.value = self.work()
-        except Exception as error:  # told by `result`, as a thread's future does
+        except Exception as error:  # raised by `result`, as by a future
             self.error = error
 
     def done(self) -> bool:
@@ -173,7 +173,7 @@
         return self.is_done
 
     def result(self) -> Any:  # noqa: ANN401
-        """What it gave."""
+        """Its result; raises the error that ended it."""
         self.run()
         if self.error is not None:
             raise self.error
@@ -183,31 +183,31 @@
 class SimulatedWorkers:
     """Writes that take simulated time (crowwing.tier.store.workers.DiskWorkers)."""
 
-    def __init__(self, loop: SimulatedLoop, random: Random, trouble: "DiskTrouble") -> None:
-        self._loop, self._random, self._trouble = loop, random, trouble
+    def __init__(self, loop: SimulatedLoop, random: Random, disk_faults: "DiskFaults") -> None:
+        self._loop, self._random, self._disk_faults = loop, random, disk_faults
         self._lock = asyncio.Lock()
-        self.under_way: Callable[[], Any] | None = None
+        self.in_progress: Callable[[], Any] | None = None
 
     async def write(self, work: Callable[..., Any], *arguments: Any) -> Any:  # noqa: ANN401
-        """Does it after a while."""
+        """Runs it after a while."""
         async with self._lock:
-            self.under_way = lambda: work(*arguments)
-            await asyncio.sleep(self._random.uniform(*SYNC_S) * self._trouble.factor)
-            while self._loop.time() < self._trouble.stalled_until:
+            self.in_progress = lambda: work(*arguments)
+            await asyncio.sleep(self._random.uniform(*SYNC_S) * self._disk_faults.factor)
+            while self._loop.time() < self._disk_faults.stalled_until:
                 await asyncio.sleep(POLL_S)
-            self.under_way = None
+            self.in_progress = None
             return work(*arguments)
 
-    def rewrite(self, work: Callable[..., Any], *arguments: Any) -> Rewriting:  # noqa: ANN401
-        """Does it beside the writes."""
-        rewriting = Rewriting(lambda: work(*arguments))
-        self._loop.call_later(self._random.uniform(*REWRITE_S) * self._trouble.factor, rewriting.run)
-        return rewriting
+    def rewrite(self, work: Callable[..., Any], *arguments: Any) -> CompactionWork:  # noqa: ANN401
+        """Runs it beside the writes."""
+        compaction = CompactionWork(lambda: work(*arguments))
+        self._loop.call_later(self._random.uniform(*COMPACTION_S) * self._disk_faults.factor, compaction.run)
+        return compaction
 
 
 @dataclass
-class DiskTrouble:
-    """What is wrong with a machine's disk."""
+class DiskFaults:
+    """The faults of a machine's disk."""
 
     factor: float = 1.0
     stalled_until: float = 0.0
--- a/tests/tier/simulation/faults.py
+++ b/tests/tier/simulation/faults.py
@@ -1,7 +1,7 @@
-"""Faults drawn from a seed, at any moment, on top of one another.
+"""Faults drawn from a seed, at any moment, overlapping.
 
 `Budget` bounds how many store machines may be lost at one time; a machine counts as lost until it has been
-back for the time that it may take to catch up. Faults that strike all at once lose no disk beyond the bound.
+back for the time that it may take to catch up. Faults that hit all machines lose no disk beyond the bound.
 """
 
 import asyncio
@@ -15,14 +15,14 @@
 
 CATCH_UP_S = 4.8
 
-Kind = Callable[[str, float], Coroutine[Any, Any, None]]
+FaultKind = Callable[[str, float], Coroutine[Any, Any, None]]
 
 
 @dataclass
 class Budget:
     """Which store machines count as lost, until when, and which of them have lost their disk."""
 
-    most: int
+    limit: int
     until: dict[str, float] = field(default_factory=dict)
 
     def lost(self, now: float) -> set[str]:
@@ -31,7 +31,7 @@
 
     def may_lose(self, host: str, now: float) -> bool:
         """Whether one more may be lost."""
-        return len(self.lost(now) | {host}) <= self.most
+        return len(self.lost(now) | {host}) <= self.limit
 
     def lose(self, host: str, until: float) -> None:
         """A machine counts as lost until a time."""
@@ -41,21 +41,21 @@
 class Faults:
     """Draws faults and carries them out."""
 
-    def __init__(self, world: World, beyond: bool = False) -> None:
-        """`beyond`: losses may overlap beyond the bound, as long as no more disks are lost than it allows."""
-        self.world, self.beyond = world, beyond
+    def __init__(self, world: World, exceeds_tolerance: bool = False) -> None:
+        """`exceeds_tolerance`: losses may overlap beyond the bound, but for those of disks."""
+        self.world, self.exceeds_tolerance = world, exceeds_tolerance
         self.random = Random(f"{world.seed}/faults")
         self.budget = Budget(world.faults)
         self.without_data: set[str] = set()  # lost their disk, and were no members since
         self.operator = Operator(world, "operator-faults")
         self.spares = 0
-        self.under_way: list[asyncio.Task[Any]] = []
-        self.kinds: list[Kind] = [
-            self.kill, self.power, self.wipe, self.freeze, self.terminate, self.cut_off, self.cut_one_way,
-            self.cut_from_all, self.split, self.kill_all, self.power_all, self.wipe_and_power_all,
+        self.in_progress: list[asyncio.Task[Any]] = []
+        self.kinds: list[FaultKind] = [
+            self.kill, self.power, self.wipe, self.freeze, self.terminate, self.isolate_from_stores, self.partition_one_way,
+            self.isolate_from_all, self.split, self.kill_all, self.power_all, self.wipe_and_power_all,
             self.slow_disk, self.full_disk, self.stalled_disk, self.step_clock, self.reset, self.quota,
-            self.lose_answers, self.replace, self.add_spare, self.retire, self.turn_seeds, self.behind,
-            self.relieve, self.front,
+            self.lose_answers, self.replace, self.add_spare, self.retire, self.change_seeds, self.miss_changes,
+            self.heal_and_kill_others, self.front,
         ]  # fmt: skip
 
     async def work(self, until: float, gap_s: float = 4.0) -> None:
@@ -64,8 +64,8 @@
             await asyncio.sleep(self.random.uniform(0.0, gap_s))
             hosts = sorted(self.world.stores)
             host, kind = self.random.choice(hosts), self.random.choice(self.kinds)
-            self.under_way.append(asyncio.ensure_future(kind(host, self.random.uniform(0.1, 3.0))))
-        for task in self.under_way:
+            self.in_progress.append(asyncio.ensure_future(kind(host, self.random.uniform(0.1, 3.0))))
+        for task in self.in_progress:
             await task
 
     def _may_lose(self, host: str, span_s: float, disk: bool = False) -> bool:
@@ -75,7 +75,7 @@
             return False
         if disk and not self._may_lose_disk(host):
             return False
-        if not self.beyond and not self.budget.may_lose(host, now):
+        if not self.exceeds_tolerance and not self.budget.may_lose(host, now):
             return False
         back = now + span_s + self.world.start_s[1] + CATCH_UP_S
         self.budget.lose(host, back)
@@ -84,7 +84,7 @@
         return True
 
     def _may_lose_disk(self, host: str) -> bool:
-        """Whether one more disk may be lost: those lost before are whole again once they are members."""
+        """Whether one more disk may be lost; a machine has its data again once it is a member."""
         self.without_data -= self.world.synchronized_members()
         return len(self.without_data | {host}) <= self.world.faults
 
@@ -97,8 +97,8 @@
         if host in self.world.stores and not self.world.stores[host].is_up:
             self.world.start(host)
 
-    async def _strike_after_acknowledgement(self) -> None:
-        """At times waits for the moment at which something has just been acknowledged."""
+    async def _wait_for_acknowledgement(self) -> None:
+        """At times waits until a change has just been acknowledged."""
         if self.random.random() < 0.5:
             return
         history = self.world.history
@@ -113,76 +113,78 @@
 
     async def kill(self, host: str, span_s: float) -> None:
         """A process is killed."""
-        await self._strike_after_acknowledgement()
+        await self._wait_for_acknowledgement()
         if self._may_lose(host, span_s):
             await self._stop_for(host, span_s)
 
     async def power(self, host: str, span_s: float) -> None:
         """A machine loses power."""
-        await self._strike_after_acknowledgement()
+        await self._wait_for_acknowledgement()
         if self._may_lose(host, span_s):
             await self._stop_for(host, span_s, power=True)
 
     async def wipe(self, host: str, span_s: float) -> None:
         """A machine loses its disk."""
-        await self._strike_after_acknowledgement()
+        await self._wait_for_acknowledgement()
         if self._may_lose(host, span_s, disk=True):
             await self._stop_for(host, span_s, power=True, wipe=True)
 
     async def freeze(self, host: str, span_s: float) -> None:
-        """A machine stands still."""
+        """A process is paused."""
         if self._may_lose(host, span_s):
             self.world.freeze(host, span_s)
 
     async def terminate(self, host: str, span_s: float) -> None:
-        """A process is asked to end, and starts again; at times it is cut off just then."""
+        """A process gets SIGTERM and starts again; at times it is partitioned just then."""
         if not self._may_lose(host, span_s):
             return
         self.world.history.note(self.world.now, f"terminate {host}")
         ending = asyncio.ensure_future(self.world.stores[host].terminate())
         if self.random.random() < 0.4:
             await asyncio.sleep(self.random.uniform(0.0, 0.004))
-            self.world.cut([host], self._others(host))
+            self.world.partition([host], self._others(host))
         await ending
         await asyncio.sleep(span_s)
         self.world.heal()
         if host in self.world.stores and not self.world.stores[host].is_up:
             self.world.start(host)
 
-    async def _cut(self, some: list[str], others: list[str], span_s: float, one_way: bool = False) -> None:
+    async def _partition_for(
+        self, some: list[str], others: list[str], span_s: float, one_way: bool = False
+    ) -> None:
         how = self.random.choice([{}, {}, {"refuse": True}, {"reset": True}])
-        self.world.cut(some, others, one_way, **how)
+        self.world.partition(some, others, one_way, **how)
         await asyncio.sleep(span_s * self.random.choice([1.0, 1.0, 7.0]))
         self.world.heal()
 
-    async def cut_off(self, host: str, span_s: float) -> None:
-        """A machine is cut off from the other store machines; all others reach it."""
+    async def isolate_from_stores(self, host: str, span_s: float) -> None:
+        """A machine is partitioned from the other store machines; fronts and clients reach it."""
         if self._may_lose(host, span_s * 7):
-            await self._cut([host], self._others(host), span_s)
+            await self._partition_for([host], self._others(host), span_s)
 
-    async def cut_one_way(self, host: str, span_s: float) -> None:
+    async def partition_one_way(self, host: str, span_s: float) -> None:
         """The same, for one direction."""
         if self._may_lose(host, span_s * 7):
             some, others = [host], self._others(host)
             if self.random.random() < 0.5:
                 some, others = others, some
-            await self._cut(some, others, span_s, one_way=True)
+            await self._partition_for(some, others, span_s, one_way=True)
 
-    async def cut_from_all(self, host: str, span_s: float) -> None:
-        """A machine is cut off from all machines of the system."""
+    async def isolate_from_all(self, host: str, span_s: float) -> None:
+        """A machine is partitioned from all other machines of the system."""
         if self._may_lose(host, span_s * 7):
-            await self._cut([host], [*self._others(host), *sorted(self.world.fronts)], span_s)
+            await self._partition_for([host], [*self._others(host), *sorted(self.world.fronts)], span_s)
 
-    async def behind(self, host: str, span_s: float) -> None:
-        """A machine misses changes; then another loses its disk, the rest are dark, and the cut heals."""
-        if not self.beyond or not self._may_lose(host, span_s):
+    async def miss_changes(self, host: str, span_s: float) -> None:
+        """A machine misses changes; another loses its disk, the rest lose power, the partition heals."""
+        if not self.exceeds_tolerance or not self._may_lose(host, span_s):
             return
         others = self._others(host)
-        self.world.cut([host], others)
+        self.world.partition([host], others)
         await asyncio.sleep(span_s)
-        struck = [x for x in others if x in self.world.stores and self.world.stores[x].is_up]
-        wiped = next((other for other in struck if self._may_lose_disk(other)), None)
-        for other in struck:
+        stopped = [x for x in others if x in self.world.stores and self.world.stores[x].is_up]
+        wiped = next((other for other in stopped if self._may_lose_disk(other)), None)
+        for other in stopped:
             if other == wiped:
                 self.without_data.add(other)
             self.world.stop(other, power=True, wipe=other == wiped)
@@ -190,56 +192,56 @@
         if wiped is not None:
             self.world.start(wiped)
         await asyncio.sleep(span_s)
-        for other in struck:
+        for other in stopped:
             if other in self.world.stores and not self.world.stores[other].is_up:
                 self.world.start(other)
 
-    async def relieve(self, host: str, span_s: float) -> None:
-        """A machine is cut off; just after the cut has healed the processes on the others are killed."""
+    async def heal_and_kill_others(self, host: str, span_s: float) -> None:
+        """A machine is partitioned; just after that the processes of the others are killed."""
         if not self._may_lose(host, span_s):
             return
         others = self._others(host)
-        self.world.cut([host], others)
+        self.world.partition([host], others)
         await asyncio.sleep(span_s)
         self.world.heal()
         await asyncio.sleep(self.random.uniform(0.0, 0.02))
-        await self._strike_all(others, power=False, wiped=None)
+        await self._stop_all(others, power=False, wiped=None)
 
     # All at once
 
     async def split(self, host: str, span_s: float) -> None:
-        """Half of the store machines are cut off from the other half."""
+        """Half of the store machines are partitioned from the other half."""
         hosts = sorted(self.world.stores)
         self.random.shuffle(hosts)
         half = hosts[: len(hosts) // 2]
-        await self._cut(half, [other for other in hosts if other not in half], span_s)
+        await self._partition_for(half, [other for other in hosts if other not in half], span_s)
 
-    async def _strike_all(self, hosts: list[str], power: bool, wiped: str | None) -> None:
-        struck = [host for host in hosts if host in self.world.stores and self.world.stores[host].is_up]
-        for host in struck:
+    async def _stop_all(self, hosts: list[str], power: bool, wiped: str | None) -> None:
+        stopped = [host for host in hosts if host in self.world.stores and self.world.stores[host].is_up]
+        for host in stopped:
             self.world.stop(host, power=power, wipe=host == wiped)
             self.budget.lose(host, self.world.now + CATCH_UP_S)
         await asyncio.sleep(self.random.uniform(0.0, 1.0))
-        for host in struck:
+        for host in stopped:
             if host in self.world.stores and not self.world.stores[host].is_up:
                 self.world.start(host)
                 await asyncio.sleep(self.random.uniform(0.0, 0.2))
 
     async def kill_all(self, host: str, span_s: float) -> None:
         """All processes are killed."""
-        await self._strike_after_acknowledgement()
-        await self._strike_all(sorted(self.world.stores), power=False, wiped=None)
+        await self._wait_for_acknowledgement()
+        await self._stop_all(sorted(self.world.stores), power=False, wiped=None)
 
     async def power_all(self, host: str, span_s: float) -> None:
         """All store machines lose power."""
-        await self._strike_after_acknowledgement()
-        await self._strike_all(sorted(self.world.stores), power=True, wiped=None)
+        await self._wait_for_acknowledgement()
+        await self._stop_all(sorted(self.world.stores), power=True, wiped=None)
 
     async def wipe_and_power_all(self, host: str, span_s: float) -> None:
         """One machine loses its disk and all others lose power."""
-        await self._strike_after_acknowledgement()
+        await self._wait_for_acknowledgement()
         if self._may_lose(host, span_s, disk=True):
-            await self._strike_all(sorted(self.world.stores), power=True, wiped=host)
+            await self._stop_all(sorted(self.world.stores), power=True, wiped=host)
 
     # Disks, clocks, connections, processor
 
@@ -247,13 +249,13 @@
         """A disk takes 30 times as long."""
         if self._may_lose(host, span_s):
             self.world.history.note(self.world.now, f"slow disk {host}")
-            trouble = self.world.stores[host].trouble
-            trouble.factor = 30.0
+            disk_faults = self.world.stores[host].disk_faults
+            disk_faults.factor = 30.0
             await asyncio.sleep(span_s)
-            trouble.factor = 1.0
+            disk_faults.factor = 1.0
 
     async def full_disk(self, host: str, span_s: float) -> None:
-        """A disk takes no more bytes."""
+        """A disk is full."""
         if self._may_lose(host, span_s):
             self.world.history.note(self.world.now, f"full disk {host}")
             files = self.world.stores[host].files
@@ -262,13 +264,13 @@
             files.is_full = False
 
     async def stalled_disk(self, host: str, span_s: float) -> None:
-        """A disk answers nothing."""
+        """A disk completes no write."""
         if self._may_lose(host, span_s):
             self.world.history.note(self.world.now, f"stalled disk {host}")
-            self.world.stores[host].trouble.stalled_until = self.world.now + span_s
+            self.world.stores[host].disk_faults.stalled_until = self.world.now + span_s
 
     async def step_clock(self, host: str, span_s: float) -> None:
-        """The time of day jumps, and back."""
+        """The wall clock jumps, and back."""
         store = self.world.stores.get(host)
         if store is None:
             return
@@ -281,12 +283,12 @@
         self.world.network.reset_connections(host, 0.5)
 
     async def quota(self, host: str, span_s: float) -> None:
-        """A machine runs in a part of each tenth of a second only."""
-        life = self.world.stores[host].life if host in self.world.stores else None
-        if life is not None and self._may_lose(host, span_s):
-            life.quota = self.random.choice([0.2, 0.5, 0.8])
+        """A process runs in a part of each CPU quota period only."""
+        incarnation = self.world.stores[host].incarnation if host in self.world.stores else None
+        if incarnation is not None and self._may_lose(host, span_s):
+            incarnation.quota = self.random.choice([0.2, 0.5, 0.8])
             await asyncio.sleep(span_s)
-            life.quota = 1.0
+            incarnation.quota = 1.0
 
     async def lose_answers(self, host: str, span_s: float) -> None:
         """Packets are lost on all links."""
@@ -301,7 +303,7 @@
         return f"n{self.spares}"
 
     async def replace(self, host: str, span_s: float) -> None:
-        """A machine is gone for good; an empty one comes a second later at another address."""
+        """A machine is removed for good; an empty one starts a second later at another address."""
         if not self._may_lose(host, 1.0, disk=True):
             return
         new = self._new_host()
@@ -324,7 +326,7 @@
             self._start_new(self._new_host())
 
     async def retire(self, host: str, span_s: float) -> None:
-        """A machine is emptied and taken away; others lose their disks right after."""
+        """A machine is decommissioned and removed; others lose their disks right after."""
         if len(self.world.stores) <= 2 * self.world.faults + 1 or host not in self.world.stores:
             return
         self.world.history.note(self.world.now, f"retire {host}")
@@ -335,12 +337,12 @@
         self.random.shuffle(others)
         for other in others[: self.world.faults]:
             if self._may_lose(other, span_s, disk=True):
-                self.under_way.append(
+                self.in_progress.append(
                     asyncio.ensure_future(self._stop_for(other, span_s, power=True, wipe=True))
                 )
 
-    async def turn_seeds(self, host: str, span_s: float) -> None:
-        """The settings name other seeds."""
+    async def change_seeds(self, host: str, span_s: float) -> None:
+        """The settings files name other seeds."""
         hosts = sorted(self.world.stores)
         self.world.seeds = tuple(self.random.sample(hosts, min(3, len(hosts))))
         for store in self.world.stores.values():
--- a/tests/tier/simulation/figures.py
+++ b/tests/tier/simulation/figures.py
@@ -24,20 +24,20 @@
     logging.disable(logging.CRITICAL)
     began = time.monotonic()
     world = World(1, ("m0", "m1", "m2"), fronts=[f"f{number}" for number in range(9)])
-    world.settle()
+    world.stabilize()
     world.run_for(5.0)
     operator = Operator(world, "operator-a")
     confirmed: list[float] = []
     in_force: list[float] = []
     taken_at: dict[int, list[float]] = {}
-    original = world.took_document
+    original = world.record_document
 
     def took(host: str, document) -> None:  # noqa: ANN001
         original(host, document)
         if document.kind == CONFIGURATION:
             taken_at.setdefault(document.version[0], []).append(world.now)
 
-    world.took_document = took  # type: ignore[method-assign]
+    world.record_document = took  # type: ignore[method-assign]
 
     async def change() -> None:
         version = 0
--- a/tests/tier/simulation/history.py
+++ b/tests/tier/simulation/history.py
@@ -1,4 +1,4 @@
-"""What clients of a run asked and were told, for the checkers."""
+"""The calls of a simulated run's clients and their outcomes, for the checkers."""
 
 from dataclasses import dataclass, field
 from hashlib import blake2b
@@ -17,8 +17,8 @@
     status: int | None = None
     value: Any = None
 
-    def told(self) -> bool:
-        """Whether there was a clear answer."""
+    def is_definite(self) -> bool:
+        """Whether the answer says if the call took effect; none and 5xx don't."""
         return self.status is not None and self.status < 500
 
 
@@ -37,32 +37,32 @@
 
 
 def hash_of(text: bytes) -> str:
-    """A short name of a text that is the same in each run."""
+    """A short digest of a text, the same in each run."""
     return blake2b(text, digest_size=6).hexdigest()
 
 
 @dataclass
 class History:
-    """All calls of a run, in the order in which they were sent, and what was done to the machines."""
+    """All calls of a run in the order in which they were sent, the runs of items, and the injected faults."""
 
     calls: list[Call] = field(default_factory=list)
     changes: dict[str, Change] = field(default_factory=dict)
-    jobs: dict[str, tuple[str, ...]] = field(default_factory=dict)  # items by lot
-    runs: list[tuple[float, str, str]] = field(default_factory=list)  # time, lot, item
+    jobs: dict[str, tuple[str, ...]] = field(default_factory=dict)  # items by job
+    runs: list[tuple[float, str, str]] = field(default_factory=list)  # time, job, item
     events: list[tuple[float, str]] = field(default_factory=list)
 
     def begin(self, now: float, client: str, kind: str, key: str) -> Call:
-        """Notes a call that is sent now."""
+        """Records a call that is sent now."""
         call = Call(client, kind, key, now)
         self.calls.append(call)
         return call
 
     def note(self, now: float, text: str) -> None:
-        """Notes a fault."""
+        """Records a fault."""
         self.events.append((now, text))
 
     def lines(self) -> list[str]:
-        """The history as text, to be compared between plays."""
+        """The history as text, to be compared between runs."""
         calls = [
             f"{x.sent_at:.6f} {x.ended_at:.6f} {x.client} {x.kind} {x.key} {x.status} {x.value!r}"
             for x in self.calls
--- a/tests/tier/simulation/loop.py
+++ b/tests/tier/simulation/loop.py
@@ -1,8 +1,8 @@
-"""An event loop of simulated time, on which the machines of a run live together.
+"""An event loop on simulated time, shared by all machines of a run.
 
 The code under test is asyncio code, so its own loop is what has to be simulated; simpy would need a second
-scheduler on top of it. Callbacks run in the context of the life of a machine that they were scheduled in. A
-life that has ended runs none of them any more, and one that stands still runs them later, in their order.
+scheduler on top of it. Callbacks run in the context of the process incarnation that scheduled them. An
+incarnation that has ended runs none of them any more, and a paused one runs them later, in their order.
 """
 
 import asyncio
@@ -13,50 +13,52 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-MOST_TASKS = 2000  # kept before those that have ended are let go
-TENTH_S = 0.1  # the span of a quota of processor time
+MAX_TASKS = 2000  # kept before those that have ended are let go
+QUOTA_PERIOD_S = 0.1  # period of a quota of processor time
 
 
 @dataclass(eq=False)
-class Life:
-    """One life of a process, from its start until it is ended."""
+class Incarnation:
+    """One incarnation of a machine's process, from its start until its end."""
 
     host: str
     number: int
     context: contextvars.Context
     ended: bool = False
     frozen_until: float = 0.0
-    quota: float = 1.0  # share of each tenth of a second in which it runs
+    quota: float = 1.0  # share of each quota period in which it runs
     deferred: list[events.Handle] = field(default_factory=list)
     tasks: list[asyncio.Task[Any]] = field(default_factory=list)  # kept, so that none is collected mid-run
 
     def keep(self, task: asyncio.Task[Any]) -> None:
         """Keeps a task until it has ended."""
         self.tasks.append(task)
-        if len(self.tasks) > MOST_TASKS:
+        if len(self.tasks) > MAX_TASKS:
             self.tasks = [one for one in self.tasks if not one.done()]
 
     def runs_at(self, now: float) -> float:
         """The earliest time from `now` on at which it runs."""
         at = max(now, self.frozen_until)
-        into = at % TENTH_S
-        if self.quota < 1.0 and into > TENTH_S * self.quota:
-            at += TENTH_S - into + 1e-6
+        into = at % QUOTA_PERIOD_S
+        if self.quota < 1.0 and into > QUOTA_PERIOD_S * self.quota:
+            at += QUOTA_PERIOD_S - into + 1e-6
         return at
 
 
-LIFE: contextvars.ContextVar[Life | None] = contextvars.ContextVar("life", default=None)
+CURRENT_INCARNATION: contextvars.ContextVar[Incarnation | None] = contextvars.ContextVar(
+    "incarnation", default=None
+)
 
 
-def new_life(host: str, number: int) -> Life:
-    """A life with a context of its own."""
+def new_incarnation(host: str, number: int) -> Incarnation:
+    """A new incarnation with a context of its own."""
     context = contextvars.Context()
-    life = Life(host, number, context)
-    context.run(LIFE.set, life)
-    return life
+    incarnation = Incarnation(host, number, context)
+    context.run(CURRENT_INCARNATION.set, incarnation)
+    return incarnation
 
 
-class _LifeHandle(events.Handle):
+class _IncarnationHandle(events.Handle):
     __slots__ = ()
 
     def _run(self) -> None:
@@ -64,7 +66,7 @@
             super()._run()
 
 
-class _LifeTimerHandle(events.TimerHandle):
+class _IncarnationTimerHandle(events.TimerHandle):
     __slots__ = ()
 
     def _run(self) -> None:
@@ -73,14 +75,14 @@
 
 
 def _may_run(handle: Any) -> bool:  # noqa: ANN401
-    life = handle._context.get(LIFE)
-    if life is None:
+    incarnation = handle._context.get(CURRENT_INCARNATION)
+    if incarnation is None:
         return True
-    if life.ended:
+    if incarnation.ended:
         return False
     loop = handle._loop
-    if life.runs_at(loop.time()) > loop.time() or (life.deferred and not loop.waking):
-        loop.defer(life, handle)
+    if incarnation.runs_at(loop.time()) > loop.time() or (incarnation.deferred and not loop.waking):
+        loop.defer(incarnation, handle)
         return False
     return True
 
@@ -120,12 +122,12 @@
 
     @staticmethod
     def _make_task(loop: Any, work: Any, context: Any = None) -> asyncio.Task[Any]:  # noqa: ANN401
-        """Tasks of a life are kept until the run is over: none is collected, and so closed, midway."""
+        """Keeps tasks of an incarnation until the run is over, so that none is collected."""
         task = asyncio.Task(work, loop=loop, context=context)
         task._log_destroy_pending = False  # type: ignore[attr-defined]
-        life = LIFE.get() if context is None else context.get(LIFE)
-        if life is not None:
-            life.keep(task)
+        incarnation = CURRENT_INCARNATION.get() if context is None else context.get(CURRENT_INCARNATION)
+        if incarnation is not None:
+            incarnation.keep(task)
         return task
 
     def time(self) -> float:
@@ -138,29 +140,29 @@
 
     def call_at(self, when: float, callback: Any, *args: Any, context: Any = None) -> Any:  # noqa: ANN401
         """Calls back at a simulated time."""
-        timer = _LifeTimerHandle(when, callback, args, self, context)
+        timer = _IncarnationTimerHandle(when, callback, args, self, context)
         heapq.heappush(self._scheduled, timer)
         timer._scheduled = True
         return timer
 
     def _call_soon(self, callback: Any, args: Any, context: Any) -> events.Handle:  # noqa: ANN401
-        handle = _LifeHandle(callback, args, self, context)
+        handle = _IncarnationHandle(callback, args, self, context)
         self._ready.append(handle)
         return handle
 
-    def defer(self, life: Life, handle: events.Handle) -> None:
+    def defer(self, incarnation: Incarnation, handle: events.Handle) -> None:
         """Keeps a callback until its machine runs again."""
-        if not life.deferred:
-            at = life.runs_at(self._now)
-            self.call_at(at, self._wake, life, context=contextvars.Context())
-        life.deferred.append(handle)
-
-    def _wake(self, life: Life) -> None:
-        at = life.runs_at(self._now)
-        if at > self._now:  # it was made to stand still for longer
-            self.call_at(at, self._wake, life, context=contextvars.Context())
+        if not incarnation.deferred:
+            at = incarnation.runs_at(self._now)
+            self.call_at(at, self._wake, incarnation, context=contextvars.Context())
+        incarnation.deferred.append(handle)
+
+    def _wake(self, incarnation: Incarnation) -> None:
+        at = incarnation.runs_at(self._now)
+        if at > self._now:  # the pause was extended
+            self.call_at(at, self._wake, incarnation, context=contextvars.Context())
             return
-        deferred, life.deferred = life.deferred, []
+        deferred, incarnation.deferred = incarnation.deferred, []
         self.waking = True
         try:
             for handle in deferred:
--- a/tests/tier/simulation/machines.py
+++ b/tests/tier/simulation/machines.py
@@ -1,4 +1,4 @@
-"""Simulated machines: store machines that run the real `StoreMachine`, and fronts around the real client."""
+"""Simulated machines: stores that run the real `StoreMachine`, and fronts around the real store client."""
 
 import asyncio
 import json
@@ -22,100 +22,102 @@
 from crowwing.tier.store.disk import Disk
 from crowwing.tier.store.machine import RELAYED, StoreMachine
 from crowwing.tier.wire.connection import Connection, ConnectionPool, serve
-from tests.tier.simulation.disk import DiskTrouble, SimulatedFiles, SimulatedWorkers
-from tests.tier.simulation.loop import Life, new_life
-from tests.tier.simulation.network import LifeNetwork
+from tests.tier.simulation.disk import DiskFaults, SimulatedFiles, SimulatedWorkers
+from tests.tier.simulation.loop import Incarnation, new_incarnation
+from tests.tier.simulation.network import IncarnationNetwork
 
 if TYPE_CHECKING:
     from tests.tier.simulation.world import World
 
 PORT = 7000
-START_S = (0.2, 0.7)  # what the libraries of a process take to load
-DAY_MS = 1_700_000_000_000
+START_S = (0.2, 0.7)  # for loading a process's libraries
+START_TIME_MS = 1_700_000_000_000
 BATCH_HOST, BATCH_PREFIX = "lots.example", "/lots-in/"
 
 
 class Machine:
-    """A machine of the system, through all lives of its process."""
+    """A machine of the system, through all incarnations of its process."""
 
     def __init__(self, world: "World", host: str) -> None:
         self.world, self.host = world, host
-        self.life: Life | None = None
-        self.lives = 0
+        self.incarnation: Incarnation | None = None
+        self.start_count = 0
         self.clock_offset_ms = 0.0
-        self._clock_from = (0.0, 0.0)  # simulated time, and what the steady clock showed then
+        self._clock_from = (0.0, 0.0)  # simulated time, and what the monotonic clock showed then
         self._clock_rate = 1.0
 
     @property
     def is_up(self) -> bool:
-        """Whether its process runs, or stands still."""
-        return self.life is not None
+        """Whether its process runs or is paused."""
+        return self.incarnation is not None
 
     @property
     def is_awake(self) -> bool:
-        """Whether its process runs now."""
+        """Whether its process runs and is not paused."""
         now = self.world.loop.time()
-        return self.life is not None and self.life.runs_at(now) <= now
+        return self.incarnation is not None and self.incarnation.runs_at(now) <= now
 
     def start(self, bootstrap: bool = False) -> None:
         """Starts its process."""
-        assert self.life is None, f"{self.host} runs already"
-        self.lives += 1
-        self.life = new_life(self.host, self.lives)
-        self.world.lives.append(self.life)
-        self.world.network.dark.discard(self.host)
-        self.spawn(self._run(self.life, bootstrap))
+        assert self.incarnation is None, f"{self.host} runs already"
+        self.start_count += 1
+        self.incarnation = new_incarnation(self.host, self.start_count)
+        self.world.incarnations.append(self.incarnation)
+        self.world.network.powered_off.discard(self.host)
+        self.spawn(self._run(self.incarnation, bootstrap))
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         """Runs something as a part of this machine's process."""
-        assert self.life is not None
-        life = self.life
-        task = self.world.loop.create_task(work, context=life.context.copy())
-        task.add_done_callback(lambda ended: self._ended(life, ended))
+        assert self.incarnation is not None
+        incarnation = self.incarnation
+        task = self.world.loop.create_task(work, context=incarnation.context.copy())
+        task.add_done_callback(lambda ended: self._ended(incarnation, ended))
         return task
 
-    def _ended(self, life: Life, task: asyncio.Task[Any]) -> None:
-        if not task.cancelled() and task.exception() is not None and not life.ended:
-            self.world.defects.append(f"{self.host}: {task.exception()!r}")
+    def _ended(self, incarnation: Incarnation, task: asyncio.Task[Any]) -> None:
+        if not task.cancelled() and task.exception() is not None and not incarnation.ended:
+            self.world.unexpected_errors.append(f"{self.host}: {task.exception()!r}")
 
     def stop(self, power: bool = False) -> None:
         """Ends its process at once."""
-        life, self.life = self.life, None
-        if life is None:
+        incarnation, self.incarnation = self.incarnation, None
+        if incarnation is None:
             return
-        life.ended = True
-        self.world.network.end_life(life, power)
+        incarnation.ended = True
+        self.world.network.end_incarnation(incarnation, power)
         if power:
-            self.world.network.dark.add(self.host)
+            self.world.network.powered_off.add(self.host)
 
     def freeze(self, span_s: float) -> None:
-        """Stands still for a while."""
-        if self.life is not None:
-            self.life.frozen_until = max(self.life.frozen_until, self.world.loop.time() + span_s)
+        """Pauses its process for a while."""
+        if self.incarnation is not None:
+            self.incarnation.frozen_until = max(
+                self.incarnation.frozen_until, self.world.loop.time() + span_s
+            )
 
     def clock(self) -> Clock:
-        """Its clocks."""
+        """The machine's clocks, with their faults."""
         loop = self.world.loop
-        return Clock(self._steady, lambda: int(DAY_MS + loop.time() * 1000 + self.clock_offset_ms))
+        return Clock(self._steady, lambda: int(START_TIME_MS + loop.time() * 1000 + self.clock_offset_ms))
 
     def _steady(self) -> float:
         since, shown = self._clock_from
         return shown + (self.world.loop.time() - since) * self._clock_rate
 
     def run_clock_at(self, rate: float) -> None:
-        """From now on its steady clock runs at another rate."""
+        """Lets its monotonic clock run at another rate from now on."""
         self._clock_from = (self.world.loop.time(), self._steady())
         self._clock_rate = rate
 
-    def random(self, life: Life) -> Random:
-        """Chance of its own for each life."""
-        return Random(f"{self.world.seed}/{self.host}/{life.number}")
+    def random(self, incarnation: Incarnation) -> Random:
+        """The random numbers of one incarnation."""
+        return Random(f"{self.world.seed}/{self.host}/{incarnation.number}")
 
-    async def _run(self, life: Life, bootstrap: bool) -> None:
+    async def _run(self, incarnation: Incarnation, bootstrap: bool) -> None:
         raise NotImplementedError
 
     def settings(self, bootstrap: bool) -> Settings:
-        """What the platform tells its process."""
+        """The settings that the platform gives to its process."""
         world = self.world
         return Settings.model_validate({
             "node": f"node-{self.host}", "ip": self.host, "portRange": [PORT, PORT + 10],
@@ -130,18 +132,18 @@
     def __init__(self, world: "World", host: str) -> None:
         super().__init__(world, host)
         self.files = SimulatedFiles(Random(f"{world.seed}/{host}/disk"))
-        self.trouble = DiskTrouble()
+        self.disk_faults = DiskFaults()
         self.workers: SimulatedWorkers | None = None
         self.machine: StoreMachine | None = None
 
-    async def _run(self, life: Life, bootstrap: bool) -> None:
+    async def _run(self, incarnation: Incarnation, bootstrap: bool) -> None:
         loop, started = self.world.loop, self.clock().monotonic()
-        random = self.random(life)
+        random = self.random(incarnation)
         await asyncio.sleep(random.uniform(*self.world.start_s))
-        self.workers = SimulatedWorkers(loop, random, self.trouble)
+        self.workers = SimulatedWorkers(loop, random, self.disk_faults)
         settings = self.settings(bootstrap)
         disk = Disk(Path("/data"), self.world.disk_mb * 1024 * 1024, self.files, self.workers, self.clock())
-        network = LifeNetwork(self.world.network, life)
+        network = IncarnationNetwork(self.world.network, incarnation)
         self.machine = StoreMachine(settings, disk, random, network, self.clock(), started)
         self.world.watch(self)
         await self.machine.start()
@@ -149,22 +151,22 @@
             self.spawn(work)
 
     def stop(self, power: bool = False, wipe: bool = False) -> None:
-        """Ends its process at once; without power what was not synced may go, a wipe takes all."""
-        under_way = self.workers.under_way if self.workers is not None and self.is_up else None
+        """Ends its process at once; a loss of power may lose what was not synced, a wipe loses all."""
+        in_progress = self.workers.in_progress if self.workers is not None and self.is_up else None
         super().stop(power)
         self.machine = self.workers = None
         if power or wipe:
-            self.files.lose_power(under_way)
+            self.files.lose_power(in_progress)
         if wipe:
             self.files.wipe()
 
     async def terminate(self) -> None:
-        """SIGTERM: hands over, and ends."""
-        life = self.life
+        """Ends as on SIGTERM: transfers leadership first."""
+        incarnation = self.incarnation
         if self.machine is not None and self.is_awake:
             self.machine.transfer_leadership()
         await asyncio.sleep(0.3)
-        if self.life is life:
+        if self.incarnation is incarnation:
             self.stop()
 
     async def _read_list(self) -> SidecarList:
@@ -174,7 +176,7 @@
 
 
 class Front(Machine):
-    """A front: the real relay tree, store client and batch interface, around items that run by themselves."""
+    """A front with the real relay tree, store client and batch API; items are simulated."""
 
     def __init__(self, world: "World", host: str) -> None:
         super().__init__(world, host)
@@ -189,10 +191,10 @@
         self.store = self.documents = self.relay = None
         self.running = {}
 
-    async def _run(self, life: Life, bootstrap: bool) -> None:
-        random = self.random(life)
+    async def _run(self, incarnation: Incarnation, bootstrap: bool) -> None:
+        random = self.random(incarnation)
         await asyncio.sleep(random.uniform(*self.world.start_s))
-        network = LifeNetwork(self.world.network, life)
+        network = IncarnationNetwork(self.world.network, incarnation)
         documents = self.documents = Documents()
         documents.listen(self._take_document)
         connections = ConnectionPool(PORT, self._handle, network)
@@ -216,7 +218,7 @@
         return None
 
     def _take_document(self, document: Document) -> None:
-        self.world.took_document(f"{self.host}/{self.lives}", document)
+        self.world.record_document(f"{self.host}/{self.start_count}", document)
 
     async def _run_items(self, store: StoreClient, random: Random) -> None:
         while True:
@@ -251,7 +253,7 @@
             self.running.pop(key, None)
 
     async def batch_call(self, method: str, path: str, job_id: str, body: bytes = b"") -> tuple[int, bytes]:
-        """What a client's call on lots is answered, by the real batch interface."""
+        """The status and body that the real batch API answers to a client's request."""
         if self.store is None:
             raise ConnectionRefusedError
         answer = Answer()
@@ -260,30 +262,30 @@
         request = ClientRequest(method, path, query.encode(), headers, body)
         api = BatchApi(self.store)
         if method == "POST":
-            await api.serve_route(request, LOT_ROUTE, answer.take)
+            await api.serve_route(request, BATCH_ROUTE, answer.take)
         else:
             await api.serve_without_route(request, answer.take)
         return answer.status, answer.body
 
 
-LOT_ROUTE = Route.model_validate({
+BATCH_ROUTE = Route.model_validate({
     "name": "lots", "host": BATCH_HOST, "pathPrefix": BATCH_PREFIX, "kind": "batch_queue", "timeoutMs": 1000,
     "sloMs": 400, "service": "s", "maxAttempts": 3, "completionSloMs": 12000, "maxWaitS": 600,
 })  # fmt: skip
 
 
 def configuration_text(version: int, mark: str) -> bytes:
-    """A valid configuration; `mark` tells those with the same number apart."""
-    route = LOT_ROUTE.model_dump(by_alias=True, exclude_none=True)
-    whole = {
+    """A valid configuration; `mark` makes those of the same version differ."""
+    route = BATCH_ROUTE.model_dump(by_alias=True, exclude_none=True)
+    document = {
         "version": version, "routes": [route, {**route, "name": "other", "pathPrefix": f"/{mark}/"}],
         "services": [{"name": "s"}], "limits": {},
     }  # fmt: skip
-    return json.dumps(whole).encode()
+    return json.dumps(document).encode()
 
 
 class Answer:
-    """Takes in what an ASGI handler sends."""
+    """Collects the response that an ASGI handler sends."""
 
     def __init__(self) -> None:
         self.status, self.body = 0, b""
--- a/tests/tier/simulation/network.py
+++ b/tests/tier/simulation/network.py
@@ -1,4 +1,4 @@
-"""A simulated TCP network: delays, bandwidth, cuts of several kinds, ends of processes, losses of power."""
+"""A simulated TCP network: delays, bandwidth, partitions, ends of processes, losses of power."""
 
 import asyncio
 import math
@@ -10,7 +10,7 @@
 from typing import Any
 
 from crowwing.tier.wire.network import Accept
-from tests.tier.simulation.loop import Life, SimulatedLoop
+from tests.tier.simulation.loop import Incarnation, SimulatedLoop
 
 DELAY_S = (0.0005, 0.003)
 RETRANSMIT_S = (0.2, 0.4)  # what a lost packet costs
@@ -22,7 +22,7 @@
     """One side of a connection."""
 
     network: "SimulatedNetwork"
-    life: Life
+    incarnation: Incarnation
     reader: asyncio.StreamReader
     peer: "Endpoint" = field(init=False, repr=False)
     closed: bool = False
@@ -40,7 +40,7 @@
 
     def get_extra_info(self, name: str) -> Any:  # noqa: ANN401
         """The far side's address; there is no socket."""
-        return (self.peer.life.host, 0) if name == "peername" else None
+        return (self.peer.incarnation.host, 0) if name == "peername" else None
 
     def get_write_buffer_size(self) -> int:
         """Bytes that the far side has not got yet."""
@@ -72,43 +72,47 @@
 
     def __init__(self, loop: SimulatedLoop, random: Random) -> None:
         self._loop, self._random = loop, random
-        self._listeners: dict[tuple[str, int], tuple[Life, Accept]] = {}
+        self._listeners: dict[tuple[str, int], tuple[Incarnation, Accept]] = {}
         self._endpoints: list[Endpoint] = []
-        self.cut: set[tuple[str, str]] = set()  # (from, to): nothing arrives
-        self.refusing: set[tuple[str, str]] = set()  # cut as above, and new connections are reset
-        self.dark: set[str] = set()  # without power
+        self.partitioned_links: set[tuple[str, str]] = set()  # (from, to): nothing arrives
+        self.refused_links: set[tuple[str, str]] = (
+            set()
+        )  # partitioned as above, and new connections are refused
+        self.powered_off: set[str] = set()  # without power
         self.loss = 0.0  # share of messages that have to be sent again
         self.bytes_per_s = math.inf  # of each connection
         self.bytes_sent: dict[str, int] = {}
 
     # Connections
 
-    async def connect(self, life: Life, host: str, port: int) -> tuple[asyncio.StreamReader, Endpoint]:
+    async def connect(
+        self, incarnation: Incarnation, host: str, port: int
+    ) -> tuple[asyncio.StreamReader, Endpoint]:
         """Opens a connection; hangs where nobody can answer."""
         await asyncio.sleep(self._delay(0))
-        while self._is_cut(life.host, host) or host in self.dark:
-            if (life.host, host) in self.refusing:
+        while self._is_partitioned(incarnation.host, host) or host in self.powered_off:
+            if (incarnation.host, host) in self.refused_links:
                 raise ConnectionRefusedError(f"{host}:{port}")
             await asyncio.sleep(0.2)
         await asyncio.sleep(self._delay(0))
         listener = self._listeners.get((host, port))
         if listener is None or listener[0].ended:
             raise ConnectionRefusedError(f"{host}:{port}")
-        far_life, accept = listener
-        near = Endpoint(self, life, asyncio.StreamReader(loop=self._loop))
-        far = Endpoint(self, far_life, asyncio.StreamReader(loop=self._loop))
+        far_incarnation, accept = listener
+        near = Endpoint(self, incarnation, asyncio.StreamReader(loop=self._loop))
+        far = Endpoint(self, far_incarnation, asyncio.StreamReader(loop=self._loop))
         near.peer, far.peer = far, near
         self._endpoints += [near, far]
-        context = far_life.context.copy()
+        context = far_incarnation.context.copy()
         self._loop.call_soon(self._accept, accept, far, context=context)
         return near.reader, near
 
     def _accept(self, accept: Accept, endpoint: Endpoint) -> None:
         self._loop.create_task(accept(endpoint.reader, endpoint))  # type: ignore[arg-type]
 
-    def listen(self, life: Life, host: str, port: int, accept: Accept) -> "Listening":
-        """Accepts connections for a life."""
-        self._listeners[host, port] = (life, accept)
+    def listen(self, incarnation: Incarnation, host: str, port: int, accept: Accept) -> "Listening":
+        """Accepts connections for an incarnation."""
+        self._listeners[host, port] = (incarnation, accept)
         return Listening(self, host, port)
 
     def stop_listening(self, host: str, port: int) -> None:
@@ -123,12 +127,12 @@
             delay += self._random.uniform(*RETRANSMIT_S)
         return delay
 
-    def _is_cut(self, a: str, b: str) -> bool:
-        return (a, b) in self.cut or (b, a) in self.cut
+    def _is_partitioned(self, a: str, b: str) -> bool:
+        return (a, b) in self.partitioned_links or (b, a) in self.partitioned_links
 
     def send(self, sender: Endpoint, data: bytes) -> None:
         """Puts bytes on their way."""
-        near = sender.life.host
+        near = sender.incarnation.host
         now = self._loop.time()
         arrives = now + self._delay(len(data))
         if self.bytes_per_s < math.inf:
@@ -153,32 +157,32 @@
             return
         if sender.unacknowledged_since == since and self._is_unreachable(sender):
             sender.sent.clear()
-            self._in_life(sender, sender.fail, TimeoutError("not acknowledged"))
+            self._call_in_incarnation(sender, sender.fail, TimeoutError("not acknowledged"))
         else:
             self._watch(sender)
 
     def _is_unreachable(self, sender: Endpoint) -> bool:
-        near, far = sender.life.host, sender.peer.life.host
-        return self._is_cut(near, far) or far in self.dark
+        near, far = sender.incarnation.host, sender.peer.incarnation.host
+        return self._is_partitioned(near, far) or far in self.powered_off
 
     def _deliver(self, sender: Endpoint) -> None:
-        near, far = sender.life.host, sender.peer.life.host
+        near, far = sender.incarnation.host, sender.peer.incarnation.host
         now = self._loop.time()
         while sender.sent and sender.sent[0][0] <= now:
-            if (near, far) in self.cut or far in self.dark:
-                return  # held up until the cut has healed
+            if (near, far) in self.partitioned_links or far in self.powered_off:
+                return  # delayed until the partition has healed
             _, data = sender.sent.popleft()
             receiver = sender.peer
-            if receiver.life.ended or receiver.closed:
+            if receiver.incarnation.ended or receiver.closed:
                 self._reset_later(sender)
                 return
-            self._in_life(receiver, receiver.reader.feed_data, data)
-        if not sender.sent and not self._is_cut(near, far):
+            self._call_in_incarnation(receiver, receiver.reader.feed_data, data)
+        if not sender.sent and not self._is_partitioned(near, far):
             sender.unacknowledged_since = None
 
-    def _in_life(self, endpoint: Endpoint, work: Callable[..., None], *arguments: Any) -> None:  # noqa: ANN401
-        if not endpoint.life.ended:
-            self._loop.call_soon(self._do, endpoint, work, arguments, context=endpoint.life.context)
+    def _call_in_incarnation(self, endpoint: Endpoint, work: Callable[..., None], *arguments: Any) -> None:  # noqa: ANN401
+        if not endpoint.incarnation.ended:
+            self._loop.call_soon(self._do, endpoint, work, arguments, context=endpoint.incarnation.context)
 
     @staticmethod
     def _do(endpoint: Endpoint, work: Callable[..., None], arguments: tuple[Any, ...]) -> None:
@@ -190,33 +194,33 @@
         self._loop.call_at(self._loop.time() + delay, self._reset, endpoint, context=Context())
 
     def _reset(self, endpoint: Endpoint) -> None:
-        near, far = endpoint.life.host, endpoint.peer.life.host
-        if (far, near) not in self.cut and not endpoint.closed:
+        near, far = endpoint.incarnation.host, endpoint.peer.incarnation.host
+        if (far, near) not in self.partitioned_links and not endpoint.closed:
             endpoint.sent.clear()
-            self._in_life(endpoint, endpoint.fail, ConnectionResetError("reset"))
+            self._call_in_incarnation(endpoint, endpoint.fail, ConnectionResetError("reset"))
 
     def reset_peer(self, endpoint: Endpoint) -> None:
-        """A side has gone; the other one learns of it, unless the way is cut."""
+        """A side has ended; the other one gets a reset, unless they are partitioned."""
         endpoint.sent.clear()
         self._reset_later(endpoint.peer)
 
     # Faults
 
-    def cut_link(self, a: str, b: str, refuse: bool = False, reset: bool = False) -> None:
-        """Nothing from a arrives at b any more."""
-        self.cut.add((a, b))
+    def partition_link(self, a: str, b: str, refuse: bool = False, reset: bool = False) -> None:
+        """Drops everything from `a` to `b` from now on."""
+        self.partitioned_links.add((a, b))
         if refuse:
-            self.refusing |= {(a, b), (b, a)}
+            self.refused_links |= {(a, b), (b, a)}
         if reset:
             for endpoint in self._endpoints:
-                if {endpoint.life.host, endpoint.peer.life.host} == {a, b}:
+                if {endpoint.incarnation.host, endpoint.peer.incarnation.host} == {a, b}:
                     endpoint.sent.clear()
-                    self._in_life(endpoint, endpoint.fail, ConnectionResetError("cut"))
+                    self._call_in_incarnation(endpoint, endpoint.fail, ConnectionResetError("cut"))
 
     def heal(self) -> None:
-        """All cuts end; what they held up arrives."""
-        self.cut.clear()
-        self.refusing.clear()
+        """Ends all partitions; delayed bytes arrive."""
+        self.partitioned_links.clear()
+        self.refused_links.clear()
         for endpoint in self._endpoints:
             if endpoint.sent and not endpoint.closed:
                 self._loop.call_soon(self._deliver, endpoint, context=Context())
@@ -224,21 +228,23 @@
     def reset_connections(self, host: str, share: float) -> None:
         """Some of a machine's connections are reset."""
         for endpoint in list(self._endpoints):
-            if endpoint.life.host == host and not endpoint.closed and self._random.random() < share:
-                self._in_life(endpoint, endpoint.fail, ConnectionResetError("reset"))
-                self._in_life(endpoint.peer, endpoint.peer.fail, ConnectionResetError("reset"))
+            if endpoint.incarnation.host == host and not endpoint.closed and self._random.random() < share:
+                self._call_in_incarnation(endpoint, endpoint.fail, ConnectionResetError("reset"))
+                self._call_in_incarnation(endpoint.peer, endpoint.peer.fail, ConnectionResetError("reset"))
 
-    def end_life(self, life: Life, power: bool) -> None:
-        """A process has ended: its far sides are reset, or hear nothing where the power is gone."""
-        for key in [key for key, (owner, _) in self._listeners.items() if owner is life]:
+    def end_incarnation(self, incarnation: Incarnation, power: bool) -> None:
+        """A process has ended: its peers get resets, or nothing where the power was lost."""
+        for key in [key for key, (owner, _) in self._listeners.items() if owner is incarnation]:
             del self._listeners[key]
         for endpoint in self._endpoints:
-            if endpoint.life is life and not endpoint.closed:
+            if endpoint.incarnation is incarnation and not endpoint.closed:
                 endpoint.closed = True
                 endpoint.sent.clear()
                 if not power:
                     self._reset_later(endpoint.peer)
-        self._endpoints = [one for one in self._endpoints if not (one.life.ended and one.peer.life.ended)]
+        self._endpoints = [
+            one for one in self._endpoints if not (one.incarnation.ended and one.peer.incarnation.ended)
+        ]
 
 
 @dataclass
@@ -254,11 +260,11 @@
         self.network.stop_listening(self.host, self.port)
 
 
-class LifeNetwork:
-    """The network as one life uses it (crowwing.tier.wire.network.Network)."""
+class IncarnationNetwork:
+    """The network as one incarnation uses it (crowwing.tier.wire.network.Network)."""
 
-    def __init__(self, network: SimulatedNetwork, life: Life) -> None:
-        self._network, self._life = network, life
+    def __init__(self, network: SimulatedNetwork, incarnation: Incarnation) -> None:
+        self._network, self._life = network, incarnation
 
     async def connect(self, host: str, port: int) -> tuple[asyncio.StreamReader, Any]:
         """Opens a connection."""
--- a/tests/tier/simulation/plays.py
+++ b/tests/tier/simulation/plays.py
@@ -1,4 +1,4 @@
-"""Whole plays of one seed: clients and faults for a while, then calm, then everything is read."""
+"""Simulated runs by seed: clients and faults for a while, then recovery without faults, then checks."""
 
 import asyncio
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 from tests.tier.simulation.checkers.distribution import check_documents
 from tests.tier.simulation.clients import BatchJobClient, Operator
 from tests.tier.simulation.faults import CATCH_UP_S, Faults
-from tests.tier.simulation.world import RuleBroken, World
+from tests.tier.simulation.world import InvariantError, World
 
 RECOVERY_S = 12.0
 ACK_S = 4.0
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True)
 class Kind:
-    """How a play is drawn."""
+    """The parameters of a run."""
 
     stores: int = 3
     faults: int = 1
-    beyond: bool = False
+    exceeds_tolerance: bool = False
     span_s: float = 30.0
     gap_s: float = 4.0
-    rewrite_bytes: int = disk.MIN_COMPACTION_BYTES  # of a file, from which it may be rewritten
+    rewrite_bytes: int = disk.MIN_COMPACTION_BYTES  # of a file, from which it may be compacted
     log_entries: int = log.MAX_ENTRIES  # kept for those that catch up; the others are repaired by ranges
 
 
@@ -35,18 +35,18 @@
     "four": Kind(stores=4),
     "five-two": Kind(stores=5, faults=2),
     "seven": Kind(stores=7),
-    "beyond": Kind(beyond=True),
-    "beyond-four": Kind(stores=4, beyond=True),
-    "beyond-five-two": Kind(stores=5, faults=2, beyond=True),
+    "beyond": Kind(exceeds_tolerance=True),
+    "beyond-four": Kind(stores=4, exceeds_tolerance=True),
+    "beyond-five-two": Kind(stores=5, faults=2, exceeds_tolerance=True),
     "dense": Kind(stores=4, gap_s=1.0, span_s=20.0),
     "short-files": Kind(rewrite_bytes=8_000, log_entries=40),
-    "short-files-beyond": Kind(stores=4, beyond=True, rewrite_bytes=8_000, log_entries=15),
+    "short-files-beyond": Kind(stores=4, exceeds_tolerance=True, rewrite_bytes=8_000, log_entries=15),
     "twelve": Kind(stores=12, faults=2, span_s=20.0),
 }
 
 
 def play(seed: int, kind: Kind) -> World:
-    """Plays a seed; raises RuleBroken with all that broke."""
+    """Runs a seed; raises InvariantError with the violations."""
     kept = disk.MIN_COMPACTION_BYTES, log.MAX_ENTRIES
     disk.MIN_COMPACTION_BYTES, log.MAX_ENTRIES = kind.rewrite_bytes, kind.log_entries
     try:
@@ -58,14 +58,14 @@
 def _play(seed: int, kind: Kind) -> World:
     hosts = [f"m{number}" for number in range(kind.stores)]
     world = World(seed, hosts, faults=kind.faults, fronts=("f0", "f1"))
-    world.settle()
+    world.stabilize()
     operators = [Operator(world, f"operator-{number}") for number in range(3)]
     operators[2].loss = 0.4
     clients = [BatchJobClient(world, f"client-{number}") for number in range(2)]
     until = world.now + kind.span_s
-    faults = Faults(world, kind.beyond)
+    faults = Faults(world, kind.exceeds_tolerance)
 
-    async def trouble() -> None:
+    async def inject_faults() -> None:
         works = [
             *(x.work(until) for x in operators),
             *(x.work(until) for x in clients),
@@ -73,58 +73,62 @@
         ]
         await asyncio.gather(*works)
 
-    world.run(trouble())
-    _calm(world, faults)
-    broken = _check_liveness(world, operators[0])
+    world.run(inject_faults())
+    _end_faults(world, faults)
+    violations = _check_liveness(world, operators[0])
     final = _read_back(world, operators[0], clients[0])
     found: dict[str, int | None] = {}
     world.run(_read_batch_jobs(world, clients[0], found))
-    broken += check_configuration(world.history, final)
-    broken += check_batch_jobs(world.history) + check_read_back(world.history, found)
-    broken += check_documents(world.documents_taken)
-    world.raise_broken()
-    if broken:
-        raise RuleBroken(f"seed {seed}: " + "; ".join(broken[:4]))
+    violations += check_configuration(world.history, final)
+    violations += check_batch_jobs(world.history) + check_read_back(world.history, found)
+    violations += check_documents(world.recorded_documents)
+    world.raise_violations()
+    if violations:
+        raise InvariantError(f"seed {seed}: " + "; ".join(violations[:4]))
     return world
 
 
-def _calm(world: World, faults: Faults) -> None:
-    """All faults end; everything that is down starts."""
+def _end_faults(world: World, faults: Faults) -> None:
+    """Ends all faults and starts everything that is down."""
     world.heal()
     world.network.loss = 0.0
     for host, store in world.stores.items():
-        store.trouble.factor, store.files.is_full = 1.0, False
-        if store.life is not None:
-            store.life.quota = 1.0
+        store.disk_faults.factor, store.files.is_full = 1.0, False
+        if store.incarnation is not None:
+            store.incarnation.quota = 1.0
         if not store.is_up:
             world.start(host)
     for front in world.fronts.values():
         if not front.is_up:
             front.start()
-    longest = max((store.life.frozen_until for store in world.stores.values() if store.life), default=0.0)
-    world.run_for(max(0.0, longest - world.now) + (RECOVERY_S if faults.beyond else CATCH_UP_S + 1.0))
+    longest = max(
+        (store.incarnation.frozen_until for store in world.stores.values() if store.incarnation), default=0.0
+    )
+    world.run_for(
+        max(0.0, longest - world.now) + (RECOVERY_S if faults.exceeds_tolerance else CATCH_UP_S + 1.0)
+    )
 
 
 def _check_liveness(world: World, operator: Operator) -> list[str]:
-    """In calm times a change is confirmed in time, and every machine that need not leave is a member."""
+    """Without faults a change is confirmed in time, and all machines that may be members are."""
     began = world.now
 
     async def change() -> int | None:
-        base = await operator.read_until_told(ACK_S)
+        base = await operator.read_until_definite(ACK_S)
         return await operator.put(operator.change(base), ACK_S)
 
-    broken = []
+    violations = []
     if world.run(change()) != 200:
-        broken.append(f"no change was confirmed within {world.now - began:.1f} s of calm")
+        violations.append(f"no change was confirmed within {world.now - began:.1f} s of calm")
     primary = world.primary()
     if primary is None:
-        return [*broken, "there is no primary"]
+        return [*violations, "there is no primary"]
     expected = set(world.stores) - world.state(primary).retired_hosts()
     if world.members() != expected:
-        broken.append(f"members are {sorted(world.members())}, not {sorted(expected)}")
+        violations.append(f"members are {sorted(world.members())}, not {sorted(expected)}")
     if world.witnesses() - set(world.stores):
-        broken.append(f"witnesses are {sorted(world.witnesses())}")
-    return broken
+        violations.append(f"witnesses are {sorted(world.witnesses())}")
+    return violations
 
 
 def _read_back(world: World, operator: Operator, client: BatchJobClient) -> tuple[int, str] | None:
--- a/tests/tier/simulation/world.py
+++ b/tests/tier/simulation/world.py
@@ -1,4 +1,4 @@
-"""A whole control side in one process on simulated time: store machines, fronts, faults, and rules."""
+"""A simulated control plane in one process: store machines, fronts, faults, and invariants."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -15,19 +15,19 @@
 from crowwing.tier.store import commands
 from crowwing.tier.store.decisions import Decision
 from tests.tier.simulation.history import History
-from tests.tier.simulation.loop import Life, SimulatedLoop
-from tests.tier.simulation.machines import DAY_MS, START_S, Front, Machine, Store
+from tests.tier.simulation.loop import Incarnation, SimulatedLoop
+from tests.tier.simulation.machines import START_S, START_TIME_MS, Front, Machine, Store
 from tests.tier.simulation.network import SimulatedNetwork
 
-FAR_MS = DAY_MS * 2
+FAR_MS = START_TIME_MS * 2
 
 
-class RuleBroken(AssertionError):
-    """A rule that must hold at each moment does not."""
+class InvariantError(AssertionError):
+    """An invariant is violated."""
 
 
 class World:
-    """Machines, the network between them, and what must hold at each step of any of them."""
+    """Machines, the network between them, and the invariants that are checked at each step of a machine."""
 
     def __init__(
         self,
@@ -42,38 +42,39 @@
         self.seed, self.faults, self.start_s = seed, faults, start_s
         self.random = Random(seed)
         self.loop = SimulatedLoop()
-        self.loop.on_exception = self._note_defect
+        self.loop.on_exception = self._note_unexpected_error
         self.network = SimulatedNetwork(self.loop, Random(f"{seed}/network"))
         self.history = History()
-        self.defects: list[str] = []
-        self.broken: list[str] = []
+        self.unexpected_errors: list[str] = []
+        self.violations: list[str] = []
         self.disk_mb = 0
         self.list_version = 1
         self.list_reads: list[tuple[float, str]] = []
-        self.lives: list[Life] = []  # kept, so that no task of an ended life is collected, and closed, midway
+        # Kept, so that no task of an ended incarnation is collected, and so closed, during the run.
+        self.incarnations: list[Incarnation] = []
         self.stores: dict[str, Store] = {}
         self.fronts: dict[str, Front] = {}
         hosts = tuple(hosts)
         self.seeds = tuple(seeds) if seeds is not None else hosts[:3]
         self.acknowledged: list[str] = []
         self.on_acknowledged: Callable[[str], None] = lambda host: None
-        self.documents_taken: dict[str, list[Document]] = {}
-        self.watches_leases = True  # off where clocks run at other rates than leases assume
+        self.recorded_documents: dict[str, list[Document]] = {}
+        self.checks_leases = True  # off where clock rates differ by more than leases allow for
         self._highest_lease: messages.Term = messages.NO_TERM
         self._committed: dict[str, tuple[messages.Term, int]] = {}
-        self.pieces_sent = self.ranges_sent = self.entry_bytes_sent = 0
-        self.piece_s = 0.0
-        self._piece_free: dict[tuple[str, str], float] = {}
+        self.chunks_sent = self.ranges_sent = self.entry_bytes_sent = 0
+        self.chunk_transfer_s = 0.0
+        self._link_free_at: dict[tuple[str, str], float] = {}
         for host in hosts:
             self.start(host, bootstrap=True)
         for host in fronts:
             self.fronts[host] = Front(self, host)
             self.fronts[host].start()
 
-    def _note_defect(self, context: dict[str, Any]) -> None:
+    def _note_unexpected_error(self, context: dict[str, Any]) -> None:
         error = context.get("exception")
         if error is not None and not isinstance(error, (ConnectionError, TimeoutError)):
-            self.defects.append(f"{context.get('message')}: {error!r}")
+            self.unexpected_errors.append(f"{context.get('message')}: {error!r}")
 
     # Time
 
@@ -83,25 +84,25 @@
         return self.loop.time()
 
     def run_for(self, span_s: float) -> None:
-        """Lets time pass, and raises where a rule broke meanwhile."""
+        """Advances simulated time; raises InvariantError where an invariant was violated meanwhile."""
         self.run(asyncio.sleep(span_s))
 
     def run(self, work: Any) -> Any:  # noqa: ANN401
-        """Plays until some work outside all machines has ended."""
+        """Advances simulated time until a coroutine outside all machines has ended; gives its result."""
         asyncio.set_event_loop(self.loop)
         try:
             outcome = self.loop.run_until_complete(work)
         finally:
             asyncio.set_event_loop(None)
-        self.raise_broken()
+        self.raise_violations()
         return outcome
 
-    def raise_broken(self) -> None:
-        """Raises what broke."""
-        if self.broken:
-            raise RuleBroken(f"seed {self.seed}: " + "; ".join(self.broken[:3]))
-        if self.defects:
-            raise RuleBroken(f"seed {self.seed}: " + "; ".join(self.defects[:3]))
+    def raise_violations(self) -> None:
+        """Raises InvariantError where an invariant was violated or a task ended with an unexpected error."""
+        if self.violations:
+            raise InvariantError(f"seed {self.seed}: " + "; ".join(self.violations[:3]))
+        if self.unexpected_errors:
+            raise InvariantError(f"seed {self.seed}: " + "; ".join(self.unexpected_errors[:3]))
 
     # Machines
 
@@ -121,28 +122,30 @@
         self.stores[host].stop(power, wipe)
 
     def freeze(self, host: str, span_s: float) -> None:
-        """A machine stands still for a while; its clocks go on."""
+        """Pauses a machine's process for a while; its clocks go on."""
         self.history.note(self.now, f"freeze {host} {span_s:.3f}")
         self.stores[host].freeze(span_s)
 
     def remove(self, host: str) -> None:
-        """A machine is gone for good, with its disk."""
+        """Removes a machine for good, with its disk."""
         self.stop(host, power=True, wipe=True)
         del self.stores[host]
 
-    def cut(self, some: Iterable[str], others: Iterable[str], one_way: bool = False, **how: bool) -> None:
-        """Cuts the links from some machines to others, and back unless one way."""
+    def partition(
+        self, some: Iterable[str], others: Iterable[str], one_way: bool = False, **how: bool
+    ) -> None:
+        """Partitions some machines from others, in both directions unless `one_way`."""
         some, others = sorted(some), sorted(others)
         self.history.note(self.now, f"cut {some} {others} one_way={one_way} {how}")
         for a in some:
             for b in others:
                 if a != b:
-                    self.network.cut_link(a, b, **how)
+                    self.network.partition_link(a, b, **how)
                     if not one_way:
-                        self.network.cut_link(b, a, **how)
+                        self.network.partition_link(b, a, **how)
 
     def heal(self) -> None:
-        """All links are whole again."""
+        """Ends all partitions."""
         self.history.note(self.now, "heal")
         self.network.heal()
 
@@ -158,7 +161,7 @@
         return machine.node.state
 
     def replicas(self) -> dict[str, Replica]:
-        """All replicas that run or stand still."""
+        """All replicas that run or are paused."""
         found = {host: self.replica(host) for host in sorted(self.stores)}
         return {host: replica for host, replica in found.items() if replica is not None}
 
@@ -182,10 +185,12 @@
 
     def synchronized_members(self) -> set[str]:
         """Its members that run and hold its data: a machine that lost its disk stays a member for a while."""
-        held = {host: replica.synced for host, replica in self.replicas().items()}
+        synced = {host: replica.synced for host, replica in self.replicas().items()}
         primary = self.primary()
         replica = self.replica(primary) if primary is not None else None
-        return {host for host in self.members() if replica is not None and held.get(host) == replica.promised}
+        return {
+            host for host in self.members() if replica is not None and synced.get(host) == replica.promised
+        }
 
     def witnesses(self) -> set[str]:
         """The witnesses of the same view."""
@@ -194,7 +199,7 @@
         return set(replica.view.witnesses) if replica is not None and replica.view is not None else set()
 
     def retire(self, host: str) -> None:
-        """Has a store machine emptied."""
+        """Requests the decommissioning of a store machine."""
         primary = self.primary()
         assert primary is not None
         machine = self.stores[primary].machine
@@ -202,7 +207,7 @@
         self.stores[primary].spawn(machine.service.command(commands.RetireStore(f"node-{host}")))
 
     def fill_disk(self, host: str, span_s: float) -> None:
-        """A disk takes no more bytes for a while."""
+        """Makes writes to a disk fail for a while, as on a full one."""
         files = self.stores[host].files
         files.is_full = True
         self.loop.call_later(span_s, setattr, files, "is_full", False, context=Context())
@@ -210,7 +215,7 @@
     # Watching
 
     def watch(self, store: Store) -> None:
-        """Checks the rules after each step of a store machine, and counts what it sends."""
+        """Checks the invariants after each step of a store machine, and counts what it sends."""
         assert store.machine is not None
         node, host = store.machine.node, store.host
         step, notify_all = node.step, node._connections.notify_all
@@ -230,25 +235,27 @@
         entries = getattr(message, "entries", ())
         self.entry_bytes_sent += len(receivers) * sum(len(entry.payload) for entry in entries)
         if isinstance(message, messages.RangesResponse):
-            self.pieces_sent += len(receivers)
+            self.chunks_sent += len(receivers)
             self.ranges_sent += len(message.contents)
-            if self.piece_s:
+            if self.chunk_transfer_s:
                 for receiver in receivers:
-                    free = max(self.now, self._piece_free.get((host, receiver), 0.0)) + self.piece_s
-                    self._piece_free[host, receiver] = free
+                    free = (
+                        max(self.now, self._link_free_at.get((host, receiver), 0.0)) + self.chunk_transfer_s
+                    )
+                    self._link_free_at[host, receiver] = free
                     self.loop.call_at(free, send, [receiver], message)
                 return
         send(receivers, message)
 
     def check(self, host: str, replica: Replica) -> None:
-        """One lease at most, under rising ballots, at who has what was acknowledged; members are whole."""
+        """At most one lease, under rising terms, at a primary that has all acknowledged entries."""
         if not self.holds_lease(host):
             return
         for other in self.replicas():
-            if other != host and self.holds_lease(other) and self.watches_leases:
-                self._break(f"{host} and {other} hold leases at once")
-        if replica.promised < self._highest_lease and self.watches_leases:
-            self._break(
+            if other != host and self.holds_lease(other) and self.checks_leases:
+                self._add_violation(f"{host} and {other} hold leases at once")
+        if replica.promised < self._highest_lease and self.checks_leases:
+            self._add_violation(
                 f"{host} holds a lease under {replica.promised} after one under {self._highest_lease}"
             )
         if replica.promised > self._highest_lease:
@@ -256,7 +263,7 @@
             jobs = self.state(host).jobs
             lost = [payload for payload in self.acknowledged if payload not in jobs]
             if lost:
-                self._break(f"{host} leads without {lost[:3]}")
+                self._add_violation(f"{host} leads without {lost[:3]}")
         self._check_members(host, replica)
 
     def _check_members(self, host: str, replica: Replica) -> None:
@@ -270,19 +277,19 @@
             if other is None or other._started > replica._active_since or member == host:
                 continue
             if other.log.last[1] < replica.commit_index and other.recovered:
-                self._break(f"{host} committed {replica.commit_index} that member {member} lacks")
+                self._add_violation(f"{host} committed {replica.commit_index} that member {member} lacks")
 
-    def _break(self, what: str) -> None:
-        self.broken.append(f"{self.now:.3f}: {what}")
+    def _add_violation(self, what: str) -> None:
+        self.violations.append(f"{self.now:.3f}: {what}")
 
-    def took_document(self, host: str, document: Document) -> None:
-        """A front has taken in a newer document."""
-        self.documents_taken.setdefault(host, []).append(document)
+    def record_document(self, host: str, document: Document) -> None:
+        """A front has received a newer document."""
+        self.recorded_documents.setdefault(host, []).append(document)
 
     # Plain entries, for tests of replication alone
 
     def propose(self, payload: str) -> bool:
-        """Has an entry of this name kept by whoever says that it is the primary; False where nobody does."""
+        """Proposes a job of this name at a machine that has the role of the primary; False where none has."""
         for host, replica in self.replicas().items():
             store = self.stores[host]
             if replica.role is Role.PRIMARY and store.is_awake:
@@ -303,15 +310,15 @@
             self.on_acknowledged(store.host)
 
     def is_acknowledged(self, prefix: str) -> bool:
-        """Whether something whose name begins so was acknowledged."""
+        """Whether a payload with this prefix was acknowledged."""
         return any(done.startswith(prefix) for done in self.acknowledged)
 
-    def held(self, host: str) -> dict[str, bytes]:
-        """What a store machine holds: entries by name, with what they went through."""
+    def job_digests(self, host: str) -> dict[str, bytes]:
+        """The digests of a store machine's batch jobs, by id."""
         return {job.id: job.digest for job in self.state(host).jobs.values()}
 
-    def settle(self, span_s: float = 3.0) -> None:
-        """Lets time pass until there is a primary."""
+    def stabilize(self, span_s: float = 3.0) -> None:
+        """Advances time until there is a primary."""
         for _ in range(int(span_s / 0.1)):
             self.run_for(0.1)
             if self.primary() is not None:
@@ -319,7 +326,7 @@
         raise AssertionError(f"seed {self.seed}: no primary after {span_s} s")
 
     def acknowledge(self, payload: str, span_s: float = 3.0) -> None:
-        """Hands a payload in again and again until it is acknowledged."""
+        """Proposes a payload again and again until it is acknowledged."""
         for number in range(int(span_s / 0.2)):
             self.propose(f"{payload}/{number}")
             self.run_for(0.2)
@@ -328,6 +335,6 @@
         raise AssertionError(f"seed {self.seed}: {payload!r} was not acknowledged in {span_s} s")
 
     def close(self) -> None:
-        """Ends all lives, so that nothing of them runs later."""
+        """Ends all processes, so that nothing of them runs later."""
         for machine in self.machines():
             machine.stop(power=True)
--- a/tests/tier/test_letter_scenarios.py
+++ b/tests/tier/test_control_scenarios.py
@@ -1,4 +1,4 @@
-"""Each of the operators' points as one simulated run that brings it about."""
+"""Simulated runs of the situations that operators ask about: partitions, races, lost disks, slow clocks."""
 
 import asyncio
 from typing import Any
@@ -22,7 +22,7 @@
     """Makes one change, and gives its version."""
 
     async def work() -> int:
-        change = operator.change(await operator.read_until_told())
+        change = operator.change(await operator.read_until_definite())
         assert await operator.put(change) == 200
         return change.version
 
@@ -33,52 +33,50 @@
     """Reads back at the end and checks the whole history."""
 
     async def read() -> Any:  # noqa: ANN401
-        await operator.read_until_told()
+        await operator.read_until_definite()
         return world.history.calls[-1].value
 
-    broken = check_configuration(world.history, world.run(read()))
-    assert not broken, broken
+    violations = check_configuration(world.history, world.run(read()))
+    assert not violations, violations
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_1_a_machine_cut_off_for_twenty_seconds_hands_out_nothing_old_refuses_and_confirms_nothing(
-    seed: int,
-) -> None:
+def test_a_machine_partitioned_for_twenty_seconds_serves_nothing_stale_and_decides_nothing(seed: int) -> None:
     world = World(seed, STORES)
-    world.settle()
+    world.stabilize()
     near, far = Operator(world, "operator-near"), Operator(world, "operator-far")
     put(world, near)
-    cut_off = world.primary()
-    assert cut_off is not None
-    others = [host for host in STORES if host != cut_off]
-    world.cut([cut_off], others, refuse=seed % 3 == 1, reset=seed % 3 == 2)
+    partitioned = world.primary()
+    assert partitioned is not None
+    others = [host for host in STORES if host != partitioned]
+    world.partition([partitioned], others, refuse=seed % 3 == 1, reset=seed % 3 == 2)
     began = world.now
-    told: list[Call] = []
+    answers: list[Call] = []
 
-    async def ask_cut_off() -> None:
+    async def ask_partitioned() -> None:
         while world.now < began + 20.0:
-            store = world.stores[cut_off]
-            told.append(await near.read(store))
-            change = near.change(world.history.changes[told_keys()[-1]].version)
-            told.append(await near.put_once(change, store))
+            store = world.stores[partitioned]
+            answers.append(await near.read(store))
+            change = near.change(world.history.changes[confirmed_keys()[-1]].version)
+            answers.append(await near.put_once(change, store))
             await asyncio.sleep(0.2)
 
-    def told_keys() -> list[str]:
+    def confirmed_keys() -> list[str]:
         return [call.key for call in world.history.calls if call.kind == "put" and call.status == 200]
 
-    async def change_beyond() -> None:
+    async def change_at_the_others() -> None:
         far._machines = lambda: [world.stores[host] for host in others]  # type: ignore[method-assign]
         while world.now < began + 20.0:
-            await far.put(far.change(await far.read_until_told()), 5.0)
+            await far.put(far.change(await far.read_until_definite()), 5.0)
             await asyncio.sleep(0.5)
 
     async def both() -> None:
-        await asyncio.gather(ask_cut_off(), change_beyond())
+        await asyncio.gather(ask_partitioned(), change_at_the_others())
 
     world.run(both())
-    late = [call for call in told if call.sent_at > began + 0.6]
-    assert late and not any(call.told() for call in late), "it can't be sure of anything"
-    assert len(told_keys()) > 10, "the others go on"
+    late = [call for call in answers if call.sent_at > began + 0.6]
+    assert late and not any(call.is_definite() for call in late), "it can't be sure of anything"
+    assert len(confirmed_keys()) > 10, "the others go on"
     world.heal()
     world.run_for(3.0)
     assert world.members() == set(STORES)
@@ -86,26 +84,24 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_2_of_two_operators_under_one_number_one_is_confirmed_and_a_resent_order_is_never_refused(
-    seed: int,
-) -> None:
+def test_of_two_changes_of_one_version_one_is_confirmed_and_a_resent_one_is_never_refused(seed: int) -> None:
     world = World(seed, STORES)
-    world.settle()
+    world.stabilize()
     ours, theirs = Operator(world, "operator-a"), Operator(world, "operator-b")
     ours.loss = theirs.loss = 0.6  # of all answers
 
     async def race() -> None:
-        taken: list[Any] = []
+        accepted: list[Any] = []
         for _ in range(12):
-            base = await ours.read_until_told()
+            base = await ours.read_until_definite()
             same_number = ours.change(base, 3, "a"), theirs.change(base, 3, "b")
             outcomes = await asyncio.gather(ours.put(same_number[0]), theirs.put(same_number[1]))
             assert sorted(map(str, outcomes)) == ["200", "412"], outcomes
-            taken.append(same_number[outcomes.index(200)])
-            for change in taken:
+            accepted.append(same_number[outcomes.index(200)])
+            for change in accepted:
                 assert await ours.put(change) == 200, "also after others"
         world.stop(str(world.primary()), power=True)
-        for change in taken:
+        for change in accepted:
             assert await theirs.put(change) == 200, "also at another primary"
 
     world.run(race())
@@ -114,11 +110,11 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_3_a_second_loss_right_after_a_repair_or_an_emptying_leaves_a_majority_and_every_copy(
+def test_a_second_loss_right_after_a_repair_or_a_decommission_leaves_a_majority_and_all_data(
     seed: int,
 ) -> None:
     world = World(seed, (*STORES, "m3"), STORES)
-    world.settle()
+    world.stabilize()
     world.run_for(CATCH_UP_S)
     operator = Operator(world, "operator-a")
     put(world, operator)
@@ -146,11 +142,11 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_4_after_hundreds_of_changes_a_restarted_member_catches_up_and_never_leads_with_old_state(
+def test_after_hundreds_of_changes_a_restarted_member_catches_up_and_never_leads_with_stale_state(
     seed: int,
 ) -> None:
     world = World(seed, STORES)
-    world.settle()
+    world.stabilize()
     operator = Operator(world, "operator-a")
     away = sorted(STORES)[seed % 3]
     world.stop(away, power=seed % 2 == 0)
@@ -178,7 +174,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_primary_that_wakes_answers_nothing_from_before_it_stood_still(seed: int) -> None:
     world = World(seed, STORES)
-    world.settle()
+    world.stabilize()
     world.run_for(1.0)
     operator = Operator(world, "operator-a")
     put(world, operator)
@@ -189,7 +185,7 @@
     others = [world.stores[host] for host in STORES if host != old]
     operator._machines = lambda: list(others)  # type: ignore[method-assign]
     version = put(world, operator)
-    told: list[Call] = []
+    answers: list[Call] = []
 
     async def ask_as_it_wakes() -> None:
         await asyncio.sleep(thaws_at - world.now - 0.5)
@@ -198,28 +194,28 @@
             operator.put_once(operator.change(version), world.stores[old]),
             operator.retire_once("unknown", world.stores[old]),
         ]
-        told.extend(await asyncio.gather(*asked))
+        answers.extend(await asyncio.gather(*asked))
 
     world.run(ask_as_it_wakes())
-    assert not any(call.told() for call in told), told
+    assert not any(call.is_definite() for call in answers), answers
     check_history(world, operator)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_primary_whose_clock_runs_far_too_slowly_hands_out_no_old_configuration(seed: int) -> None:
     world = World(seed, STORES)
-    world.settle()
+    world.stabilize()
     world.run_for(1.0)
     old = world.primary()
     assert old is not None
-    world.watches_leases = False  # by its own clock its leases last five times as long as they may
+    world.checks_leases = False  # by its own clock its leases last five times as long as they may
     world.stores[old].run_clock_at(0.21)
     world.run_for(1.0)
     assert world.primary() == old
     reader, writer = Operator(world, "operator-reader"), Operator(world, "operator-writer")
     version = put(world, writer)
     others = [world.stores[host] for host in STORES if host != old]
-    world.cut([old], [other.host for other in others])
+    world.partition([old], [other.host for other in others])
     writer._machines = lambda: list(others)  # type: ignore[method-assign]
 
     async def read_old() -> None:
@@ -245,7 +241,7 @@
 def test_a_lost_disk_is_made_good_in_time_after_1000_changes_and_with_jobs_of_50_mb() -> None:
     world = World(7, STORES)
     world.network.bytes_per_s = 60e6  # of each connection
-    world.settle()
+    world.stabilize()
     operator = Operator(world, "operator-a")
 
     async def fill() -> None:
@@ -270,16 +266,16 @@
     world.start(lost)
     world.run_for(world.start_s[1] + CATCH_UP_S)
     assert world.members() == set(STORES)
-    assert world.held(lost) == world.held(primary)
+    assert world.job_digests(lost) == world.job_digests(primary)
     sizes = {host: store.files.size() for host, store in world.stores.items()}
     assert max(sizes.values()) < 4 * 60_000_000, f"files are bounded: {sizes}"
     check_history(world, operator)
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_primary_that_hands_over_and_is_cut_off_at_once_leads_no_longer(seed: int) -> None:
+def test_a_primary_that_hands_over_and_is_partitioned_at_once_leads_no_longer(seed: int) -> None:
     world = World(seed, STORES)
-    world.settle()
+    world.stabilize()
     world.run_for(1.0)
     old = world.primary()
     assert old is not None
@@ -287,7 +283,7 @@
     assert machine is not None
     machine.transfer_leadership()
     world.run_for(0.0002 * seed)  # the message is on its way
-    world.cut([old], [host for host in STORES if host != old])
+    world.partition([old], [host for host in STORES if host != old])
     world.run_for(2.0)  # each step checks that there is one lease
     assert world.primary() not in (None, old)
 
@@ -295,7 +291,7 @@
 def test_a_machine_without_a_disk_whose_seeds_are_all_gone_finds_the_others() -> None:
     for seed in range(6):
         world = World(seed, (*STORES, "m3", "m4"), STORES)
-        world.settle()
+        world.stabilize()
         world.run_for(CATCH_UP_S)
         for gone in STORES[:2]:
             world.remove(gone)
--- a/tests/tier/test_disk_troubles.py
+++ b/tests/tier/test_disk_troubles.py
@@ -25,7 +25,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_a_primary_whose_disk_is_full_hands_over_and_comes_back(seed: int) -> None:
     world = quick_world(seed, HOSTS, HOSTS)
-    world.settle()
+    world.stabilize()
     world.acknowledge("first")
     full = world.primary()
     world.fill_disk(full, 5.0)
@@ -39,7 +39,7 @@
 
 def test_what_a_full_disk_could_not_keep_survives_its_loss_of_power() -> None:
     world = quick_world(9, HOSTS, HOSTS)
-    world.settle()
+    world.stabilize()
     world.acknowledge("first")
     full = world.primary()
     world.fill_disk(full, 3.0)
@@ -53,7 +53,7 @@
 
 def test_all_disks_full_at_once_acknowledge_nothing_and_go_on_later() -> None:
     world = quick_world(10, HOSTS, HOSTS)
-    world.settle()
+    world.stabilize()
     world.acknowledge("first")
     for machine in world.stores.values():
         world.fill_disk(machine.host, 2.0)
@@ -69,10 +69,10 @@
 @pytest.mark.parametrize("of_primary", [True, False])
 def test_a_disk_that_answers_nothing_holds_nobody_up_for_long(of_primary: bool) -> None:
     world = quick_world(11, HOSTS, HOSTS)
-    world.settle()
+    world.stabilize()
     world.acknowledge("first")
     machine = next(x for x in world.stores.values() if (x.host == world.primary()) == of_primary)
-    machine.trouble.stalled_until = world.now + 6.0
+    machine.disk_faults.stalled_until = world.now + 6.0
     world.acknowledge("second", 2.5)
     assert machine.host not in world.members()
     world.run_for(6.0 + CATCH_UP_S)
@@ -82,16 +82,16 @@
 @pytest.mark.parametrize("of_primary", [True, False])
 def test_a_slow_disk_is_left_out_and_taken_back(of_primary: bool) -> None:
     world = quick_world(12, HOSTS, HOSTS)
-    world.settle()
+    world.stabilize()
     world.acknowledge("first")
     machine = next(x for x in world.stores.values() if (x.host == world.primary()) == of_primary)
-    machine.trouble.factor = 60.0
+    machine.disk_faults.factor = 60.0
     for number in range(6):
         world.acknowledge(f"slow {number},", 3.0)
     primary = world.primary()
     assert primary != machine.host
     assert machine.host not in world.members()
-    machine.trouble.factor = 1.0
+    machine.disk_faults.factor = 1.0
     for number in range(40):
         world.propose(f"quick {number}")
         world.run_for(0.2)
@@ -100,9 +100,9 @@
 
 def test_two_slow_disks_of_three_are_not_left_out() -> None:
     world = quick_world(13, HOSTS, HOSTS)
-    world.settle()
+    world.stabilize()
     for host in HOSTS[:2]:
-        world.stores[host].trouble.factor = 40.0
+        world.stores[host].disk_faults.factor = 40.0
     for number in range(5):
         world.acknowledge(f"slow {number},", 3.0)
     assert len(world.members()) >= 2, "a single copy is never acknowledged on"
@@ -112,7 +112,7 @@
     """Disks in trouble, one after another, beside a lost machine at times."""
     world = quick_world(seed, HOSTS, HOSTS)
     random = world.random
-    world.settle()
+    world.stabilize()
     for number in range(4):
         machine = world.stores[random.choice(HOSTS)]
         span = random.uniform(0.2, 3.0)
@@ -120,15 +120,15 @@
             case "full":
                 world.fill_disk(machine.host, span)
             case "stall":
-                machine.trouble.stalled_until = world.now + span
+                machine.disk_faults.stalled_until = world.now + span
             case "slow":
-                machine.trouble.factor = random.choice([5.0, 30.0, 60.0])
+                machine.disk_faults.factor = random.choice([5.0, 30.0, 60.0])
             case "power":
                 world.stop(machine.host, power=True, wipe=random.random() < 0.5)
         for place in range(int(span / 0.1)):
             world.propose(f"{number}/{place}")
             world.run_for(random.uniform(0.0, 0.2))
-        machine.trouble.factor = 1.0
+        machine.disk_faults.factor = 1.0
         if not machine.is_up:
             world.start(machine.host)
         for place in range(10):
--- a/tests/tier/test_repair.py
+++ b/tests/tier/test_repair.py
@@ -15,25 +15,25 @@
     monkeypatch.setattr(range_transfer, "MAX_RANGES_PER_REQUEST", 2)
     hosts = HOSTS if seed % 2 else FIVE[:4]
     world = random_troubles(seed, hosts)
-    assert world.acknowledged and world.pieces_sent
+    assert world.acknowledged and world.chunks_sent
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_machine_that_missed_little_is_sent_little(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(log, "MAX_ENTRIES", 3)
     world = quick_world(seed, HOSTS, HOSTS)
-    world.settle()
+    world.stabilize()
     for number in range(30):
         world.acknowledge(f"held {number},")
     host = next(host for host in HOSTS if host != world.primary())
     world.stop(host)
     for number in range(6):
         world.acknowledge(f"missed {number},")
-    world.pieces_sent = world.ranges_sent = 0
+    world.chunks_sent = world.ranges_sent = 0
     world.start(host)
     world.run_for(CATCH_UP_S)
     assert world.members() == set(HOSTS)
-    assert world.held(host) == world.held(world.primary())
+    assert world.job_digests(host) == world.job_digests(world.primary())
     assert 1 <= world.ranges_sent <= 12, "six entries, some of them twice, lie in few ranges"
 
 
@@ -42,28 +42,28 @@
     monkeypatch.setattr(log, "MAX_ENTRIES", 60)
     monkeypatch.setattr(range_transfer, "MAX_RANGES_PER_REQUEST", 1)
     world = quick_world(seed, HOSTS, HOSTS)
-    world.settle()
+    world.stabilize()
     for number in range(70):
         world.acknowledge(f"held {number},")
     host = next(host for host in HOSTS if host != world.primary())
     world.stop(host, power=True, wipe=True)
-    world.piece_s = 0.02
+    world.chunk_transfer_s = 0.02
     world.start(host)
     for number in range(20):
         world.acknowledge(f"during {number},")
     world.run_for(CATCH_UP_S)
-    assert world.pieces_sent > 30
+    assert world.chunks_sent > 30
     assert world.members() == set(HOSTS)
-    assert world.held(host) == world.held(world.primary())
+    assert world.job_digests(host) == world.job_digests(world.primary())
 
 
 def far_behind(world: World, hosts: tuple[str, ...]) -> None:
     """Two wiped machines come back to a state whose ranges take 2 s on their way."""
-    world.settle()
+    world.stabilize()
     world.run_for(CATCH_UP_S)
     world.acknowledge("first")
     others = [host for host in hosts if host != world.primary()]
-    world.piece_s = 2.0
+    world.chunk_transfer_s = 2.0
     for host in others[:2]:
         world.stop(host, power=True, wipe=True)
     world.acknowledge("second", 2.0)
@@ -81,7 +81,7 @@
         world.acknowledge(f"during {number},", 0.4)
     world.run_for(CATCH_UP_S)
     assert world.members() == set(FIVE)
-    assert world.pieces_sent <= 6, "what is on its way is not sent again"
+    assert world.chunks_sent <= 6, "what is on its way is not sent again"
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -101,4 +101,4 @@
     world.run_for(timing.LEARN_AFTER_S + 0.1)
     world.stop(world.primary())
     world.acknowledge("third", 4.5)
-    assert world.pieces_sent <= 8
+    assert world.chunks_sent <= 8
--- a/tests/tier/test_replication.py
+++ b/tests/tier/test_replication.py
@@ -25,14 +25,14 @@
 
 def test_three_fresh_machines_elect_a_primary_that_acknowledges() -> None:
     world = quick_world(1, HOSTS, HOSTS)
-    world.settle(1.0)
+    world.stabilize(1.0)
     world.acknowledge("first", 0.5)
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_primary_that_loses_power_after_an_acknowledgement_loses_nothing(seed: int) -> None:
     world = quick_world(seed, HOSTS, HOSTS)
-    world.settle()
+    world.stabilize()
     world.acknowledge("first")
     host = world.primary()
     world.stop(host, power=True, wipe=seed % 2 == 0)
@@ -46,20 +46,20 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_the_one_that_acknowledged_is_wiped_while_all_others_lose_power(seed: int) -> None:
     world = quick_world(seed, HOSTS, HOSTS)
-    world.settle()
+    world.stabilize()
     world.acknowledge("first")
     host = world.primary()
     for one in HOSTS:
         world.stop(one, power=True, wipe=one == host)
     for one in HOSTS:
         world.start(one)
-    world.settle(4.0)
+    world.stabilize(4.0)
     world.acknowledge("second")
 
 
 def test_a_frozen_primary_wakes_fenced() -> None:
     world = quick_world(3, HOSTS, HOSTS)
-    world.settle()
+    world.stabilize()
     world.acknowledge("first")
     old = world.primary()
     world.freeze(old, 3.0)
@@ -73,14 +73,14 @@
 @pytest.mark.parametrize("direction", ["to", "from", "both"])
 def test_a_cut_off_primary_is_replaced_and_taken_back(direction: str) -> None:
     world = quick_world(4, HOSTS, HOSTS)
-    world.settle()
+    world.stabilize()
     world.acknowledge("first")
     old = world.primary()
     others = set(HOSTS) - {old}
     if direction == "from":
-        world.cut(others, {old}, one_way=True)
+        world.partition(others, {old}, one_way=True)
     else:
-        world.cut({old}, others, one_way=direction == "to")
+        world.partition({old}, others, one_way=direction == "to")
     world.acknowledge("second", 4.0)
     world.heal()
     world.run_for(CATCH_UP_S)
@@ -89,7 +89,7 @@
 
 def test_a_machine_that_is_gone_for_good_is_replaced_at_another_address() -> None:
     world = quick_world(5, HOSTS, HOSTS)
-    world.settle()
+    world.stabilize()
     world.acknowledge("first")
     gone = world.primary()
     world.stop(gone, power=True, wipe=True)
@@ -106,7 +106,7 @@
 
 def test_a_machine_is_added_and_another_retired() -> None:
     world = quick_world(6, HOSTS, HOSTS)
-    world.settle()
+    world.stabilize()
     world.acknowledge("first")
     world.start("d")
     world.run_for(CATCH_UP_S)
@@ -124,21 +124,21 @@
     world.stop("c")
     world.run_for(0.5)
     world.start("c")
-    world.settle()
+    world.stabilize()
     world.run_for(CATCH_UP_S)
     assert world.members() == set(HOSTS)
 
 
 def cut_between(world: World, some: set[str], others: set[str]) -> None:
     """Cuts both ways between two groups."""
-    world.cut(some, others)
+    world.partition(some, others)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_half_cut_from_half_acknowledges_nothing_and_goes_on_when_joined(seed: int) -> None:
     hosts = ("a", "b", "c", "d")
     world = quick_world(seed, hosts, HOSTS)
-    world.settle()
+    world.stabilize()
     world.run_for(CATCH_UP_S)
     world.acknowledge("first")
     cut_between(world, {"a", "b"}, {"c", "d"})
@@ -155,21 +155,21 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_a_minority_that_missed_changes_never_outvotes_a_wiped_machine_and_a_dark_one(seed: int) -> None:
     world = quick_world(seed, HOSTS, HOSTS)
-    world.settle()
+    world.stabilize()
     behind = next(host for host in HOSTS if host != world.primary())
     others = set(HOSTS) - {behind}
     cut_between(world, {behind}, others)
     world.acknowledge("missed")
     wiped = sorted(others)[seed % 2]
     world.stop(wiped, power=True, wipe=True)
-    dark = (others - {wiped}).pop()
-    world.stop(dark, power=True)
+    powered_off = (others - {wiped}).pop()
+    world.stop(powered_off, power=True)
     world.heal()
     world.start(wiped)
     world.run_for(3.0)
     assert world.primary() is None, "who remembers is dark; the two others must not decide alone"
-    world.start(dark)
-    world.settle(4.0)
+    world.start(powered_off)
+    world.stabilize(4.0)
     world.acknowledge("later")
     world.run_for(CATCH_UP_S)
     assert world.members() == set(HOSTS)
@@ -193,7 +193,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_after_a_machine_was_emptied_another_may_lose_its_disk(seed: int) -> None:
     world = quick_world(seed, (*HOSTS, "d"), HOSTS)
-    world.settle()
+    world.stabilize()
     world.run_for(CATCH_UP_S)
     world.acknowledge("first")
     leaving = sorted(world.stores)[seed]
@@ -214,7 +214,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_a_machine_that_was_cut_off_alone_raises_no_ballot(seed: int) -> None:
     world = quick_world(seed, HOSTS, HOSTS)
-    world.settle()
+    world.stabilize()
     world.acknowledge("first")
     alone = next(host for host in HOSTS if host != world.primary())
     cut_between(world, {alone}, set(HOSTS) - {alone})
@@ -233,7 +233,7 @@
 def test_messages_that_are_lost_now_and_then_stop_nothing(seed: int) -> None:
     world = quick_world(seed, HOSTS, HOSTS)
     world.loss = 0.1
-    world.settle(4.0)
+    world.stabilize(4.0)
     for number in range(10):
         world.acknowledge(f"change {number},", 4.0)
 
@@ -247,7 +247,7 @@
         lost = random.choice(hosts)
         kind = random.choice(["kill", "power", "wipe", "freeze", "cut", "one_way", "all", "all_wipe", "none"])
         strikes_at_once = random.random() < 0.5
-        struck = False
+        stopped = False
 
         def strike(lost: str = lost, kind: str = kind) -> None:
             others = [host for host in world.stores if host != lost]
@@ -256,7 +256,7 @@
             elif kind == "freeze":
                 world.freeze(lost, random.uniform(0.3, 3.0))
             elif kind in ("cut", "one_way"):
-                world.cut([lost], others, one_way=kind == "one_way")
+                world.partition([lost], others, one_way=kind == "one_way")
             elif kind in ("all", "all_wipe"):
                 for host in sorted(world.stores):
                     world.stop(host, power=True, wipe=kind == "all_wipe" and host == lost)
@@ -264,9 +264,9 @@
         if strikes_at_once:
 
             def after_acknowledgement(host: str) -> None:
-                nonlocal struck
-                if not struck:
-                    struck = True
+                nonlocal stopped
+                if not stopped:
+                    stopped = True
                     world.loop.call_later(random.uniform(0.0, 0.004), strike, context=Context())
 
             world.on_acknowledged = after_acknowledgement
@@ -275,8 +275,8 @@
             world.propose(str(number))
             world.run_for(random.uniform(0.0, 0.15))
         world.on_acknowledged = lambda host: None
-        if not struck:
-            struck = True
+        if not stopped:
+            stopped = True
             strike()
         for _ in range(random.randint(3, 15)):
             number += 1
