--- /dev/null
+++ b/benchmarks/rolling_upgrade.py
@@ -0,0 +1,177 @@
+"""A rolling upgrade of a tier, both ways, between this checkout and another one.
+
+`python -m benchmarks.rolling_upgrade OTHER_CHECKOUT` runs a tier of processes on loopback (three store
+machines, one front) with the program of the other checkout, replaces the store machines one by one with
+the program of this one, then the front, and then does the same back. Each process runs in its own checkout.
+In each direction it checks that
+
+- a configuration that was confirmed before is in force after,
+- batch jobs that were accepted before are completed after: one whose items run during the upgrade, and one
+  whose items can begin only after it,
+- streams are served all the time, by a front of the old version before stores of the new one as well,
+- the new front, before stores of its version, gives the same results of the jobs.
+
+The second direction starts where the first one ended, so each version opens the files of the other. Ends
+with 1 where a check fails.
+"""
+
+import argparse
+import asyncio
+import subprocess
+import sys
+import tempfile
+from dataclasses import dataclass
+from pathlib import Path
+
+import httpx
+
+from benchmarks.tier_stand.client import ITEMS, Client, JobError, MachineError, StreamCounts, TierError
+from benchmarks.tier_stand.sidecar_stand_in import start_sidecars
+from benchmarks.tier_stand.stand import (
+    FRONT,
+    ROOT,
+    SERVICE,
+    STORES,
+    NotAcknowledgedError,
+    Platform,
+    Stand,
+    configuration,
+    environment_of,
+)
+from crowwing.tier.plain_http import NO_CERTIFICATES
+
+SIDECARS = 2
+SLOW_PAUSE_MS = 400  # between the events of an item that runs during the upgrade: about two seconds in all
+STREAM_INTERVAL_S = 0.1
+REJOIN_S = 2.0  # for a store machine to catch up before the next one is replaced
+
+
+@dataclass(frozen=True)
+class Version:
+    """One of the two programs."""
+
+    name: str
+    checkout: Path
+
+
+class Upgrade:
+    """One direction: from a tier that runs `old` to one that runs `new`."""
+
+    def __init__(self, stand: Stand, client: Client, number: int, old: Version, new: Version) -> None:
+        """`number`: of the direction, from 1 on; it makes names and versions differ."""
+        self._stand, self._client, self._number = stand, client, number
+        self._old, self._new = old, new
+        self.streams = StreamCounts()
+
+    async def run(self) -> None:
+        """The whole direction; raises TierError where a check fails."""
+        client, number = self._client, self._number
+        expected = configuration(number, held_service=f"held-{number}")
+        await self._stand.put_text(number - 1, number, expected)
+        await client.wait_until_ready()
+        await self._serve_one("before")
+        running, held = f"running-{number}", f"held-{number}"
+        await client.submit(held, "/held/x", 1)
+        await client.submit(running, "/lot/x", SLOW_PAUSE_MS)
+        self._say(f"configuration {number} is confirmed, two jobs of {ITEMS} items are accepted")
+
+        asking = asyncio.ensure_future(self._ask_for_streams())
+        await self._replace_stores(expected)
+        if await client.listed(held):
+            raise JobError(held, "had results before its sidecars were listed")
+        self._stand.platform.add(await start_sidecars(SIDECARS, f"held-{number}"))
+        first = {job: await client.results(job) for job in (running, held)}
+        asking.cancel()
+        await asyncio.gather(asking, return_exceptions=True)
+        await self._serve_one(f"front of {self._old.name}, stores of {self._new.name}")
+        self._say(f"both jobs are complete: front of {self._old.name}, stores of {self._new.name}")
+
+        await self._replace(FRONT)
+        await client.wait_until_ready()
+        await self._serve_one(f"front of {self._new.name}")
+        for job, results in first.items():
+            if await client.results(job) != results:
+                raise JobError(job, "other results after the front was replaced")
+        if self.streams.served != self.streams.asked:
+            raise MachineError(FRONT, f"served {self.streams.served} of {self.streams.asked} streams")
+        self._say(
+            f"front of {self._new.name} serves; {self.streams.served} of {self.streams.asked} streams were "
+            f"served, {self.streams.retries} retries"
+        )
+
+    async def _replace_stores(self, expected: bytes) -> None:
+        """One by one; each serves the configuration before the next one ends."""
+        for host in STORES:
+            await self._replace(host)
+            await self._client.check_configuration(host, expected)
+            await asyncio.sleep(REJOIN_S)
+            self._say(f"store {host} runs {self._new.name}, with the confirmed configuration")
+
+    async def _replace(self, host: str) -> None:
+        status = await asyncio.to_thread(self._stand.terminate, host)
+        if status != 0:
+            raise MachineError(host, f"ended with {status}")
+        self._stand.launch(host, self._new.checkout)
+
+    async def _serve_one(self, when: str) -> None:
+        counts = StreamCounts()
+        await self._client.stream(counts)
+        if not counts.served:
+            raise MachineError(FRONT, f"served no stream: {when}")
+
+    async def _ask_for_streams(self) -> None:
+        """One after the other, so that none is cut off where this ends."""
+        while True:
+            await asyncio.shield(self._client.stream(self.streams))
+            await asyncio.sleep(STREAM_INTERVAL_S)
+
+    def _say(self, text: str) -> None:
+        print(f"{self._old.name} -> {self._new.name}: {text}", flush=True)
+
+
+def check_checkout(version: Version) -> None:
+    """Raises TierError unless processes of a version import its own program."""
+    found = subprocess.run(
+        [sys.executable, "-c", "import crowwing; print(crowwing.__file__)"],
+        cwd=version.checkout,
+        env=environment_of(version.checkout),
+        check=True,
+        capture_output=True,
+        text=True,
+    ).stdout.strip()
+    if Path(found).resolve().parents[1] != version.checkout.resolve():
+        raise MachineError(version.name, f"would run {found}")
+
+
+async def run(folder: Path, other: Version, own: Version) -> None:
+    """Both directions, on one tier."""
+    for version in (other, own):
+        check_checkout(version)
+    platform = Platform(await start_sidecars(SIDECARS, SERVICE))
+    http = httpx.AsyncClient(trust_env=False, verify=NO_CERTIFICATES, timeout=10)
+    async with Stand(folder, platform, other.checkout) as stand, http:
+        client = Client(stand, http)
+        await Upgrade(stand, client, 1, other, own).run()
+        await Upgrade(stand, client, 2, own, other).run()
+
+
+def main() -> int:
+    """The command."""
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
+    parser.add_argument("other", type=Path, help="checkout of the other version")
+    other = Version("other", parser.parse_args().other.resolve())
+    with tempfile.TemporaryDirectory() as name:
+        folder = Path(name)
+        try:
+            asyncio.run(run(folder, other, Version("own", ROOT)))
+        except (TierError, NotAcknowledgedError, subprocess.SubprocessError) as error:
+            print(f"failed: {error}")
+            for path in sorted(folder.glob("*.log")):
+                print(f"--- {path.name}\n{path.read_text()[-1500:]}")
+            return 1
+    print("a rolling upgrade works both ways")
+    return 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
