--- a/crowwing/tier/distribution/relay.py
+++ b/crowwing/tier/distribution/relay.py
@@ -17,7 +17,9 @@
 from crowwing.tier.distribution.documents import Document, Documents, DocumentVersion
 from crowwing.tier.distribution.sampling import PartialView, Peer
 from crowwing.tier.wire.codec import message
-from crowwing.tier.wire.connection import CallError, Connection, ConnectionPool
+from crowwing.tier.wire.connection import Connection
+from crowwing.tier.wire.connection_pool import ConnectionPool
+from crowwing.tier.wire.errors import CallError
 
 log = logging.getLogger("crowwing.relay")
 
@@ -165,7 +167,7 @@
     # Parent
 
     def _attach(self, connection: Connection, ask: AttachRequest) -> AttachResponse | AttachRedirect:
-        self._children = {host: child for host, child in self._children.items() if not child.closed}
+        self._children = {host: child for host, child in self._children.items() if not child.is_closed}
         if not self.is_root and not self.is_connected:
             return AttachRedirect(())
         if len(self._children) >= FANOUT and ask.host not in self._children:
@@ -232,7 +234,7 @@
     async def run_child(self) -> None:
         """Keeps a parent."""
         while True:
-            if not self.is_root and (self._parent is None or self._parent.closed or not self.is_connected):
+            if not self.is_root and (self._parent is None or self._parent.is_closed or not self.is_connected):
                 await self._find_parent()
             await asyncio.sleep(0.1 + 0.1 * self._random.random())
 
--- a/crowwing/tier/front/main.py
+++ b/crowwing/tier/front/main.py
@@ -28,7 +28,9 @@
 from crowwing.tier.settings import Settings
 from crowwing.tier.settings_watch import watch_settings
 from crowwing.tier.wire.codec import decode
-from crowwing.tier.wire.connection import Connection, ConnectionPool, serve
+from crowwing.tier.wire.connection import Connection
+from crowwing.tier.wire.connection_pool import ConnectionPool
+from crowwing.tier.wire.server import serve
 
 log = logging.getLogger("crowwing.front")
 
--- a/crowwing/tier/front/store_client.py
+++ b/crowwing/tier/front/store_client.py
@@ -7,7 +7,8 @@
 
 from crowwing.tier.clock import SYSTEM_CLOCK, Clock
 from crowwing.tier.store import commands
-from crowwing.tier.wire.connection import CallError, ConnectionPool
+from crowwing.tier.wire.connection_pool import ConnectionPool
+from crowwing.tier.wire.errors import CallError
 
 log = logging.getLogger("crowwing.client")
 
--- a/crowwing/tier/operator_commands.py
+++ b/crowwing/tier/operator_commands.py
@@ -14,7 +14,8 @@
 from crowwing.tier.configuration import InvalidConfiguration, parse_configuration
 from crowwing.tier.settings import SettingsError, read_settings
 from crowwing.tier.store.commands import GetStatus, StoreStatus
-from crowwing.tier.wire.connection import CallError, ConnectionPool
+from crowwing.tier.wire.connection_pool import ConnectionPool
+from crowwing.tier.wire.errors import CallError
 
 DONE, FAILED, WRONG_USE = 0, 1, 2
 TRY_S = 1.5
--- a/crowwing/tier/store/machine.py
+++ b/crowwing/tier/store/machine.py
@@ -19,8 +19,10 @@
 from crowwing.tier.store.list_reader import ListReader, ReadList
 from crowwing.tier.store.node import DISK_RETRY_S, ReplicaNode
 from crowwing.tier.store.service import StoreService
-from crowwing.tier.wire.connection import Connection, ConnectionPool, serve
+from crowwing.tier.wire.connection import Connection
+from crowwing.tier.wire.connection_pool import ConnectionPool
 from crowwing.tier.wire.network import TCP, Listener, Network
+from crowwing.tier.wire.server import serve
 
 log = logging.getLogger("crowwing.store")
 
--- a/crowwing/tier/store/node.py
+++ b/crowwing/tier/store/node.py
@@ -26,7 +26,7 @@
 from crowwing.tier.store.decisions import Decision
 from crowwing.tier.store.disk import Disk
 from crowwing.tier.wire.codec import encode
-from crowwing.tier.wire.connection import ConnectionPool
+from crowwing.tier.wire.connection_pool import ConnectionPool
 
 log = logging.getLogger("crowwing.store")
 
--- a/crowwing/tier/store/service.py
+++ b/crowwing/tier/store/service.py
@@ -15,7 +15,8 @@
 from crowwing.tier.store.disk import Disk
 from crowwing.tier.store.item_leasing import ItemLeasing
 from crowwing.tier.store.node import Decide, ReplicaNode
-from crowwing.tier.wire.connection import CallError, ConnectionPool
+from crowwing.tier.wire.connection_pool import ConnectionPool
+from crowwing.tier.wire.errors import CallError
 
 log = logging.getLogger("crowwing.store")
 
--- a/crowwing/tier/wire/codec.py
+++ b/crowwing/tier/wire/codec.py
@@ -2,12 +2,18 @@
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, fields
-from typing import Any, TypeVar, cast
+from typing import Any, TypeAlias, TypeVar, cast
 
 import cbor2
 
-MESSAGE_TAG = 40_000
-T = TypeVar("T")
+from crowwing.tier.wire.errors import MessageError, UnknownMessageError, UnknownTagError
+
+MESSAGE_TAG = 40_000  # the CBOR tag of all messages
+MessageT = TypeVar("MessageT")
+
+# What `decode` returns: a registered message, or plain values that may hold messages. Its type is known only
+# after the bytes have been read, so receivers match on the class. The one untyped place of the package.
+Decoded: TypeAlias = Any
 
 
 @dataclass(frozen=True)
@@ -18,22 +24,24 @@
     field_names: tuple[str, ...]
 
 
-_CLASSES: dict[str, type] = {}  # by wire name
+_CLASSES: dict[str, type[Any]] = {}  # by wire name
 _REGISTERED: dict[type, _Registered] = {}
 
 
-class MessageError(Exception):
-    """Bytes that are no known message."""
-
-
-def message(wire_name: str) -> Callable[[type[T]], type[T]]:
+def message(wire_name: str) -> Callable[[type[MessageT]], type[MessageT]]:
     """Registers a dataclass as something that is sent to other processes and kept on disk.
 
     The name and the order of the fields are the form that other versions read and write: both stay when the
     class or its fields are renamed. Fields hold plain values, tuples or messages.
+
+    Args:
+        wire_name: the name in the bytes, which no other message has.
+
+    Returns:
+        The decorator, which returns the class as it is.
     """
 
-    def register(cls: type[T]) -> type[T]:
+    def register(cls: type[MessageT]) -> type[MessageT]:
         assert wire_name not in _CLASSES, f"two messages are named {wire_name}"
         _CLASSES[wire_name] = cls
         field_names = tuple(field.name for field in fields(cast("type[Any]", cls)))
@@ -54,7 +62,7 @@
     return frozenset(_CLASSES)
 
 
-def _to_plain(value: Any) -> Any:  # noqa: ANN401
+def _to_plain(value: Decoded) -> object:
     kind = type(value)
     if kind is str or kind is int or kind is bytes:
         return value
@@ -69,17 +77,17 @@
     return cbor2.CBORTag(MESSAGE_TAG, [registered.wire_name, *values])
 
 
-def _from_plain(value: Any) -> Any:  # noqa: ANN401
+def _from_plain(value: object) -> Decoded:
     kind = type(value)
     if kind is str or kind is int or kind is bytes:
         return value
     if isinstance(value, cbor2.CBORTag):
         if value.tag != MESSAGE_TAG or not value.value:
-            raise MessageError(f"unknown tag {value.tag}")
+            raise UnknownTagError(value.tag)
         name, *values = value.value
         cls = _CLASSES.get(name)
         if cls is None:
-            raise MessageError(f"unknown message {name!r}")
+            raise UnknownMessageError(name)
         return cls(*[_from_plain(item) for item in values])
     if isinstance(value, (list, tuple)):  # cbor2 gives either
         return tuple([_from_plain(item) for item in value])
@@ -93,8 +101,12 @@
     return cbor2.dumps(_to_plain(value))
 
 
-def decode(data: bytes) -> Any:  # noqa: ANN401
-    """The message of some bytes, lists as tuples; raises MessageError."""
+def decode(data: bytes) -> Decoded:
+    """Reads what `encode` wrote; lists come back as tuples.
+
+    Raises:
+        MessageError: the bytes are broken, or no message that this version knows.
+    """
     try:
         return _from_plain(cbor2.loads(data))
     except (cbor2.CBORDecodeError, TypeError, ValueError, IndexError) as error:
--- a/crowwing/tier/wire/connection.py
+++ b/crowwing/tier/wire/connection.py
@@ -1,250 +1,201 @@
-"""Framed messages over TCP: calls with an answer, and messages without one, in both directions."""
+"""One connection between two backends: calls with a response, and notifications, in both directions."""
 
 import asyncio
-import contextlib
 import itertools
 import logging
-import socket
-import struct
-from collections.abc import Awaitable, Callable, Iterable
-from dataclasses import dataclass
-from typing import Any
-
-from crowwing.tier.wire.codec import MessageError, decode, encode
+from collections.abc import Awaitable, Callable
+
+from crowwing.tier.wire.codec import Decoded, decode
+from crowwing.tier.wire.errors import (
+    CallTimeoutError,
+    ConnectError,
+    ConnectionClosedError,
+    ConnectionLostError,
+    FrameTooLongError,
+    MessageError,
+    RemoteError,
+)
+from crowwing.tier.wire.frames import LENGTH, MAX_FRAME_BYTES, NO_CALL, FrameKind, encode_frame
 from crowwing.tier.wire.network import TCP, Network
+from crowwing.tier.wire.socket_options import set_socket_options
 
 log = logging.getLogger("crowwing.wire")
 
-LENGTH = struct.Struct("<I")
-MAX_FRAME_BYTES = 64 * 1024 * 1024
-REQUEST, RESPONSE, NOTICE, FAILURE = range(4)
-UNACKNOWLEDGED_MS = 1500  # bytes that the far side has not acknowledged for so long end the connection
-MAX_BUFFERED_BYTES = 32 * 1024 * 1024  # a notice to a peer that reads too slowly is dropped beyond this
-
-Handler = Callable[["Connection", Any], Awaitable[Any]]
-
-
-@dataclass(frozen=True)
-class CallError(Exception):
-    """A call brought no answer. `sent` is False only if the far side can't have seen it."""
+MAX_BUFFERED_BYTES = 32 * 1024 * 1024  # notifications to a peer that reads too slowly are dropped beyond
+CONNECT_TIMEOUT_S = 0.5
 
-    reason: str
-    sent: bool
-
-
-def encode_frame(kind: int, number: int, body: object) -> bytes:
-    """One frame as it goes over the wire."""
-    data = encode((kind, number, body))
-    return LENGTH.pack(len(data)) + data
-
-
-def set_socket_options(writer: asyncio.StreamWriter) -> None:
-    """Makes dead peers show: no delay, and a bound on unacknowledged bytes."""
-    raw = writer.get_extra_info("socket")
-    if raw is None:
-        return
-    try:
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
-    except OSError as error:
-        log.debug("socket options: %s", error)
+Handler = Callable[["Connection", Decoded], Awaitable[object]]
 
 
 class Connection:
-    """One connection between two backends."""
+    """One connection between two backends.
+
+    The `ConnectionPool` owns those that this process has opened, `server.serve` those that it has accepted;
+    the owner runs `run` as a task of its own. Anybody may call `call` and `notify`, and keep the connection
+    to send to the same peer later.
+    """
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, handler: Handler | None
     ) -> None:
-        self._reader, self._writer, self._handler = reader, writer, handler
-        self._numbers = itertools.count(1)
-        self._waiting: dict[int, asyncio.Future[Any]] = {}
-        self._tasks: set[asyncio.Task[None]] = set()
-        self.closed = False
+        """Makes a connection of an open stream.
+
+        Args:
+            reader: what the peer sends.
+            writer: what is sent to the peer.
+            handler: gets the requests and notifications of the peer and returns the responses; None where
+                the peer's are ignored.
+        """
+        self._reader = reader
+        self._writer = writer
+        self._handler = handler
+        self._call_numbers = itertools.count(1)
+        self._pending_calls: dict[int, asyncio.Future[Decoded]] = {}
+        self._handler_tasks: set[asyncio.Task[None]] = set()
+        self.is_closed = False
         set_socket_options(writer)
 
     @property
     def remote(self) -> str:
-        """The address of the far side."""
-        peer = self._writer.get_extra_info("peername")
-        return peer[0] if peer else ""
+        """The address of the peer; empty where it is not known any more."""
+        peer_name = self._writer.get_extra_info("peername")
+        return peer_name[0] if peer_name else ""
 
     async def run(self) -> None:
-        """Reads until the connection ends; then every open call fails."""
+        """Reads frames until the connection ends; then every pending call fails."""
         try:
             while True:
-                (length,) = LENGTH.unpack(await self._reader.readexactly(LENGTH.size))
-                if length > MAX_FRAME_BYTES:
-                    raise MessageError(f"a frame of {length} bytes")
-                self._take(decode(await self._reader.readexactly(length)))
-        except (asyncio.IncompleteReadError, OSError, MessageError) as error:
-            if isinstance(error, MessageError):
-                log.warning("connection with %s ended: %s", self.remote, error)
+                await self._read_frame()
+        except MessageError as error:
+            log.warning("connection_broken peer=%s error=%s", self.remote, error)
+        except (asyncio.IncompleteReadError, OSError):
+            pass
         finally:
             self.close()
 
-    def _take(self, frame: Any) -> None:  # noqa: ANN401
-        kind, number, body = frame
-        if kind in (RESPONSE, FAILURE):
-            future = self._waiting.pop(number, None)
-            if future is not None and not future.done():
-                if kind == RESPONSE:
-                    future.set_result(body)
-                else:
-                    future.set_exception(CallError(body, True))
+    async def _read_frame(self) -> None:
+        (length,) = LENGTH.unpack(await self._reader.readexactly(LENGTH.size))
+        if length > MAX_FRAME_BYTES:
+            raise FrameTooLongError(length, MAX_FRAME_BYTES)
+        kind, call_number, body = decode(await self._reader.readexactly(length))
+        if kind in (FrameKind.RESPONSE, FrameKind.FAILURE):
+            self._complete_call(kind, call_number, body)
         elif self._handler is not None:
-            task = asyncio.ensure_future(self._answer(kind, number, body))
-            self._tasks.add(task)
-            task.add_done_callback(self._tasks.discard)
+            task = asyncio.ensure_future(self._handle(self._handler, kind, call_number, body))
+            self._handler_tasks.add(task)
+            task.add_done_callback(self._handler_tasks.discard)
 
-    async def _answer(self, kind: int, number: int, body: Any) -> None:  # noqa: ANN401
-        assert self._handler is not None
+    def _complete_call(self, kind: int, call_number: int, body: Decoded) -> None:
+        future = self._pending_calls.pop(call_number, None)
+        if future is None or future.done():
+            return
+        if kind == FrameKind.RESPONSE:
+            future.set_result(body)
+        else:
+            future.set_exception(RemoteError(body))
+
+    async def _handle(self, handler: Handler, kind: int, call_number: int, body: Decoded) -> None:
         try:
-            result = await self._handler(self, body)
-        except asyncio.CancelledError:
-            raise
+            result = await handler(self, body)
         except Exception as error:  # a defect in one handler ends neither the connection nor the process
-            log.exception("handling %s", type(body).__name__)
-            self._write(FAILURE, number, str(error))
+            log.exception("handler_failed message=%s peer=%s", type(body).__name__, self.remote)
+            self._write(FrameKind.FAILURE, call_number, str(error))
             return
-        if kind == REQUEST:
-            self._write(RESPONSE, number, result)
+        if kind == FrameKind.REQUEST:
+            self._write(FrameKind.RESPONSE, call_number, result)
 
-    def _write(self, kind: int, number: int, body: Any) -> None:  # noqa: ANN401
-        if not self.closed:
-            self._write_frame(encode_frame(kind, number, body))
+    def _write(self, kind: FrameKind, call_number: int, body: object) -> None:
+        if not self.is_closed:
+            self._write_frame(encode_frame(kind, call_number, body))
 
     def _write_frame(self, frame: bytes) -> None:
-        if self.closed:
+        if self.is_closed:
             return
         try:
             self._writer.write(frame)
-        except (RuntimeError, OSError) as error:  # the loop has closed it, and the reader is told later
-            log.debug("connection with %s has gone: %s", self.remote, error)
+        except (RuntimeError, OSError) as error:  # the loop has closed it, and the reader hears of it later
+            log.debug("write_failed peer=%s error=%s", self.remote, error)
             self.close()
 
     def notify(self, body: object) -> None:
-        """Sends a message that has no answer; it is dropped where the far side reads far too slowly."""
-        self.notify_frame(encode_frame(NOTICE, 0, body))
+        """Sends a message that has no response; it is dropped where the peer reads far too slowly.
+
+        Args:
+            body: a message or plain values.
+        """
+        self.notify_frame(encode_frame(FrameKind.NOTIFICATION, NO_CALL, body))
 
     def notify_frame(self, frame: bytes) -> None:
-        """Sends a notice that is encoded already, as `notify` does."""
-        if not self.closed and self._writer.transport.get_write_buffer_size() < MAX_BUFFERED_BYTES:
+        """Sends a notification that is encoded already, as `notify` does.
+
+        Args:
+            frame: what `encode_frame` made of a notification.
+        """
+        if not self.is_closed and self._writer.transport.get_write_buffer_size() < MAX_BUFFERED_BYTES:
             self._write_frame(frame)
 
-    async def call(self, body: object, timeout_s: float) -> Any:  # noqa: ANN401
-        """Sends a request and waits for its answer; raises CallError."""
-        if self.closed:
-            raise CallError("the connection is closed", False)
-        number = next(self._numbers)
-        future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self._waiting[number] = future
+    async def call(self, body: object, timeout_s: float) -> Decoded:
+        """Sends a request and waits for its response.
+
+        Args:
+            body: a message or plain values.
+            timeout_s: how long to wait, in seconds.
+
+        Returns:
+            The response; its type is an agreement with the handler.
+
+        Raises:
+            CallError: no response came; `sent` tells whether the peer may have seen the request.
+        """
+        if self.is_closed:
+            raise ConnectionClosedError
+        call_number = next(self._call_numbers)
+        future: asyncio.Future[Decoded] = asyncio.get_running_loop().create_future()
+        self._pending_calls[call_number] = future
         try:
-            self._write(REQUEST, number, body)
+            self._write(FrameKind.REQUEST, call_number, body)
             async with asyncio.timeout(timeout_s):
                 return await future
         except TimeoutError:
-            raise CallError("no answer in time", True) from None
+            raise CallTimeoutError(timeout_s) from None
         finally:
-            self._waiting.pop(number, None)
+            self._pending_calls.pop(call_number, None)
 
     def close(self) -> None:
-        """Ends the connection; open calls fail as sent."""
-        if self.closed:
+        """Ends the connection at once: pending calls fail, and handlers are cancelled."""
+        if self.is_closed:
             return
-        self.closed = True
-        for future in self._waiting.values():
+        self.is_closed = True
+        for future in self._pending_calls.values():
             if not future.done():
-                future.set_exception(CallError("the connection ended", True))
-        for task in list(self._tasks):
+                future.set_exception(ConnectionLostError())
+        for task in list(self._handler_tasks):
             task.cancel()
         self._writer.transport.abort()
 
 
 async def open_connection(
-    host: str, port: int, handler: Handler | None, network: Network = TCP, timeout_s: float = 0.5
+    host: str,
+    port: int,
+    handler: Handler | None,
+    network: Network = TCP,
+    timeout_s: float = CONNECT_TIMEOUT_S,
 ) -> Connection:
-    """Connects to another backend; raises CallError. The caller runs `run()` as a task of its own."""
+    """Connects to another backend. The caller runs `run()` of the connection as a task of its own.
+
+    Args:
+        host: the address of the other backend.
+        port: its internal port.
+        handler: gets what the peer sends over this connection of its own accord.
+        network: the network to go over.
+        timeout_s: how long connecting may take, in seconds.
+
+    Raises:
+        ConnectError: there is no connection, or not in time.
+    """
     try:
         async with asyncio.timeout(timeout_s):
             reader, writer = await network.connect(host, port)
     except (OSError, TimeoutError) as error:
-        raise CallError(f"{host}:{port}: {error or 'no connection in time'}", False) from None
+        raise ConnectError(host, port, error) from None
     return Connection(reader, writer, handler)
-
-
-class ConnectionPool:
-    """Connections that this process has opened to others, one for each address, opened when first used."""
-
-    def __init__(self, port: int, handler: Handler | None = None, network: Network = TCP) -> None:
-        self._port, self._handler, self._network = port, handler, network
-        self._open: dict[str, Connection] = {}
-        self._opening: dict[str, asyncio.Task[Connection]] = {}
-        self._tasks: set[asyncio.Task[Any]] = set()
-
-    async def get(self, host: str) -> Connection:
-        """The open connection to a host; raises CallError where there can be none."""
-        connection = self._open.get(host)
-        if connection is not None and not connection.closed:
-            return connection
-        opening = self._opening.get(host)
-        if opening is None:
-            opening = asyncio.ensure_future(self._connect(host))
-            self._opening[host] = opening
-            opening.add_done_callback(lambda task: self._opened(host, task))
-        return await asyncio.shield(opening)
-
-    async def _connect(self, host: str) -> Connection:
-        connection = await open_connection(host, self._port, self._handler, self._network)
-        self._open[host] = connection
-        self._keep(asyncio.ensure_future(connection.run()))
-        return connection
-
-    def _opened(self, host: str, task: asyncio.Task[Connection]) -> None:
-        self._opening.pop(host, None)
-        if not task.cancelled():
-            task.exception()  # seen here, so that nobody is warned of it
-
-    def _keep(self, task: asyncio.Task[Any]) -> None:
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
-
-    async def call(self, host: str, body: object, timeout_s: float) -> Any:  # noqa: ANN401
-        """Calls a host; raises CallError."""
-        connection = await self.get(host)
-        return await connection.call(body, timeout_s)
-
-    def notify(self, host: str, body: object) -> None:
-        """Sends a message without an answer, as far as the host can be reached."""
-        self.notify_all((host,), body)
-
-    def notify_all(self, hosts: Iterable[str], body: object) -> None:
-        """Sends the same message, encoded once, to several hosts."""
-        frame = encode_frame(NOTICE, 0, body)
-        for host in hosts:
-            connection = self._open.get(host)
-            if connection is not None and not connection.closed:
-                connection.notify_frame(frame)
-            else:
-                self._keep(asyncio.ensure_future(self._notify_later(host, frame)))
-
-    async def _notify_later(self, host: str, frame: bytes) -> None:
-        try:
-            (await self.get(host)).notify_frame(frame)
-        except CallError as error:
-            log.debug("not sent: %s", error)
-
-    def close(self) -> None:
-        """Closes all connections."""
-        for connection in self._open.values():
-            connection.close()
-
-
-async def serve(host: str, port: int, handler: Handler, network: Network = TCP) -> Any:  # noqa: ANN401
-    """Listens for other backends; gives the listener."""
-
-    async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        with contextlib.suppress(asyncio.CancelledError):  # the process ends
-            await Connection(reader, writer, handler).run()
-
-    return await network.listen(host, port, accept)
--- a/tests/tier/simulation/machines.py
+++ b/tests/tier/simulation/machines.py
@@ -21,7 +21,9 @@
 from crowwing.tier.store import commands
 from crowwing.tier.store.disk import Disk
 from crowwing.tier.store.machine import RELAYED, StoreMachine
-from crowwing.tier.wire.connection import Connection, ConnectionPool, serve
+from crowwing.tier.wire.connection import Connection
+from crowwing.tier.wire.connection_pool import ConnectionPool
+from crowwing.tier.wire.server import serve
 from tests.tier.simulation.disk import DiskTrouble, SimulatedFiles, SimulatedWorkers
 from tests.tier.simulation.loop import Life, new_life
 from tests.tier.simulation.network import LifeNetwork
--- a/tests/tier/test_connection.py
+++ b/tests/tier/test_connection.py
@@ -1,29 +1,33 @@
 """Connections between backends, on loopback sockets."""
 
 import asyncio
-from typing import Any
+from typing import Any, cast
 
 import pytest
 import uvloop
 
 from crowwing.tier.distribution.sampling import Peer
-from crowwing.tier.wire.codec import MessageError, decode, encode
-from crowwing.tier.wire.connection import CallError, Connection, ConnectionPool, serve
+from crowwing.tier.wire.codec import decode, encode
+from crowwing.tier.wire.connection import Connection
+from crowwing.tier.wire.connection_pool import ConnectionPool
+from crowwing.tier.wire.errors import CallError, MessageError
+from crowwing.tier.wire.server import serve
 
 HOST = "127.0.0.1"
+DEFECT = "a defect"
 PEER = Peer("10.0.0.1", "front", "z1", 3)
 
 
 async def echo(connection: Connection, body: Any) -> Any:  # noqa: ANN401
     if body == "fails":
-        raise ValueError("a defect")
+        raise ValueError(DEFECT)
     if body == "ends":
         connection.close()
     return body
 
 
 async def listening() -> tuple[asyncio.Server, int]:
-    server = await serve(HOST, 0, echo)
+    server = cast("asyncio.Server", await serve(HOST, 0, echo))
     return server, server.sockets[0].getsockname()[1]
 
 
@@ -43,7 +47,7 @@
         assert answers == list(range(50))
         with pytest.raises(CallError) as told:
             await connections.call(HOST, "fails", 5.0)
-        assert told.value.sent
+        assert told.value.sent and told.value.reason == DEFECT
         assert await connections.call(HOST, PEER, 5.0) == PEER
         connections.close()
         server.close()
@@ -77,10 +81,10 @@
         while not connection._writer.transport.is_closing():
             await asyncio.sleep(0)
         await asyncio.sleep(0)
-        connection.closed = False  # as it is until the reader has been told
+        connection.is_closed = False  # as it is until the reader has been told
         connection.notify(PEER)
         connection.notify(PEER)
-        assert connection.closed
+        assert connection.is_closed
         with pytest.raises(CallError):
             await connection.call(PEER, 1.0)
         server.close()
--- a/tests/tier/test_disk_troubles.py
+++ b/tests/tier/test_disk_troubles.py
@@ -15,7 +15,7 @@
 from crowwing.tier.store.decisions import Decision
 from crowwing.tier.store.disk import Disk
 from crowwing.tier.store.node import ReplicaNode
-from crowwing.tier.wire.connection import ConnectionPool
+from crowwing.tier.wire.connection_pool import ConnectionPool
 from tests.tier.simulation.world import World
 from tests.tier.test_replication import CATCH_UP_S, HOSTS, quick_world
 
--- a/tests/tier/test_recorded_bytes.py
+++ b/tests/tier/test_recorded_bytes.py
@@ -14,7 +14,7 @@
 from crowwing.tier.state.views import TierState
 from crowwing.tier.storage.record_file import RecordFile, decode_records, encode_record
 from crowwing.tier.wire import codec
-from crowwing.tier.wire.connection import encode_frame
+from crowwing.tier.wire.frames import encode_frame
 
 RECORDED = Path(__file__).parent / "recorded"
 MESSAGES: dict[str, list[dict[str, Any]]] = json.loads((RECORDED / "messages.json").read_text())
--- a/tests/tier/test_relay_steps.py
+++ b/tests/tier/test_relay_steps.py
@@ -13,7 +13,8 @@
     RootHeartbeat,
 )
 from crowwing.tier.distribution.sampling import Peer
-from crowwing.tier.wire.connection import Connection, ConnectionPool
+from crowwing.tier.wire.connection import Connection
+from crowwing.tier.wire.connection_pool import ConnectionPool
 
 
 def relay_of(host: str) -> Relay:
@@ -42,7 +43,7 @@
 def test_a_backend_that_hears_no_root_takes_no_children() -> None:
     relay = relay_of("f")
     child = object.__new__(Connection)
-    child.closed = False
+    child.is_closed = False
     assert isinstance(relay._attach(child, AttachRequest("g", {})), AttachResponse)  # noqa: SLF001
     relay._heartbeat_at -= 10  # noqa: SLF001
     assert relay._attach(child, AttachRequest("h", {})) == AttachRedirect(())  # noqa: SLF001
@@ -59,7 +60,7 @@
         await relay.handle(parent, RootHeartbeat((6, 2), "c", {}, 60))
         assert relay.fronts == 60
         child = object.__new__(Connection)
-        child.closed = False
+        child.is_closed = False
         attached = relay._attach(child, AttachRequest("g", {}))  # noqa: SLF001
         assert isinstance(attached, AttachResponse) and attached.fronts == 60, (
             "told to one that has just started"
