--- a/crowwing/tier/store/disk.py
+++ b/crowwing/tier/store/disk.py
@@ -7,8 +7,10 @@
 from typing import Any
 
 from crowwing.tier.clock import SYSTEM_CLOCK, Clock
+from crowwing.tier.storage.compaction import CompactedFile
+from crowwing.tier.storage.errors import StorageError
 from crowwing.tier.storage.files import OS_FILES, Files
-from crowwing.tier.storage.record_file import RecordFile, Replacement, StorageError
+from crowwing.tier.storage.record_file import RecordFile
 from crowwing.tier.store.workers import DiskWorkers, Outcome, ThreadWorkers
 from crowwing.tier.wire.codec import decode, encode
 
@@ -41,7 +43,7 @@
         self._file = RecordFile(folder / "state.log", files)
         self._workers = workers or ThreadWorkers()
         self._compacted_bytes = 0
-        self._preparing: Outcome[Replacement] | None = None
+        self._preparing: Outcome[CompactedFile] | None = None
         self._tail: list[bytes] = []  # written since the rewriting began
         self._rewrite_after = 0.0
 
@@ -94,10 +96,10 @@
 
     # In the threads
 
-    def _prepare(self, records: Iterable[Any]) -> Replacement:
-        return self._file.prepare(encode(record) for record in records)
+    def _prepare(self, records: Iterable[Any]) -> CompactedFile:
+        return self._file.prepare_compaction(encode(record) for record in records)
 
-    def _finish(self, preparing: Outcome[Replacement], tail: list[bytes], payloads: list[bytes]) -> None:
+    def _finish(self, preparing: Outcome[CompactedFile], tail: list[bytes], payloads: list[bytes]) -> None:
         """Switches to the replacement, or goes on with the file where that can't be."""
         try:
             replacement = preparing.result()
@@ -108,16 +110,16 @@
             self._rewrite_after = self._clock.monotonic() + REWRITE_PAUSE_S
             self._file.append(payloads)
             return
-        self._file.switch(replacement)
+        self._file.install(replacement)
         self._compacted_bytes = compacted_bytes
         log.info("rewritten as %d bytes", self._file.size)
 
     def _replace(self, records: Iterable[Any]) -> None:
-        self._file.rewrite(encode(record) for record in records)
+        self._file.compact(encode(record) for record in records)
         self._compacted_bytes = self._file.size
 
 
-def _discard(preparing: Outcome[Replacement]) -> None:
+def _discard(preparing: Outcome[CompactedFile]) -> None:
     """Waits for a rewriting that is not wanted any more."""
     with contextlib.suppress(StorageError):
         preparing.result().discard()
--- a/crowwing/tier/store/machine.py
+++ b/crowwing/tier/store/machine.py
@@ -13,7 +13,7 @@
 from crowwing.tier.early import started_at
 from crowwing.tier.replication.replica_state import Role
 from crowwing.tier.settings import Settings
-from crowwing.tier.storage.record_file import StorageError
+from crowwing.tier.storage.errors import StorageError
 from crowwing.tier.store import commands
 from crowwing.tier.store.disk import Disk
 from crowwing.tier.store.list_reader import ListReader, ReadList
--- a/crowwing/tier/store/node.py
+++ b/crowwing/tier/store/node.py
@@ -21,7 +21,7 @@
 from crowwing.tier.replication.replica import Replica
 from crowwing.tier.replication.replica_state import Output, Role
 from crowwing.tier.state.views import TierState
-from crowwing.tier.storage.record_file import StorageError
+from crowwing.tier.storage.errors import StorageError
 from crowwing.tier.store import commands
 from crowwing.tier.store.decisions import Decision
 from crowwing.tier.store.disk import Disk
--- a/tests/tier/simulation/disk.py
+++ b/tests/tier/simulation/disk.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Any
 
-from crowwing.tier.storage.record_file import StorageError
+from crowwing.tier.storage.errors import StorageError
 from tests.tier.simulation.loop import SimulatedLoop
 
 SYNC_S = (0.0005, 0.006)
@@ -58,6 +58,10 @@
         self.inode.content += data
         return len(data)
 
+    def sync(self) -> None:
+        """The content lasts."""
+        self.disk.sync(self)
+
     def close(self) -> None:
         """Nothing is flushed."""
 
--- a/tests/tier/test_disk_troubles.py
+++ b/tests/tier/test_disk_troubles.py
@@ -10,7 +10,9 @@
 import pytest
 
 from crowwing.tier.replication.replica_state import Role
-from crowwing.tier.storage.record_file import RecordFile, Replacement, StorageError
+from crowwing.tier.storage.compaction import CompactedFile
+from crowwing.tier.storage.errors import StorageError
+from crowwing.tier.storage.record_file import RecordFile
 from crowwing.tier.store import node as store_node
 from crowwing.tier.store.decisions import Decision
 from crowwing.tier.store.disk import Disk
@@ -213,7 +215,7 @@
     with monkeypatch.context() as patched:
         patched.setattr("os.replace", no_space)
         with pytest.raises(StorageError):
-            file.rewrite([b"new"])
+            file.compact([b"new"])
     assert not (tmp_path / "state.log.new").exists()
     file.append([b"later"])
     file.close()
@@ -279,13 +281,13 @@
         await disk.write(["old"])
         with monkeypatch.context() as patched:
             if fails == "while it is made":
-                patched.setattr(Replacement, "_sync", no_space)
+                patched.setattr(CompactedFile, "_sync", no_space)
             compacted = SlowPreparation(["all"])
             disk.begin_rewriting(compacted)
             await disk.write(["meanwhile"])
             compacted.may_go_on.set()
             await wait_until(lambda: disk._preparing.done())
-            patched.setattr(Replacement, "_sync", no_space)
+            patched.setattr(CompactedFile, "_sync", no_space)
             await disk.write(["later"])
         await disk.write(["last"])
 
--- a/tests/tier/test_recorded_bytes.py
+++ b/tests/tier/test_recorded_bytes.py
@@ -12,7 +12,8 @@
 import crowwing.tier.store.main  # noqa: F401  these three register all messages
 from crowwing.tier.replication.replica import Replica
 from crowwing.tier.state.views import TierState
-from crowwing.tier.storage.record_file import RecordFile, decode_records, encode_record
+from crowwing.tier.storage.record_file import RecordFile
+from crowwing.tier.storage.records import decode_records, encode_record
 from crowwing.tier.wire import codec
 from crowwing.tier.wire.frames import encode_frame
 
