--- a/crowwing/tier/distribution/documents.py
+++ b/crowwing/tier/distribution/documents.py
@@ -1,18 +1,25 @@
-"""The documents that all backends are to have, and which copy is the newest."""
+"""The documents that all backends are to have, and which version is the newest."""
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
 from crowwing.tier.wire.codec import message
 
-CONFIGURATION, SIDECARS = "configuration", "sidecars"
+CONFIGURATION = "configuration"
+SIDECARS = "sidecars"
 DocumentVersion = tuple[int, ...]
 
 
 @message("Document")
 @dataclass(frozen=True)
 class Document:
-    """One document. Of two copies of a kind the one with the higher order is newer."""
+    """One version of a document.
+
+    Attributes:
+        kind: which document: `CONFIGURATION` or `SIDECARS`.
+        version: the higher one of two of a kind is newer.
+        body: the content, whose form depends on the kind.
+    """
 
     kind: str
     version: DocumentVersion
@@ -20,38 +27,46 @@
 
 
 class Documents:
-    """The newest copy of each kind that this process has seen. It never goes back within one life."""
+    """The newest version of each kind that this process has seen. It never goes back within one process.
+
+    The process of a front or of a store machine owns it; the relay and the list reader offer to it.
+    """
 
     def __init__(self) -> None:
-        self._held: dict[str, Document] = {}
+        """Starts without documents."""
+        self._current: dict[str, Document] = {}
         self._listeners: list[Callable[[Document], None]] = []
 
-    def listen(self, listener: Callable[[Document], None]) -> None:
-        """Calls the listener with each newer document."""
+    def add_listener(self, listener: Callable[[Document], None]) -> None:
+        """Calls the listener with each newer document from now on, in the order in which they were added."""
         self._listeners.append(listener)
 
     def offer(self, document: Document) -> bool:
-        """Takes a document in; False where the copy held is as new."""
-        held = self._held.get(document.kind)
-        if held is not None and held.version >= document.version:
+        """Stores a document where it is newer than the current one, and calls the listeners.
+
+        Returns:
+            False where the current one is as new.
+        """
+        current = self._current.get(document.kind)
+        if current is not None and current.version >= document.version:
             return False
-        self._held[document.kind] = document
+        self._current[document.kind] = document
         for listener in self._listeners:
             listener(document)
         return True
 
     def get(self, kind: str) -> Document | None:
-        """The newest copy of a kind."""
-        return self._held.get(kind)
+        """The newest version of a kind, None before there is any."""
+        return self._current.get(kind)
 
     def versions(self) -> dict[str, DocumentVersion]:
-        """Which copies are held: the digest that peers compare."""
-        return {kind: document.version for kind, document in self._held.items()}
+        """The version of each kind: the digest that peers compare."""
+        return {kind: document.version for kind, document in self._current.items()}
 
-    def newer_than(self, versions: dict[str, DocumentVersion]) -> tuple[Document, ...]:
-        """What somebody who holds `orders` lacks."""
+    def newer_than(self, versions: Mapping[str, DocumentVersion]) -> tuple[Document, ...]:
+        """The documents that a peer with `versions` lacks."""
         return tuple(
             document
-            for kind, document in self._held.items()
+            for kind, document in self._current.items()
             if tuple(versions.get(kind, ())) < document.version
         )
--- a/crowwing/tier/front/main.py
+++ b/crowwing/tier/front/main.py
@@ -13,7 +13,9 @@
 
 from crowwing.tier.configuration import Configuration, RoutingTable, parse_configuration
 from crowwing.tier.distribution.documents import CONFIGURATION, SIDECARS, Document, Documents
-from crowwing.tier.distribution.relay import AttachRequest, DocumentPush, Relay, RootHeartbeat, ShuffleRequest
+from crowwing.tier.distribution.environment import RelayEnvironment
+from crowwing.tier.distribution.messages import RELAY_MESSAGES
+from crowwing.tier.distribution.relay import Relay
 from crowwing.tier.distribution.sampling import Peer
 from crowwing.tier.front.batch_api import BatchApi
 from crowwing.tier.front.batch_job_runner import BatchJobRunner
@@ -34,7 +36,6 @@
 
 log = logging.getLogger("crowwing.front")
 
-RELAYED = (AttachRequest, RootHeartbeat, DocumentPush, ShuffleRequest)
 UNLIST_S = 2.4  # from the notice to leave until the platform sends nobody here any more
 END_MARGIN_S = 0.7  # before the platform kills the process
 OWN_READ_AFTER_S, OWN_READ_EVERY_S = 1.2, 0.9  # without the root, a front reads the list by itself
@@ -53,27 +54,29 @@
         self.pool.sidecars.zone = settings.zone
         self.connections = ConnectionPool(settings.internal_port, self.handle)
         me = Peer(settings.ip, "front", settings.zone, 0)
-        self.relay = Relay(me, settings.seed_hosts, self.documents, self.connections, self.random)
+        self.relay = Relay(
+            me, settings.seed_hosts, self.documents, RelayEnvironment(self.connections, self.random)
+        )
         self.store = StoreClient(self.connections, self.store_hosts)
         self.proxy = Proxy(self.pool, BatchApi(self.store))
         self.runner = BatchJobRunner(settings.node, self.pool, self.store)
         self.client_limits = ClientLimits()
-        self.documents.listen(self.take_document)
-        self.relay.on_root.append(self.store.moved)
+        self.documents.add_listener(self.take_document)
+        self.relay.tracker.on_root_changed.append(self.store.moved)
 
     async def handle(self, connection: Connection, body: Any) -> Any:  # noqa: ANN401
         """Answers other backends."""
-        if isinstance(body, RELAYED):
+        if isinstance(body, RELAY_MESSAGES):
             return await self.relay.handle(connection, body)
         return None
 
     def take_settings(self, settings: Settings) -> None:
         """The settings name other seeds now; the rest holds from the next start on."""
-        self.relay.seeds = settings.seed_hosts
+        self.relay.view.seeds = settings.seed_hosts
 
     def store_hosts(self) -> list[str]:
         """Where the primary may be found, in a random order."""
-        known = {peer.host for peer in self.relay.view.peers("store")} | set(self.relay.seeds)
+        known = {peer.host for peer in self.relay.view.peers("store")} | set(self.relay.view.seeds)
         hosts = sorted(known)
         self.random.shuffle(hosts)
         return hosts
@@ -96,8 +99,8 @@
     def _count_fronts(self) -> None:
         """As the root counts them, or at least those that shuffles have shown."""
         shown = 1 + len(self.relay.view.peers("front"))
-        self.pool.sidecars.fronts = max(shown, self.relay.fronts)
-        self.pool.sidecars.fronts_counted = self.relay.fronts > 0
+        self.pool.sidecars.fronts = max(shown, self.relay.tracker.front_count)
+        self.pool.sidecars.fronts_counted = self.relay.tracker.front_count > 0
 
     async def run_count(self) -> None:
         """Keeps the number of fronts up to date."""
@@ -123,7 +126,7 @@
         assert self.settings.cloud is not None
         client = httpx.AsyncClient(trust_env=False, verify=NO_CERTIFICATES)
         while True:
-            if self.relay.seconds_disconnected >= OWN_READ_AFTER_S or not self.pool.listed:
+            if self.relay.tracker.seconds_disconnected >= OWN_READ_AFTER_S or not self.pool.listed:
                 listed = await read_list(client, self.settings.cloud.address)
                 if isinstance(listed, SidecarList):
                     self.pool.take_list(listed)
@@ -139,7 +142,7 @@
         settings = self.settings
         internal = await serve(settings.ip, settings.internal_port, self.handle)
         for work in (
-            self.relay.run_child(), self.relay.run_shuffles(), self.pool.run_loops(), self.runner.run(),
+            self.relay.parent.run(), self.relay.shuffler.run(), self.pool.run_loops(), self.runner.run(),
             self.run_count(), watch_settings(settings_changed, self.take_settings),
         ):  # fmt: skip
             tasks.start(work)
--- a/crowwing/tier/store/machine.py
+++ b/crowwing/tier/store/machine.py
@@ -8,7 +8,10 @@
 
 from crowwing.tier.clock import SYSTEM_CLOCK, Clock
 from crowwing.tier.distribution.documents import Documents
-from crowwing.tier.distribution.relay import AttachRequest, DocumentPush, Relay, RootHeartbeat, ShuffleRequest
+from crowwing.tier.distribution.environment import RelayEnvironment
+from crowwing.tier.distribution.messages import RELAY_MESSAGES
+from crowwing.tier.distribution.relay import Relay
+from crowwing.tier.distribution.root_tracker import RootRole
 from crowwing.tier.distribution.sampling import Peer
 from crowwing.tier.early import started_at
 from crowwing.tier.replication.replica_state import Role
@@ -26,8 +29,6 @@
 
 log = logging.getLogger("crowwing.store")
 
-RELAYED = (AttachRequest, RootHeartbeat, DocumentPush, ShuffleRequest)
-
 
 class StoreMachine:
     """What a store machine's process runs, without signals and the operator's HTTP server."""
@@ -60,25 +61,26 @@
         )
         self.service = StoreService(settings, self.node, disk, self._connections, self.documents)
         me = Peer(settings.ip, "store", settings.zone, 0)
-        self.relay = Relay(me, seeds, self.documents, self._connections, random, clock)
-        self.relay.root_term_number = self._root_order
-        self.relay.probable_root = lambda: self.node.leader
-        self.relay.count_fronts = self.service.leasing.count_fronts
+        environment = RelayEnvironment(self._connections, random, clock)
+        root_role = RootRole(
+            self._root_term_number, lambda: self.node.leader, self.service.leasing.count_fronts
+        )
+        self.relay = Relay(me, seeds, self.documents, environment, root_role)
         self.node.find_stores = self._stores_heard_of
         self.node.on_role.append(self._role_changed)
 
-    def _root_order(self) -> int | None:
+    def _root_term_number(self) -> int | None:
         return self.node.replica.promised[0] if self.node.replica.role is Role.PRIMARY else None
 
     def _role_changed(self, is_primary: bool) -> None:
         if is_primary:
-            self.relay.on_became_root()
+            self.relay.root_heartbeats.send_now()
 
     def _stores_heard_of(self) -> Iterable[str]:
         return [peer.host for peer in self.relay.view.peers("store")]
 
     async def _handle(self, connection: Connection, body: Any) -> Any:  # noqa: ANN401
-        if isinstance(body, RELAYED):
+        if isinstance(body, RELAY_MESSAGES):
             return await self.relay.handle(connection, body)
         if isinstance(body, commands.ForwardedCommand):
             return await self.service.command(body.command, may_forward=False)
@@ -89,7 +91,7 @@
 
     def take_seeds(self, hosts: tuple[str, ...]) -> None:
         """The settings name other seeds now."""
-        self.relay.seeds = hosts
+        self.relay.view.seeds = hosts
         self.node.replica.add_peers(hosts)
 
     async def start(self, is_wanted: Callable[[], bool] = lambda: True) -> Listener:
@@ -107,8 +109,8 @@
         """What runs for as long as the process; `read_list` reads the platform's list, where there is one."""
         works = [
             self.node.run_disk(), self.node.run_clock(), self.service.run_housekeeping(),
-            self.service.leasing.run(), self.relay.run_root(), self.relay.run_child(),
-            self.relay.run_shuffles(),
+            self.service.leasing.run(), self.relay.root_heartbeats.run(), self.relay.parent.run(),
+            self.relay.shuffler.run(),
         ]  # fmt: skip
         if read_list is not None:
             works.append(ListReader(read_list, self.node, self.documents, self._random).run())
--- a/tests/tier/simulation/machines.py
+++ b/tests/tier/simulation/machines.py
@@ -10,6 +10,8 @@
 from crowwing.tier.clock import Clock
 from crowwing.tier.configuration import Route
 from crowwing.tier.distribution.documents import Document, Documents
+from crowwing.tier.distribution.environment import RelayEnvironment
+from crowwing.tier.distribution.messages import RELAY_MESSAGES
 from crowwing.tier.distribution.relay import Relay
 from crowwing.tier.distribution.sampling import Peer
 from crowwing.tier.front.asgi import ClientRequest
@@ -20,7 +22,7 @@
 from crowwing.tier.state.events import COMPLETED, ItemResult
 from crowwing.tier.store import commands
 from crowwing.tier.store.disk import Disk
-from crowwing.tier.store.machine import RELAYED, StoreMachine
+from crowwing.tier.store.machine import StoreMachine
 from crowwing.tier.wire.connection import Connection
 from crowwing.tier.wire.connection_pool import ConnectionPool
 from crowwing.tier.wire.server import serve
@@ -196,24 +198,25 @@
         await asyncio.sleep(random.uniform(*self.world.start_s))
         network = LifeNetwork(self.world.network, life)
         documents = self.documents = Documents()
-        documents.listen(self._take_document)
+        documents.add_listener(self._take_document)
         connections = ConnectionPool(PORT, self._handle, network)
         me = Peer(self.host, "front", "z", 0)
-        relay = self.relay = Relay(me, tuple(self.world.seeds), documents, connections, random, self.clock())
+        environment = RelayEnvironment(connections, random, self.clock())
+        relay = self.relay = Relay(me, tuple(self.world.seeds), documents, environment)
 
         def stores() -> list[str]:
-            hosts = sorted({peer.host for peer in relay.view.peers("store")} | set(relay.seeds))
+            hosts = sorted({peer.host for peer in relay.view.peers("store")} | set(relay.view.seeds))
             random.shuffle(hosts)
             return hosts
 
         store = self.store = StoreClient(connections, stores, self.clock())
-        relay.on_root.append(store.moved)
+        relay.tracker.on_root_changed.append(store.moved)
         await serve(self.host, PORT, self._handle, network)
-        for work in (relay.run_child(), relay.run_shuffles(), self._run_items(store, random)):
+        for work in (relay.parent.run(), relay.shuffler.run(), self._run_items(store, random)):
             self.spawn(work)
 
     async def _handle(self, connection: Connection, body: Any) -> Any:  # noqa: ANN401
-        if isinstance(body, RELAYED) and self.relay is not None:
+        if isinstance(body, RELAY_MESSAGES) and self.relay is not None:
             return await self.relay.handle(connection, body)
         return None
 
