--- a/benchmarks/tier_demo.py
+++ b/benchmarks/tier_demo.py
@@ -17,7 +17,7 @@
 
 from benchmarks.tier_stand.sidecar_stand_in import start_sidecars
 from benchmarks.tier_stand.stand import FRONT, HOST_NAME, Platform, Stand
-from crowwing.tier.plain_http import NO_CERTIFICATES
+from crowwing.tier.http_client import NO_CERTIFICATES
 
 SIDECARS, ITEMS = 4, 100
 STREAM_EVERY_S = 0.05
--- a/benchmarks/tier_stand/stand.py
+++ b/benchmarks/tier_stand/stand.py
@@ -12,7 +12,7 @@
 
 import httpx
 
-from crowwing.tier.plain_http import NO_CERTIFICATES
+from crowwing.tier.http_client import NO_CERTIFICATES
 
 ROOT = Path(__file__).resolve().parents[2]
 STORES = ("127.4.0.1", "127.4.0.2", "127.4.0.3")
--- a/crowwing/__main__.py
+++ b/crowwing/__main__.py
@@ -5,11 +5,11 @@
 
 if sys.argv[1:2] == ["tier"]:
     if sys.argv[2:] in (["front"], ["store"]):  # a role's start does not wait for the command line's library
-        from crowwing.tier.early import bind_listeners, put_off_garbage_collection, skip_unused_libraries
+        from crowwing.tier.startup import bind_listeners, pause_garbage_collection, skip_unused_libraries
 
         bind_listeners()
         skip_unused_libraries()
-        put_off_garbage_collection()
+        pause_garbage_collection()
         from crowwing.tier.roles import run_role
 
         sys.exit(run_role(sys.argv[2]))
--- a/crowwing/tier/clock.py
+++ b/crowwing/tier/clock.py
@@ -11,8 +11,12 @@
 
 @dataclass(frozen=True)
 class Clock:
-    """`monotonic` only goes forward, in seconds. `now_ms` is the time of day in milliseconds, which other
-    machines' clocks agree with only roughly, and which may jump.
+    """Two clocks of one process.
+
+    Attributes:
+        monotonic: seconds since some moment; it only goes forward.
+        now_ms: the time of day in milliseconds, which other machines' clocks agree with only roughly, and
+            which may jump.
     """
 
     monotonic: Callable[[], float] = time.monotonic
--- a/crowwing/tier/configuration.py
+++ b/crowwing/tier/configuration.py
@@ -10,6 +10,38 @@
 DEFAULT_PRIORITY = 0
 
 
+class NoTargetError(ValueError):
+    """A route leads to no service."""
+
+    def __init__(self) -> None:
+        """Describes the error."""
+        super().__init__("names neither a service nor a trafficSplit")
+
+
+class ZeroWeightError(ValueError):
+    """No service of a route gets any traffic."""
+
+    def __init__(self) -> None:
+        """Describes the error."""
+        super().__init__("the weights of trafficSplit add up to 0")
+
+
+class UnknownServiceError(ValueError):
+    """A route leads to a service that the configuration does not define."""
+
+    def __init__(self, route: str, service: str) -> None:
+        """Describes the error by the names of the route and the service."""
+        super().__init__(f"route {route}: unknown service {service!r}")
+
+
+class DuplicateRouteError(ValueError):
+    """Two routes have the same host and path prefix."""
+
+    def __init__(self, route: str) -> None:
+        """Describes the error by the name of the second route."""
+        super().__init__(f"route {route}: another route has the same host and prefix")
+
+
 class Split(BaseModel):
     """One share of a route's traffic."""
 
@@ -33,7 +65,7 @@
     traffic_split: list[Split] | None = Field(None, alias="trafficSplit")
     max_attempts: int = Field(1, alias="maxAttempts", ge=1)
     resumable: bool = False
-    gap_aim_ms: float | None = None
+    gap_latency_target_ms: float | None = Field(None, alias="gap_aim_ms")
     completion_slo_ms: float | None = Field(None, alias="completionSloMs")
     max_wait_s: float | None = Field(None, alias="maxWaitS")
 
@@ -45,16 +77,16 @@
         return [Split(service=self.service or "", weight=1)]
 
     @property
-    def repeatable(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Whether a request of this route may run more than once."""
         return self.kind in ("safe", "batch_queue") or (self.kind == "stream" and self.resumable)
 
     @model_validator(mode="after")
     def _names_a_target(self) -> "Route":
         if self.service is None and not self.traffic_split:
-            raise ValueError("names neither a service nor a trafficSplit")
+            raise NoTargetError
         if sum(share.weight for share in self.services) <= 0:
-            raise ValueError("the weights of trafficSplit add up to 0")
+            raise ZeroWeightError
         return self
 
 
@@ -87,39 +119,51 @@
 
 
 class Configuration(BaseModel):
-    """One whole version of the configuration."""
+    """One complete version of the configuration."""
 
     model_config = ConfigDict(extra="ignore")
     version: int = Field(gt=0)
     routes: list[Route]
     services: list[Service]
-    limits: RequestLimits = RequestLimits()  # type: ignore[call-arg]
+    limits: RequestLimits = RequestLimits.model_validate({})
 
     @model_validator(mode="after")
     def _is_consistent(self) -> "Configuration":
         names = {service.name for service in self.services}
-        places: set[tuple[str, str]] = set()
+        hosts_and_prefixes: set[tuple[str, str]] = set()
         for route in self.routes:
             for share in route.services:
                 if share.service not in names:
-                    raise ValueError(f"route {route.name}: unknown service {share.service!r}")
-            place = (route.host.lower(), route.path_prefix)
-            if place in places:
-                raise ValueError(f"route {route.name}: another route has the same host and prefix")
-            places.add(place)
+                    raise UnknownServiceError(route.name, share.service)
+            host_and_prefix = (route.host.lower(), route.path_prefix)
+            if host_and_prefix in hosts_and_prefixes:
+                raise DuplicateRouteError(route.name)
+            hosts_and_prefixes.add(host_and_prefix)
         return self
 
 
 @dataclass(frozen=True)
 class InvalidConfiguration:
-    """Why a configuration is refused, with the place of the first mistake."""
+    """Why a configuration is rejected.
+
+    Attributes:
+        location: where the first mistake stands: names and indexes with dots between them, or `body`.
+        reason: what is wrong there.
+    """
 
-    place: str
+    location: str
     reason: str
 
 
 def parse_configuration(text: bytes) -> Configuration | InvalidConfiguration:
-    """Reads and checks one configuration."""
+    """Reads and checks one configuration.
+
+    Args:
+        text: JSON.
+
+    Returns:
+        The configuration, or why it is rejected.
+    """
     try:
         values: Any = json.loads(text)
     except (ValueError, UnicodeDecodeError) as error:
@@ -128,13 +172,14 @@
         return Configuration.model_validate(values)
     except ValidationError as error:
         first = error.errors()[0]
-        return InvalidConfiguration(".".join(str(part) for part in first["loc"]) or "body", first["msg"])
+        return InvalidConfiguration(".".join(str(name) for name in first["loc"]) or "body", first["msg"])
 
 
 class RoutingTable:
     """Finds the route of a request: of the routes of its host, the one with the longest matching prefix."""
 
     def __init__(self, configuration: Configuration) -> None:
+        """Sorts the routes of each host, the longest prefix first."""
         self.configuration = configuration
         self.services = {service.name: service for service in configuration.services}
         self._by_host: dict[str, list[Route]] = {}
@@ -154,14 +199,23 @@
 
 
 def choose_service(route: Route, key: bytes) -> str:
-    """The service of a request or item by the route's weights; `key`, its id, draws the place."""
+    """Chooses the service of a request or item by the weights of its route.
+
+    Args:
+        route: the route.
+        key: the id of the request or item; the same id always gets the same service.
+
+    Returns:
+        The name of the service.
+    """
     shares = [share for share in route.services if share.weight > 0]
     if len(shares) == 1:
         return shares[0].service
     total = sum(share.weight for share in shares)
-    place = int.from_bytes(hashlib.blake2b(key, digest_size=4, salt=b"split").digest(), "big") / 2**32 * total
+    digest = hashlib.blake2b(key, digest_size=4, salt=b"split").digest()
+    position = int.from_bytes(digest, "big") / 2**32 * total
     for share in shares:
-        place -= share.weight
-        if place < 0:
+        position -= share.weight
+        if position < 0:
             return share.service
     return shares[-1].service
--- a/crowwing/tier/front/dispatch.py
+++ b/crowwing/tier/front/dispatch.py
@@ -117,7 +117,7 @@
             state.failed(time.monotonic())
             may_have_run = True
             job.runs_left -= 1
-            if not job.route.repeatable or job.runs_left <= 0:
+            if not job.route.is_idempotent or job.runs_left <= 0:
                 break
         if may_have_run:
             return Failed(504 if time.monotonic() >= job.deadline else 502, reason)
@@ -130,7 +130,7 @@
     async def _send(self, job: Job, state: SidecarState) -> Outcome:
         client = self._pool.client(state)
         left = job.deadline - time.monotonic()
-        another = job.route.repeatable and job.runs_left > 1
+        another = job.route.is_idempotent and job.runs_left > 1
         limit = min(left, SILENT_S) if another else left
         number = self._pool.sent(state)
         try:
--- a/crowwing/tier/front/main.py
+++ b/crowwing/tier/front/main.py
@@ -23,8 +23,8 @@
 from crowwing.tier.front.proxy import Proxy
 from crowwing.tier.front.service_pool import ServicePool
 from crowwing.tier.front.store_client import StoreClient
+from crowwing.tier.http_client import NO_CERTIFICATES
 from crowwing.tier.http_server import make_server, serve_until
-from crowwing.tier.plain_http import NO_CERTIFICATES
 from crowwing.tier.platform_list import SidecarList, read_list
 from crowwing.tier.process import Tasks, watch_signals
 from crowwing.tier.settings import Settings
@@ -90,7 +90,7 @@
                 log.info("configuration %d is in force", parsed.version)
                 self._apply_limits(parsed)
             else:
-                log.error("configuration unreadable at %s: %s", parsed.place, parsed.reason)
+                log.error("configuration unreadable at %s: %s", parsed.location, parsed.reason)
         elif document.kind == SIDECARS:
             listed = decode(document.body)
             self._count_fronts()
--- a/crowwing/tier/front/proxy.py
+++ b/crowwing/tier/front/proxy.py
@@ -158,7 +158,7 @@
             request.method, request.target, request.headers, request.body,
             request.header(b"request-id") or b"", route, service, parts, deadline, route.max_attempts,
             int(resumed_at) if resumed_at is not None and resumed_at.isdigit() else None,
-            retries_errors=route.repeatable,
+            retries_errors=route.is_idempotent,
         )  # fmt: skip
         started = await self._dispatcher.open(job)
         if isinstance(started, NotServed):
--- a/crowwing/tier/plain_http.py
+++ b/crowwing/tier/http_client.py
@@ -1,4 +1,4 @@
-"""What all HTTP clients of the tier share: its wires are plain, so no certificates are read.
+"""What all HTTP clients of the tier share. Its connections are not encrypted, so no certificates are read.
 
 httpx reads the certificates of the machine for each client that is given no context, which takes tens of
 milliseconds and about a megabyte every time.
--- a/crowwing/tier/http_server.py
+++ b/crowwing/tier/http_server.py
@@ -7,7 +7,7 @@
 
 import uvicorn
 
-from crowwing.tier.early import BACKLOG, take_socket
+from crowwing.tier.startup import BACKLOG, take_socket
 
 
 class Server(uvicorn.Server):
@@ -20,22 +20,27 @@
 
 
 def make_server(
-    app: Any,  # noqa: ANN401
+    app: Callable[..., Any],
     address: str,
     grace_s: float,
     keep_alive_s: float,
     connection: Callable[..., asyncio.Protocol] | None = None,
 ) -> Server:
-    """A server for `host:port`. `grace_s` bounds how long its end waits for open requests.
+    """Makes a server that does not listen yet.
 
-    `connection` makes the protocol of each connection, uvicorn's own where it is not given.
+    Args:
+        app: the ASGI application.
+        address: `host:port`.
+        grace_s: how long its end waits for open requests, in seconds; at least 1.
+        keep_alive_s: how long an idle connection stays open, in seconds.
+        connection: makes the protocol of each connection; uvicorn's own where it is not given.
     """
     host, port = address.rsplit(":", 1)
     config = uvicorn.Config(
         app,
         host=host,
         port=int(port),
-        http=connection or "httptools",  # type: ignore[arg-type]
+        http=connection or "httptools",  # type: ignore[arg-type]  # uvicorn types a class, and takes any factory
         loop="none",
         lifespan="off",
         ws="none",
@@ -52,7 +57,15 @@
 
 
 async def serve_until(server: Server, stop: asyncio.Event) -> None:
-    """Serves until `stop` is set, then until open requests have ended; raises OSError without the address."""
+    """Serves until `stop` is set, then until open requests have ended.
+
+    Args:
+        server: what `make_server` made.
+        stop: asks for the end.
+
+    Raises:
+        OSError: the address can't be listened at.
+    """
     listener = take_socket(f"{server.config.host}:{server.config.port}")
     serving = asyncio.ensure_future(server.serve(sockets=[listener]))
     stopping = asyncio.ensure_future(stop.wait())
--- a/crowwing/tier/operator_commands.py
+++ b/crowwing/tier/operator_commands.py
@@ -5,6 +5,7 @@
 import sys
 import time
 from dataclasses import dataclass
+from http import HTTPStatus
 from pathlib import Path
 from typing import Annotated
 
@@ -12,17 +13,32 @@
 import httpx
 
 from crowwing.tier.configuration import InvalidConfiguration, parse_configuration
-from crowwing.tier.settings import SettingsError, read_settings
+from crowwing.tier.settings import InvalidSettings, read_settings
 from crowwing.tier.store.commands import GetStatus, StoreStatus
 from crowwing.tier.wire.connection_pool import ConnectionPool
 from crowwing.tier.wire.errors import CallError
 
-DONE, FAILED, WRONG_USE = 0, 1, 2
-TRY_S = 1.5
-GIVE_UP_S = 20.0
-RETIRE_LIMIT_S = 120.0
-PAUSE_S = 0.3
-FINAL = frozenset((200, 400, 404, 409, 412, 413, 422))
+DONE = 0  # exit statuses
+FAILED = 1
+WRONG_USE = 2
+
+ATTEMPT_TIMEOUT_S = 1.5  # of one request to one store machine
+COMMAND_TIMEOUT_S = 20.0  # of all attempts of one command
+RETIREMENT_TIMEOUT_S = 120.0
+RETRY_INTERVAL_S = 0.3
+
+# Responses that another store machine would give too; after any other one the next machine is asked.
+FINAL_STATUSES = frozenset(
+    (
+        HTTPStatus.OK,
+        HTTPStatus.BAD_REQUEST,
+        HTTPStatus.NOT_FOUND,
+        HTTPStatus.CONFLICT,
+        HTTPStatus.PRECONDITION_FAILED,
+        HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
+        HTTPStatus.UNPROCESSABLE_ENTITY,
+    )
+)
 
 Control = Annotated[
     list[str],
@@ -38,21 +54,41 @@
 def ask(
     control: list[str], method: str, path: str, body: bytes = b"", headers: dict[str, str] | None = None
 ) -> httpx.Response | None:
-    """Asks one control address after another until one gives a clear answer; None where none does."""
-    deadline = time.monotonic() + GIVE_UP_S
-    with httpx.Client(trust_env=False, follow_redirects=True, timeout=TRY_S) as client:
+    """Asks one control address after another until one gives a final response.
+
+    Args:
+        control: addresses of store machines, `host:port`.
+        method: of the HTTP request.
+        path: of the HTTP request.
+        body: of the HTTP request.
+        headers: further headers.
+
+    Returns:
+        The response; None where no machine gave a final one in time.
+    """
+    deadline = time.monotonic() + COMMAND_TIMEOUT_S
+    with httpx.Client(trust_env=False, follow_redirects=True, timeout=ATTEMPT_TIMEOUT_S) as client:
         while time.monotonic() < deadline:
             for address in control:
                 try:
-                    answer = client.request(method, f"http://{address}{path}", content=body, headers=headers)
+                    response = client.request(
+                        method, f"http://{address}{path}", content=body, headers=headers
+                    )
                 except httpx.HTTPError:
                     continue
-                if answer.status_code in FINAL:
-                    return answer
-            time.sleep(PAUSE_S)
+                if response.status_code in FINAL_STATUSES:
+                    return response
+            time.sleep(RETRY_INTERVAL_S)
     return None
 
 
+def _failure_of(response: httpx.Response | None) -> str | None:
+    """What to print of a command that was not carried out for certain; None where it was."""
+    if response is None:
+        return "no clear answer; make the same call again"
+    return None if response.status_code == HTTPStatus.OK else response.text
+
+
 @cappa.command(name="check", help="check a settings or configuration file without using it")
 @dataclass
 class Check:
@@ -64,14 +100,14 @@
         """0 where the file is valid, 2 with the place of the mistake where not."""
         if self.file.suffix == ".toml":
             settings = read_settings(str(self.file))
-            return _fail(str(settings), WRONG_USE) if isinstance(settings, SettingsError) else DONE
+            return _fail(str(settings), WRONG_USE) if isinstance(settings, InvalidSettings) else DONE
         try:
             text = self.file.read_bytes()
         except OSError as error:
             return _fail(str(error), WRONG_USE)
         parsed = parse_configuration(text)
         if isinstance(parsed, InvalidConfiguration):
-            return _fail(f"{self.file}: {parsed.place}: {parsed.reason}", WRONG_USE)
+            return _fail(f"{self.file}: {parsed.location}: {parsed.reason}", WRONG_USE)
         print(f"version {parsed.version}, {len(parsed.routes)} routes, {len(parsed.services)} services")
         return DONE
 
@@ -85,10 +121,11 @@
 
     def __call__(self) -> int:
         """0 with the configuration on standard output."""
-        answer = ask(self.control, "GET", "/config")
-        if answer is None or answer.status_code != 200:
-            return _fail("no configuration" if answer is not None else "no store machine answers for certain")
-        print(answer.text)
+        response = ask(self.control, "GET", "/config")
+        if response is None or response.status_code != HTTPStatus.OK:
+            no_response = "no store machine answers for certain"
+            return _fail(no_response if response is None else "no configuration")
+        print(response.text)
         return DONE
 
 
@@ -106,11 +143,10 @@
         checked = Check(self.file)()
         if checked != DONE:
             return checked
-        answer = ask(self.control, "PUT", "/config", self.file.read_bytes(), {"If-Match": str(self.base)})
-        if answer is None:
-            return _fail("no clear answer; make the same call again")
-        if answer.status_code != 200:
-            return _fail(answer.text)
+        response = ask(self.control, "PUT", "/config", self.file.read_bytes(), {"If-Match": str(self.base)})
+        failure = _failure_of(response)
+        if failure is not None:
+            return _fail(failure)
         print("taken")
         return DONE
 
@@ -125,17 +161,17 @@
 
     def __call__(self) -> int:
         """0 once the machine may be taken away with its disk."""
-        order = json.dumps({"durationS": int(RETIRE_LIMIT_S)}).encode()
-        answer = ask(self.control, "POST", f"/retire/{self.node}", order)
-        if answer is None or answer.status_code != 200:
-            return _fail(answer.text if answer is not None else "no clear answer; make the same call again")
-        deadline = time.monotonic() + RETIRE_LIMIT_S
+        body = json.dumps({"durationS": int(RETIREMENT_TIMEOUT_S)}).encode()
+        failure = _failure_of(ask(self.control, "POST", f"/retire/{self.node}", body))
+        if failure is not None:
+            return _fail(failure)
+        deadline = time.monotonic() + RETIREMENT_TIMEOUT_S
         while time.monotonic() < deadline:
-            answer = ask(self.control, "GET", f"/retire/{self.node}")
-            if answer is not None and answer.json().get("state") == "completed":
+            response = ask(self.control, "GET", f"/retire/{self.node}")
+            if response is not None and response.json().get("state") == "completed":
                 print("completed")
                 return DONE
-            time.sleep(PAUSE_S)
+            time.sleep(RETRY_INTERVAL_S)
         return _fail(f"{self.node} is still being emptied")
 
 
@@ -148,7 +184,7 @@
     port: Annotated[int, cappa.Arg(long=True, help="the internal port: the first of portRange")]
 
     def __call__(self) -> int:
-        """0 where all answer."""
+        """0 where all respond."""
         return asyncio.run(self._show())
 
     async def _show(self) -> int:
@@ -156,7 +192,7 @@
         result = DONE
         for host in self.hosts:
             try:
-                status = await connections.call(host, GetStatus(), TRY_S)
+                status = await connections.call(host, GetStatus(), ATTEMPT_TIMEOUT_S)
             except CallError as error:
                 result = _fail(f"{host}: {error.reason}")
                 continue
--- a/crowwing/tier/platform_list.py
+++ b/crowwing/tier/platform_list.py
@@ -1,23 +1,30 @@
 """The platform's list of sidecars: its entries, and how they are read."""
 
-import logging
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import Any
 
 import httpx
 
 from crowwing.tier.wire.codec import message
 
-log = logging.getLogger("crowwing.platform")
-
 READ_TIMEOUT_S = 0.8
-MOST_PAGES = 400
+MAX_PAGES = 400
 
 
 @message("Sidecar")
 @dataclass(frozen=True)
 class Sidecar:
-    """One sidecar as the platform lists it."""
+    """One sidecar as the platform lists it.
+
+    Attributes:
+        id: its identity.
+        service: the service that it belongs to.
+        address: `host:port`.
+        zone: its failure domain, empty where it has none.
+        slots: how many requests it runs at once.
+        ready: whether it takes requests.
+    """
 
     id: str
     service: str
@@ -43,7 +50,13 @@
 
 
 def parse_entry(entry: dict[str, Any]) -> Sidecar:
-    """One entry of the list; raises KeyError or TypeError where it is none."""
+    """Reads one entry of the list.
+
+    Raises:
+        KeyError: a field is missing.
+        TypeError: a field has another type.
+        ValueError: a number can't be read.
+    """
     return Sidecar(
         str(entry["id"]),
         str(entry["service"]),
@@ -55,22 +68,30 @@
 
 
 async def read_list(client: httpx.AsyncClient, address: str) -> SidecarList | ListUnreadable:
-    """Reads all pages of the list."""
+    """Reads all pages of the list.
+
+    Args:
+        client: the HTTP client.
+        address: `host:port` of the platform.
+
+    Returns:
+        The sidecars by id, or why the list could not be read.
+    """
     sidecars: list[Sidecar] = []
     token: str | None = None
-    for _ in range(MOST_PAGES):
+    for _ in range(MAX_PAGES):
         parameters = {} if token is None else {"pageToken": token}
         try:
-            answer = await client.get(
+            response = await client.get(
                 f"http://{address}/instances", params=parameters, timeout=READ_TIMEOUT_S
             )
-            if answer.status_code != 200:
-                return ListUnreadable(f"status {answer.status_code}")
-            page = answer.json()
+            if response.status_code != HTTPStatus.OK:
+                return ListUnreadable(f"status {response.status_code}")
+            page = response.json()
             sidecars.extend(parse_entry(entry) for entry in page["instances"])
         except (httpx.HTTPError, ValueError, KeyError, TypeError) as error:
             return ListUnreadable(f"{type(error).__name__}: {error}")
         token = page.get("nextToken")
         if not token:
             return SidecarList(tuple(sorted(sidecars, key=lambda sidecar: sidecar.id)))
-    return ListUnreadable(f"more than {MOST_PAGES} pages")
+    return ListUnreadable(f"more than {MAX_PAGES} pages")
--- a/crowwing/tier/process.py
+++ b/crowwing/tier/process.py
@@ -11,15 +11,25 @@
 
 
 def set_up_logging(node: str, level: int = logging.INFO) -> None:
-    """One line an event on standard output, with the machine's name."""
-    line = f"%(asctime)s.%(msecs)03d {node} %(name)s %(levelname)s %(message)s"
-    logging.basicConfig(stream=sys.stdout, level=level, format=line, datefmt="%H:%M:%S")
+    """Writes one line an event to standard output.
+
+    Args:
+        node: the machine's name, which stands in each line.
+        level: events below it are left out.
+    """
+    line_format = f"%(asctime)s.%(msecs)03d {node} %(name)s %(levelname)s %(message)s"
+    logging.basicConfig(stream=sys.stdout, level=level, format=line_format, datefmt="%H:%M:%S")
     for noisy in ("httpx", "httpcore", "uvicorn.error", "asyncio"):
         logging.getLogger(noisy).setLevel(logging.WARNING)
 
 
 def watch_signals(stop: asyncio.Event, settings_changed: asyncio.Event) -> None:
-    """SIGTERM and SIGINT ask for the end; SIGHUP tells that the settings file has changed."""
+    """Sets events on signals.
+
+    Args:
+        stop: set by SIGTERM and SIGINT, which ask for the end.
+        settings_changed: set by SIGHUP, after the settings file has changed.
+    """
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
@@ -27,15 +37,24 @@
 
 
 class Tasks:
-    """Tasks that last as long as the process. One that ends with a defect ends the process."""
+    """Tasks that last as long as the process. One that raises ends the process.
+
+    Attributes:
+        failed: whether one has raised.
+    """
 
     def __init__(self, stop: asyncio.Event) -> None:
+        """Starts without tasks.
+
+        Args:
+            stop: set when a task raises, so that the process ends in order.
+        """
         self._stop = stop
         self._tasks: set[asyncio.Task[Any]] = set()
         self.failed = False
 
     def start(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Starts a task, and gives it."""
+        """Starts a task and returns it."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._ended)
@@ -44,7 +63,7 @@
     def _ended(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.error("a task ended", exc_info=task.exception())
+            log.error("task_failed task=%s", task.get_name(), exc_info=task.exception())
             self.failed = True
             self._stop.set()
 
--- a/crowwing/tier/roles.py
+++ b/crowwing/tier/roles.py
@@ -4,18 +4,19 @@
 
 import uvloop
 
-from crowwing.tier.early import resume_garbage_collection
 from crowwing.tier.process import set_up_logging
-from crowwing.tier.settings import Settings, SettingsError, read_settings
+from crowwing.tier.settings import InvalidSettings, Settings, read_settings
+from crowwing.tier.startup import resume_garbage_collection
 
-FRONT, STORE = "front", "store"
+FRONT = "front"
+STORE = "store"
 ROLES = (FRONT, STORE)
-WRONG_USE = 2
+WRONG_USE = 2  # exit status
 
 
 def _settings_or_exit() -> Settings:
     settings = read_settings()
-    if isinstance(settings, SettingsError):
+    if isinstance(settings, InvalidSettings):
         print(f"crowwing: {settings}", file=sys.stderr)
         raise SystemExit(WRONG_USE)
     set_up_logging(settings.node)
@@ -23,7 +24,17 @@
 
 
 def run_role(role: str) -> int:
-    """Runs a role until SIGTERM; gives the exit status."""
+    """Runs a role until SIGTERM.
+
+    Args:
+        role: one of `ROLES`.
+
+    Returns:
+        The exit status.
+
+    Raises:
+        SystemExit: the settings can't be used.
+    """
     settings = _settings_or_exit()
     if role == FRONT:
         from crowwing.tier.front.main import run_front
--- a/crowwing/tier/settings.py
+++ b/crowwing/tier/settings.py
@@ -9,7 +9,7 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 SETTINGS_VARIABLE = "CROWWING_SETTINGS"
-MEGABYTE = 1024 * 1024
+MEGABYTE = 1024 * 1024  # bytes
 DEFAULT_SETTINGS_PATH = "/etc/crowwing/settings.toml"
 
 
@@ -80,9 +80,9 @@
     bootstrap: bool = False
     data_dir: Path | None = Field(None, alias="dataDir")
     listen: Listen = Listen()
-    limits: Limits = Limits()  # type: ignore[call-arg]
-    fault_tolerance: FaultTolerance = Field(FaultTolerance(), alias="faultTolerance")  # type: ignore[call-arg]
-    bounds: Bounds = Bounds()  # type: ignore[call-arg]
+    limits: Limits = Limits.model_validate({})
+    fault_tolerance: FaultTolerance = Field(FaultTolerance.model_validate({}), alias="faultTolerance")
+    bounds: Bounds = Bounds.model_validate({})
     cloud: Cloud | None = None
 
     @property
@@ -97,30 +97,44 @@
 
 
 @dataclass(frozen=True)
-class SettingsError:
-    """Why the settings cannot be used, and where the mistake stands."""
+class InvalidSettings:
+    """Why the settings can't be used.
+
+    Attributes:
+        path: the settings file.
+        location: where the mistake stands: `file`, `syntax`, or the name of a field with dots in it.
+        reason: what is wrong there.
+    """
 
     path: str
-    place: str
+    location: str
     reason: str
 
     def __str__(self) -> str:
-        return f"{self.path}: {self.place}: {self.reason}"
+        """One line for a person."""
+        return f"{self.path}: {self.location}: {self.reason}"
+
+
+def read_settings(path: str | None = None) -> Settings | InvalidSettings:
+    """Reads and checks the settings file.
 
+    Args:
+        path: the file; where it is not given, CROWWING_SETTINGS names it.
 
-def read_settings(path: str | None = None) -> Settings | SettingsError:
-    """Reads and checks the settings file; the path comes from CROWWING_SETTINGS where none is given."""
+    Returns:
+        The settings, or why they can't be used.
+    """
     path = path or os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS_PATH)
     try:
         text = Path(path).read_bytes().decode()
     except (OSError, UnicodeDecodeError) as error:
-        return SettingsError(path, "file", str(error))
+        return InvalidSettings(path, "file", str(error))
     try:
         values: dict[str, Any] = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        return SettingsError(path, "syntax", str(error))
+        return InvalidSettings(path, "syntax", str(error))
     try:
         return Settings.model_validate(values)
     except ValidationError as error:
         first = error.errors()[0]
-        return SettingsError(path, ".".join(str(part) for part in first["loc"]), first["msg"])
+        return InvalidSettings(path, ".".join(str(name) for name in first["loc"]), first["msg"])
--- a/crowwing/tier/early.py
+++ b/crowwing/tier/startup.py
@@ -12,15 +12,22 @@
 import tomllib
 from pathlib import Path
 
-BACKLOG = 512
+BACKLOG = 512  # connections that wait to be accepted
 SETTINGS_VARIABLE = "CROWWING_SETTINGS"
 
-started_at = time.monotonic()
+started_at = time.monotonic()  # when this process began, on the monotonic clock
 _sockets: dict[str, socket.socket] = {}
 
 
 def bind(address: str) -> socket.socket:
-    """A listening socket at `host:port`; raises OSError."""
+    """Opens a listening socket.
+
+    Args:
+        address: `host:port`.
+
+    Raises:
+        OSError: the address can't be listened at.
+    """
     host, port = address.rsplit(":", 1)
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -51,20 +58,30 @@
     Each is a tenth of a start; both go on without.
     """
     for name in ("httpx._main", "trio"):
-        sys.modules.setdefault(name, None)  # type: ignore[arg-type]
+        sys.modules.setdefault(name, None)  # type: ignore[arg-type]  # None makes the import fail
+
 
+def pause_garbage_collection() -> None:
+    """Stops collecting while libraries are loaded: hardly anything that they allocate is garbage.
 
-def put_off_garbage_collection() -> None:
-    """Until the libraries are loaded, hardly anything that they allocate is garbage: a tenth of a start."""
+    It would be a tenth of a start.
+    """
     gc.disable()
 
 
 def resume_garbage_collection() -> None:
-    """From now on garbage is collected; what the libraries allocated is not gone through again."""
+    """Collects garbage from now on, without what the libraries allocated."""
     gc.freeze()
     gc.enable()
 
 
 def take_socket(address: str) -> socket.socket:
-    """The listening socket of an address, bound now if that was not done before; raises OSError."""
+    """The listening socket of an address, bound now if that was not done before.
+
+    Args:
+        address: `host:port`.
+
+    Raises:
+        OSError: the address can't be listened at.
+    """
     return _sockets.pop(address, None) or bind(address)
--- a/crowwing/tier/store/decisions.py
+++ b/crowwing/tier/store/decisions.py
@@ -27,7 +27,7 @@
         return Decision((), commands.Done())  # the same change again
     parsed = parse_configuration(command.text)
     if isinstance(parsed, InvalidConfiguration):
-        return Decision((), commands.Rejected(400, f"{parsed.place}: {parsed.reason}"))
+        return Decision((), commands.Rejected(400, f"{parsed.location}: {parsed.reason}"))
     if parsed.version <= state.changes.forgotten:
         return Decision(
             (), commands.Indeterminate(f"version {parsed.version} is too old to tell whether it was taken")
--- a/crowwing/tier/store/machine.py
+++ b/crowwing/tier/store/machine.py
@@ -13,9 +13,9 @@
 from crowwing.tier.distribution.relay import Relay
 from crowwing.tier.distribution.root_tracker import RootRole
 from crowwing.tier.distribution.sampling import Peer
-from crowwing.tier.early import started_at
 from crowwing.tier.replication.replica_state import Role
 from crowwing.tier.settings import Settings
+from crowwing.tier.startup import started_at
 from crowwing.tier.storage.errors import StorageError
 from crowwing.tier.store import commands
 from crowwing.tier.store.disk import Disk
--- a/crowwing/tier/store/main.py
+++ b/crowwing/tier/store/main.py
@@ -8,8 +8,8 @@
 
 import httpx
 
+from crowwing.tier.http_client import NO_CERTIFICATES
 from crowwing.tier.http_server import make_server, serve_until
-from crowwing.tier.plain_http import NO_CERTIFICATES
 from crowwing.tier.platform_list import read_list
 from crowwing.tier.process import Tasks, watch_signals
 from crowwing.tier.settings import MEGABYTE, Settings
--- a/crowwing/tier/store/node.py
+++ b/crowwing/tier/store/node.py
@@ -9,7 +9,6 @@
 from typing import Any
 
 from crowwing.tier.clock import SYSTEM_CLOCK, Clock
-from crowwing.tier.early import started_at
 from crowwing.tier.replication.messages import (
     AppendRequest,
     Message,
@@ -20,6 +19,7 @@
 )
 from crowwing.tier.replication.replica import Replica
 from crowwing.tier.replication.replica_state import Output, Role
+from crowwing.tier.startup import started_at
 from crowwing.tier.state.views import TierState
 from crowwing.tier.storage.errors import StorageError
 from crowwing.tier.store import commands
--- a/tests/tier/test_decisions.py
+++ b/tests/tier/test_decisions.py
@@ -100,7 +100,7 @@
 )
 def test_an_invalid_configuration_is_refused_with_the_place(text: bytes, place: str) -> None:
     parsed = parse_configuration(text)
-    assert isinstance(parsed, InvalidConfiguration) and parsed.place == place
+    assert isinstance(parsed, InvalidConfiguration) and parsed.location == place
     state = TierState()
     assert put(state, 0, text).status == 400 and state.version == 0
 
--- a/tests/tier/test_dispatch.py
+++ b/tests/tier/test_dispatch.py
@@ -86,7 +86,7 @@
         (),
         deadline,
         attempts,
-        retries_errors=route.repeatable,
+        retries_errors=route.is_idempotent,
     )
 
 
