--- a/crowwing/tier/store/decisions.py
+++ b/crowwing/tier/store/decisions.py
@@ -44,7 +44,7 @@
         return DONE
     parsed = parse_configuration(command.text)
     if isinstance(parsed, InvalidConfiguration):
-        return _rejected(400, f"{parsed.place}: {parsed.reason}")
+        return _rejected(400, f"{parsed.location}: {parsed.reason}")
     if parsed.version <= state.changes.forgotten:
         reason = f"version {parsed.version} is too old to tell whether it was taken"
         return Decision((), outcomes.Indeterminate(reason))
--- a/crowwing/tier/store/disk.py
+++ b/crowwing/tier/store/disk.py
@@ -8,8 +8,10 @@
 
 from crowwing.tier.clock import SYSTEM_CLOCK, Clock
 from crowwing.tier.replication.records import Record
+from crowwing.tier.storage.compaction import CompactedFile
+from crowwing.tier.storage.errors import StorageError
 from crowwing.tier.storage.files import OS_FILES, Files
-from crowwing.tier.storage.record_file import RecordFile, Replacement, StorageError
+from crowwing.tier.storage.record_file import RecordFile
 from crowwing.tier.store.workers import DiskWorkers, PendingResult, ThreadWorkers
 from crowwing.tier.wire.codec import decode, encode
 
@@ -28,7 +30,7 @@
 class Compaction:
     """A replacement of the file that is being written beside it."""
 
-    replacement: PendingResult[Replacement]
+    replacement: PendingResult[CompactedFile]
     written_meanwhile: list[
         bytes
     ]  # what was appended to the file since, and has to follow in the replacement
@@ -126,8 +128,8 @@
 
     # What the workers run
 
-    def _prepare_replacement(self, records: Iterable[Record]) -> Replacement:
-        return self._file.prepare(encode(record) for record in records)
+    def _prepare_replacement(self, records: Iterable[Record]) -> CompactedFile:
+        return self._file.prepare_compaction(encode(record) for record in records)
 
     def _finish_compaction(self, compaction: Compaction, payloads: list[bytes]) -> None:
         """Switches to the replacement, or goes on with the file where that fails.
@@ -145,12 +147,12 @@
             self._compact_after = self._clock.monotonic() + COMPACTION_RETRY_S
             self._file.append(payloads)
             return
-        self._file.switch(replacement)
+        self._file.install(replacement)
         self._compacted_bytes = compacted_bytes
         log.info("compaction_completed size_bytes=%d", self._file.size)
 
     def _replace_file(self, records: Iterable[Record]) -> None:
-        self._file.rewrite(encode(record) for record in records)
+        self._file.compact(encode(record) for record in records)
         self._compacted_bytes = self._file.size
 
 
--- a/crowwing/tier/store/disk_writer.py
+++ b/crowwing/tier/store/disk_writer.py
@@ -8,7 +8,7 @@
 from crowwing.tier.replication.records import Record
 from crowwing.tier.replication.replica import Replica
 from crowwing.tier.state.tier_state import TierState
-from crowwing.tier.storage.record_file import StorageError
+from crowwing.tier.storage.errors import StorageError
 from crowwing.tier.store.disk import Disk
 
 log = logging.getLogger("crowwing.store")
--- a/crowwing/tier/store/environment.py
+++ b/crowwing/tier/store/environment.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from crowwing.tier.clock import SYSTEM_CLOCK, Clock
-from crowwing.tier.early import started_at
+from crowwing.tier.startup import started_at
 from crowwing.tier.wire.network import TCP, Network
 
 
--- a/crowwing/tier/store/machine.py
+++ b/crowwing/tier/store/machine.py
@@ -6,11 +6,14 @@
 from typing import Any
 
 from crowwing.tier.distribution.documents import Documents
-from crowwing.tier.distribution.relay import AttachRequest, DocumentPush, Relay, RootHeartbeat, ShuffleRequest
+from crowwing.tier.distribution.environment import RelayEnvironment
+from crowwing.tier.distribution.messages import RELAY_MESSAGES
+from crowwing.tier.distribution.relay import Relay
+from crowwing.tier.distribution.root_tracker import RootRole
 from crowwing.tier.distribution.sampling import Peer
 from crowwing.tier.replication.core import Role
 from crowwing.tier.settings import Settings
-from crowwing.tier.storage.record_file import StorageError
+from crowwing.tier.storage.errors import StorageError
 from crowwing.tier.store import commands
 from crowwing.tier.store.disk import Disk
 from crowwing.tier.store.disk_writer import DISK_RETRY_INTERVAL_S
@@ -19,13 +22,14 @@
 from crowwing.tier.store.message_sender import ReplicaConnections
 from crowwing.tier.store.node import ReplicaIdentity, ReplicaNode
 from crowwing.tier.store.service import StoreService
-from crowwing.tier.wire.connection import Connection, ConnectionPool, serve
+from crowwing.tier.wire.connection import Connection
+from crowwing.tier.wire.connection_pool import ConnectionPool
 from crowwing.tier.wire.network import Listener
+from crowwing.tier.wire.server import serve
 
 log = logging.getLogger("crowwing.store")
 
 STORE_ROLE = "store"
-RELAY_MESSAGES = (AttachRequest, RootHeartbeat, DocumentPush, ShuffleRequest)
 
 
 class StoreMachine:
@@ -57,18 +61,13 @@
 
     def _make_relay(self) -> Relay:
         peer = Peer(self._settings.ip, STORE_ROLE, self._settings.zone, 0)
-        relay = Relay(
-            peer,
-            self._settings.seed_hosts,
-            self.documents,
-            self._connections.data,
-            self._environment.random,
-            self._environment.clock,
+        environment = RelayEnvironment(
+            self._connections.data, self._environment.random, self._environment.clock
         )
-        relay.root_term_number = self._root_term_number
-        relay.probable_root = lambda: self.node.leader
-        relay.count_fronts = self.service.leasing.count_fronts
-        return relay
+        root_role = RootRole(
+            self._root_term_number, lambda: self.node.leader, self.service.leasing.count_fronts
+        )
+        return Relay(peer, self._settings.seed_hosts, self.documents, environment, root_role)
 
     def _root_term_number(self) -> int | None:
         replica = self.node.replica
@@ -76,7 +75,7 @@
 
     def _on_role_changed(self, is_primary: bool) -> None:
         if is_primary:
-            self.relay.on_became_root()
+            self.relay.root_heartbeats.send_now()
 
     def _discover_stores(self) -> Iterable[str]:
         return [peer.host for peer in self.relay.view.peers(STORE_ROLE)]
@@ -94,7 +93,7 @@
 
     def update_seeds(self, hosts: tuple[str, ...]) -> None:
         """Takes over the seeds of changed settings."""
-        self.relay.seeds = hosts
+        self.relay.view.seeds = hosts
         self.node.replica.add_peers(hosts)
 
     async def start(self, is_wanted: Callable[[], bool] = lambda: True) -> Listener:
@@ -134,9 +133,9 @@
             self.node.run_clock(),
             self.service.run_housekeeping(),
             self.service.leasing.run(),
-            self.relay.run_root(),
-            self.relay.run_child(),
-            self.relay.run_shuffles(),
+            self.relay.root_heartbeats.run(),
+            self.relay.parent.run(),
+            self.relay.shuffler.run(),
         ]
         if read_list is not None:
             reader = ListReader(read_list, self.node, self.documents, self._environment.random)
--- a/crowwing/tier/store/message_sender.py
+++ b/crowwing/tier/store/message_sender.py
@@ -11,7 +11,7 @@
     RangesResponse,
     SyncRequest,
 )
-from crowwing.tier.wire.connection import ConnectionPool
+from crowwing.tier.wire.connection_pool import ConnectionPool
 
 DATA_MESSAGES = (AppendRequest, SyncRequest, RangeDigests, RangesResponse)  # which can be long
 
--- a/crowwing/tier/store/node.py
+++ b/crowwing/tier/store/node.py
@@ -9,7 +9,7 @@
 from crowwing.tier.replication.messages import Message
 from crowwing.tier.replication.replica import Replica, ReplicaSettings
 from crowwing.tier.state.tier_state import TierState
-from crowwing.tier.storage.record_file import StorageError
+from crowwing.tier.storage.errors import StorageError
 from crowwing.tier.store import outcomes
 from crowwing.tier.store.decisions import Decision
 from crowwing.tier.store.disk import Disk
--- a/tests/tier/test_decisions.py
+++ b/tests/tier/test_decisions.py
@@ -100,7 +100,7 @@
 )
 def test_an_invalid_configuration_is_rejected_with_the_field(text: bytes, place: str) -> None:
     parsed = parse_configuration(text)
-    assert isinstance(parsed, InvalidConfiguration) and parsed.place == place
+    assert isinstance(parsed, InvalidConfiguration) and parsed.location == place
     state = TierState()
     assert put(state, 0, text).status == 400 and state.version == 0
 
--- a/tests/tier/test_disk_troubles.py
+++ b/tests/tier/test_disk_troubles.py
@@ -10,7 +10,9 @@
 import pytest
 
 from crowwing.tier.replication.core import Role
-from crowwing.tier.storage.record_file import RecordFile, Replacement, StorageError
+from crowwing.tier.storage.compaction import CompactedFile
+from crowwing.tier.storage.errors import StorageError
+from crowwing.tier.storage.record_file import RecordFile
 from crowwing.tier.store import disk_writer
 from crowwing.tier.store.decisions import Decision
 from crowwing.tier.store.disk import Disk
@@ -18,7 +20,7 @@
 from crowwing.tier.store.message_sender import ReplicaConnections
 from crowwing.tier.store.node import ReplicaIdentity, ReplicaNode
 from crowwing.tier.store.outcomes import Done
-from crowwing.tier.wire.connection import ConnectionPool
+from crowwing.tier.wire.connection_pool import ConnectionPool
 from tests.tier.simulation.world import World
 from tests.tier.test_replication import CATCH_UP_S, HOSTS, quick_world
 
@@ -218,7 +220,7 @@
     with monkeypatch.context() as patched:
         patched.setattr("os.replace", no_space)
         with pytest.raises(StorageError):
-            file.rewrite([b"new"])
+            file.compact([b"new"])
     assert not (tmp_path / "state.log.new").exists()
     file.append([b"later"])
     file.close()
@@ -284,13 +286,13 @@
         await disk.write(["old"])
         with monkeypatch.context() as patched:
             if fails == "while it is made":
-                patched.setattr(Replacement, "_sync", no_space)
+                patched.setattr(CompactedFile, "_sync", no_space)
             compacted = SlowPreparation(["all"])
             disk.begin_compaction(compacted)
             await disk.write(["meanwhile"])
             compacted.may_go_on.set()
             await wait_until(lambda: disk._compaction.replacement.done())
-            patched.setattr(Replacement, "_sync", no_space)
+            patched.setattr(CompactedFile, "_sync", no_space)
             await disk.write(["later"])
         await disk.write(["last"])
 
--- a/tests/tier/test_node_concerns.py
+++ b/tests/tier/test_node_concerns.py
@@ -7,7 +7,7 @@
 from crowwing.tier.store.message_sender import MessageSender, ReplicaConnections
 from crowwing.tier.store.pending_decisions import PendingDecisions
 from crowwing.tier.store.role_notifier import RoleNotifier
-from crowwing.tier.wire.connection import ConnectionPool
+from crowwing.tier.wire.connection_pool import ConnectionPool
 
 
 def test_decisions_resolve_up_to_the_commit_index_and_the_others_stay() -> None:
