--- a/crowwing/tier/front/admission.py
+++ b/crowwing/tier/front/admission.py
@@ -12,50 +12,54 @@
 from crowwing.logic.feedback import ENOUGH, SAMPLES, LimitLoop, queue_timeout, step_cut
 from crowwing.ranked_window import RankedWindow
 
-BANDS = 6  # tiers t0 to t5, t0 the most important
-CUT_MOST = 1 - 1 / (4 * BANDS)  # a quarter of the highest band is never cut
-LIMIT_FLOOR, LIMIT_FLOOR_LEAST = 4.0, 1.0  # bounds of the least limit, in requests
+RANK_BANDS = 6  # tiers t0 to t5, t0 the most important
+MAX_PRIORITY_THRESHOLD = 1 - 1 / (4 * RANK_BANDS)  # a quarter of the highest band is never cut
+MAX_LIMIT_FLOOR, MIN_LIMIT_FLOOR = 4.0, 1.0  # bounds of the least limit, in requests
 LIMIT_FLOOR_SHARE = 0.25  # of a front's even part of the slots, which the limit never falls under
 LIMIT_GAINS = 20.0, 0.05, 0.5, 0.0  # climb in idle slots, proportional, integral and derivative in limits
-WAITING_AIM = 0.1  # of the slots, the requests that may wait at sidecars before the limit falls
-BUSY = 0.9  # part of the slots from which sidecars count as full
-TIMEOUT_AIM = 0.23  # part of the aim, the longest hold of a live request: a refusal in time for another try
-TIMEOUT_LEAST_S = 0.03
-PRESSED_S = 1.0  # after a refusal, in which an admission counts as pressed
+WAITING_SHARE_TARGET = 0.1  # of the slots, the requests that may wait at sidecars before the limit falls
+SATURATED_SHARE = 0.9  # part of the slots from which sidecars count as full
+QUEUE_TIMEOUT_TARGET_SHARE = (
+    0.23  # part of the aim, the longest hold of a live request: a refusal in time for another try
+)
+MIN_QUEUE_TIMEOUT_S = 0.03
+PRESSURE_WINDOW_S = 1.0  # after a refusal, in which an admission counts as pressed
 
 
 @dataclass
-class Ticket:
+class AdmissionRequest:
     """One request or item that asks to be started."""
 
     class_name: str
     rank: float
     arrived: float
-    hold_until: float  # the latest moment at which starting it is worth anything
-    patient: bool  # items of lots wait for a place and are not refused by a queue timeout
+    queue_deadline: float  # the latest moment at which starting it is worth anything
+    is_batch_item: bool  # items of lots wait for a place and are not refused by a queue timeout
     data: Any = None
-    started: bool = False
-    refused: bool = False
+    is_started: bool = False
+    is_rejected: bool = False
 
 
 @dataclass
 class ClassQueue:
     """What is held of one class, and the latencies that its timeout follows."""
 
-    aim_s: float
-    held: list[Ticket] = field(default_factory=list)
+    latency_target_s: float
+    requests: list[AdmissionRequest] = field(default_factory=list)
     latencies: RankedWindow[float] = field(default_factory=lambda: RankedWindow(SAMPLES))
     timeout_s: float = 0.0
 
     def __post_init__(self) -> None:
-        self.timeout_s = TIMEOUT_AIM * self.aim_s
+        self.timeout_s = QUEUE_TIMEOUT_TARGET_SHARE * self.latency_target_s
 
     def learn(self, latency_s: float) -> None:
         """Takes in the time to the first event of one run."""
         self.latencies.add(latency_s)
         if len(self.latencies) >= ENOUGH:
-            most = TIMEOUT_AIM * self.aim_s
-            self.timeout_s = queue_timeout(self.latencies.ranked, self.aim_s, TIMEOUT_LEAST_S, most)
+            max_timeout_s = QUEUE_TIMEOUT_TARGET_SHARE * self.latency_target_s
+            self.timeout_s = queue_timeout(
+                self.latencies.ranked, self.latency_target_s, MIN_QUEUE_TIMEOUT_S, max_timeout_s
+            )
 
 
 @dataclass(frozen=True)
@@ -68,25 +72,25 @@
 
 
 @dataclass(frozen=True)
-class Places:
+class FreeSlots:
     """How many more requests the sidecars can take: live ones, and items of lots, which leave some free."""
 
     live: int
-    patient: int
+    batch: int
 
 
 def rank_of(priority: int, spread: float) -> float:
     """The rank of a request: its tier's band, and a place within it from `spread` (0 to 1)."""
-    tier = min(max(priority, 0), BANDS - 1)
-    return (BANDS - 1 - tier + min(max(spread, 0.0), 0.999)) / BANDS
+    tier = min(max(priority, 0), RANK_BANDS - 1)
+    return (RANK_BANDS - 1 - tier + min(max(spread, 0.0), 0.999)) / RANK_BANDS
 
 
-def limit_floor(share: float) -> float:
+def compute_min_limit(share: float) -> float:
     """The least limit of a front whose even part of the slots is `share`.
 
     What all fronts may send at least is a part of what there is, so that their loops can turn work away.
     """
-    return min(LIMIT_FLOOR, max(LIMIT_FLOOR_LEAST, LIMIT_FLOOR_SHARE * share))
+    return min(MAX_LIMIT_FLOOR, max(MIN_LIMIT_FLOOR, LIMIT_FLOOR_SHARE * share))
 
 
 class Admission:
@@ -94,130 +98,143 @@
 
     def __init__(self, now: float, share: float) -> None:
         """`share`: this front's even part of the slots."""
-        self.floor = limit_floor(share)
-        self.limit = max(self.floor, share)
+        self.min_limit = compute_min_limit(share)
+        self.limit = max(self.min_limit, share)
         self._limit_loop = LimitLoop(*LIMIT_GAINS)
-        self.cut = self._cut_base = 0.0
+        self.priority_threshold = self._threshold_base = 0.0
         self.inflight = 0
-        self.refused, self.refused_at = 0, -1e9
+        self.rejected_count, self.last_rejected_at = 0, -1e9
         self.load = Load(0.0, 0.0, 1.0)
-        self.ceiling = max(self.floor, share)
+        self.max_limit = max(self.min_limit, share)
         self._classes: dict[str, ClassQueue] = {}
-        self.stepped = now
-        self._outwait = 0.0
+        self.last_step_at = now
+        self._max_wait_ratio = 0.0
 
-    def class_queue(self, name: str, aim_s: float) -> ClassQueue:
+    def class_queue(self, name: str, latency_target_s: float) -> ClassQueue:
         """The queue of a class, made when first asked for."""
         queue = self._classes.get(name)
-        if queue is None or queue.aim_s != aim_s:
-            held = queue.held if queue is not None else []
-            queue = self._classes[name] = ClassQueue(aim_s, held)
+        if queue is None or queue.latency_target_s != latency_target_s:
+            queued = queue.requests if queue is not None else []
+            queue = self._classes[name] = ClassQueue(latency_target_s, queued)
         return queue
 
     @property
-    def held(self) -> int:
+    def queued_count(self) -> int:
         """How many tickets wait."""
-        return sum(len(queue.held) for queue in self._classes.values())
+        return sum(len(queue.requests) for queue in self._classes.values())
 
     @property
-    def live_held(self) -> int:
+    def queued_live_count(self) -> int:
         """How many live requests wait."""
-        return sum(1 for queue in self._classes.values() for ticket in queue.held if not ticket.patient)
+        return sum(
+            1 for queue in self._classes.values() for request in queue.requests if not request.is_batch_item
+        )
 
     @property
-    def room(self) -> int:
+    def free_capacity(self) -> int:
         """How many more tickets could start now."""
-        return max(0, int(self.limit) - self.inflight - self.held)
+        return max(0, int(self.limit) - self.inflight - self.queued_count)
 
     @property
-    def saturated(self) -> bool:
+    def is_saturated(self) -> bool:
         """Whether the sidecars' slots are full."""
-        return self.load.running + self.load.waiting >= BUSY * self.load.slots
+        return self.load.running + self.load.waiting >= SATURATED_SHARE * self.load.slots
 
-    def pressed(self, now: float) -> bool:
+    def is_under_pressure(self, now: float) -> bool:
         """Whether work waits or was refused lately, or the cut is up."""
-        return self.held > 0 or self.cut > 0 or now - self.refused_at < PRESSED_S
+        return (
+            self.queued_count > 0
+            or self.priority_threshold > 0
+            or now - self.last_rejected_at < PRESSURE_WINDOW_S
+        )
 
-    def arrive(self, now: float, ticket: Ticket, aim_s: float) -> bool:
+    def arrive(self, now: float, request: AdmissionRequest, latency_target_s: float) -> bool:
         """Takes a ticket into the hold; False where it is refused at once."""
-        queue = self.class_queue(ticket.class_name, aim_s)
-        if not ticket.patient and ticket.rank < self.cut:
-            ticket.refused = True
-            self._note_refused(now)
+        queue = self.class_queue(request.class_name, latency_target_s)
+        if not request.is_batch_item and request.rank < self.priority_threshold:
+            request.is_rejected = True
+            self._count_rejection(now)
             return False
-        queue.held.append(ticket)
+        queue.requests.append(request)
         return True
 
-    def _note_refused(self, now: float) -> None:
-        self.refused += 1
-        self.refused_at = now
+    def _count_rejection(self, now: float) -> None:
+        self.rejected_count += 1
+        self.last_rejected_at = now
 
-    def remove(self, ticket: Ticket) -> None:
+    def remove(self, request: AdmissionRequest) -> None:
         """A held ticket's caller has gone."""
-        queue = self._classes.get(ticket.class_name)
-        if queue is not None and ticket in queue.held:
-            queue.held.remove(ticket)
+        queue = self._classes.get(request.class_name)
+        if queue is not None and request in queue.requests:
+            queue.requests.remove(request)
 
-    def expire(self, now: float) -> list[Ticket]:
+    def expire(self, now: float) -> list[AdmissionRequest]:
         """Takes out the held tickets whose time is up; they are to be refused."""
-        expired: list[Ticket] = []
+        expired: list[AdmissionRequest] = []
         for queue in self._classes.values():
-            for ticket in queue.held[:]:
-                patience = self._patience(queue, ticket)
+            for request in queue.requests[:]:
+                patience = self._queue_deadline(queue, request)
                 if now >= patience:
-                    queue.held.remove(ticket)
-                    ticket.refused = True
-                    self._note_refused(now)
-                    expired.append(ticket)
-                    if not ticket.patient:
-                        self._outwait = max(self._outwait, (now - ticket.arrived) / queue.timeout_s)
+                    queue.requests.remove(request)
+                    request.is_rejected = True
+                    self._count_rejection(now)
+                    expired.append(request)
+                    if not request.is_batch_item:
+                        self._max_wait_ratio = max(
+                            self._max_wait_ratio, (now - request.arrived) / queue.timeout_s
+                        )
         return expired
 
     @staticmethod
-    def _patience(queue: ClassQueue, ticket: Ticket) -> float:
-        if ticket.patient:
-            return ticket.hold_until
-        return min(ticket.arrived + queue.timeout_s, ticket.hold_until)
+    def _queue_deadline(queue: ClassQueue, request: AdmissionRequest) -> float:
+        if request.is_batch_item:
+            return request.queue_deadline
+        return min(request.arrived + queue.timeout_s, request.queue_deadline)
 
-    def start(self, now: float, places: Places) -> list[Ticket]:
+    def start(self, now: float, free_slots: FreeSlots) -> list[AdmissionRequest]:
         """Takes out the held tickets that start now, highest rank first, as far as there are places."""
-        started: list[Ticket] = []
-        waiting = [ticket for queue in self._classes.values() for ticket in queue.held]
-        for ticket in sorted(waiting, key=lambda ticket: -ticket.rank):
-            left = places.patient if ticket.patient else places.live
+        started: list[AdmissionRequest] = []
+        waiting = [request for queue in self._classes.values() for request in queue.requests]
+        for request in sorted(waiting, key=lambda request: -request.rank):
+            left = free_slots.batch if request.is_batch_item else free_slots.live
             if self.inflight >= int(self.limit) or len(started) >= left:
                 break
-            self._classes[ticket.class_name].held.remove(ticket)
-            ticket.started = True
+            self._classes[request.class_name].requests.remove(request)
+            request.is_started = True
             self.inflight += 1
-            started.append(ticket)
+            started.append(request)
         return started
 
-    def ended(self, ticket: Ticket) -> None:
+    def ended(self, request: AdmissionRequest) -> None:
         """A started ticket has left its sidecar."""
         self.inflight -= 1
 
-    def steer(self, now: float, load: Load, survived: float, fronts: int = 1) -> None:
+    def step(self, now: float, load: Load, max_inflight: float, fronts: int = 1) -> None:
         """One step of the loops.
 
         `survived`: the most requests of this front that the sidecars bear; `fronts`: how many steer alike.
         """
-        dt = min(0.2, now - self.stepped)
-        self.stepped, self.load = now, load
-        self.floor = limit_floor(load.slots / fronts)
-        self.ceiling = max(self.floor, survived)
-        waits = any(queue.held for queue in self._classes.values())
-        idle = max(0.0, BUSY * load.slots - load.running - load.waiting)
-        error = max(-1.0, 1.0 - load.waiting / (WAITING_AIM * max(1.0, load.slots)))
+        dt = min(0.2, now - self.last_step_at)
+        self.last_step_at, self.load = now, load
+        self.min_limit = compute_min_limit(load.slots / fronts)
+        self.max_limit = max(self.min_limit, max_inflight)
+        waits = any(queue.requests for queue in self._classes.values())
+        idle = max(0.0, SATURATED_SHARE * load.slots - load.running - load.waiting)
+        error = max(-1.0, 1.0 - load.waiting / (WAITING_SHARE_TARGET * max(1.0, load.slots)))
         self.limit = self._limit_loop.step(self.limit, dt, idle / fronts, waits, error, self.limit)
-        stuck = self.limit >= self.ceiling or idle <= 0
-        self.limit = min(max(self.limit, self.floor), self.ceiling)
-        outwait, self._outwait = self._outwait, 0.0
+        stuck = self.limit >= self.max_limit or idle <= 0
+        self.limit = min(max(self.limit, self.min_limit), self.max_limit)
+        max_wait_ratio, self._max_wait_ratio = self._max_wait_ratio, 0.0
         for queue in self._classes.values():
-            for ticket in queue.held:
-                if not ticket.patient:
-                    outwait = max(outwait, (now - ticket.arrived) / queue.timeout_s)
-        idle_part = idle / max(1.0, load.slots)
-        self._cut_base, self.cut = step_cut(
-            self._cut_base, dt, outwait, self.saturated and stuck, idle_part, CUT_MOST
+            for request in queue.requests:
+                if not request.is_batch_item:
+                    max_wait_ratio = max(max_wait_ratio, (now - request.arrived) / queue.timeout_s)
+        idle_share = idle / max(1.0, load.slots)
+        self._threshold_base, self.priority_threshold = step_cut(
+            self._threshold_base,
+            dt,
+            max_wait_ratio,
+            self.is_saturated and stuck,
+            idle_share,
+            MAX_PRIORITY_THRESHOLD,
         )
--- a/crowwing/tier/front/asgi.py
+++ b/crowwing/tier/front/asgi.py
@@ -9,15 +9,15 @@
 Headers = list[tuple[bytes, bytes]]
 
 
-class ClientGone(Exception):
+class ClientDisconnectedError(Exception):
     """The client closed its connection."""
 
 
-class BodyTooLarge(Exception):
+class BodyTooLargeError(Exception):
     """The client sends more than the configuration allows."""
 
 
-class BodyTooSlow(Exception):
+class BodyTimeoutError(Exception):
     """The client has sent nothing of its body for too long."""
 
 
@@ -46,25 +46,25 @@
         return (self.header(b"host") or b"").decode("latin-1")
 
 
-async def read_body(receive: Receive, most: int, silence_s: float) -> bytes:
+async def read_body(receive: Receive, max_bytes: int, timeout_s: float) -> bytes:
     """The whole body; raises ClientGone, BodyTooLarge, or BodyTooSlow after `silence_s` without a byte."""
-    parts: list[bytes] = []
+    chunks: list[bytes] = []
     size = 0
     while True:
         try:
-            async with asyncio.timeout(silence_s):
+            async with asyncio.timeout(timeout_s):
                 message = await receive()
         except TimeoutError:
-            raise BodyTooSlow from None
+            raise BodyTimeoutError from None
         if message["type"] == "http.disconnect":
-            raise ClientGone
-        part = message.get("body", b"")
-        size += len(part)
-        if size > most:
-            raise BodyTooLarge
-        parts.append(part)
+            raise ClientDisconnectedError
+        chunk = message.get("body", b"")
+        size += len(chunk)
+        if size > max_bytes:
+            raise BodyTooLargeError
+        chunks.append(chunk)
         if not message.get("more_body"):
-            return b"".join(parts)
+            return b"".join(chunks)
 
 
 async def wait_disconnect(receive: Receive) -> None:
@@ -86,7 +86,7 @@
     await respond(send, status, json.dumps(value).encode(), typed)
 
 
-async def refuse(send: Send, reason: str, retry_after_s: float, closes: bool = False) -> None:
+async def respond_unavailable(send: Send, reason: str, retry_after_s: float, closes: bool = False) -> None:
     """Promises that the request has not run and never will, and says when to come back."""
     headers = [(b"retry-after", f"{retry_after_s:.3f}".encode())]
     if closes:
--- a/crowwing/tier/front/batch_api.py
+++ b/crowwing/tier/front/batch_api.py
@@ -10,18 +10,18 @@
 from litestar.types import Send
 
 from crowwing.tier.configuration import Route
-from crowwing.tier.front.asgi import ClientRequest, refuse, respond, respond_json
+from crowwing.tier.front.asgi import ClientRequest, respond, respond_json, respond_unavailable
 from crowwing.tier.front.store_client import StoreClient
 from crowwing.tier.state.events import BatchItem
 from crowwing.tier.store import commands
 
 log = logging.getLogger("crowwing.batch")
 
-MOST_ITEMS = 200
+MAX_ITEMS = 200
 SUBMIT_LIMIT_S, READ_LIMIT_S = 2.5, 1.3
 BATCH_JOBS_PATH, ITEMS = "/lots/", "/items/"
-MOST_WAIT_MS = 1000
-COME_BACK_S = 0.2
+MAX_WAIT_MS = 1000
+RETRY_AFTER_S = 0.2
 
 
 class MalformedBatchJobError(Exception):
@@ -35,8 +35,8 @@
         items = tuple(parse_item(entry) for entry in requests)
     except (ValueError, KeyError, TypeError, AttributeError, binascii.Error) as error:
         raise MalformedBatchJobError(f"{type(error).__name__}: {error}") from error
-    if not 0 < len(items) <= MOST_ITEMS:
-        raise MalformedBatchJobError(f"requests: 1 to {MOST_ITEMS} are taken, these are {len(items)}")
+    if not 0 < len(items) <= MAX_ITEMS:
+        raise MalformedBatchJobError(f"requests: 1 to {MAX_ITEMS} are taken, these are {len(items)}")
     if len({item.id for item in items}) < len(items):
         raise MalformedBatchJobError("requests: two have the same id")
     return items
@@ -72,21 +72,23 @@
         outcome = await self._store.call(
             commands.SubmitBatchJob(job, request.host, request.path, items), SUBMIT_LIMIT_S
         )
-        await self._tell(outcome, send, 202)
+        await self._respond(outcome, send, 202)
 
     async def serve_without_route(self, request: ClientRequest, send: Send) -> bool:
         """Reads and ends of lots; False where the path is none of these."""
         if request.path.startswith(BATCH_JOBS_PATH) and request.method in ("GET", "DELETE"):
             job = unquote(request.path[len(BATCH_JOBS_PATH) :])
             if request.method == "DELETE":
-                await self._tell(await self._store.call(commands.EndBatchJob(job), SUBMIT_LIMIT_S), send, 200)
+                await self._respond(
+                    await self._store.call(commands.EndBatchJob(job), SUBMIT_LIMIT_S), send, 200
+                )
             else:
                 await self._read(job, request, send)
             return True
         if request.path.startswith(ITEMS) and request.method == "GET":
             wanted = first_value(request.query, "id")
             command = commands.ReadItemBody(unquote(request.path[len(ITEMS) :]), wanted or "")
-            await self._tell(await self._store.call(command, READ_LIMIT_S), send, 200)
+            await self._respond(await self._store.call(command, READ_LIMIT_S), send, 200)
             return True
         return False
 
@@ -96,7 +98,7 @@
         if not start.isdigit() or not wait.isdigit():
             await respond_json(send, 400, {"error": "startAfter and Wait-Ms: must be whole numbers"})
             return
-        wait_ms = min(int(wait), MOST_WAIT_MS)
+        wait_ms = min(int(wait), MAX_WAIT_MS)
         command = commands.ReadBatchJob(job_id, int(start), wait_ms)
         limit_s = wait_ms / 1000 + READ_LIMIT_S
         outcome = await self._store.call(command, limit_s, answer_s=wait_ms / 1000 + 0.6)
@@ -105,10 +107,10 @@
             page = {"total": outcome.total, "nextToken": int(start) + len(results), "results": results}
             await respond_json(send, 200, page)
         else:
-            await self._tell(outcome, send, 200)
+            await self._respond(outcome, send, 200)
 
     @staticmethod
-    async def _tell(outcome: object, send: Send, done: int) -> None:
+    async def _respond(outcome: object, send: Send, done: int) -> None:
         match outcome:
             case commands.Done():
                 await respond_json(send, done, {})
@@ -121,7 +123,7 @@
             case commands.Indeterminate(reason):
                 await respond_json(send, 504, {"error": reason})
             case _:
-                await refuse(send, "no store machine decides at this moment", COME_BACK_S)
+                await respond_unavailable(send, "no store machine decides at this moment", RETRY_AFTER_S)
 
 
 def first_value(query: bytes, name: str) -> str | None:
--- a/crowwing/tier/front/batch_job_runner.py
+++ b/crowwing/tier/front/batch_job_runner.py
@@ -8,25 +8,25 @@
 from typing import Any
 
 from crowwing.tier.configuration import Route, choose_service
-from crowwing.tier.front.admission import Ticket, rank_of
-from crowwing.tier.front.dispatch import Dispatcher, Job, Running
+from crowwing.tier.front.admission import AdmissionRequest, rank_of
+from crowwing.tier.front.dispatch import Dispatcher, OpenResponse, SidecarRequest
 from crowwing.tier.front.service_pool import ServicePool
-from crowwing.tier.front.sidecars import parse_prompt
+from crowwing.tier.front.sidecars import parse_prompt_prefix
 from crowwing.tier.front.store_client import StoreClient
-from crowwing.tier.front.upstream import Headers, StreamBroken, read_body
+from crowwing.tier.front.upstream import Headers, StreamBrokenError, read_body
 from crowwing.tier.state.events import COMPLETED, DEAD_LETTER, ItemResult
 from crowwing.tier.store import commands
 
 log = logging.getLogger("crowwing.lots")
 
 LEASE_WAIT_MS = 600
-HOLD_S = 2.0  # in the front's hold, after which an item goes back
-RESUMED_HOLD_S = 10.0  # the same for one that has given way and keeps what it has
+QUEUE_TIMEOUT_S = 2.0  # in the front's hold, after which an item goes back
+RESUMED_QUEUE_TIMEOUT_S = 10.0  # the same for one that has given way and keeps what it has
 RUN_LIMIT_S = 30.0
-REPORT_LIMIT_S = 4.0
-PAUSE_S, SHORT_PAUSE_S = 0.15, 0.02
-TELL_S = 1.0  # a front without room calls the primary so often, which counts its callers
-RENEW_S = 0.45  # the same while it runs items, whose leases last 1.8 s
+REPORT_TIMEOUT_S = 4.0
+POLL_INTERVAL_S, MIN_POLL_INTERVAL_S = 0.15, 0.02
+IDLE_CALL_INTERVAL_S = 1.0  # a front without room calls the primary so often, which counts its callers
+LEASE_RENEWAL_INTERVAL_S = 0.45  # the same while it runs items, whose leases last 1.8 s
 GONE_STATUS = 422
 RUN_ATTEMPTS = 4  # sidecars that one run may go on at
 ATTEMPT_BYTES = 6  # drawn by chance, that name an attempt
@@ -35,17 +35,17 @@
 Report = commands.ReportItemResult | commands.ReportItemFailure
 
 
-def is_call_due(room: int, running: int, quiet_s: float) -> bool:
+def is_call_due(free_capacity: int, running: int, quiet_s: float) -> bool:
     """Whether a front calls the primary now; `quiet_s` is the time since its last call.
 
     `running`: the items that it has something to tell of.
     """
-    return room > 0 or quiet_s >= (RENEW_S if running else TELL_S)
+    return free_capacity > 0 or quiet_s >= (LEASE_RENEWAL_INTERVAL_S if running else IDLE_CALL_INTERVAL_S)
 
 
 def pause_after(items: int, waited_s: float) -> float:
     """Seconds until a front looks again; an empty answer that came at once is no reason to ask at once."""
-    return SHORT_PAUSE_S if items else max(SHORT_PAUSE_S, PAUSE_S - waited_s)
+    return MIN_POLL_INTERVAL_S if items else max(MIN_POLL_INTERVAL_S, POLL_INTERVAL_S - waited_s)
 
 
 class BatchJobRunner:
@@ -60,21 +60,23 @@
 
     async def run(self) -> None:
         """Leases items for as long as there is room for them, and is heard by the primary in any case."""
-        told_at = -TELL_S
+        reported_at = -IDLE_CALL_INTERVAL_S
         while True:
-            room = 0 if self.draining else self._room()
-            quiet_s = time.monotonic() - told_at
+            free_capacity = 0 if self.draining else self._free_slot_count()
+            quiet_s = time.monotonic() - reported_at
             told = len(self._running) + len(self._given_up)
-            if not is_call_due(room, told, quiet_s):
-                await asyncio.sleep(PAUSE_S)
+            if not is_call_due(free_capacity, told, quiet_s):
+                await asyncio.sleep(POLL_INTERVAL_S)
                 continue
-            told_at = time.monotonic()
-            wait_ms = LEASE_WAIT_MS if room else LEASE_WAIT_MS // 2
+            reported_at = time.monotonic()
+            wait_ms = LEASE_WAIT_MS if free_capacity else LEASE_WAIT_MS // 2
             given_up = tuple(self._given_up)
-            command = commands.LeaseItemsRequest(self._name, room, tuple(self._running), wait_ms, given_up)
+            command = commands.LeaseItemsRequest(
+                self._name, free_capacity, tuple(self._running), wait_ms, given_up
+            )
             outcome = await self._store.call(command, 2.0, answer_s=1.2)
             if not isinstance(outcome, commands.LeaseItemsResponse):
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
                 continue
             self._given_up.difference_update(given_up)
             for key in outcome.stop:
@@ -83,9 +85,9 @@
                     task.cancel()
             for leased in outcome.items:
                 self._start(leased)
-            await asyncio.sleep(pause_after(len(outcome.items), time.monotonic() - told_at))
+            await asyncio.sleep(pause_after(len(outcome.items), time.monotonic() - reported_at))
 
-    def _room(self) -> int:
+    def _free_slot_count(self) -> int:
         table = self._pool.table
         if table is None or not self._pool.listed:
             return 0
@@ -97,15 +99,15 @@
         }
         now = time.monotonic()
         sidecars = self._pool.sidecars
-        rooms = [
+        free_counts = [
             min(
-                self._pool.admission(service).room,
-                sidecars.places(service, now).patient,
-                sidecars.item_share(service) - len(self._running),
+                self._pool.admission(service).free_capacity,
+                sidecars.free_slots(service, now).batch,
+                sidecars.max_batch_items(service) - len(self._running),
             )
             for service in services
         ]
-        return max(0, max(rooms, default=0))
+        return max(0, max(free_counts, default=0))
 
     def _start(self, leased: commands.LeasedItem) -> None:
         key = (leased.job_id, leased.item.id)
@@ -127,7 +129,7 @@
         table = self._pool.table
         route = table.find(leased.host, leased.item.path) if table is not None else None
         if route is None:
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             return
         service = choose_service(route, leased.item.id.encode())
         run = ItemRun(leased, make_job(leased, route, service))
@@ -137,14 +139,14 @@
 
     async def _run_until_done(self, run: "ItemRun", route: Route, service: str) -> Report | None:
         """Runs an item, going on from its last event each time it had to give way to live requests."""
-        aim_s = (route.completion_slo_ms or route.slo_ms) / 1000
+        latency_target_s = (route.completion_slo_ms or route.slo_ms) / 1000
         while True:
             now = time.monotonic()
-            waited = min(1.0, run.leased.age_ms / 1000 / aim_s)
+            waited = min(1.0, run.leased.age_ms / 1000 / latency_target_s)
             rank = rank_of(route.priority, waited)
-            hold_s = RESUMED_HOLD_S if run.data else HOLD_S
-            ticket = Ticket(route.name, rank, now, now + hold_s, True)
-            if not await self._pool.admit(service, ticket, aim_s):
+            queue_timeout_s = RESUMED_QUEUE_TIMEOUT_S if run.data else QUEUE_TIMEOUT_S
+            admission_request = AdmissionRequest(route.name, rank, now, now + queue_timeout_s, True)
+            if not await self._pool.admit(service, admission_request, latency_target_s):
                 return None
             work = asyncio.ensure_future(self._run_started(run))
             self._pool.add_item(service, work)
@@ -153,7 +155,7 @@
             finally:
                 self._pool.remove_item(service, work)
                 work.cancel()
-                self._pool.ended(service, ticket)
+                self._pool.ended(service, admission_request)
             if not work.cancelled():
                 return work.result()
             run.job.tried.clear()
@@ -163,8 +165,8 @@
     async def _run_started(self, run: "ItemRun") -> Report | None:
         leased, item = run.leased, run.leased.item
         started = await self._dispatcher.open(run.job)
-        if not isinstance(started, Running):
-            await asyncio.sleep(PAUSE_S)
+        if not isinstance(started, OpenResponse):
+            await asyncio.sleep(POLL_INTERVAL_S)
             return None
         status = started.opened.status
         if status == 200:
@@ -172,7 +174,7 @@
         try:
             async for _ in read_body(started.opened):
                 pass
-        except StreamBroken:
+        except StreamBrokenError:
             pass
         finally:
             await self._dispatcher.close(started)
@@ -182,13 +184,13 @@
             return commands.ReportItemFailure(leased.job_id, item.id, secrets.token_hex(ATTEMPT_BYTES))
         return None
 
-    async def _collect(self, run: "ItemRun", started: Running) -> Report | None:
+    async def _collect(self, run: "ItemRun", started: OpenResponse) -> Report | None:
         leased, item = run.leased, run.leased.item
         events = self._dispatcher.events(run.job, started)
         try:
             async for event in events:
                 run.data.append(event.data)
-        except StreamBroken as error:
+        except StreamBrokenError as error:
             log.info("item %s of lot %s broke off: %s", item.id, leased.job_id, error)
             return None
         finally:
@@ -199,7 +201,7 @@
 
     async def _report(self, report: Report) -> None:
         for _ in range(8):
-            outcome: Any = await self._store.call(report, REPORT_LIMIT_S)
+            outcome: Any = await self._store.call(report, REPORT_TIMEOUT_S)
             if isinstance(outcome, commands.Done):
                 return
         log.warning("the result of item %s could not be reported", report.item)
@@ -216,11 +218,11 @@
     """An item on its way: the job, which knows its last event, and the data of all events so far."""
 
     leased: commands.LeasedItem
-    job: Job
+    job: SidecarRequest
     data: list[str] = field(default_factory=list)
 
 
-def make_job(leased: commands.LeasedItem, route: Route, service: str) -> Job:
+def make_job(leased: commands.LeasedItem, route: Route, service: str) -> SidecarRequest:
     """An item as a request for its sidecar."""
     item = leased.item
     headers: Headers = [
@@ -233,5 +235,7 @@
     prompt = next((value for name, value in item.headers if name.lower() == "prompt-prefix"), "")
     deadline = time.monotonic() + RUN_LIMIT_S
     target = item.path.encode("latin-1")
-    parts = parse_prompt(prompt)
-    return Job("POST", target, headers, item.body, request_id, route, service, parts, deadline, RUN_ATTEMPTS)
+    parts = parse_prompt_prefix(prompt)
+    return SidecarRequest(
+        "POST", target, headers, item.body, request_id, route, service, parts, deadline, RUN_ATTEMPTS
+    )
--- a/crowwing/tier/front/client_connection.py
+++ b/crowwing/tier/front/client_connection.py
@@ -32,7 +32,7 @@
         self.timeout_keep_alive = limits.idle_timeout_s
         self._head_bytes = 0
         self._head_timer: asyncio.TimerHandle | None = None
-        self._refused = False
+        self._rejected = False
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
         """A connection that never sends anything rests like one between two requests."""
@@ -51,12 +51,12 @@
 
     def data_received(self, data: bytes) -> None:
         """Counts what comes of a head."""
-        if self._refused:
+        if self._rejected:
             return
         self._head_bytes += len(data)
         super().data_received(data)
         if self._head_timer is not None and self._head_bytes > self._limits.max_header_bytes:
-            self._refuse(431, "Request Header Fields Too Large")
+            self._reject(431, "Request Header Fields Too Large")
 
     def on_message_begin(self) -> None:
         """The first byte of a head has come."""
@@ -70,19 +70,19 @@
         self._head_bytes = 0
         lines = sum(len(name) + len(value) + HEADER_EXTRA_BYTES for name, value in self.headers)
         if len(self.url) + lines > self._limits.max_header_bytes:
-            self._refuse(431, "Request Header Fields Too Large")
+            self._reject(431, "Request Header Fields Too Large")
         else:
             super().on_headers_complete()
 
     def on_body(self, body: bytes) -> None:
         """A part of a body."""
-        if not self._refused:
+        if not self._rejected:
             super().on_body(body)
 
     def on_message_complete(self) -> None:
         """The request is whole; what comes next is another head."""
         self._head_bytes = 0
-        if not self._refused:
+        if not self._rejected:
             super().on_message_complete()
 
     def _stop_head_timer(self) -> None:
@@ -91,12 +91,12 @@
             self._head_timer = None
 
     def _head_too_slow(self) -> None:
-        self._refuse(408, "Request Timeout")
+        self._reject(408, "Request Timeout")
 
-    def _refuse(self, status: int, reason: str) -> None:
+    def _reject(self, status: int, reason: str) -> None:
         """Answers what has not run and never will, and closes the connection."""
         self._stop_head_timer()
-        self._refused = True
+        self._rejected = True
         if self.cycle is not None and not self.cycle.response_complete:
             self.transport.close()  # an answer to an earlier request is under way
             return
--- a/crowwing/tier/front/dispatch.py
+++ b/crowwing/tier/front/dispatch.py
@@ -9,14 +9,14 @@
 from crowwing.tier.configuration import Route
 from crowwing.tier.front.events import EventSplitter, StreamEvent
 from crowwing.tier.front.service_pool import ERROR_STATUS, ServicePool
-from crowwing.tier.front.sidecars import Part, SidecarState
+from crowwing.tier.front.sidecars import PromptBlock, SidecarState
 from crowwing.tier.front.upstream import (
+    AttemptOutcome,
     Headers,
-    MayHaveRun,
-    NotRun,
-    Opened,
-    Outcome,
-    StreamBroken,
+    NotExecuted,
+    ResponseLost,
+    ResponseStarted,
+    StreamBrokenError,
     close_after_answer,
     hop_by_hop,
     read_body,
@@ -24,15 +24,15 @@
 
 log = logging.getLogger("crowwing.dispatch")
 
-MOST_SENDS = 6  # of one try of a client, counting those that did not run
-SILENT_S = 0.6  # without a byte, after which a repeatable request is tried elsewhere
-EVENT_SILENT_S = 1.0  # between the events of one that can go on elsewhere
+MAX_SENDS = 6  # of one try of a client, counting those that did not run
+RESPONSE_TIMEOUT_S = 0.6  # without a byte, after which a repeatable request is tried elsewhere
+EVENT_TIMEOUT_S = 1.0  # between the events of one that can go on elsewhere
 EXPECT_VERSION = b"expect-version"
 DROPPED = {b"deadline-ms", b"target-instance", b"content-length", b"last-event-id"}
 
 
 @dataclass
-class Job:
+class SidecarRequest:
     """What is to be run."""
 
     method: str
@@ -42,9 +42,9 @@
     request_id: bytes
     route: Route
     service: str
-    parts: tuple[Part, ...]
+    parts: tuple[PromptBlock, ...]
     deadline: float  # on the steady clock
-    runs_left: int
+    attempts_left: int
     last_event: int | None = None
     retries_errors: bool = False  # an answer of 5xx is taken as a failed run where another is allowed
     tried: set[str] = field(default_factory=set)
@@ -71,10 +71,10 @@
 
 
 @dataclass
-class Running:
+class OpenResponse:
     """A sidecar answers; `release` when done with it."""
 
-    opened: Opened
+    opened: ResponseStarted
     state: SidecarState
 
 
@@ -84,11 +84,11 @@
     def __init__(self, pool: ServicePool) -> None:
         self._pool = pool
 
-    async def open(self, job: Job) -> Running | NotServed | Failed:
+    async def open(self, job: SidecarRequest) -> OpenResponse | NotServed | Failed:
         """Sends a job until a sidecar begins to answer it."""
         reason = "no sidecar is there"
         may_have_run = False
-        for _ in range(MOST_SENDS):
+        for _ in range(MAX_SENDS):
             now = time.monotonic()
             if now >= job.deadline:
                 reason = "the time is up"
@@ -99,16 +99,16 @@
             job.tried.add(state.entry.id)
             outcome = await self._send(job, state)
             self._pool.count(job.service, outcome)
-            if isinstance(outcome, Opened):
-                running = Running(outcome, state)
+            if isinstance(outcome, ResponseStarted):
+                running = OpenResponse(outcome, state)
                 if not self._is_tried_again(job, outcome):
                     return running
                 await self.close(running)
                 reason, may_have_run = f"status {outcome.status}", True
-                job.runs_left -= 1
+                job.attempts_left -= 1
                 continue
             reason = outcome.reason
-            if isinstance(outcome, NotRun):
+            if isinstance(outcome, NotExecuted):
                 if outcome.status is not None:
                     self._pool.rejected(state, outcome, job.expects_version)
                 elif not outcome.no_connection:
@@ -116,35 +116,35 @@
                 continue
             state.failed(time.monotonic())
             may_have_run = True
-            job.runs_left -= 1
-            if not job.route.repeatable or job.runs_left <= 0:
+            job.attempts_left -= 1
+            if not job.route.repeatable or job.attempts_left <= 0:
                 break
         if may_have_run:
             return Failed(504 if time.monotonic() >= job.deadline else 502, reason)
         return NotServed(reason)
 
     @staticmethod
-    def _is_tried_again(job: Job, opened: Opened) -> bool:
-        return opened.status >= ERROR_STATUS and job.retries_errors and job.runs_left > 1
+    def _is_tried_again(job: SidecarRequest, opened: ResponseStarted) -> bool:
+        return opened.status >= ERROR_STATUS and job.retries_errors and job.attempts_left > 1
 
-    async def _send(self, job: Job, state: SidecarState) -> Outcome:
+    async def _send(self, job: SidecarRequest, state: SidecarState) -> AttemptOutcome:
         client = self._pool.client(state)
         left = job.deadline - time.monotonic()
-        another = job.route.repeatable and job.runs_left > 1
-        limit = min(left, SILENT_S) if another else left
+        another = job.route.repeatable and job.attempts_left > 1
+        limit = min(left, RESPONSE_TIMEOUT_S) if another else left
         number = self._pool.sent(state)
         try:
             async with asyncio.timeout(limit):
                 headers = self._headers(job, state, left)
                 outcome = await client.send(job.method, job.target, headers, job.body, job.request_id)
         except TimeoutError:
-            outcome = MayHaveRun("no answer in time")
+            outcome = ResponseLost("no answer in time")
         except BaseException:
             self._pool.left(state)
             raise
         finally:
             self._pool.head_came(state, number)
-        if isinstance(outcome, Opened):
+        if isinstance(outcome, ResponseStarted):
             self._pool.answered(state, outcome)
             self._pool.sidecars.remember(state, job.parts)
         else:
@@ -152,7 +152,7 @@
         return outcome
 
     @staticmethod
-    def _headers(job: Job, state: SidecarState, left_s: float) -> Headers:
+    def _headers(job: SidecarRequest, state: SidecarState, left_s: float) -> Headers:
         dropped = DROPPED | hop_by_hop(job.headers)
         headers = [(name, value) for name, value in job.headers if name.lower() not in dropped]
         headers.append((b"Deadline-Ms", str(max(1, int(left_s * 1000))).encode()))
@@ -163,12 +163,12 @@
             headers.append((b"Content-Length", str(len(job.body)).encode()))
         return headers
 
-    async def close(self, running: Running) -> None:
+    async def close(self, running: OpenResponse) -> None:
         """Done with an answer; one that has not ended is broken off."""
         self._pool.left(running.state)
         await close_after_answer(running.opened.response)
 
-    async def events(self, job: Job, running: Running) -> AsyncIterator[StreamEvent]:
+    async def events(self, job: SidecarRequest, running: OpenResponse) -> AsyncIterator[StreamEvent]:
         """The whole events of a resumable job, taken up elsewhere where a sidecar breaks off.
 
         Raises StreamBroken where it can't be gone on with. Closes what it opens.
@@ -183,41 +183,41 @@
                         job.last_event = event.id
                     yield event
                 return
-            except (StreamBroken, TimeoutError) as error:
+            except (StreamBrokenError, TimeoutError) as error:
                 running.state.failed(time.monotonic())
-                job.runs_left -= 1
-                if without_id or job.runs_left <= 0 or time.monotonic() >= job.deadline:
-                    raise StreamBroken(str(error)) from error
+                job.attempts_left -= 1
+                if without_id or job.attempts_left <= 0 or time.monotonic() >= job.deadline:
+                    raise StreamBrokenError(str(error)) from error
             finally:
                 await self.close(running)
             resumed = await self.open(job)
-            if not isinstance(resumed, Running):
-                raise StreamBroken(resumed.reason)
+            if not isinstance(resumed, OpenResponse):
+                raise StreamBrokenError(resumed.reason)
             if resumed.opened.status != 200:
                 await self.close(resumed)
-                raise StreamBroken(f"status {resumed.opened.status} on going on")
+                raise StreamBrokenError(f"status {resumed.opened.status} on going on")
             running = resumed
 
     async def _one_run(
-        self, job: Job, running: Running, splitter: EventSplitter
+        self, job: SidecarRequest, running: OpenResponse, splitter: EventSplitter
     ) -> AsyncIterator[StreamEvent]:
         after = job.last_event
-        async for chunk in with_silence_limit(read_body(running.opened), job):
+        async for chunk in with_chunk_timeout(read_body(running.opened), job):
             for event in splitter.feed(chunk):
                 if event.id is not None and after is not None and event.id != after + 1:
-                    raise StreamBroken(f"event {event.id} after {after}")
+                    raise StreamBrokenError(f"event {event.id} after {after}")
                 after = event.id if event.id is not None else after
                 yield event
         if splitter.rest.strip():
-            raise StreamBroken("it ended inside an event")
+            raise StreamBrokenError("it ended inside an event")
 
 
-async def with_silence_limit(chunks: AsyncIterator[bytes], job: Job) -> AsyncIterator[bytes]:
+async def with_chunk_timeout(chunks: AsyncIterator[bytes], job: SidecarRequest) -> AsyncIterator[bytes]:
     """The chunks; raises TimeoutError where none comes for long although another sidecar could go on."""
-    silence = EVENT_SILENT_S
+    silence = EVENT_TIMEOUT_S
     while True:
         left = job.deadline - time.monotonic()
-        limit = min(left, silence) if job.runs_left > 1 else left
+        limit = min(left, silence) if job.attempts_left > 1 else left
         try:
             async with asyncio.timeout(max(0.0, limit)):
                 chunk = await anext(chunks)
--- a/crowwing/tier/front/main.py
+++ b/crowwing/tier/front/main.py
@@ -33,11 +33,11 @@
 log = logging.getLogger("crowwing.front")
 
 RELAYED = (AttachRequest, RootHeartbeat, DocumentPush, ShuffleRequest)
-UNLIST_S = 2.4  # from the notice to leave until the platform sends nobody here any more
+DEREGISTRATION_S = 2.4  # from the notice to leave until the platform sends nobody here any more
 END_MARGIN_S = 0.7  # before the platform kills the process
-OWN_READ_AFTER_S, OWN_READ_EVERY_S = 1.2, 0.9  # without the root, a front reads the list by itself
+LIST_READ_AFTER_S, LIST_READ_INTERVAL_S = 1.2, 0.9  # without the root, a front reads the list by itself
 IDLE_DEFAULT_S = 75.0
-COUNT_EVERY_S = 1.0
+FRONT_COUNT_INTERVAL_S = 1.0
 
 
 class FrontProcess:
@@ -56,7 +56,7 @@
         self.proxy = Proxy(self.pool, BatchApi(self.store))
         self.runner = BatchJobRunner(settings.node, self.pool, self.store)
         self.client_limits = ClientLimits()
-        self.documents.listen(self.take_document)
+        self.documents.listen(self.apply_document)
         self.relay.on_root.append(self.store.moved)
 
     async def handle(self, connection: Connection, body: Any) -> Any:  # noqa: ANN401
@@ -65,7 +65,7 @@
             return await self.relay.handle(connection, body)
         return None
 
-    def take_settings(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """The settings name other seeds now; the rest holds from the next start on."""
         self.relay.seeds = settings.seed_hosts
 
@@ -76,7 +76,7 @@
         self.random.shuffle(hosts)
         return hosts
 
-    def take_document(self, document: Document) -> None:
+    def apply_document(self, document: Document) -> None:
         """A newer document has come."""
         if document.kind == CONFIGURATION:
             parsed = parse_configuration(document.body)
@@ -89,7 +89,7 @@
         elif document.kind == SIDECARS:
             listed = decode(document.body)
             self._count_fronts()
-            self.pool.take_list(listed)
+            self.pool.apply_endpoint_list(listed)
 
     def _count_fronts(self) -> None:
         """As the root counts them, or at least those that shuffles have shown."""
@@ -100,7 +100,7 @@
     async def run_count(self) -> None:
         """Keeps the number of fronts up to date."""
         while True:
-            await asyncio.sleep(COUNT_EVERY_S)
+            await asyncio.sleep(FRONT_COUNT_INTERVAL_S)
             self._count_fronts()
 
     def _apply_limits(self, configuration: Configuration) -> None:
@@ -121,13 +121,13 @@
         assert self.settings.cloud is not None
         client = httpx.AsyncClient(trust_env=False, verify=NO_CERTIFICATES)
         while True:
-            if self.relay.seconds_disconnected >= OWN_READ_AFTER_S or not self.pool.listed:
+            if self.relay.seconds_disconnected >= LIST_READ_AFTER_S or not self.pool.listed:
                 listed = await read_list(client, self.settings.cloud.address)
                 if isinstance(listed, SidecarList):
-                    self.pool.take_list(listed)
+                    self.pool.apply_endpoint_list(listed)
                 else:
                     log.warning("the platform's list: %s", listed.reason)
-            await asyncio.sleep(OWN_READ_EVERY_S * (0.8 + 0.4 * self.random.random()))
+            await asyncio.sleep(LIST_READ_INTERVAL_S * (0.8 + 0.4 * self.random.random()))
 
     async def run(self) -> int:
         """Runs until SIGTERM; gives the exit status."""
@@ -138,7 +138,7 @@
         internal = await serve(settings.ip, settings.internal_port, self.handle)
         for work in (
             self.relay.run_child(), self.relay.run_shuffles(), self.pool.run_loops(), self.runner.run(),
-            self.run_count(), watch_settings(settings_changed, self.take_settings),
+            self.run_count(), watch_settings(settings_changed, self.apply_settings),
         ):  # fmt: skip
             tasks.start(work)
         if settings.cloud is not None:
@@ -167,7 +167,7 @@
         log.info("leaves: %d requests are open", self.proxy.open)
         deadline = time.monotonic() + settings.bounds.grace_s - END_MARGIN_S
         self.proxy.draining = self.runner.draining = True
-        await asyncio.sleep(UNLIST_S)
+        await asyncio.sleep(DEREGISTRATION_S)
         end.set()
         await asyncio.wait(serving, timeout=max(0.1, deadline - time.monotonic()))
         await self.runner.finish(max(0.0, deadline - time.monotonic()))
--- a/crowwing/tier/front/proxy.py
+++ b/crowwing/tier/front/proxy.py
@@ -11,30 +11,30 @@
 from litestar.types import Message, Receive, Scope, Send
 
 from crowwing.tier.configuration import RequestLimits, Route, RoutingTable, choose_service
-from crowwing.tier.front.admission import Ticket, rank_of
+from crowwing.tier.front.admission import AdmissionRequest, rank_of
 from crowwing.tier.front.asgi import (
-    BodyTooLarge,
-    BodyTooSlow,
-    ClientGone,
+    BodyTimeoutError,
+    BodyTooLargeError,
+    ClientDisconnectedError,
     ClientRequest,
     read_body,
-    refuse,
     respond_json,
+    respond_unavailable,
     wait_disconnect,
 )
 from crowwing.tier.front.batch_api import BatchApi
-from crowwing.tier.front.dispatch import Dispatcher, Failed, Job, NotServed, Running
+from crowwing.tier.front.dispatch import Dispatcher, Failed, NotServed, OpenResponse, SidecarRequest
 from crowwing.tier.front.service_pool import ServicePool
-from crowwing.tier.front.sidecars import parse_prompt
-from crowwing.tier.front.upstream import Headers, StreamBroken, hop_by_hop
+from crowwing.tier.front.sidecars import parse_prompt_prefix
+from crowwing.tier.front.upstream import Headers, StreamBrokenError, hop_by_hop
 from crowwing.tier.front.upstream import read_body as read_answer
 
 log = logging.getLogger("crowwing.proxy")
 
 DEFAULT_DEADLINE_MS = 10_000.0
 START_WAIT_S = 0.9  # for the first configuration, while this backend starts
-RETRY_LEAST_S = 0.05
-RETRY_CUT, RETRY_SPREAD_S = 4.0, 0.3  # later with the cut, in aims, and not all at once
+MIN_RETRY_AFTER_S = 0.05
+RETRY_THRESHOLD_FACTOR, RETRY_SPREAD_S = 4.0, 0.3  # later with the cut, in aims, and not all at once
 WITHOUT_CONFIGURATION = RequestLimits(maxBodyBytes=64 * 1024 * 1024)
 ANSWER_MARGIN_S = 0.2  # beyond the deadline, after which an answer is broken off
 
@@ -44,13 +44,13 @@
 
     def __init__(self, send: Send) -> None:
         self._send = send
-        self.waits_for_client = False  # which reads too slowly
+        self.is_client_blocked = False  # which reads too slowly
 
-    async def pass_on(self, part: bytes) -> None:
-        """Sends a part."""
-        self.waits_for_client = True
-        await self._send({"type": "http.response.body", "body": part, "more_body": True})
-        self.waits_for_client = False
+    async def forward(self, chunk: bytes) -> None:
+        """Sends a chunk."""
+        self.is_client_blocked = True
+        await self._send({"type": "http.response.body", "body": chunk, "more_body": True})
+        self.is_client_blocked = False
 
 
 class Proxy:
@@ -69,7 +69,7 @@
         self.open += 1
         try:
             await self._serve(scope, receive, to_client(send))
-        except ClientGone:
+        except ClientDisconnectedError:
             pass
         finally:
             self.open -= 1
@@ -78,14 +78,14 @@
         arrived = time.monotonic()
         table = await self._pool.wait_until_known(START_WAIT_S)
         limits = table.configuration.limits if table is not None else WITHOUT_CONFIGURATION
-        most = limits.max_body_bytes
+        max_bytes = limits.max_body_bytes
         closes = [(b"connection", b"close")]
         try:
-            body = await read_body(receive, most, limits.idle_timeout_ms / 1000)
-        except BodyTooLarge:
-            await respond_json(send, 413, {"error": f"a body may have {most} bytes"}, closes)
+            body = await read_body(receive, max_bytes, limits.idle_timeout_ms / 1000)
+        except BodyTooLargeError:
+            await respond_json(send, 413, {"error": f"a body may have {max_bytes} bytes"}, closes)
             return
-        except BodyTooSlow:
+        except BodyTimeoutError:
             await respond_json(send, 408, {"error": "the body did not come in time"}, closes)
             return
         request = ClientRequest(
@@ -96,7 +96,7 @@
             body,
         )
         if table is None:
-            await refuse(send, "this backend has no configuration yet", 0.3)
+            await respond_unavailable(send, "this backend has no configuration yet", 0.3)
             return
         route = table.find(request.host, request.path)
         if route is None:
@@ -127,34 +127,41 @@
         try:
             await work
         except asyncio.CancelledError:
-            raise ClientGone from None
+            raise ClientDisconnectedError from None
 
     async def _run(self, request: ClientRequest, route: Route, arrived: float, send: Send) -> None:
         service = choose_service(route, request.header(b"request-id") or b"")
         deadline_ms = parse_deadline(request.header(b"deadline-ms"))
         deadline = arrived + min(deadline_ms, route.timeout_ms) / 1000
-        aim_s = route.slo_ms / 1000
-        ticket = Ticket(route.name, rank_of(route.priority, spread(request)), arrived, deadline, False)
-        if not await self._pool.admit(service, ticket, aim_s):
-            await refuse(send, "too much is asked of the sidecars", self._come_back(service, aim_s))
+        latency_target_s = route.slo_ms / 1000
+        admission_request = AdmissionRequest(
+            route.name, rank_of(route.priority, spread(request)), arrived, deadline, False
+        )
+        if not await self._pool.admit(service, admission_request, latency_target_s):
+            await respond_unavailable(
+                send, "too much is asked of the sidecars", self._retry_after_s(service, latency_target_s)
+            )
             return
         try:
-            await self._run_started(request, route, service, deadline, arrived, ticket, send)
+            await self._run_started(request, route, service, deadline, arrived, admission_request, send)
         finally:
-            self._pool.ended(service, ticket)
+            self._pool.ended(service, admission_request)
 
-    def _come_back(self, service: str, aim_s: float) -> float:
+    def _retry_after_s(self, service: str, latency_target_s: float) -> float:
         """When a refused request may try again, in seconds."""
-        cut = self._pool.admission(service).cut
-        return max(RETRY_LEAST_S, aim_s) * (1 + RETRY_CUT * cut) + RETRY_SPREAD_S * random.random()
+        priority_threshold = self._pool.admission(service).priority_threshold
+        return (
+            max(MIN_RETRY_AFTER_S, latency_target_s) * (1 + RETRY_THRESHOLD_FACTOR * priority_threshold)
+            + RETRY_SPREAD_S * random.random()
+        )
 
     async def _run_started(
         self, request: ClientRequest, route: Route, service: str, deadline: float, arrived: float,
-        ticket: Ticket, send: Send,
+        admission_request: AdmissionRequest, send: Send,
     ) -> None:  # fmt: skip
-        parts = parse_prompt((request.header(b"prompt-prefix") or b"").decode("latin-1"))
+        parts = parse_prompt_prefix((request.header(b"prompt-prefix") or b"").decode("latin-1"))
         resumed_at = request.header(b"last-event-id")
-        job = Job(
+        job = SidecarRequest(
             request.method, request.target, request.headers, request.body,
             request.header(b"request-id") or b"", route, service, parts, deadline, route.max_attempts,
             int(resumed_at) if resumed_at is not None and resumed_at.isdigit() else None,
@@ -162,18 +169,20 @@
         )  # fmt: skip
         started = await self._dispatcher.open(job)
         if isinstance(started, NotServed):
-            await refuse(send, started.reason, RETRY_LEAST_S)
+            await respond_unavailable(send, started.reason, MIN_RETRY_AFTER_S)
         elif isinstance(started, Failed):
             await respond_json(send, started.status, {"error": started.reason})
         else:
-            aim_s = route.slo_ms / 1000
-            self._pool.admission(service).class_queue(route.name, aim_s).learn(time.monotonic() - arrived)
+            latency_target_s = route.slo_ms / 1000
+            self._pool.admission(service).class_queue(route.name, latency_target_s).learn(
+                time.monotonic() - arrived
+            )
             await self._relay(job, started, send)
 
-    async def _relay(self, job: Job, running: Running, send: Send) -> None:
+    async def _relay(self, job: SidecarRequest, running: OpenResponse, send: Send) -> None:
         opened = running.opened
         streams = job.route.kind == "stream" and opened.status == 200
-        headers = passed_on(opened.headers, keeps_length=not (streams and job.route.resumable))
+        headers = forwarded_headers(opened.headers, keeps_length=not (streams and job.route.resumable))
         await send({"type": "http.response.start", "status": opened.status, "headers": headers})
         answer = Answer(send)
         try:  # a client that does not read holds its place at a sidecar no longer either
@@ -181,21 +190,21 @@
                 if streams and job.route.resumable:
                     async with contextlib.aclosing(self._dispatcher.events(job, running)) as events:
                         async for event in events:
-                            await answer.pass_on(event.raw)
+                            await answer.forward(event.raw)
                 else:
-                    await self._relay_whole(running, answer)
-        except (StreamBroken, TimeoutError) as error:
-            if not answer.waits_for_client:
+                    await self._relay_body(running, answer)
+        except (StreamBrokenError, TimeoutError) as error:
+            if not answer.is_client_blocked:
                 running.state.failed(time.monotonic())
             log.info("an answer of %s broke off: %s", running.state.entry.id, error)
             return  # the server closes the connection, so that the answer does not look complete
         await send({"type": "http.response.body", "body": b""})
 
-    async def _relay_whole(self, running: Running, answer: "Answer") -> None:
+    async def _relay_body(self, running: OpenResponse, answer: "Answer") -> None:
         """Passes the body on as it comes."""
         try:
             async for chunk in read_answer(running.opened):
-                await answer.pass_on(chunk)
+                await answer.forward(chunk)
         finally:
             await self._dispatcher.close(running)
 
@@ -208,12 +217,12 @@
             await send(message)
         except (RuntimeError, OSError) as error:  # the transport's word for it
             log.debug("a client has gone: %s", error)
-            raise ClientGone from error
+            raise ClientDisconnectedError from error
 
     return send_or_gone
 
 
-def passed_on(headers: Headers, keeps_length: bool) -> Headers:
+def forwarded_headers(headers: Headers, keeps_length: bool) -> Headers:
     """The headers of a sidecar that its client gets."""
     dropped = hop_by_hop(headers) | (set() if keeps_length else {b"content-length"})
     return [(name, value) for name, value in headers if name.lower() not in dropped]
--- a/crowwing/tier/front/service_pool.py
+++ b/crowwing/tier/front/service_pool.py
@@ -8,30 +8,39 @@
 from typing import Any
 
 from crowwing.tier.configuration import RoutingTable
-from crowwing.tier.front.admission import Admission, Ticket
+from crowwing.tier.front.admission import Admission, AdmissionRequest
 from crowwing.tier.front.sidecar_connections import IdleConnections, connection_limits
 from crowwing.tier.front.sidecars import SidecarState, SidecarTable
-from crowwing.tier.front.upstream import MayHaveRun, NotRun, Opened, Outcome, SidecarClient
+from crowwing.tier.front.upstream import (
+    AttemptOutcome,
+    NotExecuted,
+    ResponseLost,
+    ResponseStarted,
+    SidecarClient,
+)
 from crowwing.tier.platform_list import SidecarList
 
 log = logging.getLogger("crowwing.pool")
 
-STEER_S, IDLE_STEER_S = 0.05, 0.2  # between steps of the loops; while nothing is held, refused or cut
-LOG_S = 1.0
+STEP_INTERVAL_S, IDLE_STEP_INTERVAL_S = (
+    0.05,
+    0.2,
+)  # between steps of the loops; while nothing is held, refused or cut
+LOG_INTERVAL_S = 1.0
 WRONG_SIDECAR = 421  # the status of a sidecar that a request was not meant for
 ERROR_STATUS = 500  # from which an answer counts as a failure of its sidecar
-WAIT_STEP_S = 0.02
-MOST_GIVE_WAY = 3  # items at a time that make room for live requests
+STARTUP_POLL_S = 0.02
+MAX_PREEMPTED = 3  # items at a time that make room for live requests
 START_SHARE = 1.0  # of the even part of all slots, which the limit starts at
-ACCEPTED_DEFAULT = 64  # connections of a sidecar whose service the configuration does not name
-LIMITS_S = 0.5  # between looks at how many connections there may be
+DEFAULT_MAX_CONNECTIONS = 64  # connections of a sidecar whose service the configuration does not name
+CONNECTION_LIMITS_INTERVAL_S = 0.5  # between looks at how many connections there may be
 
 
 @dataclass
 class Grant:
     """The answer to a ticket: whether it may start."""
 
-    ticket: Ticket
+    admission_request: AdmissionRequest
     future: "asyncio.Future[bool]" = field(repr=False)
 
 
@@ -46,17 +55,17 @@
         self._idle: dict[str, IdleConnections] = {}  # by service
         self._limited_at = -1e9
         self._closing: set[asyncio.Task[None]] = set()
-        self._asking: set[asyncio.Task[None]] = set()
+        self._report_tasks: set[asyncio.Task[None]] = set()
         self.listed = False
-        self._tries = 0
-        self._giving_way: dict[str, set[asyncio.Task[Any]]] = {}
+        self._attempt_count = 0
+        self._preempted: dict[str, set[asyncio.Task[Any]]] = {}
         self._item_runs: dict[str, list[asyncio.Task[Any]]] = {}
         self._logged: dict[str, tuple[int, float]] = {}  # refused so far, and when that was said
-        self._ends: dict[str, Counter[str]] = {}  # how tries ended since that was last said
+        self._attempt_outcomes: dict[str, Counter[str]] = {}  # how tries ended since that was last said
 
     # What is known
 
-    def take_list(self, listed: SidecarList) -> None:
+    def apply_endpoint_list(self, listed: SidecarList) -> None:
         """Takes the platform's list in."""
         self.listed = True
         for gone in self.sidecars.update(listed.sidecars):
@@ -69,7 +78,7 @@
         """The routes, once these and the sidecars are known; None where that takes too long."""
         deadline = time.monotonic() + limit_s
         while (self.table is None or not self.listed) and time.monotonic() < deadline:
-            await asyncio.sleep(WAIT_STEP_S)
+            await asyncio.sleep(STARTUP_POLL_S)
         return self.table if self.listed else None
 
     def _close_later(self, client: SidecarClient) -> None:
@@ -94,16 +103,16 @@
     def _limit_connections(self, service: str) -> None:
         """Bounds the connections to a service's sidecars by what is known now."""
         configured = self.table.services.get(service) if self.table else None
-        accepted = configured.max_conns if configured is not None else ACCEPTED_DEFAULT
+        accepted = configured.max_conns if configured is not None else DEFAULT_MAX_CONNECTIONS
         states = self.sidecars.of_service(service)
-        limits = connection_limits(accepted, len(states), self.sidecars.presumed_fronts(service))
+        limits = connection_limits(accepted, len(states), self.sidecars.assumed_front_count(service))
         self._idle[service].most = limits.idle_in_all
         for state in states:
             state.connections.most = limits.open_each
 
-    async def _look_after_connections(self, now: float) -> None:
+    async def _maintain_connections(self, now: float) -> None:
         """Follows the number of fronts and the configuration, and closes what need not be kept."""
-        if now - self._limited_at < LIMITS_S:
+        if now - self._limited_at < CONNECTION_LIMITS_INTERVAL_S:
             return
         self._limited_at = now
         for service, idle in list(self._idle.items()):
@@ -117,48 +126,48 @@
         if admission is None:
             now = time.monotonic()
             slots = self.sidecars.load(service, now).slots
-            share = START_SHARE * slots / self.sidecars.presumed_fronts(service)
+            share = START_SHARE * slots / self.sidecars.assumed_front_count(service)
             admission = self._admissions[service] = Admission(now, share)
         return admission
 
     # Admission
 
-    async def admit(self, service: str, ticket: Ticket, aim_s: float) -> bool:
+    async def admit(self, service: str, admission_request: AdmissionRequest, latency_target_s: float) -> bool:
         """Waits until a ticket may start; False where it is refused. Cancelling takes it out of the hold."""
         admission = self.admission(service)
-        if not admission.arrive(time.monotonic(), ticket, aim_s):
+        if not admission.arrive(time.monotonic(), admission_request, latency_target_s):
             return False
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        ticket.data = future
+        admission_request.data = future
         self._start(service, admission)
         try:
             return await future
         except asyncio.CancelledError:
-            if ticket.started:
-                self.ended(service, ticket)
+            if admission_request.is_started:
+                self.ended(service, admission_request)
             else:
-                admission.remove(ticket)
+                admission.remove(admission_request)
             raise
 
-    def ended(self, service: str, ticket: Ticket) -> None:
+    def ended(self, service: str, admission_request: AdmissionRequest) -> None:
         """A started ticket has left its sidecar."""
         admission = self.admission(service)
-        admission.ended(ticket)
+        admission.ended(admission_request)
         self._start(service, admission)
 
     def _start(self, service: str, admission: Admission) -> None:
         now = time.monotonic()
-        for ticket in admission.expire(now):
-            _answer(ticket, False)
-        if not admission.held:
+        for admission_request in admission.expire(now):
+            _answer(admission_request, False)
+        if not admission.queued_count:
             return
-        places = self.sidecars.places(service, now)
-        started = admission.start(now, places)
-        for ticket in started:
-            _answer(ticket, True)
-        patient = sum(ticket.patient for ticket in started)
-        self.sidecars.taken(service, len(started) - patient, patient)
-        self._make_room(service, admission.live_held)
+        free_slots = self.sidecars.free_slots(service, now)
+        started = admission.start(now, free_slots)
+        for admission_request in started:
+            _answer(admission_request, True)
+        batch = sum(admission_request.is_batch_item for admission_request in started)
+        self.sidecars.count_started(service, len(started) - batch, batch)
+        self._preempt_items(service, admission.queued_live_count)
 
     # Items that give way
 
@@ -168,18 +177,18 @@
 
     def remove_item(self, service: str, run: "asyncio.Task[Any]") -> None:
         """A run of an item has ended."""
-        self._giving_way.get(service, set()).discard(run)
+        self._preempted.get(service, set()).discard(run)
         runs = self._item_runs.get(service, [])
         if run in runs:
             runs.remove(run)
 
-    def _make_room(self, service: str, wanted: int) -> None:
+    def _preempt_items(self, service: str, wanted: int) -> None:
         """Cancels runs of items, the newest first, for live requests that find no place."""
         runs = self._item_runs.get(service)
-        giving_way = self._giving_way.setdefault(service, set())
-        while runs and len(giving_way) < min(wanted, MOST_GIVE_WAY):
+        preempted = self._preempted.setdefault(service, set())
+        while runs and len(preempted) < min(wanted, MAX_PREEMPTED):
             run = runs.pop()
-            giving_way.add(run)
+            preempted.add(run)
             run.cancel()
 
     def _start_all(self) -> None:
@@ -189,60 +198,70 @@
     async def run_loops(self) -> None:
         """Steers the limits and cuts, and expires what is held."""
         while True:
-            await asyncio.sleep(STEER_S)
+            await asyncio.sleep(STEP_INTERVAL_S)
             now = time.monotonic()
-            self._ask_silent(now)
-            await self._look_after_connections(now)
+            self._check_unresponsive(now)
+            await self._maintain_connections(now)
             for service, admission in self._admissions.items():
-                if now - admission.stepped < IDLE_STEER_S and not admission.pressed(now):
+                if now - admission.last_step_at < IDLE_STEP_INTERVAL_S and not admission.is_under_pressure(
+                    now
+                ):
                     continue
                 load = self.sidecars.load(service, now)
-                fronts = self.sidecars.presumed_fronts(service)
-                admission.steer(now, load, self.sidecars.survived(service, now), fronts)
-                if admission.held:
+                fronts = self.sidecars.assumed_front_count(service)
+                admission.step(now, load, self.sidecars.max_inflight(service, now), fronts)
+                if admission.queued_count:
                     self._start(service, admission)
-                if admission.pressed(now):
-                    self._ask_reports(service, now)
+                if admission.is_under_pressure(now):
+                    self._request_stale_reports(service, now)
                 self._log_changes(service, admission, now)
 
-    def _ask_silent(self, now: float) -> None:
+    def _check_unresponsive(self, now: float) -> None:
         """Asks sidecars that have fallen silent, so that one that speaks again is used again."""
-        for state in self.sidecars.silent(now):
-            self._ask(state, now)
+        for state in self.sidecars.unresponsive(now):
+            self._request_report(state, now)
 
-    def _ask_reports(self, service: str, now: float) -> None:
+    def _request_stale_reports(self, service: str, now: float) -> None:
         """Asks sidecars that have told nothing lately, while work waits or was refused."""
-        for state in self.sidecars.to_be_asked(service, now):
-            self._ask(state, now)
+        for state in self.sidecars.with_stale_load(service, now):
+            self._request_report(state, now)
 
-    def _ask(self, state: SidecarState, now: float) -> None:
-        state.asked_at = now
-        task = asyncio.ensure_future(self._ask_report(state))
-        self._asking.add(task)
-        task.add_done_callback(self._asking.discard)
+    def _request_report(self, state: SidecarState, now: float) -> None:
+        state.report_requested_at = now
+        task = asyncio.ensure_future(self._read_report(state))
+        self._report_tasks.add(task)
+        task.add_done_callback(self._report_tasks.discard)
 
-    async def _ask_report(self, state: SidecarState) -> None:
+    async def _read_report(self, state: SidecarState) -> None:
         report = await self.client(state).report()
         if report is not None:
             now = time.monotonic()
-            self.sidecars.tell_load(state, now, report.running, report.waiting, state.entry.slots)
-            state.heard_at, state.silent = now, False
+            self.sidecars.record_load(state, now, report.running, report.waiting, state.entry.slots)
+            state.last_byte_at, state.unresponsive = now, False
 
     def _log_changes(self, service: str, admission: Admission, now: float) -> None:
         """One line a second while anything is refused, cut or near its limit."""
-        refused, at = self._logged.get(service, (0, 0.0))
-        ends = self._ends.get(service, Counter())
-        if now - at < LOG_S or (refused == admission.refused and len(ends) <= ("answered" in ends)):
+        rejected_count, at = self._logged.get(service, (0, 0.0))
+        outcomes = self._attempt_outcomes.get(service, Counter())
+        if now - at < LOG_INTERVAL_S or (
+            rejected_count == admission.rejected_count and len(outcomes) <= ("answered" in outcomes)
+        ):
             return
-        self._ends[service] = Counter()
-        self._logged[service] = (admission.refused, now)
+        self._attempt_outcomes[service] = Counter()
+        self._logged[service] = (admission.rejected_count, now)
         load = admission.load
         log.info(
             "%s: refused %d, cut %.2f, limit %.0f of %.0f, inflight %d, held %d, sidecars %.0f+%.0f of %.0f; "
             "tries: %s",
-            *(service, admission.refused - refused, admission.cut, admission.limit, admission.ceiling),
-            *(admission.inflight, admission.held, load.running, load.waiting, load.slots),
-            ", ".join(f"{count} {end}" for end, count in sorted(ends.items())) or "none",
+            *(
+                service,
+                admission.rejected_count - rejected_count,
+                admission.priority_threshold,
+                admission.limit,
+                admission.max_limit,
+            ),
+            *(admission.inflight, admission.queued_count, load.running, load.waiting, load.slots),
+            ", ".join(f"{count} {end}" for end, count in sorted(outcomes.items())) or "none",
         )
 
     # Sidecars
@@ -251,9 +270,9 @@
         """A request goes to a sidecar; gives the number of this try."""
         state.inflight += 1
         state.sent_since += 1
-        self._tries += 1
-        state.unanswered[self._tries] = time.monotonic()
-        return self._tries
+        self._attempt_count += 1
+        state.unanswered[self._attempt_count] = time.monotonic()
+        return self._attempt_count
 
     def head_came(self, state: SidecarState, number: int) -> None:
         """A try has its head, or has ended without one."""
@@ -262,53 +281,53 @@
     def left(self, state: SidecarState) -> None:
         """A request has left a sidecar."""
         state.inflight -= 1
-        state.one_less()
+        state.record_request_end()
 
-    def answered(self, state: SidecarState, opened: Opened) -> None:
+    def answered(self, state: SidecarState, opened: ResponseStarted) -> None:
         """A sidecar has begun to answer: it lives, and may tell its load."""
-        now = state.heard_at = time.monotonic()
+        now = state.last_byte_at = time.monotonic()
         state.succeeded()
         if opened.status >= ERROR_STATUS:
             state.record.failed(now)
         else:
             state.record.answered(now)
-        self.take_load(state, opened.header(b"server-load"))
+        self.record_load_header(state, opened.header(b"server-load"))
         if (opened.header(b"connection") or b"").lower() == b"close" and not state.entry.ready:
             state.leaving = True
 
-    def rejected(self, state: SidecarState, outcome: NotRun, expects_version: bool) -> None:
+    def rejected(self, state: SidecarState, outcome: NotExecuted, expects_version: bool) -> None:
         """A sidecar did not run a request, most often since it is full.
 
         421 says that it is another one, or that it has other weights where the request expects some.
         """
-        now = state.heard_at = time.monotonic()
+        now = state.last_byte_at = time.monotonic()
         if outcome.status == WRONG_SIDECAR:
             if not expects_version:
                 state.replaced(now)
-        elif not self.take_load(state, outcome.load):
+        elif not self.record_load_header(state, outcome.load):
             slots = state.entry.slots
-            self.sidecars.tell_load(state, now, slots, slots, slots)
+            self.sidecars.record_load(state, now, slots, slots, slots)
 
-    def take_load(self, state: SidecarState, told: bytes | None) -> bool:
+    def record_load_header(self, state: SidecarState, told: bytes | None) -> bool:
         """Takes a `Server-Load` in; whether it could be read."""
         numbers = told.split(b",") if told is not None else []
         if len(numbers) != 3 or not all(number.strip().isdigit() for number in numbers):
             return False
         running, waiting, slots = (float(number) for number in numbers)
-        self.sidecars.tell_load(state, time.monotonic(), running, waiting, slots)
+        self.sidecars.record_load(state, time.monotonic(), running, waiting, slots)
         return True
 
-    def count(self, service: str, outcome: Outcome) -> None:
+    def count(self, service: str, outcome: AttemptOutcome) -> None:
         """Counts how a try ended, for the log."""
-        self._ends.setdefault(service, Counter())[end_of(outcome)] += 1
+        self._attempt_outcomes.setdefault(service, Counter())[describe_outcome(outcome)] += 1
 
 
-def end_of(outcome: Outcome) -> str:
+def describe_outcome(outcome: AttemptOutcome) -> str:
     """How a try ended, in a word or two."""
     match outcome:
-        case Opened(status):
+        case ResponseStarted(status):
             return "answered" if status < ERROR_STATUS else f"error {status}"
-        case NotRun(status, _, no_connection):
+        case NotExecuted(status, _, no_connection):
             return (
                 "no connection"
                 if no_connection
@@ -316,11 +335,11 @@
                 if status is None
                 else f"rejected {status}"
             )
-        case MayHaveRun():
+        case ResponseLost():
             return "lost"
 
 
-def _answer(ticket: Ticket, started: bool) -> None:
-    future: Any = ticket.data
+def _answer(admission_request: AdmissionRequest, started: bool) -> None:
+    future: Any = admission_request.data
     if future is not None and not future.done():
         future.set_result(started)
--- a/crowwing/tier/front/sidecar_connections.py
+++ b/crowwing/tier/front/sidecar_connections.py
@@ -17,17 +17,20 @@
 
 OPEN_SHARE = 0.9  # of the connections that a sidecar accepts, which all fronts together may open
 IDLE_SHARE = 0.45  # of them, which all fronts together may keep idle
-OPEN_LEAST = 2  # connections to one sidecar that a front may have open whatever its part is
-IDLE_LEAST = 2  # connections that a front may keep idle, over all sidecars of a service
-FULL_LEAST_S, FULL_MOST_S = 0.1, 1.6  # without new connections after a reset of a new one, doubled each time
-SETTLE_LEAST_S, SETTLE_MOST_S = 0.002, 0.01  # bounds of the rest before the first request
+MIN_OPEN_CONNECTIONS = 2  # connections to one sidecar that a front may have open whatever its part is
+MIN_IDLE_CONNECTIONS = 2  # connections that a front may keep idle, over all sidecars of a service
+MIN_FULL_PAUSE_S, MAX_FULL_PAUSE_S = (
+    0.1,
+    1.6,
+)  # without new connections after a reset of a new one, doubled each time
+MIN_CONNECT_REST_S, MAX_CONNECT_REST_S = 0.002, 0.01  # bounds of the rest before the first request
 
 
-class NoConnection(Exception):
+class NoConnectionError(Exception):
     """There is no connection for a request, and nothing of it was sent."""
 
 
-class ConnectionsFull(NoConnection):
+class ConnectionsFullError(NoConnectionError):
     """The sidecar takes no more connections, or this front may open no more there."""
 
 
@@ -35,7 +38,7 @@
 class ConnectionState:
     """What a front has and knows of the connections to one sidecar. Times are seconds of the steady clock."""
 
-    most: int = OPEN_LEAST  # that this front may have open
+    most: int = MIN_OPEN_CONNECTIONS  # that this front may have open
     opened: int = 0
     idle: int = 0
     resets: int = 0  # of new connections, in a row
@@ -47,7 +50,7 @@
 
     def was_reset(self, now: float) -> None:
         """A new connection was reset before anything was sent on it."""
-        self.full_until = now + min(FULL_MOST_S, FULL_LEAST_S * 2**self.resets)
+        self.full_until = now + min(MAX_FULL_PAUSE_S, MIN_FULL_PAUSE_S * 2**self.resets)
         self.resets += 1
 
     def was_accepted(self) -> None:
@@ -65,8 +68,8 @@
 
 def connection_limits(accepted: int, sidecars: int, fronts: int) -> ConnectionLimits:
     """The part of one of `fronts` in what `sidecars` accept, each `accepted` from all fronts together."""
-    open_each = max(OPEN_LEAST, int(OPEN_SHARE * accepted / max(1, fronts)))
-    idle_in_all = max(IDLE_LEAST, int(IDLE_SHARE * accepted * sidecars / max(1, fronts)))
+    open_each = max(MIN_OPEN_CONNECTIONS, int(OPEN_SHARE * accepted / max(1, fronts)))
+    idle_in_all = max(MIN_IDLE_CONNECTIONS, int(IDLE_SHARE * accepted * sidecars / max(1, fronts)))
     return ConnectionLimits(open_each, idle_in_all)
 
 
@@ -129,7 +132,7 @@
 
     async def _connect(self, options: tuple[tuple[int, int, int], ...]) -> httpcore.AsyncHTTP11Connection:
         if self.state.opened >= self.state.most or time.monotonic() < self.state.full_until:
-            raise ConnectionsFull(f"{self.state.opened} of {self.state.most} are open")
+            raise ConnectionsFullError(f"{self.state.opened} of {self.state.most} are open")
         self.state.opened += 1
         try:
             stream = await self._open_stream(options)
@@ -148,14 +151,14 @@
         )
         took = time.monotonic() - began
         try:
-            await asyncio.sleep(min(SETTLE_MOST_S, max(SETTLE_LEAST_S, took)))
+            await asyncio.sleep(min(MAX_CONNECT_REST_S, max(MIN_CONNECT_REST_S, took)))
         except BaseException:
             await stream.aclose()
             raise
         if stream.get_extra_info("is_readable"):  # nothing was asked, so this is its end
             await stream.aclose()
             self.state.was_reset(time.monotonic())
-            raise ConnectionsFull("a new connection was reset")
+            raise ConnectionsFullError("a new connection was reset")
         self.state.was_accepted()
         return stream
 
--- a/crowwing/tier/front/sidecar_stream.py
+++ b/crowwing/tier/front/sidecar_stream.py
@@ -12,7 +12,7 @@
 
 import httpcore
 
-MOST_UNREAD_BYTES = 64 * 1024  # beyond which the sidecar is held up
+MAX_UNREAD_BYTES = 64 * 1024  # beyond which the sidecar is held up
 SocketOption = Any  # as httpcore declares it
 
 
@@ -40,7 +40,7 @@
         """Bytes have come, asked for or not."""
         self._unread += data
         self._readable.set()
-        if len(self._unread) > MOST_UNREAD_BYTES and self._transport is not None:
+        if len(self._unread) > MAX_UNREAD_BYTES and self._transport is not None:
             self._reading_paused = True
             self._transport.pause_reading()
 
--- a/crowwing/tier/front/store_client.py
+++ b/crowwing/tier/front/store_client.py
@@ -11,8 +11,8 @@
 
 log = logging.getLogger("crowwing.client")
 
-TRY_S = 0.7
-PAUSE_S = 0.08
+ATTEMPT_TIMEOUT_S = 0.7
+RETRY_PAUSE_S = 0.08
 
 
 class StoreClient:
@@ -31,40 +31,42 @@
         moved, self._moved = self._moved, asyncio.Event()
         moved.set()
 
-    async def call(self, command: Any, limit_s: float, answer_s: float = TRY_S) -> Any:  # noqa: ANN401
+    async def call(self, command: Any, limit_s: float, answer_s: float = ATTEMPT_TIMEOUT_S) -> Any:  # noqa: ANN401
         """The outcome of a command; Unsure where it may have been done, NotPrimary where it certainly was
         not.
         """
         deadline = self._clock.monotonic() + limit_s
-        unsure = False
+        indeterminate = False
         hosts: list[str] = []
         while (left := deadline - self._clock.monotonic()) > 0:
             if self._primary is None:
                 hosts = hosts or self._hosts()
                 if not hosts:
-                    await asyncio.sleep(min(left, PAUSE_S))
+                    await asyncio.sleep(min(left, RETRY_PAUSE_S))
                     continue
                 self._primary = hosts.pop(0)
             host = self._primary
             try:
                 outcome = await self._call_until_moved(host, command, min(left, answer_s))
             except CallError as error:
-                unsure = unsure or error.sent
+                indeterminate = indeterminate or error.sent
                 self._forget(host)
-                await asyncio.sleep(min(left, PAUSE_S))
+                await asyncio.sleep(min(left, RETRY_PAUSE_S))
                 continue
             if isinstance(outcome, commands.NotPrimary):
                 self._forget(host)
                 if outcome.leader is not None and outcome.leader != host:
                     self._primary = outcome.leader
-                await asyncio.sleep(min(left, PAUSE_S))
+                await asyncio.sleep(min(left, RETRY_PAUSE_S))
             elif isinstance(outcome, commands.Indeterminate):
-                unsure = True
+                indeterminate = True
                 self._forget(host)
-                await asyncio.sleep(min(left, PAUSE_S))
+                await asyncio.sleep(min(left, RETRY_PAUSE_S))
             else:
                 return outcome
-        return commands.Indeterminate("no clear answer in time") if unsure else commands.NotPrimary(None)
+        return (
+            commands.Indeterminate("no clear answer in time") if indeterminate else commands.NotPrimary(None)
+        )
 
     async def _call_until_moved(self, host: str, command: Any, limit_s: float) -> Any:  # noqa: ANN401
         call = asyncio.ensure_future(
--- a/crowwing/tier/front/upstream.py
+++ b/crowwing/tier/front/upstream.py
@@ -18,7 +18,7 @@
 from crowwing.tier.front.sidecar_connections import (
     ConnectionState,
     IdleConnections,
-    NoConnection,
+    NoConnectionError,
     SidecarConnections,
 )
 
@@ -26,14 +26,14 @@
 
 CONNECT_TIMEOUT_S = 0.6
 WRITE_TIMEOUT_S = 2.5
-REPORT_LIMIT_S = 0.5
+REPORT_TIMEOUT_S = 0.5
 TIMEOUTS = {
     "connect": CONNECT_TIMEOUT_S,
     "read": None,  # the request's own deadline holds
     "write": WRITE_TIMEOUT_S,
 }
 RELEASE = "crowwing.release"  # among the extensions of a response: what is done once it has been closed
-DRAIN_LIMIT_S = 0.2
+DRAIN_TIMEOUT_S = 0.2
 NEXT_HEAD = b"HTTP/1."  # how a head begins; in the midst of one it is the next one's
 KEEP_IDLE_S = 4.0
 UNACKNOWLEDGED_MS = 1500
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True)
-class Opened:
+class ResponseStarted:
     """The sidecar has begun to answer this very request."""
 
     status: int
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True)
-class NotRun:
+class NotExecuted:
     """The sidecar says that it did not run the request, or it can't have read it."""
 
     status: int | None  # the sidecar's own, None where it was not reached
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True)
-class MayHaveRun:
+class ResponseLost:
     """The request was sent, and what became of it is not known."""
 
     reason: str
@@ -99,11 +99,11 @@
     waiting: float
 
 
-class StreamBroken(Exception):
+class StreamBrokenError(Exception):
     """The body ended before its end."""
 
 
-Outcome = Opened | NotRun | MayHaveRun
+AttemptOutcome = ResponseStarted | NotExecuted | ResponseLost
 
 
 class SidecarClient:
@@ -139,43 +139,43 @@
     async def report(self) -> Report | None:
         """What the sidecar says of its load; None where it says nothing in time."""
         try:
-            async with asyncio.timeout(REPORT_LIMIT_S):
+            async with asyncio.timeout(REPORT_TIMEOUT_S):
                 headers = [(b"Host", self._address.encode())]
                 response = await self._request("GET", b"/report", headers, b"")
                 return await _read_report(response)
-        except (*HTTP_ERRORS, NoConnection, TimeoutError) as error:
+        except (*HTTP_ERRORS, NoConnectionError, TimeoutError) as error:
             log.debug("no report from %s: %s", self._address, error)
             return None
 
     async def send(
         self, method: str, target: bytes, headers: Headers, body: bytes, request_id: bytes
-    ) -> Outcome:
+    ) -> AttemptOutcome:
         """Sends one request and waits for the head of its answer."""
         try:
             response = await self._request(method, target, headers, body)
-        except NoConnection as error:
-            return NotRun(None, str(error), no_connection=True)
+        except NoConnectionError as error:
+            return NotExecuted(None, str(error), no_connection=True)
         except NOTHING_SENT as error:
-            return NotRun(None, f"{type(error).__name__}: {error}")
+            return NotExecuted(None, f"{type(error).__name__}: {error}")
         except HTTP_ERRORS as error:
-            return MayHaveRun(f"{type(error).__name__}: {error}")
+            return ResponseLost(f"{type(error).__name__}: {error}")
         try:
             return await self._opened(response, request_id)
         except BaseException:
-            await _give_up(response)
+            await _abort(response)
             raise
 
-    async def _opened(self, response: httpcore.Response, request_id: bytes) -> Outcome:
+    async def _opened(self, response: httpcore.Response, request_id: bytes) -> AttemptOutcome:
         headers: Headers = list(response.headers)
         names = {name.lower(): value for name, value in headers}
         if response.status < 200 or not _is_answer_to(response, request_id):
-            await _give_up(response)
-            return MayHaveRun("an answer that is not this request's")
+            await _abort(response)
+            return ResponseLost("an answer that is not this request's")
         if b"not-executed" in names or response.status == 421:
             await _drain(response)
             load = names.get(b"server-load")
-            return NotRun(response.status, "the sidecar did not run it", load=load)
-        return Opened(response.status, headers, response)
+            return NotExecuted(response.status, "the sidecar did not run it", load=load)
+        return ResponseStarted(response.status, headers, response)
 
 
 def _is_answer_to(response: httpcore.Response, request_id: bytes) -> bool:
@@ -198,7 +198,7 @@
         told = json.loads(body)
         report = Report(float(told["running"]), float(told["waiting"]))
     except (ValueError, KeyError, TypeError):
-        await _give_up(response)
+        await _abort(response)
         return None
     await close_after_answer(response)
     return report
@@ -210,7 +210,7 @@
     return aiter(stream)
 
 
-async def _give_up(response: httpcore.Response) -> None:
+async def _abort(response: httpcore.Response) -> None:
     """Ends an answer with its connection."""
     await response.extensions["network_stream"].aclose()
     await _close(response)
@@ -242,7 +242,7 @@
 async def _drain(response: httpcore.Response) -> None:
     """Reads a short body, so that its connection can be used again."""
     try:
-        async with asyncio.timeout(DRAIN_LIMIT_S):
+        async with asyncio.timeout(DRAIN_TIMEOUT_S):
             async for _ in _chunks(response):
                 pass
     except (*HTTP_ERRORS, TimeoutError):
@@ -250,7 +250,7 @@
     await close_after_answer(response)
 
 
-async def read_body(opened: Opened) -> AsyncIterator[bytes]:
+async def read_body(opened: ResponseStarted) -> AsyncIterator[bytes]:
     """The body as it comes; raises StreamBroken where it ends before its end.
 
     One without a length is whole where its connection ended in order, and broken where that was reset.
@@ -259,4 +259,4 @@
         async for chunk in _chunks(opened.response):
             yield chunk
     except HTTP_ERRORS as error:
-        raise StreamBroken(f"{type(error).__name__}: {error}") from error
+        raise StreamBrokenError(f"{type(error).__name__}: {error}") from error
--- a/tests/tier/exchanges.py
+++ b/tests/tier/exchanges.py
@@ -112,7 +112,7 @@
         pool = ServicePool()
         pool.table = routing_table()
         entries = [Sidecar(x.name, "s", x.address, "z", 64, True) for x in sidecars]
-        pool.take_list(SidecarList(tuple(entries)))
+        pool.apply_endpoint_list(SidecarList(tuple(entries)))
         stop = asyncio.Event()
         port, serving = await serve_front(pool, stop)
         loops = asyncio.ensure_future(pool.run_loops())
@@ -132,7 +132,7 @@
         while True:
             await asyncio.sleep(0.01)
             for state in pool.sidecars.of_service("s"):
-                pool._ask(state, 0.0)
+                pool._request_report(state, 0.0)
 
     async def _client(self, port: int) -> None:
         while self._left > 0:
--- a/tests/tier/test_admission.py
+++ b/tests/tier/test_admission.py
@@ -2,15 +2,17 @@
 
 import pytest
 
-from crowwing.tier.front.admission import Admission, Load, Places, Ticket, rank_of
+from crowwing.tier.front.admission import Admission, AdmissionRequest, FreeSlots, Load, rank_of
 
-AIM_S = 0.2
+LATENCY_TARGET_S = 0.2
 FULL, IDLE = Load(240, 30, 240), Load(20, 0, 240)
-MANY = Places(1000, 1000)
+MANY = FreeSlots(1000, 1000)
 
 
-def ticket(rank: float, arrived: float = 0.0, patient: bool = False, name: str = "review") -> Ticket:
-    return Ticket(name, rank, arrived, arrived + 5, patient)
+def admission_request(
+    rank: float, arrived: float = 0.0, is_batch_item: bool = False, name: str = "review"
+) -> AdmissionRequest:
+    return AdmissionRequest(name, rank, arrived, arrived + 5, is_batch_item)
 
 
 def test_tiers_map_onto_six_equal_bands() -> None:
@@ -23,18 +25,18 @@
 def test_held_tickets_start_highest_rank_first_within_the_limit() -> None:
     admission = Admission(0.0, 4)
     for rank in (0.2, 0.9, 0.5, 0.1, 0.8, 0.7):
-        assert admission.arrive(0.0, ticket(rank), AIM_S)
+        assert admission.arrive(0.0, admission_request(rank), LATENCY_TARGET_S)
     assert [started.rank for started in admission.start(0.0, MANY)] == [0.9, 0.8, 0.7, 0.5]
-    assert admission.inflight == 4 and admission.held == 2
+    assert admission.inflight == 4 and admission.queued_count == 2
 
 
 def test_a_held_ticket_is_refused_once_its_timeout_is_over() -> None:
     admission = Admission(0.0, 4)
-    late = ticket(0.9)
-    admission.arrive(0.0, late, AIM_S)
+    late = admission_request(0.9)
+    admission.arrive(0.0, late, LATENCY_TARGET_S)
     assert admission.expire(0.045) == []
     assert admission.expire(0.047) == [late], "part of the aim while nothing is known"
-    assert admission.held == 0 and admission.refused == 1
+    assert admission.queued_count == 0 and admission.rejected_count == 1
 
 
 def test_the_timeout_follows_the_p90_and_what_it_leaves_of_the_aim() -> None:
@@ -56,15 +58,17 @@
     now = 0.0
     for _ in range(60):
         now += 0.05
-        admission.arrive(now, ticket(0.99, now - 0.1), AIM_S)
-        admission.steer(now, FULL, 4)
+        admission.arrive(now, admission_request(0.99, now - 0.1), LATENCY_TARGET_S)
+        admission.step(now, FULL, 4)
         admission.expire(now)
-    assert admission.cut > 0.5
-    assert not admission.arrive(now, ticket(0.1, now), AIM_S), "refused at once under the cut"
+    assert admission.priority_threshold > 0.5
+    assert not admission.arrive(now, admission_request(0.1, now), LATENCY_TARGET_S), (
+        "refused at once under the cut"
+    )
     for _ in range(200):
         now += 0.05
-        admission.steer(now, IDLE, 240)
-    assert admission.cut == 0, "waits that clear lower it"
+        admission.step(now, IDLE, 240)
+    assert admission.priority_threshold == 0, "waits that clear lower it"
 
 
 def test_a_quarter_of_the_highest_band_is_never_cut() -> None:
@@ -72,33 +76,33 @@
     now = 0.0
     for _ in range(1000):
         now += 0.05
-        admission.arrive(now, ticket(0.999, now - 5), AIM_S)
-        admission.steer(now, FULL, 4)
+        admission.arrive(now, admission_request(0.999, now - 5), LATENCY_TARGET_S)
+        admission.step(now, FULL, 4)
         admission.expire(now)
-    assert admission.arrive(now, ticket(rank_of(0, 0.76), now), AIM_S)
+    assert admission.arrive(now, admission_request(rank_of(0, 0.76), now), LATENCY_TARGET_S)
 
 
 def test_the_limit_climbs_while_slots_idle_and_work_waits_up_to_what_was_survived() -> None:
     admission = Admission(0.0, 4)
     for _ in range(30):
-        admission.arrive(0.0, ticket(0.9, patient=True), 5.0)
+        admission.arrive(0.0, admission_request(0.9, is_batch_item=True), 5.0)
     now = 0.0
     for _ in range(10):
         now += 0.05
-        admission.steer(now, IDLE, 60)
+        admission.step(now, IDLE, 60)
     assert admission.limit == 60
     for _ in range(100):
         now += 0.05
-        admission.steer(now, Load(240, 60, 240), 60)
+        admission.step(now, Load(240, 60, 240), 60)
     assert admission.limit < 20, "it falls while requests wait at sidecars"
 
 
 def test_items_wait_where_live_requests_still_start() -> None:
     admission = Admission(0.0, 10)
-    admission.arrive(0.0, ticket(0.9), AIM_S)
-    admission.arrive(0.0, ticket(0.5, patient=True, name="items"), AIM_S)
-    started = admission.start(0.0, Places(live=10, patient=0))
-    assert [one.patient for one in started] == [False]
+    admission.arrive(0.0, admission_request(0.9), LATENCY_TARGET_S)
+    admission.arrive(0.0, admission_request(0.5, is_batch_item=True, name="items"), LATENCY_TARGET_S)
+    started = admission.start(0.0, FreeSlots(live=10, batch=0))
+    assert [one.is_batch_item for one in started] == [False]
     assert admission.expire(1.0) == [], "an item has no queue timeout"
 
 
@@ -108,7 +112,7 @@
     admission = Admission(0.0, slots / fronts)
     crowded = Load(slots, 3 * slots, slots)
     for step in range(1, 400):
-        admission.steer(0.05 * step, crowded, slots, fronts)
+        admission.step(0.05 * step, crowded, slots, fronts)
     assert fronts * admission.limit <= max(0.3 * slots, fronts * 1.0), "the loops can turn work away"
     assert admission.limit >= 1.0, "and none of them is starved"
 
@@ -117,6 +121,6 @@
     slots, fronts = 432.0, 72
     admission = Admission(0.0, 1.0)
     admission.limit = 1.0
-    admission.arrive(0.0, Ticket("review", 0.5, 0.0, 9.0, False), 5.0)
-    admission.steer(0.05, Load(0.0, 0.0, slots), slots, fronts)
+    admission.arrive(0.0, AdmissionRequest("review", 0.5, 0.0, 9.0, False), 5.0)
+    admission.step(0.05, Load(0.0, 0.0, slots), slots, fronts)
     assert fronts * (admission.limit - 1.0) <= slots, "in one step"
--- a/tests/tier/test_batch_job_runner.py
+++ b/tests/tier/test_batch_job_runner.py
@@ -1,6 +1,6 @@
 """How often a front asks the primary for items."""
 
-from crowwing.tier.front.batch_job_runner import PAUSE_S, is_call_due, pause_after
+from crowwing.tier.front.batch_job_runner import POLL_INTERVAL_S, is_call_due, pause_after
 from crowwing.tier.store.leases import LEASE_S
 
 
@@ -12,7 +12,7 @@
         if is_call_due(0, running, now - last):
             calls.append(now)
             last = now
-        now += pause_after(0, 0.0) if last == now else PAUSE_S
+        now += pause_after(0, 0.0) if last == now else POLL_INTERVAL_S
     return calls
 
 
@@ -28,5 +28,5 @@
 
 def test_a_front_with_room_asks_at_once_but_not_again_after_an_empty_answer_that_came_at_once() -> None:
     assert is_call_due(3, 0, 0.0)
-    assert pause_after(0, 0.0) == PAUSE_S
-    assert pause_after(0, 0.6) < PAUSE_S and pause_after(4, 0.0) < PAUSE_S
+    assert pause_after(0, 0.0) == POLL_INTERVAL_S
+    assert pause_after(0, 0.6) < POLL_INTERVAL_S and pause_after(4, 0.0) < POLL_INTERVAL_S
--- a/tests/tier/test_dispatch.py
+++ b/tests/tier/test_dispatch.py
@@ -9,10 +9,10 @@
 import pytest
 
 from crowwing.tier.configuration import Route
-from crowwing.tier.front.dispatch import Dispatcher, Failed, Job, NotServed, Running
+from crowwing.tier.front.dispatch import Dispatcher, Failed, NotServed, OpenResponse, SidecarRequest
 from crowwing.tier.front.service_pool import ServicePool
 from crowwing.tier.front.sidecars import SidecarState
-from crowwing.tier.front.upstream import MayHaveRun, NotRun, Opened
+from crowwing.tier.front.upstream import NotExecuted, ResponseLost, ResponseStarted
 from crowwing.tier.platform_list import Sidecar, SidecarList
 
 
@@ -36,16 +36,16 @@
         entries = [
             Sidecar(name, "advisor", f"127.0.0.1:{place}", "z", 8, True) for place, name in enumerate("abcd")
         ]
-        self.take_list(SidecarList(tuple(entries)))
+        self.apply_endpoint_list(SidecarList(tuple(entries)))
 
     def client(self, state: SidecarState) -> Any:  # noqa: ANN401
         """The same client for all."""
         return self._played
 
 
-def answered(status: int) -> Opened:
+def answered(status: int) -> ResponseStarted:
     extensions = {"network_stream": httpcore.AsyncMockStream([])}
-    return Opened(status, [], httpcore.Response(status, content=NoBody(), extensions=extensions))
+    return ResponseStarted(status, [], httpcore.Response(status, content=NoBody(), extensions=extensions))
 
 
 class NoBody:
@@ -60,7 +60,7 @@
         """Nothing is open."""
 
 
-def job(resumable: bool, attempts: int) -> Job:
+def job(resumable: bool, attempts: int) -> SidecarRequest:
     route = Route.model_validate(
         {
             "name": "r",
@@ -75,7 +75,7 @@
         }  # fmt: skip
     )
     deadline = time.monotonic() + 5
-    return Job(
+    return SidecarRequest(
         "POST",
         b"/p/x",
         [],
@@ -97,30 +97,30 @@
 
 def test_an_error_of_a_repeatable_request_is_tried_once_more_elsewhere() -> None:
     result, left = opened([answered(500), answered(200)], True)
-    assert isinstance(result, Running) and result.opened.status == 200 and left == []
+    assert isinstance(result, OpenResponse) and result.opened.status == 200 and left == []
 
 
 def test_the_last_allowed_run_gives_its_error_to_the_client() -> None:
     result, left = opened([answered(500), answered(500), answered(200)], True)
-    assert isinstance(result, Running) and result.opened.status == 500 and len(left) == 1
+    assert isinstance(result, OpenResponse) and result.opened.status == 500 and len(left) == 1
 
 
 def test_an_error_of_a_request_that_must_not_run_twice_is_final() -> None:
     result, left = opened([answered(500), answered(200)], False)
-    assert isinstance(result, Running) and result.opened.status == 500 and len(left) == 1
+    assert isinstance(result, OpenResponse) and result.opened.status == 500 and len(left) == 1
 
 
-@pytest.mark.parametrize(("resumable", "kind"), [(True, Running), (False, Failed)])
+@pytest.mark.parametrize(("resumable", "kind"), [(True, OpenResponse), (False, Failed)])
 def test_what_may_have_run_is_repeated_only_where_it_may_be(resumable: bool, kind: type) -> None:
-    result, _ = opened([MayHaveRun("reset"), answered(200)], resumable)
+    result, _ = opened([ResponseLost("reset"), answered(200)], resumable)
     assert isinstance(result, kind)
 
 
 def test_what_has_not_run_is_tried_elsewhere_however_its_route_is() -> None:
-    result, left = opened([NotRun(503, "full"), NotRun(None, "refused"), answered(200)], False, 1)
-    assert isinstance(result, Running) and left == []
+    result, left = opened([NotExecuted(503, "full"), NotExecuted(None, "refused"), answered(200)], False, 1)
+    assert isinstance(result, OpenResponse) and left == []
 
 
 def test_where_nobody_runs_it_the_client_is_promised_that_it_has_not_run() -> None:
-    result, _ = opened([NotRun(503, "full")] * 4, False, 1)
+    result, _ = opened([NotExecuted(503, "full")] * 4, False, 1)
     assert isinstance(result, NotServed)
--- a/tests/tier/test_exchanges.py
+++ b/tests/tier/test_exchanges.py
@@ -10,13 +10,13 @@
 
 from crowwing.tier.front.sidecar_connections import ConnectionState
 from crowwing.tier.front.upstream import (
+    AttemptOutcome,
     Headers,
-    MayHaveRun,
-    NotRun,
-    Opened,
-    Outcome,
+    NotExecuted,
+    ResponseLost,
+    ResponseStarted,
     SidecarClient,
-    StreamBroken,
+    StreamBrokenError,
     close_after_answer,
     hop_by_hop,
     read_body,
@@ -47,20 +47,20 @@
         server.close()
 
 
-async def send(client: SidecarClient, request_id: str, body: bytes = b"") -> Outcome:
+async def send(client: SidecarClient, request_id: str, body: bytes = b"") -> AttemptOutcome:
     """One request."""
     headers: Headers = [(b"Host", b"h"), (b"Request-Id", request_id.encode())]
     headers.append((b"Content-Length", str(len(body)).encode()))
     return await client.send("POST", b"/p", headers, body, request_id.encode())
 
 
-async def whole(outcome: Outcome) -> Any:  # noqa: ANN401
+async def whole(outcome: AttemptOutcome) -> Any:  # noqa: ANN401
     """The body of an answer that began, StreamBroken where it broke."""
-    if not isinstance(outcome, Opened):
+    if not isinstance(outcome, ResponseStarted):
         return outcome
     try:
         return b"".join([part async for part in read_body(outcome)])
-    except StreamBroken as error:
+    except StreamBrokenError as error:
         return error
     finally:
         await close_after_answer(outcome.response)
@@ -90,14 +90,14 @@
 @pytest.mark.parametrize("run", RUNNERS)
 def test_an_answer_without_a_length_is_whole_at_its_end_and_broken_by_a_reset(run: Any) -> None:  # noqa: ANN401
     assert run(asked(saying(UNFRAMED, b" two"))) == b"part two"
-    assert isinstance(run(asked(saying(UNFRAMED, resets=True))), StreamBroken)
+    assert isinstance(run(asked(saying(UNFRAMED, resets=True))), StreamBrokenError)
 
 
 @pytest.mark.parametrize("cut", [*range(len(WHOLE) - 1)])
 @pytest.mark.parametrize("resets", [False, True])
 def test_an_answer_cut_at_any_byte_is_never_whole_and_may_have_run(cut: int, resets: bool) -> None:
     found = uvloop.run(asked(saying(WHOLE[:cut], resets=resets)))
-    assert isinstance(found, (MayHaveRun, StreamBroken)), found
+    assert isinstance(found, (ResponseLost, StreamBrokenError)), found
 
 
 @pytest.mark.parametrize(
@@ -111,14 +111,14 @@
     ],
 )
 def test_what_is_not_this_requests_answer_says_nothing_of_it(answer: bytes) -> None:
-    assert isinstance(uvloop.run(asked(saying(answer))), MayHaveRun)
+    assert isinstance(uvloop.run(asked(saying(answer))), ResponseLost)
 
 
 @pytest.mark.parametrize("cut", range(1, len(HALF)))
 def test_a_head_that_runs_on_into_the_next_one_is_nobodys(cut: int) -> None:
     """Of a surplus answer only a part came, just before the answer to this request."""
     found = uvloop.run(asked(saying(HALF[:cut] + WHOLE.replace(b"200 OK", b"500 No"))))
-    assert isinstance(found, (MayHaveRun, StreamBroken)), found
+    assert isinstance(found, (ResponseLost, StreamBrokenError)), found
 
 
 @pytest.mark.parametrize("surplus", [WHOLE, WHOLE[:7], b"\r\n", WHOLE.replace(b"r1", b"r0")])
@@ -179,13 +179,13 @@
 
 
 def test_nothing_was_sent_where_nobody_listens_or_no_connection_is_free() -> None:
-    async def refused() -> Outcome:
+    async def refused() -> AttemptOutcome:
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             client = SidecarClient(f"127.0.0.1:{free.getsockname()[1]}", ConnectionState(1))
         return await send(client, "r1")
 
-    assert isinstance(uvloop.run(refused()), NotRun)
+    assert isinstance(uvloop.run(refused()), NotExecuted)
     heads = 0
 
     async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -194,7 +194,7 @@
         heads += 1
         await reader.read()
 
-    async def crowded() -> Outcome:
+    async def crowded() -> AttemptOutcome:
         server = await asyncio.start_server(silent, "127.0.0.1", 0)
         client = SidecarClient(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", ConnectionState(1))
         first = asyncio.ensure_future(send(client, "r1"))
@@ -205,7 +205,7 @@
         server.close()
         return second
 
-    assert isinstance(uvloop.run(crowded()), NotRun)
+    assert isinstance(uvloop.run(crowded()), NotExecuted)
     assert heads == 1, "not one byte of the second one came"
 
 
--- a/tests/tier/test_request_path.py
+++ b/tests/tier/test_request_path.py
@@ -116,7 +116,7 @@
         scripted = Scripted(reply)
         pool = ServicePool()
         pool.table = routes(**changes)
-        pool.take_list(await scripted.start(count))
+        pool.apply_endpoint_list(await scripted.start(count))
         stop = asyncio.Event()
         port, serving = await serve_front(pool, stop)
         loops = asyncio.ensure_future(pool.run_loops())
@@ -292,7 +292,7 @@
 
     assert ready() == 503, "it knows neither routes nor sidecars"
     front.pool.table = routes()
-    front.pool.take_list(SidecarList(()))
+    front.pool.apply_endpoint_list(SidecarList(()))
     assert ready() == 200
     front.proxy.draining = True
     assert ready() == 503
--- a/tests/tier/test_service_pool.py
+++ b/tests/tier/test_service_pool.py
@@ -3,22 +3,22 @@
 import asyncio
 import time
 
-from crowwing.tier.front.admission import Ticket
-from crowwing.tier.front.service_pool import ServicePool, end_of
-from crowwing.tier.front.upstream import MayHaveRun, NotRun, Opened
+from crowwing.tier.front.admission import AdmissionRequest
+from crowwing.tier.front.service_pool import ServicePool, describe_outcome
+from crowwing.tier.front.upstream import NotExecuted, ResponseLost, ResponseStarted
 from crowwing.tier.platform_list import Sidecar, SidecarList
 
-SERVICE, AIM_S = "advisor", 5.0
+SERVICE, LATENCY_TARGET_S = "advisor", 5.0
 
 
-def ticket() -> Ticket:
+def admission_request() -> AdmissionRequest:
     now = time.monotonic()
-    return Ticket("review", 0.9, now, now + 5, False)
+    return AdmissionRequest("review", 0.9, now, now + 5, False)
 
 
 def full_pool() -> ServicePool:
     pool = ServicePool()
-    pool.take_list(SidecarList((Sidecar("a", SERVICE, "127.0.0.1:1", "z1", 4, True),)))
+    pool.apply_endpoint_list(SidecarList((Sidecar("a", SERVICE, "127.0.0.1:1", "z1", 4, True),)))
     state = pool.sidecars.of_service(SERVICE)[0]
     for _ in range(4):
         pool.sent(state)
@@ -36,7 +36,7 @@
         for run in runs:
             pool.add_item(SERVICE, run)
         await asyncio.sleep(0)
-        asked = asyncio.ensure_future(pool.admit(SERVICE, ticket(), AIM_S))
+        asked = asyncio.ensure_future(pool.admit(SERVICE, admission_request(), LATENCY_TARGET_S))
         await asyncio.sleep(0)
         pool._start(SERVICE, pool.admission(SERVICE))
         await asyncio.sleep(0)
@@ -56,12 +56,12 @@
 def test_a_caller_that_goes_leaves_the_hold() -> None:
     async def play() -> None:
         pool = full_pool()
-        asked = asyncio.ensure_future(pool.admit(SERVICE, ticket(), AIM_S))
+        asked = asyncio.ensure_future(pool.admit(SERVICE, admission_request(), LATENCY_TARGET_S))
         await asyncio.sleep(0)
-        assert pool.admission(SERVICE).held == 1
+        assert pool.admission(SERVICE).queued_count == 1
         asked.cancel()
         await asyncio.gather(asked, return_exceptions=True)
-        assert pool.admission(SERVICE).held == 0 and pool.admission(SERVICE).inflight == 0
+        assert pool.admission(SERVICE).queued_count == 0 and pool.admission(SERVICE).inflight == 0
 
     asyncio.run(play())
 
@@ -69,25 +69,31 @@
 def test_a_sidecar_that_rejects_counts_as_full_unless_it_tells_its_load() -> None:
     pool = full_pool()
     state = pool.sidecars.of_service(SERVICE)[0]
-    pool.rejected(state, NotRun(503, "full", load=b"4,30,4"), False)
+    pool.rejected(state, NotExecuted(503, "full", load=b"4,30,4"), False)
     assert (state.running, state.waiting) == (4, 30)
-    pool.rejected(state, NotRun(503, "full"), False)
+    pool.rejected(state, NotExecuted(503, "full"), False)
     assert (state.running, state.waiting) == (4, 4)
-    told_at = state.told_at
-    pool.rejected(state, NotRun(421, "other weights"), True)
+    reported_at = state.reported_at
+    pool.rejected(state, NotExecuted(421, "other weights"), True)
     now = time.monotonic()
-    assert state.told_at == told_at, "that says nothing of its load"
-    assert state.usable(now), "it has other weights than this request wants, and is there"
-    pool.rejected(state, NotRun(421, "another sidecar"), False)
-    assert not state.usable(now) and state.usable(now + 2), (
+    assert state.reported_at == reported_at, "that says nothing of its load"
+    assert state.is_usable(now), "it has other weights than this request wants, and is there"
+    pool.rejected(state, NotExecuted(421, "another sidecar"), False)
+    assert not state.is_usable(now) and state.is_usable(now + 2), (
         "another one is in its place; the list will say so"
     )
 
 
 def test_how_tries_end_is_counted_by_outcome() -> None:
-    answer = Opened(200, [], None)  # type: ignore[arg-type]
-    ends = [answer, NotRun(503, ""), NotRun(None, ""), NotRun(None, "", no_connection=True), MayHaveRun("")]
-    assert [end_of(end) for end in ends] == [
+    answer = ResponseStarted(200, [], None)  # type: ignore[arg-type]
+    outcomes = [
+        answer,
+        NotExecuted(503, ""),
+        NotExecuted(None, ""),
+        NotExecuted(None, "", no_connection=True),
+        ResponseLost(""),
+    ]
+    assert [describe_outcome(end) for end in outcomes] == [
         "answered",
         "rejected 503",
         "unreachable",
--- a/tests/tier/test_sidecar_connections.py
+++ b/tests/tier/test_sidecar_connections.py
@@ -10,19 +10,19 @@
 
 from crowwing.tier.front import sidecar_connections
 from crowwing.tier.front.sidecar_connections import (
-    FULL_LEAST_S,
-    FULL_MOST_S,
     IDLE_SHARE,
-    OPEN_LEAST,
+    MAX_FULL_PAUSE_S,
+    MIN_FULL_PAUSE_S,
+    MIN_OPEN_CONNECTIONS,
     ConnectionState,
     IdleConnections,
     connection_limits,
 )
 from crowwing.tier.front.upstream import (
+    AttemptOutcome,
     Headers,
-    NotRun,
-    Opened,
-    Outcome,
+    NotExecuted,
+    ResponseStarted,
     SidecarClient,
     close_after_answer,
     read_body,
@@ -68,13 +68,13 @@
             writer.close()
 
 
-async def ask(client: SidecarClient, name: str) -> Outcome:
+async def ask(client: SidecarClient, name: str) -> AttemptOutcome:
     headers: Headers = [(b"Host", b"h"), (b"Request-Id", name.encode()), (b"Content-Length", b"0")]
     return await client.send("POST", b"/p", headers, b"", name.encode())
 
 
-async def finish(outcome: Outcome) -> bytes:
-    assert isinstance(outcome, Opened), outcome
+async def finish(outcome: AttemptOutcome) -> bytes:
+    assert isinstance(outcome, ResponseStarted), outcome
     body = b"".join([part async for part in read_body(outcome)])
     await close_after_answer(outcome.response)
     return body
@@ -83,8 +83,8 @@
 def test_a_new_connection_that_is_reset_before_its_request_says_that_nothing_ran(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(sidecar_connections, "SETTLE_LEAST_S", 0.05)  # this sidecar shares a busy machine
-    monkeypatch.setattr(sidecar_connections, "SETTLE_MOST_S", 0.05)
+    monkeypatch.setattr(sidecar_connections, "MIN_CONNECT_REST_S", 0.05)  # this sidecar shares a busy machine
+    monkeypatch.setattr(sidecar_connections, "MAX_CONNECT_REST_S", 0.05)
 
     async def play() -> None:
         sidecar = CappedSidecar(1)
@@ -92,8 +92,8 @@
         first, second = ConnectionState(4), ConnectionState(4)
         holder, late = SidecarClient(address, first), SidecarClient(address, second)
         assert await finish(await ask(holder, "r1")) == b"ok"
-        refused = await ask(late, "r2")
-        assert isinstance(refused, NotRun) and refused.no_connection
+        rejected = await ask(late, "r2")
+        assert isinstance(rejected, NotExecuted) and rejected.no_connection
         assert sidecar.requests == 1, "not a byte of the second one was read"
         assert second.opened == 0 and not second.available(time.monotonic())
         assert await finish(await ask(holder, "r3")) == b"ok", "the kept one is still used"
@@ -135,10 +135,10 @@
         now = state.full_until
         assert state.available(now)
     assert pauses == pytest.approx([0.1, 0.2, 0.4, 0.8, 1.6, 1.6, 1.6, 1.6])
-    assert (FULL_LEAST_S, FULL_MOST_S) == (0.1, 1.6)
+    assert (MIN_FULL_PAUSE_S, MAX_FULL_PAUSE_S) == (0.1, 1.6)
     state.was_accepted()
     state.was_reset(now)
-    assert state.full_until - now == pytest.approx(FULL_LEAST_S)
+    assert state.full_until - now == pytest.approx(MIN_FULL_PAUSE_S)
 
 
 @pytest.mark.parametrize("fronts", [3, 72, 3000])
@@ -147,9 +147,9 @@
     fronts: int, accepted: int, sidecars: int
 ) -> None:
     limits = connection_limits(accepted, sidecars, fronts)
-    if limits.idle_in_all > OPEN_LEAST:
+    if limits.idle_in_all > MIN_OPEN_CONNECTIONS:
         assert fronts * limits.idle_in_all <= IDLE_SHARE * accepted * sidecars
-    assert limits.open_each >= OPEN_LEAST and limits.idle_in_all >= OPEN_LEAST
+    assert limits.open_each >= MIN_OPEN_CONNECTIONS and limits.idle_in_all >= MIN_OPEN_CONNECTIONS
 
 
 @pytest.mark.parametrize("seed", range(20))
--- a/tests/tier/test_sidecars.py
+++ b/tests/tier/test_sidecars.py
@@ -6,17 +6,17 @@
 import pytest
 
 from crowwing.tier.front.sidecars import (
-    PATIENT_FILL,
+    BATCH_FILL,
     SAFE_START,
     SAMPLED,
     SAMPLED_HOLDERS,
     SAMPLED_RECENT,
-    Crowd,
-    Part,
+    AverageInflight,
+    PromptBlock,
     SidecarState,
     SidecarTable,
     home_of,
-    parse_prompt,
+    parse_prompt_prefix,
 )
 from crowwing.tier.platform_list import Sidecar
 
@@ -33,7 +33,10 @@
 
 
 def test_a_prompt_is_read_as_its_parts() -> None:
-    assert parse_prompt("5c1e:800,91bd:410, junk,x:y") == (Part("5c1e", 800), Part("91bd", 410))
+    assert parse_prompt_prefix("5c1e:800,91bd:410, junk,x:y") == (
+        PromptBlock("5c1e", 800),
+        PromptBlock("91bd", 410),
+    )
 
 
 def test_draining_and_unlisted_sidecars_get_nothing() -> None:
@@ -46,36 +49,36 @@
 
 def test_the_less_loaded_sidecar_is_chosen() -> None:
     sidecars = table("a", "b")
-    sidecars.of_service("advisor")[0].tell_load(0.0, 40, 0, 48)
+    sidecars.of_service("advisor")[0].record_load(0.0, 40, 0, 48)
     assert sidecars.choose("advisor", (), 0.1).entry.id == "b"
 
 
 def test_a_told_load_fades_so_that_nobody_is_starved_by_old_news() -> None:
     sidecars = table("a")
     state = sidecars.of_service("advisor")[0]
-    state.tell_load(0.0, 48, 12, 48)
-    assert sidecars.places("advisor", 0.1).live == 0
-    assert sidecars.places("advisor", 2.0).live > 40
+    state.record_load(0.0, 48, 12, 48)
+    assert sidecars.free_slots("advisor", 0.1).live == 0
+    assert sidecars.free_slots("advisor", 2.0).live > 40
     state.inflight, sidecars.fronts = 3, 9
-    assert state.estimate(2.0, Crowd(3.0, 24.0)) == pytest.approx(27), "as if all fronts sent alike"
+    assert state.estimate(2.0, AverageInflight(3.0, 24.0)) == pytest.approx(27), "as if all fronts sent alike"
 
 
 def test_items_leave_a_third_of_the_slots_to_live_requests() -> None:
     sidecars = table("a")
-    sidecars.of_service("advisor")[0].tell_load(0.0, 35, 0, 48)
-    places = sidecars.places("advisor", 0.0)
-    assert places.patient == 0 and places.live > 8
+    sidecars.of_service("advisor")[0].record_load(0.0, 35, 0, 48)
+    free_slots = sidecars.free_slots("advisor", 0.0)
+    assert free_slots.batch == 0 and free_slots.live > 8
 
 
 def test_a_large_shared_part_goes_where_it_is_kept_unless_that_is_crowded() -> None:
     sidecars = table("a", "b", "c")
-    prompt = (Part("shared", 13_300), Part("own", 3_000))
+    prompt = (PromptBlock("shared", 13_300), PromptBlock("own", 3_000))
     home = home_of("shared", sidecars.of_service("advisor"))
     chosen = sidecars.choose("advisor", prompt, 0.0)
     assert chosen.entry.id == home
     chosen.remember(prompt)
-    assert chosen.unread_tokens((Part("shared", 13_300), Part("other", 100))) == 100
-    chosen.tell_load(0.0, 48, 40, 48)
+    assert chosen.uncached_tokens((PromptBlock("shared", 13_300), PromptBlock("other", 100))) == 100
+    chosen.record_load(0.0, 48, 40, 48)
     assert sidecars.choose("advisor", prompt, 0.0).entry.id != home
 
 
@@ -91,9 +94,9 @@
     sidecars = table("a", "b")
     first = sidecars.of_service("advisor")[0]
     first.failed(0.0)
-    assert not first.usable(0.4) and first.usable(0.6)
+    assert not first.is_usable(0.4) and first.is_usable(0.6)
     first.failed(0.6)
-    assert not first.usable(1.5) and first.usable(1.7)
+    assert not first.is_usable(1.5) and first.is_usable(1.7)
     first.succeeded()
     for state in sidecars.of_service("advisor"):
         state.failed(2.0)
@@ -104,12 +107,12 @@
     sidecars = table("a", "b")
     first = sidecars.of_service("advisor")[0]
     first.unanswered[1] = 1.0
-    assert sidecars.silent(1.3) == []
-    assert sidecars.silent(1.4) == [first] and not first.usable(1.4)
+    assert sidecars.unresponsive(1.3) == []
+    assert sidecars.unresponsive(1.4) == [first] and not first.is_usable(1.4)
     assert sidecars.choose("advisor", (), 1.4).entry.id == "b"
     first.succeeded()
-    first.heard_at = 1.5
-    assert first.usable(1.5) and sidecars.silent(1.6) == [], "it has spoken since"
+    first.last_byte_at = 1.5
+    assert first.is_usable(1.5) and sidecars.unresponsive(1.6) == [], "it has spoken since"
 
 
 def test_a_sidecar_whose_requests_fail_gets_fewer_although_it_says_that_it_is_well() -> None:
@@ -118,18 +121,18 @@
     for place in range(12):
         (first.record.failed if place % 2 else first.record.answered)(0.1 * place)
         second.record.answered(0.1 * place)
-    second.tell_load(1.2, 40, 0, 48)
+    second.record_load(1.2, 40, 0, 48)
     assert sidecars.choose("advisor", (), 1.2).entry.id == "b", "even where the other one is busier"
-    assert sidecars.places("advisor", 1.2).live < 48 + 8, "the failing one counts for less"
+    assert sidecars.free_slots("advisor", 1.2).live < 48 + 8, "the failing one counts for less"
     assert sidecars.choose("advisor", (), 30.0).entry.id in "ab"
-    assert first.record.share_failing(30.0) < 0.01, "it is tried again"
+    assert first.record.excess_failure_share(30.0) < 0.01, "it is tried again"
 
 
 def test_one_failure_is_no_reason_to_avoid_a_sidecar() -> None:
     sidecars = table("a", "b")
     first, second = sidecars.of_service("advisor")
     first.record.failed(0.0)
-    second.tell_load(0.0, 8, 0, 48)
+    second.record_load(0.0, 8, 0, 48)
     assert sidecars.choose("advisor", (), 0.1) is first
 
 
@@ -159,13 +162,13 @@
             return cost(state, *rest)
 
         monkeypatch.setattr(sidecars, "_cost_ms", counted)
-        sidecars.choose("advisor", (Part("shared", 13_300), Part("own", 10)), 0.0)
+        sidecars.choose("advisor", (PromptBlock("shared", 13_300), PromptBlock("own", 10)), 0.0)
         assert len(weighed) <= SAMPLED + SAMPLED_HOLDERS + SAMPLED_RECENT + 1, f"of {count}"
 
 
 def test_of_many_sidecars_the_home_of_a_shared_part_or_a_holder_is_chosen() -> None:
     sidecars = many(60)
-    prompt = (Part("shared", 13_300), Part("own", 10))
+    prompt = (PromptBlock("shared", 13_300), PromptBlock("own", 10))
     home = home_of("shared", sidecars.of_service("advisor"))
     assert {sidecars.choose("advisor", prompt, 0.0).entry.id for _ in range(20)} == {home}
     holder = next(x for x in sidecars.of_service("advisor") if x.entry.id != home)
@@ -177,20 +180,20 @@
 
 def test_of_many_sidecars_those_that_can_be_used_are_found_among_many_that_cannot() -> None:
     sidecars = many(100)
-    usable = sidecars.of_service("advisor")[7]
+    is_usable = sidecars.of_service("advisor")[7]
     for state in sidecars.of_service("advisor"):
-        if state is not usable:
+        if state is not is_usable:
             state.failed(0.0)
-    assert sidecars.choose("advisor", (), 0.1) is usable
+    assert sidecars.choose("advisor", (), 0.1) is is_usable
 
 
 def test_places_are_counted_on_for_a_moment_where_there_are_many_sidecars() -> None:
     sidecars = many(60)
-    before = sidecars.places("advisor", 1.0)
-    sidecars.taken("advisor", 10, 5)
-    after = sidecars.places("advisor", 1.01)
-    assert (after.live, after.patient) == (before.live - 15, before.patient - 15)
-    assert sidecars.places("advisor", 1.05) == before, "counted anew"
+    before = sidecars.free_slots("advisor", 1.0)
+    sidecars.count_started("advisor", 10, 5)
+    after = sidecars.free_slots("advisor", 1.01)
+    assert (after.live, after.batch) == (before.live - 15, before.batch - 15)
+    assert sidecars.free_slots("advisor", 1.05) == before, "counted anew"
 
 
 def test_many_fronts_ask_a_sidecar_for_no_more_reports_than_few() -> None:
@@ -201,8 +204,8 @@
         count = 0
         for step in range(200):  # ten seconds in which work waits
             now = 100 + 0.05 * step
-            for state in sidecars.to_be_asked("advisor", now):
-                state.asked_at = now
+            for state in sidecars.with_stale_load("advisor", now):
+                state.report_requested_at = now
                 count += 1
         asked[fronts] = count * fronts / 30 / 10  # of one sidecar by all, a second
     assert asked[5] <= 5 / 0.4 + 1 and asked[50] <= 20 + 50 / 10, asked
@@ -211,8 +214,8 @@
 def test_a_few_sidecars_are_asked_at_a_time_those_untold_for_longest_first() -> None:
     sidecars = table(*(f"s{number}" for number in range(10)))
     for place, state in enumerate(sidecars.of_service("advisor")):
-        state.tell_load(float(-place), 0, 0, 48)
-    asked = [state.entry.id for state in sidecars.to_be_asked("advisor", 10.0)]
+        state.record_load(float(-place), 0, 0, 48)
+    asked = [state.entry.id for state in sidecars.with_stale_load("advisor", 10.0)]
     assert asked == ["s9", "s8", "s7", "s6"]
 
 
@@ -232,8 +235,8 @@
     crowded.inflight = 12
     for state in others:
         state.inflight = 3
-    assert crowded.estimate(100.0, Crowd(6.0, 48.0)) > 80
-    assert others[0].estimate(100.0, Crowd(6.0, 48.0)) < 40
+    assert crowded.estimate(100.0, AverageInflight(6.0, 48.0)) > 80
+    assert others[0].estimate(100.0, AverageInflight(6.0, 48.0)) < 40
 
 
 def test_of_many_sidecars_not_all_are_counted_for_each_choice(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -268,9 +271,9 @@
 def test_before_the_fronts_are_counted_each_takes_a_small_part_as_if_there_were_many() -> None:
     sidecars = table(*(f"s{number}" for number in range(36)))
     slots = 36 * 48
-    assert slots / sidecars.presumed_fronts("advisor") == pytest.approx(SAFE_START, rel=0.01)
+    assert slots / sidecars.assumed_front_count("advisor") == pytest.approx(SAFE_START, rel=0.01)
     sidecars.fronts, sidecars.fronts_counted = 9, True
-    assert sidecars.presumed_fronts("advisor") == 9
+    assert sidecars.assumed_front_count("advisor") == 9
 
 
 def test_a_sidecar_with_a_kept_connection_is_taken_before_one_that_needs_a_new_one() -> None:
@@ -278,7 +281,7 @@
     first, second = sidecars.of_service("advisor")
     second.connections.opened = second.connections.idle = 1
     assert sidecars.choose("advisor", (), 0.0) is second
-    second.tell_load(0.0, 24, 0, 48)
+    second.record_load(0.0, 24, 0, 48)
     assert sidecars.choose("advisor", (), 0.0) is first, "but not at any load"
 
 
@@ -301,7 +304,7 @@
         first = sidecars.of_service("advisor")[0]
         first.inflight = 1
         for step in range(60):
-            sidecars.tell_load(first, 0.01 * step, 12, 0, 48)
+            sidecars.record_load(first, 0.01 * step, 12, 0, 48)
         load = sidecars.load("advisor", 0.6)
         assert load.running == pytest.approx(10 * 12, rel=0.2), "each of ten like the one that was heard"
 
@@ -311,19 +314,19 @@
     honest, liar, *_ = sidecars.of_service("advisor")
     for step in range(60):
         now = 0.01 * step
-        sidecars.tell_load(honest, now, 12, 0, 48)
+        sidecars.record_load(honest, now, 12, 0, 48)
         if step % 10 == 9:
-            sidecars.tell_load(liar, now, 1e9, 1e9, 1)
+            sidecars.record_load(liar, now, 1e9, 1e9, 1)
     others = [state for state in sidecars.of_service("advisor") if state not in (honest, liar)]
-    crowd = sidecars._crowd("advisor", 0.6)  # noqa: SLF001
-    assert max(state.estimate(0.6, crowd) for state in others) < 48, "they still count as having places"
-    crowd = sidecars._crowd("advisor", 9.0)  # noqa: SLF001
-    assert crowd.others == 0, "what was told is forgotten, and this front sends nothing"
+    average = sidecars._average_inflight("advisor", 0.6)  # noqa: SLF001
+    assert max(state.estimate(0.6, average) for state in others) < 48, "they still count as having places"
+    average = sidecars._average_inflight("advisor", 9.0)  # noqa: SLF001
+    assert average.others == 0, "what was told is forgotten, and this front sends nothing"
 
 
 @pytest.mark.parametrize("fronts", [1, 9, 72, 3000])
 def test_all_fronts_together_run_no_more_items_than_leave_room_for_live_requests(fronts: int) -> None:
     sidecars = table(*(f"s{number}" for number in range(36)))
     sidecars.fronts, sidecars.fronts_counted = fronts, True
-    assert fronts * (sidecars.item_share("advisor") - 1) <= PATIENT_FILL * 36 * 48
-    assert sidecars.item_share("advisor") >= 1, "and none is starved"
+    assert fronts * (sidecars.max_batch_items("advisor") - 1) <= BATCH_FILL * 36 * 48
+    assert sidecars.max_batch_items("advisor") >= 1, "and none is starved"
