--- a/benchmarks/worth.py
+++ b/benchmarks/worth.py
@@ -2,7 +2,7 @@
 
 Reads reports of the users' bench (`run --report FILE`) and prints for each how much of the day's worth was
 lost, by kind of request, by clients' zone, by second, by how tries ended and price by price; with the bench's
-output beside it (`run --log`), also what the fronts refused in each second and why. `--plot` draws the loss
+output beside it (`run --log`), also what the fronts rejected in each second and why. `--plot` draws the loss
 by second.
 """
 
@@ -16,9 +16,14 @@
 from pathlib import Path
 from typing import Any
 
-POOL_LINE = re.compile(
-    r"^\s*(?P<at>-?\d+\.\d+) (?P<front>\S+) .*refused (?P<refused>\d+), cut (?P<cut>[\d.]+), "
-    r"limit (?P<limit>\d+) of \d+, inflight (?P<inflight>\d+), held (?P<held>\d+), "
+ADMISSION_LINE = re.compile(
+    r"^\s*(?P<at>-?\d+\.\d+) (?P<front>\S+) .*admission service=\S+ rejected=(?P<rejected>\d+) "
+    r"priority_threshold=(?P<threshold>[\d.]+) limit=(?P<limit>\d+) max_limit=\d+ inflight=(?P<inflight>\d+) "
+    r"queued=(?P<queued>\d+) running=(?P<running>\d+) waiting=(?P<waiting>\d+) slots=(?P<slots>\d+)"
+)
+OLD_ADMISSION_LINE = re.compile(  # of logs that were written before the fields had names
+    r"^\s*(?P<at>-?\d+\.\d+) (?P<front>\S+) .*refused (?P<rejected>\d+), cut (?P<threshold>[\d.]+), "
+    r"limit (?P<limit>\d+) of \d+, inflight (?P<inflight>\d+), held (?P<queued>\d+), "
     r"sidecars (?P<running>\d+)\+(?P<waiting>\d+) of (?P<slots>\d+)"
 )
 WORST_SECONDS = 8
@@ -80,24 +85,24 @@
     """What the fronts logged in one second."""
 
     fronts: int = 0
-    refused: int = 0
-    held: int = 0
+    rejected: int = 0
+    queued: int = 0
     running: int = 0
     waiting: int = 0
     slots: int = 0
 
 
 def read_front_log(text: str) -> dict[int, FrontsSecond]:
-    """The fronts' lines of refusals by second; loads are those of the front that saw most waiting."""
+    """The fronts' lines of admission by second; loads are those of the front that saw most waiting."""
     seconds: dict[int, FrontsSecond] = {}
     for line in text.splitlines():
-        match = POOL_LINE.match(line)
+        match = ADMISSION_LINE.match(line) or OLD_ADMISSION_LINE.match(line)
         if match is None:
             continue
         second = seconds.setdefault(int(float(match["at"])), FrontsSecond())
         second.fronts += 1
-        second.refused += int(match["refused"])
-        second.held += int(match["held"])
+        second.rejected += int(match["rejected"])
+        second.queued += int(match["queued"])
         if int(match["waiting"]) >= second.waiting:
             second.running, second.waiting = int(match["running"]), int(match["waiting"])
             second.slots = int(match["slots"])
@@ -130,11 +135,11 @@
 
 
 def describe_fronts(seconds: dict[int, FrontsSecond]) -> str:
-    """What the fronts refused, second by second."""
-    lines = [f"{'second':>6} {'fronts':>6} {'refused':>7} {'held':>5}  at sidecars"]
-    for second, told in sorted(seconds.items()):
-        load = f"{told.running}+{told.waiting} of {told.slots}"
-        lines.append(f"{second:6} {told.fronts:6} {told.refused:7} {told.held:5}  {load}")
+    """What the fronts rejected, second by second."""
+    lines = [f"{'second':>6} {'fronts':>6} {'rejected':>8} {'queued':>6}  at sidecars"]
+    for second, logged in sorted(seconds.items()):
+        load = f"{logged.running}+{logged.waiting} of {logged.slots}"
+        lines.append(f"{second:6} {logged.fronts:6} {logged.rejected:8} {logged.queued:6}  {load}")
     return "\n".join(lines)
 
 
--- a/crowwing/tier/front/admission.py
+++ b/crowwing/tier/front/admission.py
@@ -6,8 +6,8 @@
 backend's own (crowwing/logic/feedback.py).
 """
 
+from asyncio import Future
 from dataclasses import dataclass, field
-from typing import Any
 
 from crowwing.logic.feedback import ENOUGH, SAMPLES, LimitLoop, queue_timeout, step_cut
 from crowwing.ranked_window import RankedWindow
@@ -35,7 +35,7 @@
     arrived: float
     queue_deadline: float  # the latest moment at which starting it is worth anything
     is_batch_item: bool  # items of lots wait for a place and are not refused by a queue timeout
-    data: Any = None
+    decision: Future[bool] | None = None  # set by the pool, which waits for it
     is_started: bool = False
     is_rejected: bool = False
 
@@ -191,7 +191,7 @@
             return request.queue_deadline
         return min(request.arrived + queue.timeout_s, request.queue_deadline)
 
-    def start(self, now: float, free_slots: FreeSlots) -> list[AdmissionRequest]:
+    def start(self, free_slots: FreeSlots) -> list[AdmissionRequest]:
         """Takes out the held tickets that start now, highest rank first, as far as there are places."""
         started: list[AdmissionRequest] = []
         waiting = [request for queue in self._classes.values() for request in queue.requests]
@@ -205,7 +205,7 @@
             started.append(request)
         return started
 
-    def ended(self, request: AdmissionRequest) -> None:
+    def release(self) -> None:
         """A started ticket has left its sidecar."""
         self.inflight -= 1
 
--- a/crowwing/tier/front/batch_job_runner.py
+++ b/crowwing/tier/front/batch_job_runner.py
@@ -10,8 +10,8 @@
 from crowwing.tier.configuration import Route, choose_service
 from crowwing.tier.front.admission import AdmissionRequest, rank_of
 from crowwing.tier.front.dispatch import Dispatcher, OpenResponse, SidecarRequest
+from crowwing.tier.front.prefix_cache import parse_prompt_prefix
 from crowwing.tier.front.service_pool import ServicePool
-from crowwing.tier.front.sidecars import parse_prompt_prefix
 from crowwing.tier.front.store_client import StoreClient
 from crowwing.tier.front.upstream import Headers, StreamBrokenError, read_body
 from crowwing.tier.state.events import COMPLETED, DEAD_LETTER, ItemResult
@@ -149,13 +149,13 @@
             if not await self._pool.admit(service, admission_request, latency_target_s):
                 return None
             work = asyncio.ensure_future(self._run_started(run))
-            self._pool.add_item(service, work)
+            self._pool.items.add(service, work)
             try:
                 await asyncio.wait({work})
             finally:
-                self._pool.remove_item(service, work)
+                self._pool.items.remove(service, work)
                 work.cancel()
-                self._pool.ended(service, admission_request)
+                self._pool.release(service)
             if not work.cancelled():
                 return work.result()
             run.job.tried.clear()
--- a/crowwing/tier/front/dispatch.py
+++ b/crowwing/tier/front/dispatch.py
@@ -7,9 +7,11 @@
 from dataclasses import dataclass, field
 
 from crowwing.tier.configuration import Route
+from crowwing.tier.front.attempts import MIN_ERROR_STATUS
 from crowwing.tier.front.events import EventSplitter, StreamEvent
-from crowwing.tier.front.service_pool import ERROR_STATUS, ServicePool
-from crowwing.tier.front.sidecars import PromptBlock, SidecarState
+from crowwing.tier.front.prefix_cache import PromptBlock
+from crowwing.tier.front.service_pool import ServicePool
+from crowwing.tier.front.sidecar_state import SidecarState
 from crowwing.tier.front.upstream import (
     AttemptOutcome,
     Headers,
@@ -42,7 +44,7 @@
     request_id: bytes
     route: Route
     service: str
-    parts: tuple[PromptBlock, ...]
+    blocks: tuple[PromptBlock, ...]
     deadline: float  # on the steady clock
     attempts_left: int
     last_event: int | None = None
@@ -93,12 +95,12 @@
             if now >= job.deadline:
                 reason = "the time is up"
                 break
-            state = self._pool.sidecars.choose(job.service, job.parts, now, frozenset(job.tried))
+            state = self._pool.router.choose(job.service, job.blocks, now, frozenset(job.tried))
             if state is None:
                 break
             job.tried.add(state.entry.id)
             outcome = await self._send(job, state)
-            self._pool.count(job.service, outcome)
+            self._pool.log.count(job.service, outcome)
             if isinstance(outcome, ResponseStarted):
                 running = OpenResponse(outcome, state)
                 if not self._is_tried_again(job, outcome):
@@ -110,11 +112,11 @@
             reason = outcome.reason
             if isinstance(outcome, NotExecuted):
                 if outcome.status is not None:
-                    self._pool.rejected(state, outcome, job.expects_version)
+                    self._pool.attempts.not_executed(state, outcome, job.expects_version)
                 elif not outcome.no_connection:
-                    state.failed(time.monotonic())
+                    state.record_failure(time.monotonic())
                 continue
-            state.failed(time.monotonic())
+            state.record_failure(time.monotonic())
             may_have_run = True
             job.attempts_left -= 1
             if not job.route.repeatable or job.attempts_left <= 0:
@@ -125,14 +127,14 @@
 
     @staticmethod
     def _is_tried_again(job: SidecarRequest, opened: ResponseStarted) -> bool:
-        return opened.status >= ERROR_STATUS and job.retries_errors and job.attempts_left > 1
+        return opened.status >= MIN_ERROR_STATUS and job.retries_errors and job.attempts_left > 1
 
     async def _send(self, job: SidecarRequest, state: SidecarState) -> AttemptOutcome:
-        client = self._pool.client(state)
+        client = self._pool.clients.of_sidecar(state)
         left = job.deadline - time.monotonic()
         another = job.route.repeatable and job.attempts_left > 1
         limit = min(left, RESPONSE_TIMEOUT_S) if another else left
-        number = self._pool.sent(state)
+        number = self._pool.attempts.sent(state)
         try:
             async with asyncio.timeout(limit):
                 headers = self._headers(job, state, left)
@@ -140,15 +142,15 @@
         except TimeoutError:
             outcome = ResponseLost("no answer in time")
         except BaseException:
-            self._pool.left(state)
+            self._pool.attempts.ended(state)
             raise
         finally:
-            self._pool.head_came(state, number)
+            self._pool.attempts.head_ended(state, number)
         if isinstance(outcome, ResponseStarted):
-            self._pool.answered(state, outcome)
-            self._pool.sidecars.remember(state, job.parts)
+            self._pool.attempts.response_started(state, outcome)
+            self._pool.router.record_cached(state, job.blocks)
         else:
-            self._pool.left(state)
+            self._pool.attempts.ended(state)
         return outcome
 
     @staticmethod
@@ -165,7 +167,7 @@
 
     async def close(self, running: OpenResponse) -> None:
         """Done with an answer; one that has not ended is broken off."""
-        self._pool.left(running.state)
+        self._pool.attempts.ended(running.state)
         await close_after_answer(running.opened.response)
 
     async def events(self, job: SidecarRequest, running: OpenResponse) -> AsyncIterator[StreamEvent]:
@@ -184,7 +186,7 @@
                     yield event
                 return
             except (StreamBrokenError, TimeoutError) as error:
-                running.state.failed(time.monotonic())
+                running.state.record_failure(time.monotonic())
                 job.attempts_left -= 1
                 if without_id or job.attempts_left <= 0 or time.monotonic() >= job.deadline:
                     raise StreamBrokenError(str(error)) from error
@@ -214,10 +216,9 @@
 
 async def with_chunk_timeout(chunks: AsyncIterator[bytes], job: SidecarRequest) -> AsyncIterator[bytes]:
     """The chunks; raises TimeoutError where none comes for long although another sidecar could go on."""
-    silence = EVENT_TIMEOUT_S
     while True:
         left = job.deadline - time.monotonic()
-        limit = min(left, silence) if job.attempts_left > 1 else left
+        limit = min(left, EVENT_TIMEOUT_S) if job.attempts_left > 1 else left
         try:
             async with asyncio.timeout(max(0.0, limit)):
                 chunk = await anext(chunks)
--- a/crowwing/tier/front/main.py
+++ b/crowwing/tier/front/main.py
@@ -48,7 +48,7 @@
         self.random = Random()
         self.documents = Documents()
         self.pool = ServicePool()
-        self.pool.sidecars.zone = settings.zone
+        self.pool.router.zone = settings.zone
         self.connections = ConnectionPool(settings.internal_port, self.handle)
         me = Peer(settings.ip, "front", settings.zone, 0)
         self.relay = Relay(me, settings.seed_hosts, self.documents, self.connections, self.random)
--- a/crowwing/tier/front/proxy.py
+++ b/crowwing/tier/front/proxy.py
@@ -24,8 +24,8 @@
 )
 from crowwing.tier.front.batch_api import BatchApi
 from crowwing.tier.front.dispatch import Dispatcher, Failed, NotServed, OpenResponse, SidecarRequest
+from crowwing.tier.front.prefix_cache import parse_prompt_prefix
 from crowwing.tier.front.service_pool import ServicePool
-from crowwing.tier.front.sidecars import parse_prompt_prefix
 from crowwing.tier.front.upstream import Headers, StreamBrokenError, hop_by_hop
 from crowwing.tier.front.upstream import read_body as read_answer
 
@@ -145,7 +145,7 @@
         try:
             await self._run_started(request, route, service, deadline, arrived, admission_request, send)
         finally:
-            self._pool.ended(service, admission_request)
+            self._pool.release(service)
 
     def _retry_after_s(self, service: str, latency_target_s: float) -> float:
         """When a refused request may try again, in seconds."""
@@ -195,7 +195,7 @@
                     await self._relay_body(running, answer)
         except (StreamBrokenError, TimeoutError) as error:
             if not answer.is_client_blocked:
-                running.state.failed(time.monotonic())
+                running.state.record_failure(time.monotonic())
             log.info("an answer of %s broke off: %s", running.state.entry.id, error)
             return  # the server closes the connection, so that the answer does not look complete
         await send({"type": "http.response.body", "body": b""})
--- a/crowwing/tier/front/sidecar_connections.py
+++ b/crowwing/tier/front/sidecar_connections.py
@@ -9,7 +9,7 @@
 import asyncio
 import time
 from collections import OrderedDict
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 import httpcore
 
@@ -38,22 +38,22 @@
 class ConnectionState:
     """What a front has and knows of the connections to one sidecar. Times are seconds of the steady clock."""
 
-    most: int = MIN_OPEN_CONNECTIONS  # that this front may have open
-    opened: int = 0
-    idle: int = 0
+    max_open: int = MIN_OPEN_CONNECTIONS  # that this front may have open
+    open_count: int = 0
+    idle: list[httpcore.AsyncHTTP11Connection] = field(default_factory=list)  # the one used last at the end
     resets: int = 0  # of new connections, in a row
     full_until: float = 0.0
 
-    def available(self, now: float) -> bool:
+    def is_available(self, now: float) -> bool:
         """Whether a request would find a connection."""
-        return self.idle > 0 or (self.opened < self.most and now >= self.full_until)
+        return bool(self.idle) or (self.open_count < self.max_open and now >= self.full_until)
 
-    def was_reset(self, now: float) -> None:
+    def record_reset(self, now: float) -> None:
         """A new connection was reset before anything was sent on it."""
         self.full_until = now + min(MAX_FULL_PAUSE_S, MIN_FULL_PAUSE_S * 2**self.resets)
         self.resets += 1
 
-    def was_accepted(self) -> None:
+    def record_accepted(self) -> None:
         """A new connection was taken."""
         self.resets, self.full_until = 0, 0.0
 
@@ -62,22 +62,22 @@
 class ConnectionLimits:
     """How many connections a front may have to the sidecars of one service."""
 
-    open_each: int
-    idle_in_all: int
+    max_open_each: int
+    max_idle_total: int
 
 
 def connection_limits(accepted: int, sidecars: int, fronts: int) -> ConnectionLimits:
     """The part of one of `fronts` in what `sidecars` accept, each `accepted` from all fronts together."""
-    open_each = max(MIN_OPEN_CONNECTIONS, int(OPEN_SHARE * accepted / max(1, fronts)))
-    idle_in_all = max(MIN_IDLE_CONNECTIONS, int(IDLE_SHARE * accepted * sidecars / max(1, fronts)))
-    return ConnectionLimits(open_each, idle_in_all)
+    max_open_each = max(MIN_OPEN_CONNECTIONS, int(OPEN_SHARE * accepted / max(1, fronts)))
+    max_idle_total = max(MIN_IDLE_CONNECTIONS, int(IDLE_SHARE * accepted * sidecars / max(1, fronts)))
+    return ConnectionLimits(max_open_each, max_idle_total)
 
 
 class IdleConnections:
     """The idle connections to all sidecars of a service, the one used last at the end."""
 
-    def __init__(self, most: int = 1_000_000) -> None:
-        self.most = most
+    def __init__(self, max_idle: int = 1_000_000) -> None:
+        self.max_idle = max_idle
         self._idle: OrderedDict[httpcore.AsyncHTTP11Connection, SidecarConnections] = OrderedDict()
 
     def add(self, connection: httpcore.AsyncHTTP11Connection, owner: "SidecarConnections") -> None:
@@ -90,7 +90,7 @@
 
     async def trim(self) -> None:
         """Closes those that rested for longest, as far as they are over the number that may be kept."""
-        while len(self._idle) > self.most:
+        while len(self._idle) > self.max_idle:
             connection, owner = next(iter(self._idle.items()))
             await owner.discard(connection)
 
@@ -114,7 +114,6 @@
         self.state, self._all_idle = state, idle
         self._keep_idle_s, self._connect_limit_s = keep_idle_s, connect_limit_s
         self._network = SidecarNetwork()
-        self._idle: list[httpcore.AsyncHTTP11Connection] = []
         self._open: set[httpcore.AsyncHTTP11Connection] = set()
 
     async def acquire(self, options: tuple[tuple[int, int, int], ...]) -> httpcore.AsyncHTTP11Connection:
@@ -122,8 +121,8 @@
 
         Raises NoConnection, and httpcore.ConnectError or ConnectTimeout, with nothing sent.
         """
-        while self._idle:
-            connection = self._idle[-1]
+        while self.state.idle:
+            connection = self.state.idle[-1]
             if not connection.has_expired():
                 self._forget_idle(connection)
                 return connection
@@ -131,13 +130,13 @@
         return await self._connect(options)
 
     async def _connect(self, options: tuple[tuple[int, int, int], ...]) -> httpcore.AsyncHTTP11Connection:
-        if self.state.opened >= self.state.most or time.monotonic() < self.state.full_until:
-            raise ConnectionsFullError(f"{self.state.opened} of {self.state.most} are open")
-        self.state.opened += 1
+        if self.state.open_count >= self.state.max_open or time.monotonic() < self.state.full_until:
+            raise ConnectionsFullError(f"{self.state.open_count} of {self.state.max_open} are open")
+        self.state.open_count += 1
         try:
             stream = await self._open_stream(options)
         except BaseException:
-            self.state.opened -= 1
+            self.state.open_count -= 1
             raise
         connection = httpcore.AsyncHTTP11Connection(self.origin, stream, self._keep_idle_s)
         self._open.add(connection)
@@ -157,27 +156,25 @@
             raise
         if stream.get_extra_info("is_readable"):  # nothing was asked, so this is its end
             await stream.aclose()
-            self.state.was_reset(time.monotonic())
+            self.state.record_reset(time.monotonic())
             raise ConnectionsFullError("a new connection was reset")
-        self.state.was_accepted()
+        self.state.record_accepted()
         return stream
 
     async def release(self, connection: httpcore.AsyncHTTP11Connection) -> None:
         """A request has ended; its connection is kept where it ended whole."""
-        if connection not in self._open or connection in self._idle:
+        if connection not in self._open or connection in self.state.idle:
             return
         if connection.is_idle() and not connection.has_expired():
-            self._idle.append(connection)
-            self.state.idle = len(self._idle)
+            self.state.idle.append(connection)
             self._all_idle.add(connection, self)
             await self._all_idle.trim()
         else:
             await self.discard(connection)
 
     def _forget_idle(self, connection: httpcore.AsyncHTTP11Connection) -> None:
-        if connection in self._idle:
-            self._idle.remove(connection)
-        self.state.idle = len(self._idle)
+        if connection in self.state.idle:
+            self.state.idle.remove(connection)
         self._all_idle.remove(connection)
 
     async def discard(self, connection: httpcore.AsyncHTTP11Connection) -> None:
@@ -185,7 +182,7 @@
         self._forget_idle(connection)
         if connection in self._open:
             self._open.remove(connection)
-            self.state.opened -= 1
+            self.state.open_count -= 1
         await connection.aclose()
 
     async def close(self) -> None:
--- a/crowwing/tier/front/upstream.py
+++ b/crowwing/tier/front/upstream.py
@@ -5,7 +5,6 @@
 """
 
 import asyncio
-import json
 import logging
 import socket
 from collections.abc import AsyncIterable, AsyncIterator
@@ -15,6 +14,7 @@
 import h11
 import httpcore
 
+from crowwing.tier.front.load_reports import LoadReport, parse_report
 from crowwing.tier.front.sidecar_connections import (
     ConnectionState,
     IdleConnections,
@@ -91,14 +91,6 @@
     reason: str
 
 
-@dataclass(frozen=True)
-class Report:
-    """A sidecar's load as it stood a moment ago."""
-
-    running: float
-    waiting: float
-
-
 class StreamBrokenError(Exception):
     """The body ended before its end."""
 
@@ -136,7 +128,7 @@
         response.extensions[RELEASE] = partial(self._connections.release, connection)
         return response
 
-    async def report(self) -> Report | None:
+    async def report(self) -> LoadReport | None:
         """What the sidecar says of its load; None where it says nothing in time."""
         try:
             async with asyncio.timeout(REPORT_TIMEOUT_S):
@@ -191,13 +183,11 @@
     return not any(NEXT_HEAD in text for text in (reason, *(value for _, value in response.headers)))
 
 
-async def _read_report(response: httpcore.Response) -> Report | None:
+async def _read_report(response: httpcore.Response) -> LoadReport | None:
     """A report, which carries no id: a connection on which anything else stands is not used again."""
     body = b"".join([chunk async for chunk in _chunks(response)])
-    try:
-        told = json.loads(body)
-        report = Report(float(told["running"]), float(told["waiting"]))
-    except (ValueError, KeyError, TypeError):
+    report = parse_report(body)
+    if report is None:
         await _abort(response)
         return None
     await close_after_answer(response)
--- a/tests/tier/exchanges.py
+++ b/tests/tier/exchanges.py
@@ -132,7 +132,7 @@
         while True:
             await asyncio.sleep(0.01)
             for state in pool.sidecars.of_service("s"):
-                pool._request_report(state, 0.0)
+                pool.reports.request(state, 0.0)
 
     async def _client(self, port: int) -> None:
         while self._left > 0:
--- a/tests/tier/test_admission.py
+++ b/tests/tier/test_admission.py
@@ -26,7 +26,7 @@
     admission = Admission(0.0, 4)
     for rank in (0.2, 0.9, 0.5, 0.1, 0.8, 0.7):
         assert admission.arrive(0.0, admission_request(rank), LATENCY_TARGET_S)
-    assert [started.rank for started in admission.start(0.0, MANY)] == [0.9, 0.8, 0.7, 0.5]
+    assert [started.rank for started in admission.start(MANY)] == [0.9, 0.8, 0.7, 0.5]
     assert admission.inflight == 4 and admission.queued_count == 2
 
 
@@ -101,7 +101,7 @@
     admission = Admission(0.0, 10)
     admission.arrive(0.0, admission_request(0.9), LATENCY_TARGET_S)
     admission.arrive(0.0, admission_request(0.5, is_batch_item=True, name="items"), LATENCY_TARGET_S)
-    started = admission.start(0.0, FreeSlots(live=10, batch=0))
+    started = admission.start(FreeSlots(live=10, batch=0))
     assert [one.is_batch_item for one in started] == [False]
     assert admission.expire(1.0) == [], "an item has no queue timeout"
 
--- a/tests/tier/test_dispatch.py
+++ b/tests/tier/test_dispatch.py
@@ -11,7 +11,9 @@
 from crowwing.tier.configuration import Route
 from crowwing.tier.front.dispatch import Dispatcher, Failed, NotServed, OpenResponse, SidecarRequest
 from crowwing.tier.front.service_pool import ServicePool
-from crowwing.tier.front.sidecars import SidecarState
+from crowwing.tier.front.sidecar_clients import SidecarClients
+from crowwing.tier.front.sidecar_state import SidecarState
+from crowwing.tier.front.sidecar_table import SidecarTable
 from crowwing.tier.front.upstream import NotExecuted, ResponseLost, ResponseStarted
 from crowwing.tier.platform_list import Sidecar, SidecarList
 
@@ -27,22 +29,29 @@
         return self._outcomes.pop(0)
 
 
-class PlayedPool(ServicePool):
-    """A pool whose sidecars answer from a list."""
+class PlayedClients(SidecarClients):
+    """One client for all sidecars, which answers from a list."""
 
-    def __init__(self, outcomes: list[Any]) -> None:
-        super().__init__()
+    def __init__(self, sidecars: SidecarTable, outcomes: list[Any]) -> None:
+        super().__init__(sidecars)
         self._played = PlayedClient(outcomes)
-        entries = [
-            Sidecar(name, "advisor", f"127.0.0.1:{place}", "z", 8, True) for place, name in enumerate("abcd")
-        ]
-        self.apply_endpoint_list(SidecarList(tuple(entries)))
 
-    def client(self, state: SidecarState) -> Any:  # noqa: ANN401
+    def of_sidecar(self, _: SidecarState) -> Any:  # noqa: ANN401
         """The same client for all."""
         return self._played
 
 
+def played_pool(outcomes: list[Any]) -> ServicePool:
+    """A pool whose sidecars answer from a list."""
+    pool = ServicePool()
+    pool.clients = PlayedClients(pool.sidecars, outcomes)
+    entries = [
+        Sidecar(name, "advisor", f"127.0.0.1:{port}", "z", 8, True) for port, name in enumerate("abcd")
+    ]
+    pool.apply_endpoint_list(SidecarList(tuple(entries)))
+    return pool
+
+
 def answered(status: int) -> ResponseStarted:
     extensions = {"network_stream": httpcore.AsyncMockStream([])}
     return ResponseStarted(status, [], httpcore.Response(status, content=NoBody(), extensions=extensions))
@@ -91,7 +100,7 @@
 
 
 def opened(outcomes: list[Any], resumable: bool, attempts: int = 2) -> tuple[Any, list[Any]]:
-    result = asyncio.run(Dispatcher(PlayedPool(outcomes)).open(job(resumable, attempts)))
+    result = asyncio.run(Dispatcher(played_pool(outcomes)).open(job(resumable, attempts)))
     return result, outcomes
 
 
--- a/tests/tier/test_service_pool.py
+++ b/tests/tier/test_service_pool.py
@@ -4,7 +4,8 @@
 import time
 
 from crowwing.tier.front.admission import AdmissionRequest
-from crowwing.tier.front.service_pool import ServicePool, describe_outcome
+from crowwing.tier.front.attempts import describe_outcome
+from crowwing.tier.front.service_pool import ServicePool
 from crowwing.tier.front.upstream import NotExecuted, ResponseLost, ResponseStarted
 from crowwing.tier.platform_list import Sidecar, SidecarList
 
@@ -21,7 +22,7 @@
     pool.apply_endpoint_list(SidecarList((Sidecar("a", SERVICE, "127.0.0.1:1", "z1", 4, True),)))
     state = pool.sidecars.of_service(SERVICE)[0]
     for _ in range(4):
-        pool.sent(state)
+        pool.attempts.sent(state)
     return pool
 
 
@@ -34,7 +35,7 @@
         pool = full_pool()
         runs = [asyncio.ensure_future(forever()) for _ in range(3)]
         for run in runs:
-            pool.add_item(SERVICE, run)
+            pool.items.add(SERVICE, run)
         await asyncio.sleep(0)
         asked = asyncio.ensure_future(pool.admit(SERVICE, admission_request(), LATENCY_TARGET_S))
         await asyncio.sleep(0)
@@ -42,8 +43,8 @@
         await asyncio.sleep(0)
         assert [run.cancelled() for run in runs] == [False, False, True], "one, however often it is looked at"
         state = pool.sidecars.of_service(SERVICE)[0]
-        pool.remove_item(SERVICE, runs[2])
-        pool.left(state)
+        pool.items.remove(SERVICE, runs[2])
+        pool.attempts.ended(state)
         pool._start(SERVICE, pool.admission(SERVICE))
         assert await asked
         assert not runs[0].cancelled() and not runs[1].cancelled()
@@ -69,16 +70,16 @@
 def test_a_sidecar_that_rejects_counts_as_full_unless_it_tells_its_load() -> None:
     pool = full_pool()
     state = pool.sidecars.of_service(SERVICE)[0]
-    pool.rejected(state, NotExecuted(503, "full", load=b"4,30,4"), False)
+    pool.attempts.not_executed(state, NotExecuted(503, "full", load=b"4,30,4"), False)
     assert (state.running, state.waiting) == (4, 30)
-    pool.rejected(state, NotExecuted(503, "full"), False)
+    pool.attempts.not_executed(state, NotExecuted(503, "full"), False)
     assert (state.running, state.waiting) == (4, 4)
     reported_at = state.reported_at
-    pool.rejected(state, NotExecuted(421, "other weights"), True)
+    pool.attempts.not_executed(state, NotExecuted(421, "other weights"), True)
     now = time.monotonic()
     assert state.reported_at == reported_at, "that says nothing of its load"
     assert state.is_usable(now), "it has other weights than this request wants, and is there"
-    pool.rejected(state, NotExecuted(421, "another sidecar"), False)
+    pool.attempts.not_executed(state, NotExecuted(421, "another sidecar"), False)
     assert not state.is_usable(now) and state.is_usable(now + 2), (
         "another one is in its place; the list will say so"
     )
@@ -95,8 +96,8 @@
     ]
     assert [describe_outcome(end) for end in outcomes] == [
         "answered",
-        "rejected 503",
+        "rejected_503",
         "unreachable",
-        "no connection",
+        "no_connection",
         "lost",
     ]
--- a/tests/tier/test_sidecar_connections.py
+++ b/tests/tier/test_sidecar_connections.py
@@ -95,7 +95,7 @@
         rejected = await ask(late, "r2")
         assert isinstance(rejected, NotExecuted) and rejected.no_connection
         assert sidecar.requests == 1, "not a byte of the second one was read"
-        assert second.opened == 0 and not second.available(time.monotonic())
+        assert second.open_count == 0 and not second.is_available(time.monotonic())
         assert await finish(await ask(holder, "r3")) == b"ok", "the kept one is still used"
         await holder.close()
         await late.close()
@@ -115,8 +115,8 @@
         ]
         for place, client in enumerate(clients):
             assert await finish(await ask(client, f"r{place}")) == b"ok"
-        assert [state.idle for state in states] == [0, 0, 1, 1]
-        assert [state.opened for state in states] == [0, 0, 1, 1]
+        assert [len(state.idle) for state in states] == [0, 0, 1, 1]
+        assert [state.open_count for state in states] == [0, 0, 1, 1]
         for client, sidecar in zip(clients, sidecars, strict=True):
             await client.close()
             sidecar.stop()
@@ -129,15 +129,15 @@
     pauses = []
     now = 0.0
     for _ in range(8):
-        state.was_reset(now)
+        state.record_reset(now)
         pauses.append(state.full_until - now)
-        assert not state.available(now)
+        assert not state.is_available(now)
         now = state.full_until
-        assert state.available(now)
+        assert state.is_available(now)
     assert pauses == pytest.approx([0.1, 0.2, 0.4, 0.8, 1.6, 1.6, 1.6, 1.6])
     assert (MIN_FULL_PAUSE_S, MAX_FULL_PAUSE_S) == (0.1, 1.6)
-    state.was_accepted()
-    state.was_reset(now)
+    state.record_accepted()
+    state.record_reset(now)
     assert state.full_until - now == pytest.approx(MIN_FULL_PAUSE_S)
 
 
@@ -147,9 +147,9 @@
     fronts: int, accepted: int, sidecars: int
 ) -> None:
     limits = connection_limits(accepted, sidecars, fronts)
-    if limits.idle_in_all > MIN_OPEN_CONNECTIONS:
-        assert fronts * limits.idle_in_all <= IDLE_SHARE * accepted * sidecars
-    assert limits.open_each >= MIN_OPEN_CONNECTIONS and limits.idle_in_all >= MIN_OPEN_CONNECTIONS
+    if limits.max_idle_total > MIN_OPEN_CONNECTIONS:
+        assert fronts * limits.max_idle_total <= IDLE_SHARE * accepted * sidecars
+    assert limits.max_open_each >= MIN_OPEN_CONNECTIONS and limits.max_idle_total >= MIN_OPEN_CONNECTIONS
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -159,6 +159,6 @@
     limits = connection_limits(74, 36, 72)
     kept = [0] * 36
     for _ in range(72):
-        for sidecar in random.choices(range(36), k=limits.idle_in_all):
+        for sidecar in random.choices(range(36), k=limits.max_idle_total):
             kept[sidecar] += 1
     assert max(kept) <= 74 - 12, "the slots of a sidecar find connections beside them"
--- a/tests/tier/test_sidecars.py
+++ b/tests/tier/test_sidecars.py
@@ -4,22 +4,17 @@
 from typing import Any
 
 import pytest
+from httpcore import AsyncHTTP11Connection, AsyncMockStream, Origin
 
-from crowwing.tier.front.sidecars import (
-    BATCH_FILL,
-    SAFE_START,
-    SAMPLED,
-    SAMPLED_HOLDERS,
-    SAMPLED_RECENT,
-    AverageInflight,
-    PromptBlock,
-    SidecarState,
-    SidecarTable,
-    home_of,
-    parse_prompt_prefix,
-)
+from crowwing.tier.front.load_reports import AverageInflight, LoadReport
+from crowwing.tier.front.prefix_cache import PromptBlock, parse_prompt_prefix
+from crowwing.tier.front.routing import SAMPLED, SAMPLED_HOLDERS, SAMPLED_RECENT, Router, home_of
+from crowwing.tier.front.sidecar_state import SidecarState
+from crowwing.tier.front.sidecar_table import BATCH_FILL, SAFE_START, SidecarTable
 from crowwing.tier.platform_list import Sidecar
 
+CONNECTION = AsyncHTTP11Connection(Origin(b"http", b"a", 1), AsyncMockStream([]))
+
 
 def entry(name: str, ready: bool = True, zone: str = "z1") -> Sidecar:
     return Sidecar(name, "advisor", f"10.0.0.{len(name)}:80", zone, 48, ready)
@@ -27,11 +22,16 @@
 
 def table(*names: str) -> SidecarTable:
     made = SidecarTable()
-    made.zone = "z1"
     made.update([entry(name) for name in names])
     return made
 
 
+def router_of(sidecars: SidecarTable) -> Router:
+    router = Router(sidecars, Random(1))
+    router.zone = "z1"
+    return router
+
+
 def test_a_prompt_is_read_as_its_parts() -> None:
     assert parse_prompt_prefix("5c1e:800,91bd:410, junk,x:y") == (
         PromptBlock("5c1e", 800),
@@ -41,22 +41,24 @@
 
 def test_draining_and_unlisted_sidecars_get_nothing() -> None:
     sidecars = table("a", "b")
+    router = router_of(sidecars)
     sidecars.update([entry("a", ready=False), entry("b")])
-    assert sidecars.choose("advisor", (), 0.0).entry.id == "b"
+    assert router.choose("advisor", (), 0.0).entry.id == "b"
     assert sidecars.update([entry("a", ready=False)]) == ["b"]
-    assert sidecars.choose("advisor", (), 0.0) is None
+    assert router.choose("advisor", (), 0.0) is None
 
 
 def test_the_less_loaded_sidecar_is_chosen() -> None:
     sidecars = table("a", "b")
-    sidecars.of_service("advisor")[0].record_load(0.0, 40, 0, 48)
-    assert sidecars.choose("advisor", (), 0.1).entry.id == "b"
+    router = router_of(sidecars)
+    sidecars.of_service("advisor")[0].record_load(0.0, LoadReport(40, 0, 48))
+    assert router.choose("advisor", (), 0.1).entry.id == "b"
 
 
 def test_a_told_load_fades_so_that_nobody_is_starved_by_old_news() -> None:
     sidecars = table("a")
     state = sidecars.of_service("advisor")[0]
-    state.record_load(0.0, 48, 12, 48)
+    state.record_load(0.0, LoadReport(48, 12, 48))
     assert sidecars.free_slots("advisor", 0.1).live == 0
     assert sidecars.free_slots("advisor", 2.0).live > 40
     state.inflight, sidecars.fronts = 3, 9
@@ -65,21 +67,24 @@
 
 def test_items_leave_a_third_of_the_slots_to_live_requests() -> None:
     sidecars = table("a")
-    sidecars.of_service("advisor")[0].record_load(0.0, 35, 0, 48)
+    sidecars.of_service("advisor")[0].record_load(0.0, LoadReport(35, 0, 48))
     free_slots = sidecars.free_slots("advisor", 0.0)
     assert free_slots.batch == 0 and free_slots.live > 8
 
 
 def test_a_large_shared_part_goes_where_it_is_kept_unless_that_is_crowded() -> None:
     sidecars = table("a", "b", "c")
+    router = router_of(sidecars)
     prompt = (PromptBlock("shared", 13_300), PromptBlock("own", 3_000))
     home = home_of("shared", sidecars.of_service("advisor"))
-    chosen = sidecars.choose("advisor", prompt, 0.0)
+    chosen = router.choose("advisor", prompt, 0.0)
     assert chosen.entry.id == home
-    chosen.remember(prompt)
-    assert chosen.uncached_tokens((PromptBlock("shared", 13_300), PromptBlock("other", 100))) == 100
-    chosen.record_load(0.0, 48, 40, 48)
-    assert sidecars.choose("advisor", prompt, 0.0).entry.id != home
+    chosen.prefix_cache.add(prompt)
+    assert (
+        chosen.prefix_cache.uncached_tokens((PromptBlock("shared", 13_300), PromptBlock("other", 100))) == 100
+    )
+    chosen.record_load(0.0, LoadReport(48, 40, 48))
+    assert router.choose("advisor", prompt, 0.0).entry.id != home
 
 
 def test_a_home_stays_where_it_is_when_another_sidecar_goes() -> None:
@@ -92,61 +97,65 @@
 
 def test_a_sidecar_that_fails_is_avoided_for_longer_each_time_and_never_leaves_nobody() -> None:
     sidecars = table("a", "b")
+    router = router_of(sidecars)
     first = sidecars.of_service("advisor")[0]
-    first.failed(0.0)
+    first.record_failure(0.0)
     assert not first.is_usable(0.4) and first.is_usable(0.6)
-    first.failed(0.6)
+    first.record_failure(0.6)
     assert not first.is_usable(1.5) and first.is_usable(1.7)
-    first.succeeded()
+    first.record_success()
     for state in sidecars.of_service("advisor"):
-        state.failed(2.0)
-    assert sidecars.choose("advisor", (), 2.1) is not None, "one in doubt is better than none"
+        state.record_failure(2.0)
+    assert router.choose("advisor", (), 2.1) is not None, "one in doubt is better than none"
 
 
 def test_a_sidecar_that_says_nothing_while_a_request_waits_gets_no_more_until_it_speaks() -> None:
     sidecars = table("a", "b")
+    router = router_of(sidecars)
     first = sidecars.of_service("advisor")[0]
     first.unanswered[1] = 1.0
     assert sidecars.unresponsive(1.3) == []
     assert sidecars.unresponsive(1.4) == [first] and not first.is_usable(1.4)
-    assert sidecars.choose("advisor", (), 1.4).entry.id == "b"
-    first.succeeded()
+    assert router.choose("advisor", (), 1.4).entry.id == "b"
+    first.record_success()
     first.last_byte_at = 1.5
     assert first.is_usable(1.5) and sidecars.unresponsive(1.6) == [], "it has spoken since"
 
 
 def test_a_sidecar_whose_requests_fail_gets_fewer_although_it_says_that_it_is_well() -> None:
     sidecars = table("a", "b")
+    router = router_of(sidecars)
     first, second = sidecars.of_service("advisor")
     for place in range(12):
         (first.record.failed if place % 2 else first.record.answered)(0.1 * place)
         second.record.answered(0.1 * place)
-    second.record_load(1.2, 40, 0, 48)
-    assert sidecars.choose("advisor", (), 1.2).entry.id == "b", "even where the other one is busier"
+    second.record_load(1.2, LoadReport(40, 0, 48))
+    assert router.choose("advisor", (), 1.2).entry.id == "b", "even where the other one is busier"
     assert sidecars.free_slots("advisor", 1.2).live < 48 + 8, "the failing one counts for less"
-    assert sidecars.choose("advisor", (), 30.0).entry.id in "ab"
+    assert router.choose("advisor", (), 30.0).entry.id in "ab"
     assert first.record.excess_failure_share(30.0) < 0.01, "it is tried again"
 
 
 def test_one_failure_is_no_reason_to_avoid_a_sidecar() -> None:
     sidecars = table("a", "b")
+    router = router_of(sidecars)
     first, second = sidecars.of_service("advisor")
     first.record.failed(0.0)
-    second.record_load(0.0, 8, 0, 48)
-    assert sidecars.choose("advisor", (), 0.1) is first
+    second.record_load(0.0, LoadReport(8, 0, 48))
+    assert router.choose("advisor", (), 0.1) is first
 
 
 def test_where_all_fail_all_are_used() -> None:
     sidecars = table("a", "b")
+    router = router_of(sidecars)
     for state in sidecars.of_service("advisor"):
         for place in range(20):
             state.record.failed(0.1 * place)
-    assert sidecars.choose("advisor", (), 2.0) is not None
+    assert router.choose("advisor", (), 2.0) is not None
 
 
 def many(count: int) -> SidecarTable:
-    made = SidecarTable(Random(1))
-    made.zone = "z1"
+    made = SidecarTable()
     made.update([Sidecar(f"s{n}", "advisor", f"10.0.0.1:{n}", "z1", 48, True) for n in range(count)])
     return made
 
@@ -154,37 +163,40 @@
 def test_of_many_sidecars_few_are_weighed_for_each_request(monkeypatch: pytest.MonkeyPatch) -> None:
     for count in (60, 5200):
         sidecars = many(count)
+        router = router_of(sidecars)
         weighed: list[str] = []
-        cost = sidecars._cost_ms
+        cost = router._cost_ms
 
         def counted(state: SidecarState, *rest: Any, cost: Any = cost, weighed: Any = weighed) -> float:  # noqa: ANN401
             weighed.append(state.entry.id)
             return cost(state, *rest)
 
-        monkeypatch.setattr(sidecars, "_cost_ms", counted)
-        sidecars.choose("advisor", (PromptBlock("shared", 13_300), PromptBlock("own", 10)), 0.0)
+        monkeypatch.setattr(router, "_cost_ms", counted)
+        router.choose("advisor", (PromptBlock("shared", 13_300), PromptBlock("own", 10)), 0.0)
         assert len(weighed) <= SAMPLED + SAMPLED_HOLDERS + SAMPLED_RECENT + 1, f"of {count}"
 
 
 def test_of_many_sidecars_the_home_of_a_shared_part_or_a_holder_is_chosen() -> None:
     sidecars = many(60)
+    router = router_of(sidecars)
     prompt = (PromptBlock("shared", 13_300), PromptBlock("own", 10))
     home = home_of("shared", sidecars.of_service("advisor"))
-    assert {sidecars.choose("advisor", prompt, 0.0).entry.id for _ in range(20)} == {home}
+    assert {router.choose("advisor", prompt, 0.0).entry.id for _ in range(20)} == {home}
     holder = next(x for x in sidecars.of_service("advisor") if x.entry.id != home)
-    sidecars.remember(holder, prompt)
-    assert sidecars.choose("advisor", prompt, 0.0) is holder, "it need not read it"
+    router.record_cached(holder, prompt)
+    assert router.choose("advisor", prompt, 0.0) is holder, "it need not read it"
     sidecars.update([x.entry for x in sidecars.of_service("advisor") if x is not holder])
-    assert sidecars.choose("advisor", prompt, 0.0).entry.id == home, "a holder that is gone is not chosen"
+    assert router.choose("advisor", prompt, 0.0).entry.id == home, "a holder that is gone is not chosen"
 
 
 def test_of_many_sidecars_those_that_can_be_used_are_found_among_many_that_cannot() -> None:
     sidecars = many(100)
+    router = router_of(sidecars)
     is_usable = sidecars.of_service("advisor")[7]
     for state in sidecars.of_service("advisor"):
         if state is not is_usable:
-            state.failed(0.0)
-    assert sidecars.choose("advisor", (), 0.1) is is_usable
+            state.record_failure(0.0)
+    assert router.choose("advisor", (), 0.1) is is_usable
 
 
 def test_places_are_counted_on_for_a_moment_where_there_are_many_sidecars() -> None:
@@ -214,7 +226,7 @@
 def test_a_few_sidecars_are_asked_at_a_time_those_untold_for_longest_first() -> None:
     sidecars = table(*(f"s{number}" for number in range(10)))
     for place, state in enumerate(sidecars.of_service("advisor")):
-        state.record_load(float(-place), 0, 0, 48)
+        state.record_load(float(-place), LoadReport(0, 0, 48))
     asked = [state.entry.id for state in sidecars.with_stale_load("advisor", 10.0)]
     assert asked == ["s9", "s8", "s7", "s6"]
 
@@ -241,6 +253,7 @@
 
 def test_of_many_sidecars_not_all_are_counted_for_each_choice(monkeypatch: pytest.MonkeyPatch) -> None:
     sidecars = table(*(f"s{number}" for number in range(200)))
+    router = router_of(sidecars)
     listed = 0
 
     def count(service: str, real: Any = sidecars.of_service) -> Any:  # noqa: ANN401
@@ -252,7 +265,7 @@
 
     monkeypatch.setattr(sidecars, "of_service", count)
     for _ in range(50):
-        assert sidecars.choose("advisor", (), 100.0) is not None
+        assert router.choose("advisor", (), 100.0) is not None
     assert listed <= 2 * 200, "counted once in this moment, not for each of fifty requests"
 
 
@@ -278,23 +291,26 @@
 
 def test_a_sidecar_with_a_kept_connection_is_taken_before_one_that_needs_a_new_one() -> None:
     sidecars = table("a", "b")
+    router = router_of(sidecars)
     first, second = sidecars.of_service("advisor")
-    second.connections.opened = second.connections.idle = 1
-    assert sidecars.choose("advisor", (), 0.0) is second
-    second.record_load(0.0, 24, 0, 48)
-    assert sidecars.choose("advisor", (), 0.0) is first, "but not at any load"
+    second.connections.open_count = 1
+    second.connections.idle.append(CONNECTION)
+    assert router.choose("advisor", (), 0.0) is second
+    second.record_load(0.0, LoadReport(24, 0, 48))
+    assert router.choose("advisor", (), 0.0) is first, "but not at any load"
 
 
 def test_a_sidecar_that_takes_no_more_connections_is_left_out_while_others_are_there() -> None:
     sidecars = table("a", "b")
+    router = router_of(sidecars)
     first, second = sidecars.of_service("advisor")
-    first.connections.was_reset(0.0)
-    assert {sidecars.choose("advisor", (), 0.05).entry.id for _ in range(5)} == {"b"}
-    first.connections.idle = 1
-    assert sidecars.choose("advisor", (), 0.05) is first, "a kept connection is as good as before"
-    second.connections.was_reset(0.0)
-    first.connections.idle = 0
-    assert sidecars.choose("advisor", (), 0.05) is not None, "one in doubt is better than none"
+    first.connections.record_reset(0.0)
+    assert {router.choose("advisor", (), 0.05).entry.id for _ in range(5)} == {"b"}
+    first.connections.idle.append(CONNECTION)
+    assert router.choose("advisor", (), 0.05) is first, "a kept connection is as good as before"
+    second.connections.record_reset(0.0)
+    first.connections.idle.clear()
+    assert router.choose("advisor", (), 0.05) is not None, "one in doubt is better than none"
 
 
 def test_sidecars_that_tell_their_load_tell_of_the_others_whatever_the_count_of_fronts_is() -> None:
@@ -304,7 +320,7 @@
         first = sidecars.of_service("advisor")[0]
         first.inflight = 1
         for step in range(60):
-            sidecars.record_load(first, 0.01 * step, 12, 0, 48)
+            sidecars.record_load(first, 0.01 * step, LoadReport(12, 0, 48))
         load = sidecars.load("advisor", 0.6)
         assert load.running == pytest.approx(10 * 12, rel=0.2), "each of ten like the one that was heard"
 
@@ -314,13 +330,13 @@
     honest, liar, *_ = sidecars.of_service("advisor")
     for step in range(60):
         now = 0.01 * step
-        sidecars.record_load(honest, now, 12, 0, 48)
+        sidecars.record_load(honest, now, LoadReport(12, 0, 48))
         if step % 10 == 9:
-            sidecars.record_load(liar, now, 1e9, 1e9, 1)
+            sidecars.record_load(liar, now, LoadReport(1e9, 1e9, 1))
     others = [state for state in sidecars.of_service("advisor") if state not in (honest, liar)]
-    average = sidecars._average_inflight("advisor", 0.6)  # noqa: SLF001
+    average = sidecars.average_inflight("advisor", 0.6)
     assert max(state.estimate(0.6, average) for state in others) < 48, "they still count as having places"
-    average = sidecars._average_inflight("advisor", 9.0)  # noqa: SLF001
+    average = sidecars.average_inflight("advisor", 9.0)
     assert average.others == 0, "what was told is forgotten, and this front sends nothing"
 
 
