--- a/crowwing/tier/front/admission.py
+++ b/crowwing/tier/front/admission.py
@@ -52,7 +52,7 @@
     def __post_init__(self) -> None:
         self.timeout_s = QUEUE_TIMEOUT_TARGET_SHARE * self.latency_target_s
 
-    def learn(self, latency_s: float) -> None:
+    def record_latency(self, latency_s: float) -> None:
         """Takes in the time to the first event of one run."""
         self.latencies.add(latency_s)
         if len(self.latencies) >= ENOUGH:
--- a/crowwing/tier/front/asgi.py
+++ b/crowwing/tier/front/asgi.py
@@ -1,29 +1,19 @@
-"""Small helpers for ASGI: reading a request, writing whole answers."""
+"""ASGI as the front uses it: reading a client's request, writing complete responses."""
 
 import asyncio
 import json
 from dataclasses import dataclass
 
-from litestar.types import Receive, Send
-
-Headers = list[tuple[bytes, bytes]]
-
-
-class ClientDisconnectedError(Exception):
-    """The client closed its connection."""
-
-
-class BodyTooLargeError(Exception):
-    """The client sends more than the configuration allows."""
+from litestar.types import HTTPResponseBodyEvent, HTTPResponseStartEvent, Message, Receive, Send
 
+from crowwing.tier.front.errors import BodyTimeoutError, BodyTooLargeError, ClientDisconnectedError
 
-class BodyTimeoutError(Exception):
-    """The client has sent nothing of its body for too long."""
+Headers = list[tuple[bytes, bytes]]
 
 
 @dataclass(frozen=True)
 class ClientRequest:
-    """A whole request of a client."""
+    """A complete request of a client."""
 
     method: str
     path: str  # as sent, without the query
@@ -47,16 +37,27 @@
 
 
 async def read_body(receive: Receive, max_bytes: int, timeout_s: float) -> bytes:
-    """The whole body; raises ClientGone, BodyTooLarge, or BodyTooSlow after `silence_s` without a byte."""
+    """Reads the complete body of a request.
+
+    Args:
+        receive: The channel from the client.
+        max_bytes: What the body may have.
+        timeout_s: How long the client may send nothing of it.
+
+    Raises:
+        ClientDisconnectedError: The client closed its connection.
+        BodyTooLargeError: There are more than `max_bytes`.
+        BodyTimeoutError: Nothing came for `timeout_s`.
+    """
     chunks: list[bytes] = []
     size = 0
     while True:
         try:
             async with asyncio.timeout(timeout_s):
                 message = await receive()
-        except TimeoutError:
-            raise BodyTimeoutError from None
-        if message["type"] == "http.disconnect":
+        except TimeoutError as error:
+            raise BodyTimeoutError from error
+        if message["type"] != "http.request":
             raise ClientDisconnectedError
         chunk = message.get("body", b"")
         size += len(chunk)
@@ -73,22 +74,30 @@
         pass
 
 
+def response_start(status: int, headers: Headers) -> Message:
+    """The message that begins a response."""
+    return HTTPResponseStartEvent(type="http.response.start", status=status, headers=headers)
+
+
+def response_body(body: bytes, more_body: bool = False) -> Message:
+    """The message with a chunk of a response's body, by default the last one."""
+    return HTTPResponseBodyEvent(type="http.response.body", body=body, more_body=more_body)
+
+
 async def respond(send: Send, status: int, body: bytes, headers: Headers | None = None) -> None:
-    """Sends a whole answer."""
+    """Sends a complete response."""
     all_headers = [(b"content-length", str(len(body)).encode()), *(headers or [])]
-    await send({"type": "http.response.start", "status": status, "headers": all_headers})
-    await send({"type": "http.response.body", "body": body})
+    await send(response_start(status, all_headers))
+    await send(response_body(body))
 
 
 async def respond_json(send: Send, status: int, value: object, headers: Headers | None = None) -> None:
-    """Sends a whole answer in JSON."""
+    """Sends a complete response in JSON."""
     typed = [(b"content-type", b"application/json"), *(headers or [])]
     await respond(send, status, json.dumps(value).encode(), typed)
 
 
-async def respond_unavailable(send: Send, reason: str, retry_after_s: float, closes: bool = False) -> None:
-    """Promises that the request has not run and never will, and says when to come back."""
+async def respond_unavailable(send: Send, reason: str, retry_after_s: float) -> None:
+    """Sends a 503: the request has not run and never will, and the client may come back after a time."""
     headers = [(b"retry-after", f"{retry_after_s:.3f}".encode())]
-    if closes:
-        headers.append((b"connection", b"close"))
     await respond_json(send, 503, {"error": reason}, headers)
--- a/crowwing/tier/front/batch_api.py
+++ b/crowwing/tier/front/batch_api.py
@@ -9,8 +9,8 @@
 
 from litestar.types import Send
 
-from crowwing.tier.configuration import Route
 from crowwing.tier.front.asgi import ClientRequest, respond, respond_json, respond_unavailable
+from crowwing.tier.front.errors import MalformedBatchJobError
 from crowwing.tier.front.store_client import StoreClient
 from crowwing.tier.state.events import BatchItem
 from crowwing.tier.store import commands
@@ -24,21 +24,20 @@
 RETRY_AFTER_S = 0.2
 
 
-class MalformedBatchJobError(Exception):
-    """A lot that can't be read."""
-
-
 def parse_batch_job(body: bytes) -> tuple[BatchItem, ...]:
     """The items of a lot; raises MalformedBatchJobError."""
     try:
         requests = json.loads(body)["requests"]
         items = tuple(parse_item(entry) for entry in requests)
     except (ValueError, KeyError, TypeError, AttributeError, binascii.Error) as error:
-        raise MalformedBatchJobError(f"{type(error).__name__}: {error}") from error
+        reason = f"{type(error).__name__}: {error}"
+        raise MalformedBatchJobError(reason) from error
     if not 0 < len(items) <= MAX_ITEMS:
-        raise MalformedBatchJobError(f"requests: 1 to {MAX_ITEMS} are taken, these are {len(items)}")
+        reason = f"requests: 1 to {MAX_ITEMS} are taken, these are {len(items)}"
+        raise MalformedBatchJobError(reason)
     if len({item.id for item in items}) < len(items):
-        raise MalformedBatchJobError("requests: two have the same id")
+        reason = "requests: two have the same id"
+        raise MalformedBatchJobError(reason)
     return items
 
 
@@ -55,7 +54,7 @@
     def __init__(self, store: StoreClient) -> None:
         self._store = store
 
-    async def serve_route(self, request: ClientRequest, route: Route, send: Send) -> None:
+    async def serve_route(self, request: ClientRequest, send: Send) -> None:
         """A request on a route of lots: one is handed in."""
         if request.method != "POST":
             await respond_json(send, 405, {"error": "lots are handed in with POST"})
--- a/crowwing/tier/front/dispatch.py
+++ b/crowwing/tier/front/dispatch.py
@@ -1,13 +1,14 @@
-"""Runs one admitted request or item at sidecars: choice, tries, and the one stream that comes out of them."""
+"""Runs one admitted request at sidecars: its attempts, and the one stream that comes out of them."""
 
 import asyncio
 import logging
 import time
-from collections.abc import AsyncIterator
+from collections.abc import AsyncGenerator
 from dataclasses import dataclass, field
 
 from crowwing.tier.configuration import Route
 from crowwing.tier.front.attempts import MIN_ERROR_STATUS
+from crowwing.tier.front.errors import StreamBrokenError
 from crowwing.tier.front.events import EventSplitter, StreamEvent
 from crowwing.tier.front.prefix_cache import PromptBlock
 from crowwing.tier.front.service_pool import ServicePool
@@ -18,7 +19,6 @@
     NotExecuted,
     ResponseLost,
     ResponseStarted,
-    StreamBrokenError,
     close_after_answer,
     hop_by_hop,
     read_body,
@@ -26,16 +26,23 @@
 
 log = logging.getLogger("crowwing.dispatch")
 
-MAX_SENDS = 6  # of one try of a client, counting those that did not run
-RESPONSE_TIMEOUT_S = 0.6  # without a byte, after which a repeatable request is tried elsewhere
-EVENT_TIMEOUT_S = 1.0  # between the events of one that can go on elsewhere
+MAX_SENDS = 6  # of one request of a client, counting those that did not run
+RESPONSE_TIMEOUT_S = 0.6  # without a byte, after which an idempotent request is retried elsewhere
+EVENT_TIMEOUT_S = 1.0  # between the events of a stream that can go on elsewhere
+OK_STATUS = 200
+BAD_GATEWAY_STATUS = 502
+GATEWAY_TIMEOUT_STATUS = 504
 EXPECT_VERSION = b"expect-version"
-DROPPED = {b"deadline-ms", b"target-instance", b"content-length", b"last-event-id"}
+METHODS_WITH_BODY = ("POST", "PUT", "PATCH")
+REPLACED_HEADERS = {b"deadline-ms", b"target-instance", b"content-length", b"last-event-id"}
 
 
 @dataclass
 class SidecarRequest:
-    """What is to be run."""
+    """A request as it is sent to sidecars, and how far its attempts have come.
+
+    Made by the proxy or the batch job runner; the dispatcher changes what the attempts change.
+    """
 
     method: str
     target: bytes
@@ -46,10 +53,10 @@
     service: str
     blocks: tuple[PromptBlock, ...]
     deadline: float  # on the steady clock
-    attempts_left: int
+    attempts_left: int  # of those that may run it
     last_event: int | None = None
-    retries_errors: bool = False  # an answer of 5xx is taken as a failed run where another is allowed
-    tried: set[str] = field(default_factory=set)
+    retries_errors: bool = False  # a response of 5xx is a failed attempt where another is allowed
+    tried: set[str] = field(default_factory=set)  # ids of sidecars
 
     @property
     def expects_version(self) -> bool:
@@ -66,79 +73,107 @@
 
 @dataclass(frozen=True)
 class Failed:
-    """It may have run, and there is no answer."""
+    """It may have run, and there is no response."""
 
-    status: int
+    status: int  # for the client
     reason: str
 
 
 @dataclass
 class OpenResponse:
-    """A sidecar answers; `release` when done with it."""
+    """A sidecar answers; whoever has it calls `Dispatcher.close`, or reads it by `Dispatcher.events`."""
 
-    opened: ResponseStarted
+    started: ResponseStarted
     state: SidecarState
 
 
+DispatchResult = OpenResponse | NotServed | Failed
+
+
+@dataclass
+class _Progress:
+    """What the attempts have brought so far."""
+
+    reason: str = "no sidecar is there"
+    may_have_run: bool = False
+
+
 class Dispatcher:
-    """Sends jobs to sidecars."""
+    """Sends requests to sidecars. Owned by the proxy and by the batch job runner, one each."""
 
     def __init__(self, pool: ServicePool) -> None:
+        """Sends to the sidecars of a pool."""
         self._pool = pool
 
-    async def open(self, job: SidecarRequest) -> OpenResponse | NotServed | Failed:
-        """Sends a job until a sidecar begins to answer it."""
-        reason = "no sidecar is there"
-        may_have_run = False
+    async def open(self, request: SidecarRequest) -> DispatchResult:
+        """Sends a request until a sidecar begins to answer it.
+
+        Returns:
+            The response, which the caller closes, or why there is none.
+        """
+        progress = _Progress()
         for _ in range(MAX_SENDS):
-            now = time.monotonic()
-            if now >= job.deadline:
-                reason = "the time is up"
-                break
-            state = self._pool.router.choose(job.service, job.blocks, now, frozenset(job.tried))
+            state = self._next_sidecar(request, progress)
             if state is None:
                 break
-            job.tried.add(state.entry.id)
-            outcome = await self._send(job, state)
-            self._pool.log.count(job.service, outcome)
-            if isinstance(outcome, ResponseStarted):
-                running = OpenResponse(outcome, state)
-                if not self._is_tried_again(job, outcome):
-                    return running
-                await self.close(running)
-                reason, may_have_run = f"status {outcome.status}", True
-                job.attempts_left -= 1
-                continue
-            reason = outcome.reason
-            if isinstance(outcome, NotExecuted):
-                if outcome.status is not None:
-                    self._pool.attempts.not_executed(state, outcome, job.expects_version)
-                elif not outcome.no_connection:
-                    state.record_failure(time.monotonic())
-                continue
-            state.record_failure(time.monotonic())
-            may_have_run = True
-            job.attempts_left -= 1
-            if not job.route.repeatable or job.attempts_left <= 0:
+            outcome = await self._send(request, state)
+            self._pool.log.count(request.service, outcome)
+            if isinstance(outcome, ResponseStarted) and not _is_error_retried(request, outcome):
+                return OpenResponse(outcome, state)
+            if not await self._can_retry(request, state, outcome, progress):
                 break
-        if may_have_run:
-            return Failed(504 if time.monotonic() >= job.deadline else 502, reason)
-        return NotServed(reason)
+        if not progress.may_have_run:
+            return NotServed(progress.reason)
+        is_late = time.monotonic() >= request.deadline
+        return Failed(GATEWAY_TIMEOUT_STATUS if is_late else BAD_GATEWAY_STATUS, progress.reason)
 
-    @staticmethod
-    def _is_tried_again(job: SidecarRequest, opened: ResponseStarted) -> bool:
-        return opened.status >= MIN_ERROR_STATUS and job.retries_errors and job.attempts_left > 1
+    def _next_sidecar(self, request: SidecarRequest, progress: _Progress) -> SidecarState | None:
+        now = time.monotonic()
+        if now >= request.deadline:
+            progress.reason = "the time is up"
+            return None
+        state = self._pool.router.choose(request.service, request.blocks, now, frozenset(request.tried))
+        if state is not None:
+            request.tried.add(state.entry.id)
+        return state
 
-    async def _send(self, job: SidecarRequest, state: SidecarState) -> AttemptOutcome:
+    async def _can_retry(
+        self, request: SidecarRequest, state: SidecarState, outcome: AttemptOutcome, progress: _Progress
+    ) -> bool:
+        """Records an attempt that brought no response for the client; whether there may be another."""
+        match outcome:
+            case ResponseStarted(status):
+                await self.close(OpenResponse(outcome, state))
+                progress.reason = f"status {status}"
+                progress.may_have_run = True
+                request.attempts_left -= 1
+                return True
+            case NotExecuted(status, reason, no_connection):
+                progress.reason = reason
+                if status is not None:
+                    self._pool.attempts.not_executed(state, outcome, request.expects_version)
+                elif not no_connection:
+                    state.record_failure(time.monotonic())
+                return True
+            case ResponseLost(reason):
+                progress.reason = reason
+                progress.may_have_run = True
+                state.record_failure(time.monotonic())
+                request.attempts_left -= 1
+                return request.route.repeatable and request.attempts_left > 0
+
+    async def _send(self, request: SidecarRequest, state: SidecarState) -> AttemptOutcome:
         client = self._pool.clients.of_sidecar(state)
-        left = job.deadline - time.monotonic()
-        another = job.route.repeatable and job.attempts_left > 1
-        limit = min(left, RESPONSE_TIMEOUT_S) if another else left
+        left_s = request.deadline - time.monotonic()
+        has_another = request.route.repeatable and request.attempts_left > 1
+        timeout_s = min(left_s, RESPONSE_TIMEOUT_S) if has_another else left_s
         number = self._pool.attempts.sent(state)
         try:
-            async with asyncio.timeout(limit):
-                headers = self._headers(job, state, left)
-                outcome = await client.send(job.method, job.target, headers, job.body, job.request_id)
+            async with asyncio.timeout(timeout_s):
+                headers = _sidecar_headers(request, state, left_s)
+                outcome = await client.send(
+                    request.method, request.target, headers, request.body, request.request_id
+                )
         except TimeoutError:
             outcome = ResponseLost("no answer in time")
         except BaseException:
@@ -148,79 +183,98 @@
             self._pool.attempts.head_ended(state, number)
         if isinstance(outcome, ResponseStarted):
             self._pool.attempts.response_started(state, outcome)
-            self._pool.router.record_cached(state, job.blocks)
+            self._pool.router.record_cached(state, request.blocks)
         else:
             self._pool.attempts.ended(state)
         return outcome
 
-    @staticmethod
-    def _headers(job: SidecarRequest, state: SidecarState, left_s: float) -> Headers:
-        dropped = DROPPED | hop_by_hop(job.headers)
-        headers = [(name, value) for name, value in job.headers if name.lower() not in dropped]
-        headers.append((b"Deadline-Ms", str(max(1, int(left_s * 1000))).encode()))
-        headers.append((b"Target-Instance", state.entry.id.encode()))
-        if job.last_event is not None:
-            headers.append((b"Last-Event-Id", str(job.last_event).encode()))
-        if job.body or job.method in ("POST", "PUT", "PATCH"):
-            headers.append((b"Content-Length", str(len(job.body)).encode()))
-        return headers
-
-    async def close(self, running: OpenResponse) -> None:
-        """Done with an answer; one that has not ended is broken off."""
-        self._pool.attempts.ended(running.state)
-        await close_after_answer(running.opened.response)
-
-    async def events(self, job: SidecarRequest, running: OpenResponse) -> AsyncIterator[StreamEvent]:
-        """The whole events of a resumable job, taken up elsewhere where a sidecar breaks off.
-
-        Raises StreamBroken where it can't be gone on with. Closes what it opens.
+    async def close(self, response: OpenResponse) -> None:
+        """Done with a response; one that has not ended is broken off."""
+        self._pool.attempts.ended(response.state)
+        await close_after_answer(response.started.response)
+
+    async def events(
+        self, request: SidecarRequest, response: OpenResponse
+    ) -> AsyncGenerator[StreamEvent, None]:
+        """The complete events of a resumable request, gone on with elsewhere where a sidecar breaks off.
+
+        Closes each response that it reads.
+
+        Raises:
+            StreamBrokenError: It can't be gone on with.
         """
         without_id = False
         while True:
-            splitter = EventSplitter()
             try:
-                async for event in self._one_run(job, running, splitter):
+                async for event in _read_events(request, response):
                     without_id = without_id or event.id is None
                     if event.id is not None:
-                        job.last_event = event.id
+                        request.last_event = event.id
                     yield event
-                return
             except (StreamBrokenError, TimeoutError) as error:
-                running.state.record_failure(time.monotonic())
-                job.attempts_left -= 1
-                if without_id or job.attempts_left <= 0 or time.monotonic() >= job.deadline:
+                response.state.record_failure(time.monotonic())
+                request.attempts_left -= 1
+                if without_id or request.attempts_left <= 0 or time.monotonic() >= request.deadline:
                     raise StreamBrokenError(str(error)) from error
+            else:
+                return
             finally:
-                await self.close(running)
-            resumed = await self.open(job)
-            if not isinstance(resumed, OpenResponse):
-                raise StreamBrokenError(resumed.reason)
-            if resumed.opened.status != 200:
-                await self.close(resumed)
-                raise StreamBrokenError(f"status {resumed.opened.status} on going on")
-            running = resumed
-
-    async def _one_run(
-        self, job: SidecarRequest, running: OpenResponse, splitter: EventSplitter
-    ) -> AsyncIterator[StreamEvent]:
-        after = job.last_event
-        async for chunk in with_chunk_timeout(read_body(running.opened), job):
-            for event in splitter.feed(chunk):
-                if event.id is not None and after is not None and event.id != after + 1:
-                    raise StreamBrokenError(f"event {event.id} after {after}")
-                after = event.id if event.id is not None else after
-                yield event
-        if splitter.rest.strip():
-            raise StreamBrokenError("it ended inside an event")
-
-
-async def with_chunk_timeout(chunks: AsyncIterator[bytes], job: SidecarRequest) -> AsyncIterator[bytes]:
+                await self.close(response)
+            response = await self._resume(request)
+
+    async def _resume(self, request: SidecarRequest) -> OpenResponse:
+        """Goes on behind the last event at another sidecar; raises StreamBrokenError where none does."""
+        resumed = await self.open(request)
+        if not isinstance(resumed, OpenResponse):
+            raise StreamBrokenError(resumed.reason)
+        if resumed.started.status != OK_STATUS:
+            await self.close(resumed)
+            reason = f"status {resumed.started.status} on going on"
+            raise StreamBrokenError(reason)
+        return resumed
+
+
+def _is_error_retried(request: SidecarRequest, started: ResponseStarted) -> bool:
+    return started.status >= MIN_ERROR_STATUS and request.retries_errors and request.attempts_left > 1
+
+
+def _sidecar_headers(request: SidecarRequest, state: SidecarState, left_s: float) -> Headers:
+    dropped = REPLACED_HEADERS | hop_by_hop(request.headers)
+    headers = [(name, value) for name, value in request.headers if name.lower() not in dropped]
+    headers.append((b"Deadline-Ms", str(max(1, int(left_s * 1000))).encode()))
+    headers.append((b"Target-Instance", state.entry.id.encode()))
+    if request.last_event is not None:
+        headers.append((b"Last-Event-Id", str(request.last_event).encode()))
+    if request.body or request.method in METHODS_WITH_BODY:
+        headers.append((b"Content-Length", str(len(request.body)).encode()))
+    return headers
+
+
+async def _read_events(request: SidecarRequest, response: OpenResponse) -> AsyncGenerator[StreamEvent, None]:
+    """The events of one response; raises StreamBrokenError on a gap, and TimeoutError."""
+    splitter = EventSplitter()
+    after = request.last_event
+    async for chunk in with_chunk_timeout(read_body(response.started), request):
+        for event in splitter.feed(chunk):
+            if event.id is not None and after is not None and event.id != after + 1:
+                reason = f"event {event.id} after {after}"
+                raise StreamBrokenError(reason)
+            after = event.id if event.id is not None else after
+            yield event
+    if splitter.rest.strip():
+        reason = "it ended inside an event"
+        raise StreamBrokenError(reason)
+
+
+async def with_chunk_timeout(
+    chunks: AsyncGenerator[bytes, None], request: SidecarRequest
+) -> AsyncGenerator[bytes, None]:
     """The chunks; raises TimeoutError where none comes for long although another sidecar could go on."""
     while True:
-        left = job.deadline - time.monotonic()
-        limit = min(left, EVENT_TIMEOUT_S) if job.attempts_left > 1 else left
+        left_s = request.deadline - time.monotonic()
+        timeout_s = min(left_s, EVENT_TIMEOUT_S) if request.attempts_left > 1 else left_s
         try:
-            async with asyncio.timeout(max(0.0, limit)):
+            async with asyncio.timeout(max(0.0, timeout_s)):
                 chunk = await anext(chunks)
         except StopAsyncIteration:
             return
--- a/crowwing/tier/front/main.py
+++ b/crowwing/tier/front/main.py
@@ -15,6 +15,7 @@
 from crowwing.tier.distribution.documents import CONFIGURATION, SIDECARS, Document, Documents
 from crowwing.tier.distribution.relay import AttachRequest, DocumentPush, Relay, RootHeartbeat, ShuffleRequest
 from crowwing.tier.distribution.sampling import Peer
+from crowwing.tier.front.asgi import respond
 from crowwing.tier.front.batch_api import BatchApi
 from crowwing.tier.front.batch_job_runner import BatchJobRunner
 from crowwing.tier.front.client_connection import ClientConnection, ClientLimits
@@ -109,12 +110,11 @@
         self.client_limits.header_timeout_s = told.header_timeout_ms / 1000
         self.client_limits.idle_timeout_s = told.idle_timeout_ms / 1000
 
-    async def ready(self, scope: Scope, receive: Receive, send: Send) -> None:
+    async def report_readiness(self, send: Send) -> None:
         """Tells the platform whether clients may come."""
         is_ready = self.pool.table is not None and self.pool.listed and not self.proxy.draining
         status = 200 if is_ready else 503
-        await send({"type": "http.response.start", "status": status, "headers": [(b"content-length", b"0")]})  # type: ignore[typeddict-item]
-        await send({"type": "http.response.body", "body": b""})  # type: ignore[typeddict-item]
+        await respond(send, status, b"")
 
     async def run_own_reader(self) -> None:
         """Reads the platform's list where the root does not send it."""
@@ -150,7 +150,8 @@
 
         @asgi("/", is_mount=True, copy_scope=False)
         async def ready(scope: Scope, receive: Receive, send: Send) -> None:
-            await self.ready(scope, receive, send)
+            del scope, receive  # parameters that litestar asks for
+            await self.report_readiness(send)
 
         serving: list[asyncio.Task[None]] = []
         clients = partial(ClientConnection, self.client_limits)
--- a/crowwing/tier/front/sidecar_connections.py
+++ b/crowwing/tier/front/sidecar_connections.py
@@ -13,6 +13,7 @@
 
 import httpcore
 
+from crowwing.tier.front.errors import ConnectionsFullError
 from crowwing.tier.front.sidecar_stream import SidecarNetwork, SidecarStream
 
 OPEN_SHARE = 0.9  # of the connections that a sidecar accepts, which all fronts together may open
@@ -26,14 +27,6 @@
 MIN_CONNECT_REST_S, MAX_CONNECT_REST_S = 0.002, 0.01  # bounds of the rest before the first request
 
 
-class NoConnectionError(Exception):
-    """There is no connection for a request, and nothing of it was sent."""
-
-
-class ConnectionsFullError(NoConnectionError):
-    """The sidecar takes no more connections, or this front may open no more there."""
-
-
 @dataclass
 class ConnectionState:
     """What a front has and knows of the connections to one sidecar. Times are seconds of the steady clock."""
@@ -131,7 +124,8 @@
 
     async def _connect(self, options: tuple[tuple[int, int, int], ...]) -> httpcore.AsyncHTTP11Connection:
         if self.state.open_count >= self.state.max_open or time.monotonic() < self.state.full_until:
-            raise ConnectionsFullError(f"{self.state.open_count} of {self.state.max_open} are open")
+            reason = f"{self.state.open_count} of {self.state.max_open} are open"
+            raise ConnectionsFullError(reason)
         self.state.open_count += 1
         try:
             stream = await self._open_stream(options)
@@ -157,7 +151,8 @@
         if stream.get_extra_info("is_readable"):  # nothing was asked, so this is its end
             await stream.aclose()
             self.state.record_reset(time.monotonic())
-            raise ConnectionsFullError("a new connection was reset")
+            reason = "a new connection was reset"
+            raise ConnectionsFullError(reason)
         self.state.record_accepted()
         return stream
 
--- a/crowwing/tier/front/track_record.py
+++ b/crowwing/tier/front/track_record.py
@@ -38,7 +38,8 @@
         self.failure_share -= OUTCOME_WEIGHT * self.failure_share
 
     def _decayed_share(self, now: float) -> float:
-        return self.failure_share * 0.5 ** (max(0.0, now - self._at) / HALF_LIFE_S)
+        decay: float = 0.5 ** (max(0.0, now - self._at) / HALF_LIFE_S)
+        return self.failure_share * decay
 
     def excess_failure_share(self, now: float) -> float:
         """The share of requests that fail, as far as is remembered and beyond what is tolerated."""
--- a/crowwing/tier/front/upstream.py
+++ b/crowwing/tier/front/upstream.py
@@ -7,20 +7,16 @@
 import asyncio
 import logging
 import socket
-from collections.abc import AsyncIterable, AsyncIterator
+from collections.abc import AsyncGenerator, AsyncIterable, AsyncIterator
 from dataclasses import dataclass
 from functools import partial
 
 import h11
 import httpcore
 
+from crowwing.tier.front.errors import NoConnectionError, StreamBrokenError
 from crowwing.tier.front.load_reports import LoadReport, parse_report
-from crowwing.tier.front.sidecar_connections import (
-    ConnectionState,
-    IdleConnections,
-    NoConnectionError,
-    SidecarConnections,
-)
+from crowwing.tier.front.sidecar_connections import ConnectionState, IdleConnections, SidecarConnections
 
 log = logging.getLogger("crowwing.upstream")
 
@@ -54,7 +50,7 @@
 Headers = list[tuple[bytes, bytes]]
 
 
-def hop_by_hop(headers: Headers) -> set[bytes]:
+def hop_by_hop(headers: Headers) -> frozenset[bytes]:
     """Names of headers that concern one connection only, also those that its `Connection` header lists."""
     listed = [value for name, value in headers if name.lower() == b"connection"]
     names = {name.strip().lower() for value in listed for name in value.split(b",")}
@@ -91,10 +87,6 @@
     reason: str
 
 
-class StreamBrokenError(Exception):
-    """The body ended before its end."""
-
-
 AttemptOutcome = ResponseStarted | NotExecuted | ResponseLost
 
 
@@ -152,12 +144,12 @@
         except HTTP_ERRORS as error:
             return ResponseLost(f"{type(error).__name__}: {error}")
         try:
-            return await self._opened(response, request_id)
+            return await self._read_outcome(response, request_id)
         except BaseException:
             await _abort(response)
             raise
 
-    async def _opened(self, response: httpcore.Response, request_id: bytes) -> AttemptOutcome:
+    async def _read_outcome(self, response: httpcore.Response, request_id: bytes) -> AttemptOutcome:
         headers: Headers = list(response.headers)
         names = {name.lower(): value for name, value in headers}
         if response.status < 200 or not _is_answer_to(response, request_id):
@@ -240,13 +232,14 @@
     await close_after_answer(response)
 
 
-async def read_body(opened: ResponseStarted) -> AsyncIterator[bytes]:
+async def read_body(started: ResponseStarted) -> AsyncGenerator[bytes, None]:
     """The body as it comes; raises StreamBroken where it ends before its end.
 
     One without a length is whole where its connection ended in order, and broken where that was reset.
     """
     try:
-        async for chunk in _chunks(opened.response):
+        async for chunk in _chunks(started.response):
             yield chunk
     except HTTP_ERRORS as error:
-        raise StreamBrokenError(f"{type(error).__name__}: {error}") from error
+        reason = f"{type(error).__name__}: {error}"
+        raise StreamBrokenError(reason) from error
--- a/tests/tier/test_admission.py
+++ b/tests/tier/test_admission.py
@@ -43,13 +43,13 @@
     queue = Admission(0.0, 4).class_queue("review", 1.0)
     assert queue.timeout_s == pytest.approx(0.23)
     for _ in range(8):
-        queue.learn(0.08)
+        queue.record_latency(0.08)
     assert queue.timeout_s == pytest.approx(0.08)
     for _ in range(64):
-        queue.learn(0.95)
+        queue.record_latency(0.95)
     assert queue.timeout_s == pytest.approx(0.05)
     for _ in range(64):
-        queue.learn(0.5)
+        queue.record_latency(0.5)
     assert queue.timeout_s == pytest.approx(0.23), "a refusal leaves time for another try"
 
 
--- a/tests/tier/test_dispatch.py
+++ b/tests/tier/test_dispatch.py
@@ -106,17 +106,17 @@
 
 def test_an_error_of_a_repeatable_request_is_tried_once_more_elsewhere() -> None:
     result, left = opened([answered(500), answered(200)], True)
-    assert isinstance(result, OpenResponse) and result.opened.status == 200 and left == []
+    assert isinstance(result, OpenResponse) and result.started.status == 200 and left == []
 
 
 def test_the_last_allowed_run_gives_its_error_to_the_client() -> None:
     result, left = opened([answered(500), answered(500), answered(200)], True)
-    assert isinstance(result, OpenResponse) and result.opened.status == 500 and len(left) == 1
+    assert isinstance(result, OpenResponse) and result.started.status == 500 and len(left) == 1
 
 
 def test_an_error_of_a_request_that_must_not_run_twice_is_final() -> None:
     result, left = opened([answered(500), answered(200)], False)
-    assert isinstance(result, OpenResponse) and result.opened.status == 500 and len(left) == 1
+    assert isinstance(result, OpenResponse) and result.started.status == 500 and len(left) == 1
 
 
 @pytest.mark.parametrize(("resumable", "kind"), [(True, OpenResponse), (False, Failed)])
--- a/tests/tier/test_exchanges.py
+++ b/tests/tier/test_exchanges.py
@@ -8,6 +8,7 @@
 import pytest
 import uvloop
 
+from crowwing.tier.front.errors import StreamBrokenError
 from crowwing.tier.front.sidecar_connections import ConnectionState
 from crowwing.tier.front.upstream import (
     AttemptOutcome,
@@ -16,7 +17,6 @@
     ResponseLost,
     ResponseStarted,
     SidecarClient,
-    StreamBrokenError,
     close_after_answer,
     hop_by_hop,
     read_body,
--- a/tests/tier/test_request_path.py
+++ b/tests/tier/test_request_path.py
@@ -287,7 +287,7 @@
         async def send(message: Any) -> None:  # noqa: ANN401
             told.append(message)
 
-        asyncio.run(front.ready({}, None, send))  # type: ignore[arg-type]
+        asyncio.run(front.report_readiness(send))
         return told[0]["status"]
 
     assert ready() == 503, "it knows neither routes nor sidecars"
