--- a/crowwing/tier/front/main.py
+++ b/crowwing/tier/front/main.py
@@ -17,6 +17,7 @@
 from crowwing.tier.distribution.messages import RELAY_MESSAGES
 from crowwing.tier.distribution.relay import Relay
 from crowwing.tier.distribution.sampling import Peer
+from crowwing.tier.front.asgi import respond
 from crowwing.tier.front.batch_api import BatchApi
 from crowwing.tier.front.batch_job_runner import BatchJobRunner
 from crowwing.tier.front.client_connection import ClientConnection, ClientLimits
@@ -36,11 +37,11 @@
 
 log = logging.getLogger("crowwing.front")
 
-UNLIST_S = 2.4  # from the notice to leave until the platform sends nobody here any more
+DEREGISTRATION_S = 2.4  # from the notice to leave until the platform sends nobody here any more
 END_MARGIN_S = 0.7  # before the platform kills the process
-OWN_READ_AFTER_S, OWN_READ_EVERY_S = 1.2, 0.9  # without the root, a front reads the list by itself
+LIST_READ_AFTER_S, LIST_READ_INTERVAL_S = 1.2, 0.9  # without the root, a front reads the list by itself
 IDLE_DEFAULT_S = 75.0
-COUNT_EVERY_S = 1.0
+FRONT_COUNT_INTERVAL_S = 1.0
 
 
 class FrontProcess:
@@ -51,7 +52,7 @@
         self.random = Random()
         self.documents = Documents()
         self.pool = ServicePool()
-        self.pool.sidecars.zone = settings.zone
+        self.pool.router.zone = settings.zone
         self.connections = ConnectionPool(settings.internal_port, self.handle)
         me = Peer(settings.ip, "front", settings.zone, 0)
         self.relay = Relay(
@@ -61,7 +62,7 @@
         self.proxy = Proxy(self.pool, BatchApi(self.store))
         self.runner = BatchJobRunner(settings.node, self.pool, self.store)
         self.client_limits = ClientLimits()
-        self.documents.add_listener(self.take_document)
+        self.documents.add_listener(self.apply_document)
         self.relay.tracker.on_root_changed.append(self.store.moved)
 
     async def handle(self, connection: Connection, body: Any) -> Any:  # noqa: ANN401
@@ -70,7 +71,7 @@
             return await self.relay.handle(connection, body)
         return None
 
-    def take_settings(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """The settings name other seeds now; the rest holds from the next start on."""
         self.relay.view.seeds = settings.seed_hosts
 
@@ -81,7 +82,7 @@
         self.random.shuffle(hosts)
         return hosts
 
-    def take_document(self, document: Document) -> None:
+    def apply_document(self, document: Document) -> None:
         """A newer document has come."""
         if document.kind == CONFIGURATION:
             parsed = parse_configuration(document.body)
@@ -94,7 +95,7 @@
         elif document.kind == SIDECARS:
             listed = decode(document.body)
             self._count_fronts()
-            self.pool.take_list(listed)
+            self.pool.apply_endpoint_list(listed)
 
     def _count_fronts(self) -> None:
         """As the root counts them, or at least those that shuffles have shown."""
@@ -105,7 +106,7 @@
     async def run_count(self) -> None:
         """Keeps the number of fronts up to date."""
         while True:
-            await asyncio.sleep(COUNT_EVERY_S)
+            await asyncio.sleep(FRONT_COUNT_INTERVAL_S)
             self._count_fronts()
 
     def _apply_limits(self, configuration: Configuration) -> None:
@@ -114,25 +115,24 @@
         self.client_limits.header_timeout_s = told.header_timeout_ms / 1000
         self.client_limits.idle_timeout_s = told.idle_timeout_ms / 1000
 
-    async def ready(self, scope: Scope, receive: Receive, send: Send) -> None:
+    async def report_readiness(self, send: Send) -> None:
         """Tells the platform whether clients may come."""
         is_ready = self.pool.table is not None and self.pool.listed and not self.proxy.draining
         status = 200 if is_ready else 503
-        await send({"type": "http.response.start", "status": status, "headers": [(b"content-length", b"0")]})  # type: ignore[typeddict-item]
-        await send({"type": "http.response.body", "body": b""})  # type: ignore[typeddict-item]
+        await respond(send, status, b"")
 
     async def run_own_reader(self) -> None:
         """Reads the platform's list where the root does not send it."""
         assert self.settings.cloud is not None
         client = httpx.AsyncClient(trust_env=False, verify=NO_CERTIFICATES)
         while True:
-            if self.relay.tracker.seconds_disconnected >= OWN_READ_AFTER_S or not self.pool.listed:
+            if self.relay.tracker.seconds_disconnected >= LIST_READ_AFTER_S or not self.pool.listed:
                 listed = await read_list(client, self.settings.cloud.address)
                 if isinstance(listed, SidecarList):
-                    self.pool.take_list(listed)
+                    self.pool.apply_endpoint_list(listed)
                 else:
                     log.warning("the platform's list: %s", listed.reason)
-            await asyncio.sleep(OWN_READ_EVERY_S * (0.8 + 0.4 * self.random.random()))
+            await asyncio.sleep(LIST_READ_INTERVAL_S * (0.8 + 0.4 * self.random.random()))
 
     async def run(self) -> int:
         """Runs until SIGTERM; gives the exit status."""
@@ -143,7 +143,7 @@
         internal = await serve(settings.ip, settings.internal_port, self.handle)
         for work in (
             self.relay.parent.run(), self.relay.shuffler.run(), self.pool.run_loops(), self.runner.run(),
-            self.run_count(), watch_settings(settings_changed, self.take_settings),
+            self.run_count(), watch_settings(settings_changed, self.apply_settings),
         ):  # fmt: skip
             tasks.start(work)
         if settings.cloud is not None:
@@ -155,7 +155,8 @@
 
         @asgi("/", is_mount=True, copy_scope=False)
         async def ready(scope: Scope, receive: Receive, send: Send) -> None:
-            await self.ready(scope, receive, send)
+            del scope, receive  # parameters that litestar asks for
+            await self.report_readiness(send)
 
         serving: list[asyncio.Task[None]] = []
         clients = partial(ClientConnection, self.client_limits)
@@ -172,7 +173,7 @@
         log.info("leaves: %d requests are open", self.proxy.open)
         deadline = time.monotonic() + settings.bounds.grace_s - END_MARGIN_S
         self.proxy.draining = self.runner.draining = True
-        await asyncio.sleep(UNLIST_S)
+        await asyncio.sleep(DEREGISTRATION_S)
         end.set()
         await asyncio.wait(serving, timeout=max(0.1, deadline - time.monotonic()))
         await self.runner.finish(max(0.0, deadline - time.monotonic()))
--- a/crowwing/tier/front/service_pool.py
+++ b/crowwing/tier/front/service_pool.py
@@ -1,326 +1,149 @@
-"""The sidecars of all services, with their connections, and the admission before each service."""
+"""The sidecars of all services, and the admission before each service."""
 
 import asyncio
-import logging
 import time
-from collections import Counter
-from dataclasses import dataclass, field
-from typing import Any
 
 from crowwing.tier.configuration import RoutingTable
-from crowwing.tier.front.admission import Admission, Ticket
-from crowwing.tier.front.sidecar_connections import IdleConnections, connection_limits
-from crowwing.tier.front.sidecars import SidecarState, SidecarTable
-from crowwing.tier.front.upstream import MayHaveRun, NotRun, Opened, Outcome, SidecarClient
+from crowwing.tier.front.admission import Admission, AdmissionRequest
+from crowwing.tier.front.admission_log import AdmissionLog
+from crowwing.tier.front.attempts import AttemptTracker
+from crowwing.tier.front.preemption import PreemptibleItems
+from crowwing.tier.front.report_polling import ReportPoller
+from crowwing.tier.front.routing import Router
+from crowwing.tier.front.sidecar_clients import SidecarClients
+from crowwing.tier.front.sidecar_table import SidecarTable
 from crowwing.tier.platform_list import SidecarList
 
-log = logging.getLogger("crowwing.pool")
-
-STEER_S, IDLE_STEER_S = 0.05, 0.2  # between steps of the loops; while nothing is held, refused or cut
-LOG_S = 1.0
-WRONG_SIDECAR = 421  # the status of a sidecar that a request was not meant for
-ERROR_STATUS = 500  # from which an answer counts as a failure of its sidecar
-WAIT_STEP_S = 0.02
-MOST_GIVE_WAY = 3  # items at a time that make room for live requests
-START_SHARE = 1.0  # of the even part of all slots, which the limit starts at
-ACCEPTED_DEFAULT = 64  # connections of a sidecar whose service the configuration does not name
-LIMITS_S = 0.5  # between looks at how many connections there may be
-
-
-@dataclass
-class Grant:
-    """The answer to a ticket: whether it may start."""
-
-    ticket: Ticket
-    future: "asyncio.Future[bool]" = field(repr=False)
+STEP_INTERVAL_S = 0.05  # between steps of the admission loops
+IDLE_STEP_INTERVAL_S = 0.2  # the same while nothing is queued or rejected
+STARTUP_POLL_S = 0.02
+START_SHARE = 1.0  # of this front's even share of all slots, which the limit starts at
 
 
 class ServicePool:
-    """Everything between an admitted request and its sidecar."""
+    """Everything between a client's request and a sidecar.
+
+    Owned by the front's process, which applies configuration and endpoint lists and runs `run_loops`. The
+    proxy and the batch job runner ask it for admission; the dispatcher uses its router, clients and
+    attempts.
+    """
 
     def __init__(self) -> None:
+        """Neither routes nor sidecars are known."""
+        self.listed = False  # whether an endpoint list has come
         self.sidecars = SidecarTable()
-        self.table: RoutingTable | None = None
-        self._clients: dict[str, SidecarClient] = {}
+        self.router = Router(self.sidecars)
+        self.clients = SidecarClients(self.sidecars)
+        self.attempts = AttemptTracker(self.sidecars)
+        self.reports = ReportPoller(self.sidecars, self.clients)
+        self.items = PreemptibleItems()
+        self.log = AdmissionLog()
         self._admissions: dict[str, Admission] = {}
-        self._idle: dict[str, IdleConnections] = {}  # by service
-        self._limited_at = -1e9
-        self._closing: set[asyncio.Task[None]] = set()
-        self._asking: set[asyncio.Task[None]] = set()
-        self.listed = False
-        self._tries = 0
-        self._giving_way: dict[str, set[asyncio.Task[Any]]] = {}
-        self._item_runs: dict[str, list[asyncio.Task[Any]]] = {}
-        self._logged: dict[str, tuple[int, float]] = {}  # refused so far, and when that was said
-        self._ends: dict[str, Counter[str]] = {}  # how tries ended since that was last said
 
-    # What is known
+    @property
+    def table(self) -> RoutingTable | None:
+        """The routes, None before the first configuration."""
+        return self.clients.routes
+
+    @table.setter
+    def table(self, table: RoutingTable) -> None:
+        self.clients.routes = table
 
-    def take_list(self, listed: SidecarList) -> None:
+    def apply_endpoint_list(self, listed: SidecarList) -> None:
         """Takes the platform's list in."""
         self.listed = True
         for gone in self.sidecars.update(listed.sidecars):
-            client = self._clients.pop(gone, None)
-            if client is not None:
-                self._close_later(client)
-        self._start_all()
+            self.clients.remove(gone)
+        for service, admission in self._admissions.items():
+            self._start(service, admission)
 
     async def wait_until_known(self, limit_s: float) -> RoutingTable | None:
         """The routes, once these and the sidecars are known; None where that takes too long."""
         deadline = time.monotonic() + limit_s
         while (self.table is None or not self.listed) and time.monotonic() < deadline:
-            await asyncio.sleep(WAIT_STEP_S)
+            await asyncio.sleep(STARTUP_POLL_S)
         return self.table if self.listed else None
 
-    def _close_later(self, client: SidecarClient) -> None:
-        async def close() -> None:
-            await asyncio.sleep(30)  # answers that are still coming may end
-            await client.close()
-
-        task = asyncio.ensure_future(close())
-        self._closing.add(task)
-        task.add_done_callback(self._closing.discard)
-
-    def client(self, state: SidecarState) -> SidecarClient:
-        """The connections to a sidecar."""
-        client = self._clients.get(state.entry.id)
-        if client is None:
-            idle = self._idle.setdefault(state.entry.service, IdleConnections())
-            self._limit_connections(state.entry.service)
-            client = SidecarClient(state.entry.address, state.connections, idle)
-            self._clients[state.entry.id] = client
-        return client
-
-    def _limit_connections(self, service: str) -> None:
-        """Bounds the connections to a service's sidecars by what is known now."""
-        configured = self.table.services.get(service) if self.table else None
-        accepted = configured.max_conns if configured is not None else ACCEPTED_DEFAULT
-        states = self.sidecars.of_service(service)
-        limits = connection_limits(accepted, len(states), self.sidecars.presumed_fronts(service))
-        self._idle[service].most = limits.idle_in_all
-        for state in states:
-            state.connections.most = limits.open_each
-
-    async def _look_after_connections(self, now: float) -> None:
-        """Follows the number of fronts and the configuration, and closes what need not be kept."""
-        if now - self._limited_at < LIMITS_S:
-            return
-        self._limited_at = now
-        for service, idle in list(self._idle.items()):
-            self._limit_connections(service)
-            await idle.trim()
-            await idle.close_expired()
-
     def admission(self, service: str) -> Admission:
-        """The admission before a service."""
+        """The admission before a service, made when first asked for."""
         admission = self._admissions.get(service)
         if admission is None:
             now = time.monotonic()
             slots = self.sidecars.load(service, now).slots
-            share = START_SHARE * slots / self.sidecars.presumed_fronts(service)
+            share = START_SHARE * slots / self.sidecars.assumed_front_count(service)
             admission = self._admissions[service] = Admission(now, share)
         return admission
 
-    # Admission
+    async def admit(self, service: str, admission_request: AdmissionRequest, latency_target_s: float) -> bool:
+        """Waits until a request may start; cancelling takes it out of the queue.
 
-    async def admit(self, service: str, ticket: Ticket, aim_s: float) -> bool:
-        """Waits until a ticket may start; False where it is refused. Cancelling takes it out of the hold."""
+        Args:
+            service: Whose sidecars.
+            admission_request: What asks to be started. Once it is, the caller calls `release` at its end.
+            latency_target_s: That of its class.
+
+        Returns:
+            Whether it starts; False where it is rejected.
+        """
         admission = self.admission(service)
-        if not admission.arrive(time.monotonic(), ticket, aim_s):
+        if not admission.arrive(time.monotonic(), admission_request, latency_target_s):
             return False
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        ticket.data = future
+        admission_request.decision = future
         self._start(service, admission)
         try:
             return await future
         except asyncio.CancelledError:
-            if ticket.started:
-                self.ended(service, ticket)
+            if admission_request.is_started:
+                self.release(service)
             else:
-                admission.remove(ticket)
+                admission.remove(admission_request)
             raise
 
-    def ended(self, service: str, ticket: Ticket) -> None:
-        """A started ticket has left its sidecar."""
+    def release(self, service: str) -> None:
+        """A started request has ended."""
         admission = self.admission(service)
-        admission.ended(ticket)
+        admission.release()
         self._start(service, admission)
 
     def _start(self, service: str, admission: Admission) -> None:
+        """Rejects what was queued for too long, and starts what there are free slots for."""
         now = time.monotonic()
-        for ticket in admission.expire(now):
-            _answer(ticket, False)
-        if not admission.held:
+        for expired in admission.expire(now):
+            _decide(expired, False)
+        if not admission.queued_count:
             return
-        places = self.sidecars.places(service, now)
-        started = admission.start(now, places)
-        for ticket in started:
-            _answer(ticket, True)
-        patient = sum(ticket.patient for ticket in started)
-        self.sidecars.taken(service, len(started) - patient, patient)
-        self._make_room(service, admission.live_held)
-
-    # Items that give way
-
-    def add_item(self, service: str, run: "asyncio.Task[Any]") -> None:
-        """A run of an item has begun; it may be cancelled, to go on later from its last event."""
-        self._item_runs.setdefault(service, []).append(run)
-
-    def remove_item(self, service: str, run: "asyncio.Task[Any]") -> None:
-        """A run of an item has ended."""
-        self._giving_way.get(service, set()).discard(run)
-        runs = self._item_runs.get(service, [])
-        if run in runs:
-            runs.remove(run)
-
-    def _make_room(self, service: str, wanted: int) -> None:
-        """Cancels runs of items, the newest first, for live requests that find no place."""
-        runs = self._item_runs.get(service)
-        giving_way = self._giving_way.setdefault(service, set())
-        while runs and len(giving_way) < min(wanted, MOST_GIVE_WAY):
-            run = runs.pop()
-            giving_way.add(run)
-            run.cancel()
-
-    def _start_all(self) -> None:
-        for service, admission in self._admissions.items():
-            self._start(service, admission)
+        free_slots = self.sidecars.free_slots(service, now)
+        started = admission.start(free_slots)
+        for admission_request in started:
+            _decide(admission_request, True)
+        batch_count = sum(admission_request.is_batch_item for admission_request in started)
+        self.sidecars.count_started(service, len(started) - batch_count, batch_count)
+        self.items.preempt(service, admission.queued_live_count)
 
     async def run_loops(self) -> None:
-        """Steers the limits and cuts, and expires what is held."""
+        """Moves limits and priority thresholds, expires what is queued, and polls sidecars; never returns."""
         while True:
-            await asyncio.sleep(STEER_S)
+            await asyncio.sleep(STEP_INTERVAL_S)
             now = time.monotonic()
-            self._ask_silent(now)
-            await self._look_after_connections(now)
+            self.reports.poll_unresponsive(now)
+            await self.clients.maintain(now)
             for service, admission in self._admissions.items():
-                if now - admission.stepped < IDLE_STEER_S and not admission.pressed(now):
-                    continue
-                load = self.sidecars.load(service, now)
-                fronts = self.sidecars.presumed_fronts(service)
-                admission.steer(now, load, self.sidecars.survived(service, now), fronts)
-                if admission.held:
-                    self._start(service, admission)
-                if admission.pressed(now):
-                    self._ask_reports(service, now)
-                self._log_changes(service, admission, now)
-
-    def _ask_silent(self, now: float) -> None:
-        """Asks sidecars that have fallen silent, so that one that speaks again is used again."""
-        for state in self.sidecars.silent(now):
-            self._ask(state, now)
-
-    def _ask_reports(self, service: str, now: float) -> None:
-        """Asks sidecars that have told nothing lately, while work waits or was refused."""
-        for state in self.sidecars.to_be_asked(service, now):
-            self._ask(state, now)
-
-    def _ask(self, state: SidecarState, now: float) -> None:
-        state.asked_at = now
-        task = asyncio.ensure_future(self._ask_report(state))
-        self._asking.add(task)
-        task.add_done_callback(self._asking.discard)
-
-    async def _ask_report(self, state: SidecarState) -> None:
-        report = await self.client(state).report()
-        if report is not None:
-            now = time.monotonic()
-            self.sidecars.tell_load(state, now, report.running, report.waiting, state.entry.slots)
-            state.heard_at, state.silent = now, False
-
-    def _log_changes(self, service: str, admission: Admission, now: float) -> None:
-        """One line a second while anything is refused, cut or near its limit."""
-        refused, at = self._logged.get(service, (0, 0.0))
-        ends = self._ends.get(service, Counter())
-        if now - at < LOG_S or (refused == admission.refused and len(ends) <= ("answered" in ends)):
-            return
-        self._ends[service] = Counter()
-        self._logged[service] = (admission.refused, now)
-        load = admission.load
-        log.info(
-            "%s: refused %d, cut %.2f, limit %.0f of %.0f, inflight %d, held %d, sidecars %.0f+%.0f of %.0f; "
-            "tries: %s",
-            *(service, admission.refused - refused, admission.cut, admission.limit, admission.ceiling),
-            *(admission.inflight, admission.held, load.running, load.waiting, load.slots),
-            ", ".join(f"{count} {end}" for end, count in sorted(ends.items())) or "none",
-        )
-
-    # Sidecars
-
-    def sent(self, state: SidecarState) -> int:
-        """A request goes to a sidecar; gives the number of this try."""
-        state.inflight += 1
-        state.sent_since += 1
-        self._tries += 1
-        state.unanswered[self._tries] = time.monotonic()
-        return self._tries
-
-    def head_came(self, state: SidecarState, number: int) -> None:
-        """A try has its head, or has ended without one."""
-        state.unanswered.pop(number, None)
-
-    def left(self, state: SidecarState) -> None:
-        """A request has left a sidecar."""
-        state.inflight -= 1
-        state.one_less()
-
-    def answered(self, state: SidecarState, opened: Opened) -> None:
-        """A sidecar has begun to answer: it lives, and may tell its load."""
-        now = state.heard_at = time.monotonic()
-        state.succeeded()
-        if opened.status >= ERROR_STATUS:
-            state.record.failed(now)
-        else:
-            state.record.answered(now)
-        self.take_load(state, opened.header(b"server-load"))
-        if (opened.header(b"connection") or b"").lower() == b"close" and not state.entry.ready:
-            state.leaving = True
-
-    def rejected(self, state: SidecarState, outcome: NotRun, expects_version: bool) -> None:
-        """A sidecar did not run a request, most often since it is full.
-
-        421 says that it is another one, or that it has other weights where the request expects some.
-        """
-        now = state.heard_at = time.monotonic()
-        if outcome.status == WRONG_SIDECAR:
-            if not expects_version:
-                state.replaced(now)
-        elif not self.take_load(state, outcome.load):
-            slots = state.entry.slots
-            self.sidecars.tell_load(state, now, slots, slots, slots)
-
-    def take_load(self, state: SidecarState, told: bytes | None) -> bool:
-        """Takes a `Server-Load` in; whether it could be read."""
-        numbers = told.split(b",") if told is not None else []
-        if len(numbers) != 3 or not all(number.strip().isdigit() for number in numbers):
-            return False
-        running, waiting, slots = (float(number) for number in numbers)
-        self.sidecars.tell_load(state, time.monotonic(), running, waiting, slots)
-        return True
-
-    def count(self, service: str, outcome: Outcome) -> None:
-        """Counts how a try ended, for the log."""
-        self._ends.setdefault(service, Counter())[end_of(outcome)] += 1
-
-
-def end_of(outcome: Outcome) -> str:
-    """How a try ended, in a word or two."""
-    match outcome:
-        case Opened(status):
-            return "answered" if status < ERROR_STATUS else f"error {status}"
-        case NotRun(status, _, no_connection):
-            return (
-                "no connection"
-                if no_connection
-                else "unreachable"
-                if status is None
-                else f"rejected {status}"
-            )
-        case MayHaveRun():
-            return "lost"
+                if now - admission.last_step_at >= IDLE_STEP_INTERVAL_S or admission.is_under_pressure(now):
+                    self._step(service, admission, now)
+
+    def _step(self, service: str, admission: Admission, now: float) -> None:
+        load = self.sidecars.load(service, now)
+        front_count = self.sidecars.assumed_front_count(service)
+        admission.step(now, load, self.sidecars.max_inflight(service, now), front_count)
+        if admission.queued_count:
+            self._start(service, admission)
+        if admission.is_under_pressure(now):
+            self.reports.poll_stale(service, now)
+        self.log.write(service, admission, now)
 
 
-def _answer(ticket: Ticket, started: bool) -> None:
-    future: Any = ticket.data
+def _decide(admission_request: AdmissionRequest, starts: bool) -> None:
+    future = admission_request.decision
     if future is not None and not future.done():
-        future.set_result(started)
+        future.set_result(starts)
--- a/crowwing/tier/front/upstream.py
+++ b/crowwing/tier/front/upstream.py
@@ -5,35 +5,31 @@
 """
 
 import asyncio
-import json
 import logging
 import socket
-from collections.abc import AsyncIterable, AsyncIterator
+from collections.abc import AsyncGenerator, AsyncIterable, AsyncIterator
 from dataclasses import dataclass
 from functools import partial
 
 import h11
 import httpcore
 
-from crowwing.tier.front.sidecar_connections import (
-    ConnectionState,
-    IdleConnections,
-    NoConnection,
-    SidecarConnections,
-)
+from crowwing.tier.front.errors import NoConnectionError, StreamBrokenError
+from crowwing.tier.front.load_reports import LoadReport, parse_report
+from crowwing.tier.front.sidecar_connections import ConnectionState, IdleConnections, SidecarConnections
 
 log = logging.getLogger("crowwing.upstream")
 
 CONNECT_TIMEOUT_S = 0.6
 WRITE_TIMEOUT_S = 2.5
-REPORT_LIMIT_S = 0.5
+REPORT_TIMEOUT_S = 0.5
 TIMEOUTS = {
     "connect": CONNECT_TIMEOUT_S,
     "read": None,  # the request's own deadline holds
     "write": WRITE_TIMEOUT_S,
 }
 RELEASE = "crowwing.release"  # among the extensions of a response: what is done once it has been closed
-DRAIN_LIMIT_S = 0.2
+DRAIN_TIMEOUT_S = 0.2
 NEXT_HEAD = b"HTTP/1."  # how a head begins; in the midst of one it is the next one's
 KEEP_IDLE_S = 4.0
 UNACKNOWLEDGED_MS = 1500
@@ -54,7 +50,7 @@
 Headers = list[tuple[bytes, bytes]]
 
 
-def hop_by_hop(headers: Headers) -> set[bytes]:
+def hop_by_hop(headers: Headers) -> frozenset[bytes]:
     """Names of headers that concern one connection only, also those that its `Connection` header lists."""
     listed = [value for name, value in headers if name.lower() == b"connection"]
     names = {name.strip().lower() for value in listed for name in value.split(b",")}
@@ -62,7 +58,7 @@
 
 
 @dataclass(frozen=True)
-class Opened:
+class ResponseStarted:
     """The sidecar has begun to answer this very request."""
 
     status: int
@@ -75,7 +71,7 @@
 
 
 @dataclass(frozen=True)
-class NotRun:
+class NotExecuted:
     """The sidecar says that it did not run the request, or it can't have read it."""
 
     status: int | None  # the sidecar's own, None where it was not reached
@@ -85,25 +81,13 @@
 
 
 @dataclass(frozen=True)
-class MayHaveRun:
+class ResponseLost:
     """The request was sent, and what became of it is not known."""
 
     reason: str
 
 
-@dataclass(frozen=True)
-class Report:
-    """A sidecar's load as it stood a moment ago."""
-
-    running: float
-    waiting: float
-
-
-class StreamBroken(Exception):
-    """The body ended before its end."""
-
-
-Outcome = Opened | NotRun | MayHaveRun
+AttemptOutcome = ResponseStarted | NotExecuted | ResponseLost
 
 
 class SidecarClient:
@@ -136,46 +120,46 @@
         response.extensions[RELEASE] = partial(self._connections.release, connection)
         return response
 
-    async def report(self) -> Report | None:
+    async def report(self) -> LoadReport | None:
         """What the sidecar says of its load; None where it says nothing in time."""
         try:
-            async with asyncio.timeout(REPORT_LIMIT_S):
+            async with asyncio.timeout(REPORT_TIMEOUT_S):
                 headers = [(b"Host", self._address.encode())]
                 response = await self._request("GET", b"/report", headers, b"")
                 return await _read_report(response)
-        except (*HTTP_ERRORS, NoConnection, TimeoutError) as error:
+        except (*HTTP_ERRORS, NoConnectionError, TimeoutError) as error:
             log.debug("no report from %s: %s", self._address, error)
             return None
 
     async def send(
         self, method: str, target: bytes, headers: Headers, body: bytes, request_id: bytes
-    ) -> Outcome:
+    ) -> AttemptOutcome:
         """Sends one request and waits for the head of its answer."""
         try:
             response = await self._request(method, target, headers, body)
-        except NoConnection as error:
-            return NotRun(None, str(error), no_connection=True)
+        except NoConnectionError as error:
+            return NotExecuted(None, str(error), no_connection=True)
         except NOTHING_SENT as error:
-            return NotRun(None, f"{type(error).__name__}: {error}")
+            return NotExecuted(None, f"{type(error).__name__}: {error}")
         except HTTP_ERRORS as error:
-            return MayHaveRun(f"{type(error).__name__}: {error}")
+            return ResponseLost(f"{type(error).__name__}: {error}")
         try:
-            return await self._opened(response, request_id)
+            return await self._read_outcome(response, request_id)
         except BaseException:
-            await _give_up(response)
+            await _abort(response)
             raise
 
-    async def _opened(self, response: httpcore.Response, request_id: bytes) -> Outcome:
+    async def _read_outcome(self, response: httpcore.Response, request_id: bytes) -> AttemptOutcome:
         headers: Headers = list(response.headers)
         names = {name.lower(): value for name, value in headers}
         if response.status < 200 or not _is_answer_to(response, request_id):
-            await _give_up(response)
-            return MayHaveRun("an answer that is not this request's")
+            await _abort(response)
+            return ResponseLost("an answer that is not this request's")
         if b"not-executed" in names or response.status == 421:
             await _drain(response)
             load = names.get(b"server-load")
-            return NotRun(response.status, "the sidecar did not run it", load=load)
-        return Opened(response.status, headers, response)
+            return NotExecuted(response.status, "the sidecar did not run it", load=load)
+        return ResponseStarted(response.status, headers, response)
 
 
 def _is_answer_to(response: httpcore.Response, request_id: bytes) -> bool:
@@ -191,14 +175,12 @@
     return not any(NEXT_HEAD in text for text in (reason, *(value for _, value in response.headers)))
 
 
-async def _read_report(response: httpcore.Response) -> Report | None:
+async def _read_report(response: httpcore.Response) -> LoadReport | None:
     """A report, which carries no id: a connection on which anything else stands is not used again."""
     body = b"".join([chunk async for chunk in _chunks(response)])
-    try:
-        told = json.loads(body)
-        report = Report(float(told["running"]), float(told["waiting"]))
-    except (ValueError, KeyError, TypeError):
-        await _give_up(response)
+    report = parse_report(body)
+    if report is None:
+        await _abort(response)
         return None
     await close_after_answer(response)
     return report
@@ -210,7 +192,7 @@
     return aiter(stream)
 
 
-async def _give_up(response: httpcore.Response) -> None:
+async def _abort(response: httpcore.Response) -> None:
     """Ends an answer with its connection."""
     await response.extensions["network_stream"].aclose()
     await _close(response)
@@ -242,7 +224,7 @@
 async def _drain(response: httpcore.Response) -> None:
     """Reads a short body, so that its connection can be used again."""
     try:
-        async with asyncio.timeout(DRAIN_LIMIT_S):
+        async with asyncio.timeout(DRAIN_TIMEOUT_S):
             async for _ in _chunks(response):
                 pass
     except (*HTTP_ERRORS, TimeoutError):
@@ -250,13 +232,14 @@
     await close_after_answer(response)
 
 
-async def read_body(opened: Opened) -> AsyncIterator[bytes]:
+async def read_body(started: ResponseStarted) -> AsyncGenerator[bytes, None]:
     """The body as it comes; raises StreamBroken where it ends before its end.
 
     One without a length is whole where its connection ended in order, and broken where that was reset.
     """
     try:
-        async for chunk in _chunks(opened.response):
+        async for chunk in _chunks(started.response):
             yield chunk
     except HTTP_ERRORS as error:
-        raise StreamBroken(f"{type(error).__name__}: {error}") from error
+        reason = f"{type(error).__name__}: {error}"
+        raise StreamBrokenError(reason) from error
--- a/tests/tier/test_dispatch.py
+++ b/tests/tier/test_dispatch.py
@@ -9,10 +9,12 @@
 import pytest
 
 from crowwing.tier.configuration import Route
-from crowwing.tier.front.dispatch import Dispatcher, Failed, Job, NotServed, Running
+from crowwing.tier.front.dispatch import Dispatcher, Failed, NotServed, OpenResponse, SidecarRequest
 from crowwing.tier.front.service_pool import ServicePool
-from crowwing.tier.front.sidecars import SidecarState
-from crowwing.tier.front.upstream import MayHaveRun, NotRun, Opened
+from crowwing.tier.front.sidecar_clients import SidecarClients
+from crowwing.tier.front.sidecar_state import SidecarState
+from crowwing.tier.front.sidecar_table import SidecarTable
+from crowwing.tier.front.upstream import NotExecuted, ResponseLost, ResponseStarted
 from crowwing.tier.platform_list import Sidecar, SidecarList
 
 
@@ -27,25 +29,32 @@
         return self._outcomes.pop(0)
 
 
-class PlayedPool(ServicePool):
-    """A pool whose sidecars answer from a list."""
+class PlayedClients(SidecarClients):
+    """One client for all sidecars, which answers from a list."""
 
-    def __init__(self, outcomes: list[Any]) -> None:
-        super().__init__()
+    def __init__(self, sidecars: SidecarTable, outcomes: list[Any]) -> None:
+        super().__init__(sidecars)
         self._played = PlayedClient(outcomes)
-        entries = [
-            Sidecar(name, "advisor", f"127.0.0.1:{place}", "z", 8, True) for place, name in enumerate("abcd")
-        ]
-        self.take_list(SidecarList(tuple(entries)))
 
-    def client(self, state: SidecarState) -> Any:  # noqa: ANN401
+    def of_sidecar(self, _: SidecarState) -> Any:  # noqa: ANN401
         """The same client for all."""
         return self._played
 
 
-def answered(status: int) -> Opened:
+def played_pool(outcomes: list[Any]) -> ServicePool:
+    """A pool whose sidecars answer from a list."""
+    pool = ServicePool()
+    pool.clients = PlayedClients(pool.sidecars, outcomes)
+    entries = [
+        Sidecar(name, "advisor", f"127.0.0.1:{port}", "z", 8, True) for port, name in enumerate("abcd")
+    ]
+    pool.apply_endpoint_list(SidecarList(tuple(entries)))
+    return pool
+
+
+def answered(status: int) -> ResponseStarted:
     extensions = {"network_stream": httpcore.AsyncMockStream([])}
-    return Opened(status, [], httpcore.Response(status, content=NoBody(), extensions=extensions))
+    return ResponseStarted(status, [], httpcore.Response(status, content=NoBody(), extensions=extensions))
 
 
 class NoBody:
@@ -60,7 +69,7 @@
         """Nothing is open."""
 
 
-def job(resumable: bool, attempts: int) -> Job:
+def job(resumable: bool, attempts: int) -> SidecarRequest:
     route = Route.model_validate(
         {
             "name": "r",
@@ -75,7 +84,7 @@
         }  # fmt: skip
     )
     deadline = time.monotonic() + 5
-    return Job(
+    return SidecarRequest(
         "POST",
         b"/p/x",
         [],
@@ -91,36 +100,36 @@
 
 
 def opened(outcomes: list[Any], resumable: bool, attempts: int = 2) -> tuple[Any, list[Any]]:
-    result = asyncio.run(Dispatcher(PlayedPool(outcomes)).open(job(resumable, attempts)))
+    result = asyncio.run(Dispatcher(played_pool(outcomes)).open(job(resumable, attempts)))
     return result, outcomes
 
 
 def test_an_error_of_a_repeatable_request_is_tried_once_more_elsewhere() -> None:
     result, left = opened([answered(500), answered(200)], True)
-    assert isinstance(result, Running) and result.opened.status == 200 and left == []
+    assert isinstance(result, OpenResponse) and result.started.status == 200 and left == []
 
 
 def test_the_last_allowed_run_gives_its_error_to_the_client() -> None:
     result, left = opened([answered(500), answered(500), answered(200)], True)
-    assert isinstance(result, Running) and result.opened.status == 500 and len(left) == 1
+    assert isinstance(result, OpenResponse) and result.started.status == 500 and len(left) == 1
 
 
 def test_an_error_of_a_request_that_must_not_run_twice_is_final() -> None:
     result, left = opened([answered(500), answered(200)], False)
-    assert isinstance(result, Running) and result.opened.status == 500 and len(left) == 1
+    assert isinstance(result, OpenResponse) and result.started.status == 500 and len(left) == 1
 
 
-@pytest.mark.parametrize(("resumable", "kind"), [(True, Running), (False, Failed)])
+@pytest.mark.parametrize(("resumable", "kind"), [(True, OpenResponse), (False, Failed)])
 def test_what_may_have_run_is_repeated_only_where_it_may_be(resumable: bool, kind: type) -> None:
-    result, _ = opened([MayHaveRun("reset"), answered(200)], resumable)
+    result, _ = opened([ResponseLost("reset"), answered(200)], resumable)
     assert isinstance(result, kind)
 
 
 def test_what_has_not_run_is_tried_elsewhere_however_its_route_is() -> None:
-    result, left = opened([NotRun(503, "full"), NotRun(None, "refused"), answered(200)], False, 1)
-    assert isinstance(result, Running) and left == []
+    result, left = opened([NotExecuted(503, "full"), NotExecuted(None, "refused"), answered(200)], False, 1)
+    assert isinstance(result, OpenResponse) and left == []
 
 
 def test_where_nobody_runs_it_the_client_is_promised_that_it_has_not_run() -> None:
-    result, _ = opened([NotRun(503, "full")] * 4, False, 1)
+    result, _ = opened([NotExecuted(503, "full")] * 4, False, 1)
     assert isinstance(result, NotServed)
