--- a/crowwing/tier/front/__init__.py
+++ b/crowwing/tier/front/__init__.py
@@ -1,1 +1,5 @@
-"""The front role: takes requests, admits them, and dispatches them to sidecars; takes and reads lots."""
+"""The front role: the way of a client's request, and batch jobs.
+
+client_connection -> proxy -> service_pool (admission) -> routing -> dispatch (attempts) -> upstream and back;
+batch_api takes batch jobs, and batch_job_runner runs their items on the same way from admission on.
+"""
--- a/crowwing/tier/front/admission.py
+++ b/crowwing/tier/front/admission.py
@@ -1,9 +1,10 @@
-"""What a front takes, holds, starts and refuses, for the sidecars of one service. Pure; times are seconds.
+"""Admission before the sidecars of one service: what a front queues, starts and rejects. Pure.
 
-The mechanism is that of the project's design: arrivals whose rank lies under a cut are refused at once, held
-requests start highest rank first within an inflight limit, a held request is refused past its class' queue
-timeout, and loops move the cut and the limit. The cut's step, the limit's loop and the queue timeout are the
-backend's own (crowwing/logic/feedback.py).
+Arrivals whose rank lies under a priority threshold are rejected at once, queued requests start highest rank
+first within a limit on requests in flight, a queued request is rejected past its class' queue timeout, and
+control loops move the threshold and the limit. The threshold's step, the limit's loop and the queue timeout
+are the backend's own (crowwing/logic/feedback.py). Figures: docs/deciding.md. Times are seconds of the steady
+clock.
 """
 
 from asyncio import Future
@@ -12,29 +13,34 @@
 from crowwing.logic.feedback import ENOUGH, SAMPLES, LimitLoop, queue_timeout, step_cut
 from crowwing.ranked_window import RankedWindow
 
-RANK_BANDS = 6  # tiers t0 to t5, t0 the most important
-MAX_PRIORITY_THRESHOLD = 1 - 1 / (4 * RANK_BANDS)  # a quarter of the highest band is never cut
-MAX_LIMIT_FLOOR, MIN_LIMIT_FLOOR = 4.0, 1.0  # bounds of the least limit, in requests
-LIMIT_FLOOR_SHARE = 0.25  # of a front's even part of the slots, which the limit never falls under
+RANK_BANDS = 6  # priorities 0 to 5, 0 the most important
+MAX_PRIORITY_THRESHOLD = 1 - 1 / (4 * RANK_BANDS)  # a quarter of the highest band is never rejected by it
+MAX_LIMIT_FLOOR, MIN_LIMIT_FLOOR = 4.0, 1.0  # bounds of the lowest limit, in requests
+LIMIT_FLOOR_SHARE = 0.25  # of a front's even share of the slots, which the limit never falls under
 LIMIT_GAINS = 20.0, 0.05, 0.5, 0.0  # climb in idle slots, proportional, integral and derivative in limits
 WAITING_SHARE_TARGET = 0.1  # of the slots, the requests that may wait at sidecars before the limit falls
-SATURATED_SHARE = 0.9  # part of the slots from which sidecars count as full
+SATURATED_SHARE = 0.9  # of the slots, from which sidecars count as full
 QUEUE_TIMEOUT_TARGET_SHARE = (
-    0.23  # part of the aim, the longest hold of a live request: a refusal in time for another try
+    0.23  # of the latency target, for a live request: a rejection leaves time to retry
 )
 MIN_QUEUE_TIMEOUT_S = 0.03
-PRESSURE_WINDOW_S = 1.0  # after a refusal, in which an admission counts as pressed
+PRESSURE_WINDOW_S = 1.0  # after a rejection, in which admission counts as under pressure
+MAX_STEP_S = 0.2  # of the control loops, whatever the time since the last step
+MAX_SPREAD = 0.999  # within a band
 
 
 @dataclass
 class AdmissionRequest:
-    """One request or item that asks to be started."""
+    """A live request or a batch item that asks to be started.
 
-    class_name: str
-    rank: float
+    Made by the proxy or a run of an item; admission changes its states.
+    """
+
+    class_name: str  # the name of its route
+    rank: float  # 0 to 1, higher starts first
     arrived: float
-    queue_deadline: float  # the latest moment at which starting it is worth anything
-    is_batch_item: bool  # items of lots wait for a place and are not refused by a queue timeout
+    queue_deadline: float  # the latest moment at which it is of use to start it
+    is_batch_item: bool  # batch items wait for a slot, and neither threshold nor timeout rejects them
     decision: Future[bool] | None = None  # set by the pool, which waits for it
     is_started: bool = False
     is_rejected: bool = False
@@ -42,7 +48,10 @@
 
 @dataclass
 class ClassQueue:
-    """What is held of one class, and the latencies that its timeout follows."""
+    """What is queued of one request class, and the latencies that its timeout follows.
+
+    Owned by `Admission`; the proxy records latencies.
+    """
 
     latency_target_s: float
     requests: list[AdmissionRequest] = field(default_factory=list)
@@ -50,6 +59,7 @@
     timeout_s: float = 0.0
 
     def __post_init__(self) -> None:
+        """Starts with the longest timeout, while no latency is known."""
         self.timeout_s = QUEUE_TIMEOUT_TARGET_SHARE * self.latency_target_s
 
     def record_latency(self, latency_s: float) -> None:
@@ -73,31 +83,49 @@
 
 @dataclass(frozen=True)
 class FreeSlots:
-    """How many more requests the sidecars can take: live ones, and items of lots, which leave some free."""
+    """How many more requests the sidecars can take: live ones, and batch items, which leave some free."""
 
     live: int
     batch: int
 
 
 def rank_of(priority: int, spread: float) -> float:
-    """The rank of a request: its tier's band, and a place within it from `spread` (0 to 1)."""
-    tier = min(max(priority, 0), RANK_BANDS - 1)
-    return (RANK_BANDS - 1 - tier + min(max(spread, 0.0), 0.999)) / RANK_BANDS
+    """The rank of a request.
+
+    Args:
+        priority: That of its route, which gives the band; 0 is the most important.
+        spread: From 0 to 1, where within the band.
+    """
+    bounded = min(max(priority, 0), RANK_BANDS - 1)
+    return (RANK_BANDS - 1 - bounded + min(max(spread, 0.0), MAX_SPREAD)) / RANK_BANDS
 
 
 def compute_min_limit(share: float) -> float:
-    """The least limit of a front whose even part of the slots is `share`.
+    """The lowest limit of a front whose even share of the slots is `share`.
 
-    What all fronts may send at least is a part of what there is, so that their loops can turn work away.
+    What all fronts may send at least is a share of what there is, so that their loops can reject work.
     """
     return min(MAX_LIMIT_FLOOR, max(MIN_LIMIT_FLOOR, LIMIT_FLOOR_SHARE * share))
 
 
 class Admission:
-    """Decides for the sidecars of one service."""
+    """Decides what starts at the sidecars of one service.
+
+    Owned by `ServicePool`, one for each service, which calls it on each arrival and each end, and steps its
+    control loops.
+
+    Attributes:
+        min_limit: The lowest limit at present.
+        limit: How many requests may be in flight.
+        max_limit: The highest limit at present: what sidecars are known to bear.
+        priority_threshold: The rank under which live requests are rejected at once.
+        inflight: Requests started and not ended.
+        rejected_count: Rejected so far.
+        load: That of the sidecars at the last step.
+    """
 
     def __init__(self, now: float, share: float) -> None:
-        """`share`: this front's even part of the slots."""
+        """Starts with a limit of `share`, this front's even share of the slots."""
         self.min_limit = compute_min_limit(share)
         self.limit = max(self.min_limit, share)
         self._limit_loop = LimitLoop(*LIMIT_GAINS)
@@ -111,7 +139,7 @@
         self._max_wait_ratio = 0.0
 
     def class_queue(self, name: str, latency_target_s: float) -> ClassQueue:
-        """The queue of a class, made when first asked for."""
+        """The queue of a request class, made when first asked for."""
         queue = self._classes.get(name)
         if queue is None or queue.latency_target_s != latency_target_s:
             queued = queue.requests if queue is not None else []
@@ -120,19 +148,19 @@
 
     @property
     def queued_count(self) -> int:
-        """How many tickets wait."""
+        """How many requests and items are queued."""
         return sum(len(queue.requests) for queue in self._classes.values())
 
     @property
     def queued_live_count(self) -> int:
-        """How many live requests wait."""
+        """How many live requests are queued."""
         return sum(
             1 for queue in self._classes.values() for request in queue.requests if not request.is_batch_item
         )
 
     @property
     def free_capacity(self) -> int:
-        """How many more tickets could start now."""
+        """How many more requests could start now."""
         return max(0, int(self.limit) - self.inflight - self.queued_count)
 
     @property
@@ -141,7 +169,7 @@
         return self.load.running + self.load.waiting >= SATURATED_SHARE * self.load.slots
 
     def is_under_pressure(self, now: float) -> bool:
-        """Whether work waits or was refused lately, or the cut is up."""
+        """Whether work is queued or was rejected lately, or the priority threshold is up."""
         return (
             self.queued_count > 0
             or self.priority_threshold > 0
@@ -149,7 +177,7 @@
         )
 
     def arrive(self, now: float, request: AdmissionRequest, latency_target_s: float) -> bool:
-        """Takes a ticket into the hold; False where it is refused at once."""
+        """Queues a request; False where it is rejected at once."""
         queue = self.class_queue(request.class_name, latency_target_s)
         if not request.is_batch_item and request.rank < self.priority_threshold:
             request.is_rejected = True
@@ -163,18 +191,17 @@
         self.last_rejected_at = now
 
     def remove(self, request: AdmissionRequest) -> None:
-        """A held ticket's caller has gone."""
+        """The caller of a queued request has gone."""
         queue = self._classes.get(request.class_name)
         if queue is not None and request in queue.requests:
             queue.requests.remove(request)
 
     def expire(self, now: float) -> list[AdmissionRequest]:
-        """Takes out the held tickets whose time is up; they are to be refused."""
+        """Takes out the queued requests whose time is up; they are rejected."""
         expired: list[AdmissionRequest] = []
         for queue in self._classes.values():
             for request in queue.requests[:]:
-                patience = self._queue_deadline(queue, request)
-                if now >= patience:
+                if now >= self._queue_deadline(queue, request):
                     queue.requests.remove(request)
                     request.is_rejected = True
                     self._count_rejection(now)
@@ -192,12 +219,12 @@
         return min(request.arrived + queue.timeout_s, request.queue_deadline)
 
     def start(self, free_slots: FreeSlots) -> list[AdmissionRequest]:
-        """Takes out the held tickets that start now, highest rank first, as far as there are places."""
+        """Takes out the queued requests that start now, highest rank first, as free slots allow."""
         started: list[AdmissionRequest] = []
         waiting = [request for queue in self._classes.values() for request in queue.requests]
         for request in sorted(waiting, key=lambda request: -request.rank):
-            left = free_slots.batch if request.is_batch_item else free_slots.live
-            if self.inflight >= int(self.limit) or len(started) >= left:
+            limit = free_slots.batch if request.is_batch_item else free_slots.live
+            if self.inflight >= int(self.limit) or len(started) >= limit:
                 break
             self._classes[request.class_name].requests.remove(request)
             request.is_started = True
@@ -206,23 +233,27 @@
         return started
 
     def release(self) -> None:
-        """A started ticket has left its sidecar."""
+        """A started request has ended."""
         self.inflight -= 1
 
     def step(self, now: float, load: Load, max_inflight: float, fronts: int = 1) -> None:
-        """One step of the loops.
+        """One step of the control loops.
 
-        `survived`: the most requests of this front that the sidecars bear; `fronts`: how many steer alike.
+        Args:
+            now: The time.
+            load: That of the sidecars.
+            max_inflight: The most requests of this front that the sidecars bear.
+            fronts: How many fronts step alike.
         """
-        dt = min(0.2, now - self.last_step_at)
+        dt = min(MAX_STEP_S, now - self.last_step_at)
         self.last_step_at, self.load = now, load
         self.min_limit = compute_min_limit(load.slots / fronts)
         self.max_limit = max(self.min_limit, max_inflight)
-        waits = any(queue.requests for queue in self._classes.values())
+        has_queued = any(queue.requests for queue in self._classes.values())
         idle = max(0.0, SATURATED_SHARE * load.slots - load.running - load.waiting)
         error = max(-1.0, 1.0 - load.waiting / (WAITING_SHARE_TARGET * max(1.0, load.slots)))
-        self.limit = self._limit_loop.step(self.limit, dt, idle / fronts, waits, error, self.limit)
-        stuck = self.limit >= self.max_limit or idle <= 0
+        self.limit = self._limit_loop.step(self.limit, dt, idle / fronts, has_queued, error, self.limit)
+        is_stuck = self.limit >= self.max_limit or idle <= 0
         self.limit = min(max(self.limit, self.min_limit), self.max_limit)
         max_wait_ratio, self._max_wait_ratio = self._max_wait_ratio, 0.0
         for queue in self._classes.values():
@@ -234,7 +265,7 @@
             self._threshold_base,
             dt,
             max_wait_ratio,
-            self.is_saturated and stuck,
+            self.is_saturated and is_stuck,
             idle_share,
             MAX_PRIORITY_THRESHOLD,
         )
--- a/crowwing/tier/front/attempts.py
+++ b/crowwing/tier/front/attempts.py
@@ -44,7 +44,7 @@
         state.record_request_end()
 
     def response_started(self, state: SidecarState, started: ResponseStarted) -> None:
-        """A sidecar has begun to answer: it lives, and may report its load."""
+        """A sidecar has begun to answer: it is reachable, and may report its load."""
         now = state.last_byte_at = time.monotonic()
         state.record_success()
         if started.status >= MIN_ERROR_STATUS:
--- a/crowwing/tier/front/batch_api.py
+++ b/crowwing/tier/front/batch_api.py
@@ -1,4 +1,4 @@
-"""The batch interface of a front: lots are handed in, read and ended."""
+"""The batch interface of a front: batch jobs are submitted, read and ended."""
 
 import base64
 import binascii
@@ -11,7 +11,7 @@
 
 from crowwing.tier.front.asgi import ClientRequest, respond, respond_json, respond_unavailable
 from crowwing.tier.front.errors import MalformedBatchJobError
-from crowwing.tier.front.store_client import StoreClient
+from crowwing.tier.front.store_client import FrontOutcome, StoreClient
 from crowwing.tier.state.events import BatchItem
 from crowwing.tier.store import commands
 
@@ -25,7 +25,7 @@
 
 
 def parse_batch_job(body: bytes) -> tuple[BatchItem, ...]:
-    """The items of a lot; raises MalformedBatchJobError."""
+    """Reads the items of a batch job; raises MalformedBatchJobError."""
     try:
         requests = json.loads(body)["requests"]
         items = tuple(parse_item(entry) for entry in requests)
@@ -49,13 +49,14 @@
 
 
 class BatchApi:
-    """Lots over HTTP."""
+    """Batch jobs over HTTP. Owned by the front's process; the proxy calls it."""
 
     def __init__(self, store: StoreClient) -> None:
+        """Asks the primary by `store`."""
         self._store = store
 
     async def serve_route(self, request: ClientRequest, send: Send) -> None:
-        """A request on a route of lots: one is handed in."""
+        """A request on a route of batch jobs: one is submitted."""
         if request.method != "POST":
             await respond_json(send, 405, {"error": "lots are handed in with POST"})
             return
@@ -74,7 +75,7 @@
         await self._respond(outcome, send, 202)
 
     async def serve_without_route(self, request: ClientRequest, send: Send) -> bool:
-        """Reads and ends of lots; False where the path is none of these."""
+        """Reads and ends batch jobs; False where the path is none of these."""
         if request.path.startswith(BATCH_JOBS_PATH) and request.method in ("GET", "DELETE"):
             job = unquote(request.path[len(BATCH_JOBS_PATH) :])
             if request.method == "DELETE":
@@ -109,10 +110,11 @@
             await self._respond(outcome, send, 200)
 
     @staticmethod
-    async def _respond(outcome: object, send: Send, done: int) -> None:
+    async def _respond(outcome: FrontOutcome, send: Send, done_status: int) -> None:
+        """Sends an outcome that has no body of its own."""
         match outcome:
             case commands.Done():
-                await respond_json(send, done, {})
+                await respond_json(send, done_status, {})
             case commands.ItemBody(body):
                 await respond(send, 200, body, [(b"content-type", b"application/octet-stream")])
             case commands.NotFound():
--- a/crowwing/tier/front/client_connection.py
+++ b/crowwing/tier/front/client_connection.py
@@ -10,7 +10,7 @@
 
 log = logging.getLogger("crowwing.clients")
 
-UNREAD_LIMIT_MS = 20_000  # for which a client may leave bytes of an answer unacknowledged or unread
+UNREAD_LIMIT_MS = 20_000  # for which a client may leave bytes of a response unacknowledged or unread
 HEADER_EXTRA_BYTES = 4  # of each header line beside its name and value
 
 
@@ -24,9 +24,16 @@
 
 
 class ClientConnection(HttpToolsProtocol):
-    """Refuses heads that are too long or come too slowly, and closes connections that rest too long."""
+    """Rejects heads that are too long or come too slowly, and closes connections that are idle too long.
 
-    def __init__(self, limits: ClientLimits, **arguments: Any) -> None:  # noqa: ANN401
+    Made by the HTTP server for each connection; uvicorn calls it.
+    """
+
+    # uvicorn declares whole seconds, and hands them to `call_later`
+    timeout_keep_alive: float  # type: ignore[assignment]
+
+    def __init__(self, limits: ClientLimits, **arguments: Any) -> None:  # noqa: ANN401  uvicorn's own arguments
+        """`limits` apply to this connection; the rest is uvicorn's."""
         super().__init__(**arguments)
         self._limits = limits
         self.timeout_keep_alive = limits.idle_timeout_s
@@ -35,7 +42,7 @@
         self._rejected = False
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """A connection that never sends anything rests like one between two requests."""
+        """A connection that never sends anything is idle like one between two requests."""
         super().connection_made(transport)
         raw = transport.get_extra_info("socket")
         if raw is not None:
@@ -65,22 +72,22 @@
         self._head_timer = self.loop.call_later(self._limits.header_timeout_s, self._head_too_slow)
 
     def on_headers_complete(self) -> None:
-        """The head is whole; its size counts without what came behind it."""
+        """The head is complete; its size counts without what came behind it."""
         self._stop_head_timer()
         self._head_bytes = 0
-        lines = sum(len(name) + len(value) + HEADER_EXTRA_BYTES for name, value in self.headers)
-        if len(self.url) + lines > self._limits.max_header_bytes:
+        header_bytes = sum(len(name) + len(value) + HEADER_EXTRA_BYTES for name, value in self.headers)
+        if len(self.url) + header_bytes > self._limits.max_header_bytes:
             self._reject(431, "Request Header Fields Too Large")
         else:
             super().on_headers_complete()
 
     def on_body(self, body: bytes) -> None:
-        """A part of a body."""
+        """A chunk of a body."""
         if not self._rejected:
             super().on_body(body)
 
     def on_message_complete(self) -> None:
-        """The request is whole; what comes next is another head."""
+        """The request is complete; what comes next is another head."""
         self._head_bytes = 0
         if not self._rejected:
             super().on_message_complete()
@@ -94,7 +101,7 @@
         self._reject(408, "Request Timeout")
 
     def _reject(self, status: int, reason: str) -> None:
-        """Answers what has not run and never will, and closes the connection."""
+        """Responds to what has not run and never will, and closes the connection."""
         self._stop_head_timer()
         self._rejected = True
         if self.cycle is not None and not self.cycle.response_complete:
--- a/crowwing/tier/front/events.py
+++ b/crowwing/tier/front/events.py
@@ -1,11 +1,11 @@
-"""Server-sent events: whole events out of the bytes of a stream."""
+"""Server-sent events: complete events out of the bytes of a stream."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class StreamEvent:
-    """One whole event: its bytes with the empty line behind it, its id if it has one, and its data."""
+    """One complete event: its bytes with the empty line behind it, its id if it has one, and its data."""
 
     raw: bytes
     id: int | None
@@ -13,14 +13,15 @@
 
 
 class EventSplitter:
-    """Splits the bytes of a stream into whole events."""
+    """Splits the bytes of one response into complete events. Made by the dispatcher for each attempt."""
 
     def __init__(self) -> None:
+        """Nothing has come."""
         self._rest = b""
 
     @property
     def rest(self) -> bytes:
-        """What has come of an event that is not whole yet."""
+        """What has come of an event that is not complete yet."""
         return self._rest
 
     def feed(self, data: bytes) -> list[StreamEvent]:
@@ -31,11 +32,13 @@
             end, length = _find_end(self._rest)
             if end < 0:
                 return events
-            raw, self._rest = self._rest[: end + length], self._rest[end + length :]
+            raw = self._rest[: end + length]
+            self._rest = self._rest[end + length :]
             events.append(parse_event(raw))
 
 
 def _find_end(data: bytes) -> tuple[int, int]:
+    """Where the first event ends (-1: nowhere), and how long the empty line behind it is."""
     plain, carriage = data.find(b"\n\n"), data.find(b"\r\n\r\n")
     if carriage >= 0 and (plain < 0 or carriage < plain):
         return carriage, 4
@@ -46,8 +49,8 @@
     """Reads the fields of one event."""
     event_id: int | None = None
     data: list[str] = []
-    for line in raw.decode("utf-8", "replace").splitlines():
-        name, _, value = line.partition(":")
+    for text in raw.decode("utf-8", "replace").splitlines():
+        name, _, value = text.partition(":")
         value = value.removeprefix(" ")
         if name == "id" and value.isdigit():
             event_id = int(value)
--- a/crowwing/tier/front/main.py
+++ b/crowwing/tier/front/main.py
@@ -5,7 +5,6 @@
 import time
 from functools import partial
 from random import Random
-from typing import Any
 
 import httpx
 from litestar import Litestar, asgi
@@ -33,18 +32,20 @@
 
 log = logging.getLogger("crowwing.front")
 
-RELAYED = (AttachRequest, RootHeartbeat, DocumentPush, ShuffleRequest)
-DEREGISTRATION_S = 2.4  # from the notice to leave until the platform sends nobody here any more
+RelayMessage = AttachRequest | RootHeartbeat | DocumentPush | ShuffleRequest
+DEREGISTRATION_S = 2.4  # from SIGTERM until the platform sends no client here any more
 END_MARGIN_S = 0.7  # before the platform kills the process
-LIST_READ_AFTER_S, LIST_READ_INTERVAL_S = 1.2, 0.9  # without the root, a front reads the list by itself
+LIST_READ_AFTER_S = 1.2  # without the root, after which a front reads the endpoint list by itself
+LIST_READ_INTERVAL_S = 0.9
 IDLE_DEFAULT_S = 75.0
 FRONT_COUNT_INTERVAL_S = 1.0
 
 
 class FrontProcess:
-    """One front."""
+    """One front: owns all parts of the request path, and lives as long as its process."""
 
     def __init__(self, settings: Settings) -> None:
+        """Nothing runs and nothing is known yet."""
         self.settings = settings
         self.random = Random()
         self.documents = Documents()
@@ -60,14 +61,14 @@
         self.documents.listen(self.apply_document)
         self.relay.on_root.append(self.store.moved)
 
-    async def handle(self, connection: Connection, body: Any) -> Any:  # noqa: ANN401
-        """Answers other backends."""
-        if isinstance(body, RELAYED):
+    async def handle(self, connection: Connection, body: object) -> object:
+        """Responds to other backends; None where the message is not for a front."""
+        if isinstance(body, RelayMessage):
             return await self.relay.handle(connection, body)
         return None
 
     def apply_settings(self, settings: Settings) -> None:
-        """The settings name other seeds now; the rest holds from the next start on."""
+        """The settings name other seeds now; the rest applies from the next start on."""
         self.relay.seeds = settings.seed_hosts
 
     def store_hosts(self) -> list[str]:
@@ -83,10 +84,10 @@
             parsed = parse_configuration(document.body)
             if isinstance(parsed, Configuration):
                 self.pool.table = RoutingTable(parsed)
-                log.info("configuration %d is in force", parsed.version)
+                log.info("configuration_applied version=%d", parsed.version)
                 self._apply_limits(parsed)
             else:
-                log.error("configuration unreadable at %s: %s", parsed.place, parsed.reason)
+                log.error("configuration_unreadable field=%s reason=%s", parsed.place, parsed.reason)
         elif document.kind == SIDECARS:
             listed = decode(document.body)
             self._count_fronts()
@@ -99,25 +100,25 @@
         self.pool.sidecars.fronts_counted = self.relay.fronts > 0
 
     async def run_count(self) -> None:
-        """Keeps the number of fronts up to date."""
+        """Keeps the number of fronts up to date; never returns."""
         while True:
             await asyncio.sleep(FRONT_COUNT_INTERVAL_S)
             self._count_fronts()
 
     def _apply_limits(self, configuration: Configuration) -> None:
-        told = configuration.limits
-        self.client_limits.max_header_bytes = told.max_header_bytes
-        self.client_limits.header_timeout_s = told.header_timeout_ms / 1000
-        self.client_limits.idle_timeout_s = told.idle_timeout_ms / 1000
+        limits = configuration.limits
+        self.client_limits.max_header_bytes = limits.max_header_bytes
+        self.client_limits.header_timeout_s = limits.header_timeout_ms / 1000
+        self.client_limits.idle_timeout_s = limits.idle_timeout_ms / 1000
 
     async def report_readiness(self, send: Send) -> None:
-        """Tells the platform whether clients may come."""
+        """Responds to the platform's health check: whether clients may come."""
         is_ready = self.pool.table is not None and self.pool.listed and not self.proxy.draining
         status = 200 if is_ready else 503
         await respond(send, status, b"")
 
     async def run_own_reader(self) -> None:
-        """Reads the platform's list where the root does not send it."""
+        """Reads the platform's endpoint list where the root does not send it; never returns."""
         assert self.settings.cloud is not None
         client = httpx.AsyncClient(trust_env=False, verify=NO_CERTIFICATES)
         while True:
@@ -126,11 +127,11 @@
                 if isinstance(listed, SidecarList):
                     self.pool.apply_endpoint_list(listed)
                 else:
-                    log.warning("the platform's list: %s", listed.reason)
+                    log.warning("list_read_failed reason=%s", listed.reason)
             await asyncio.sleep(LIST_READ_INTERVAL_S * (0.8 + 0.4 * self.random.random()))
 
     async def run(self) -> int:
-        """Runs until SIGTERM; gives the exit status."""
+        """Runs until SIGTERM; returns the exit status."""
         stop, end, settings_changed = asyncio.Event(), asyncio.Event(), asyncio.Event()
         watch_signals(stop, settings_changed)
         tasks = Tasks(stop)
@@ -162,10 +163,10 @@
                 app = Litestar([handler], openapi_config=None, logging_config=None)
                 server = make_server(app, address, settings.bounds.grace_s, IDLE_DEFAULT_S, connection)
                 serving.append(tasks.start(serve_until(server, end)))
-                log.info("front listens at %s", address)
+                log.info("listening address=%s", address)
 
         await stop.wait()
-        log.info("leaves: %d requests are open", self.proxy.open)
+        log.info("drain_started open_requests=%d", self.proxy.open)
         deadline = time.monotonic() + settings.bounds.grace_s - END_MARGIN_S
         self.proxy.draining = self.runner.draining = True
         await asyncio.sleep(DEREGISTRATION_S)
@@ -175,7 +176,7 @@
         internal.close()
         tasks.cancel()
         self.connections.close()
-        log.info("ends")
+        log.info("stopped")
         return 1 if tasks.failed else 0
 
 
--- a/crowwing/tier/front/sidecar_connections.py
+++ b/crowwing/tier/front/sidecar_connections.py
@@ -1,9 +1,9 @@
-"""The connections of a front to its sidecars: which are kept, and how many there may be.
+"""The connections of a front to its sidecars: which stay open, and how many there may be.
 
 A sidecar accepts a number of connections from all fronts together and resets what is over. So a front keeps
-no more idle ones, over all sidecars of a service, than its even part of a share of that number, and opens
-none to a sidecar that has just reset a new one. A reset before a byte was sent is told apart from one after
-it: a new connection rests for about a round trip before its first request.
+no more idle ones, over all sidecars of a service, than its even share of a part of that number, and opens
+none to a sidecar that has just reset a new one. A reset before a byte was sent is distinguished from one
+after it: a new connection waits for about a round trip before its first request.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 OPEN_SHARE = 0.9  # of the connections that a sidecar accepts, which all fronts together may open
 IDLE_SHARE = 0.45  # of them, which all fronts together may keep idle
-MIN_OPEN_CONNECTIONS = 2  # connections to one sidecar that a front may have open whatever its part is
+MIN_OPEN_CONNECTIONS = 2  # connections to one sidecar that a front may have open whatever its share is
 MIN_IDLE_CONNECTIONS = 2  # connections that a front may keep idle, over all sidecars of a service
 MIN_FULL_PAUSE_S, MAX_FULL_PAUSE_S = (
     0.1,
@@ -47,7 +47,7 @@
         self.resets += 1
 
     def record_accepted(self) -> None:
-        """A new connection was taken."""
+        """A new connection was accepted."""
         self.resets, self.full_until = 0, 0.0
 
 
@@ -60,21 +60,25 @@
 
 
 def connection_limits(accepted: int, sidecars: int, fronts: int) -> ConnectionLimits:
-    """The part of one of `fronts` in what `sidecars` accept, each `accepted` from all fronts together."""
+    """The share of one of `fronts` in what `sidecars` accept, each `accepted` from all fronts together."""
     max_open_each = max(MIN_OPEN_CONNECTIONS, int(OPEN_SHARE * accepted / max(1, fronts)))
     max_idle_total = max(MIN_IDLE_CONNECTIONS, int(IDLE_SHARE * accepted * sidecars / max(1, fronts)))
     return ConnectionLimits(max_open_each, max_idle_total)
 
 
 class IdleConnections:
-    """The idle connections to all sidecars of a service, the one used last at the end."""
+    """The idle connections to all sidecars of a service, the one used last at the end.
+
+    Owned by `SidecarClients`, one for each service.
+    """
 
     def __init__(self, max_idle: int = 1_000_000) -> None:
+        """Up to `max_idle` may stay open."""
         self.max_idle = max_idle
         self._idle: OrderedDict[httpcore.AsyncHTTP11Connection, SidecarConnections] = OrderedDict()
 
     def add(self, connection: httpcore.AsyncHTTP11Connection, owner: "SidecarConnections") -> None:
-        """Keeps a connection; the one that rested for longest gives way where there are too many."""
+        """A connection is idle from now on; `trim` closes the one that was idle for longest."""
         self._idle[connection] = owner
 
     def remove(self, connection: httpcore.AsyncHTTP11Connection) -> None:
@@ -82,25 +86,26 @@
         self._idle.pop(connection, None)
 
     async def trim(self) -> None:
-        """Closes those that rested for longest, as far as they are over the number that may be kept."""
+        """Closes those that were idle for longest, as far as there are more than may stay open."""
         while len(self._idle) > self.max_idle:
             connection, owner = next(iter(self._idle.items()))
             await owner.discard(connection)
 
     async def close_expired(self) -> None:
-        """Closes what has rested for too long or was ended by its sidecar."""
+        """Closes what has been idle for too long or was ended by its sidecar."""
         for connection, owner in list(self._idle.items()):
             if connection.has_expired():
                 await owner.discard(connection)
 
 
 class SidecarConnections:
-    """The connections to one sidecar."""
+    """The connections to one sidecar. Owned by its `SidecarClient`."""
 
     def __init__(
         self, address: str, state: ConnectionState, idle: IdleConnections, keep_idle_s: float,
         connect_limit_s: float,
     ) -> None:  # fmt: skip
+        """Connects to `address`, HOST:PORT; an idle connection stays open for `keep_idle_s`."""
         host, port = address.rsplit(":", 1)
         self._host, self._port = host, int(port)
         self.origin = httpcore.Origin(b"http", host.encode(), self._port)
@@ -157,7 +162,7 @@
         return stream
 
     async def release(self, connection: httpcore.AsyncHTTP11Connection) -> None:
-        """A request has ended; its connection is kept where it ended whole."""
+        """A request has ended; its connection stays open where the response was complete."""
         if connection not in self._open or connection in self.state.idle:
             return
         if connection.is_idle() and not connection.has_expired():
@@ -181,6 +186,6 @@
         await connection.aclose()
 
     async def close(self) -> None:
-        """Ends all; open answers break."""
+        """Ends all; open responses break."""
         for connection in list(self._open):
             await self.discard(connection)
--- a/crowwing/tier/front/sidecar_state.py
+++ b/crowwing/tier/front/sidecar_state.py
@@ -12,7 +12,7 @@
 LOAD_DECAY_S = 1.0  # in which its weight then falls to nothing
 LOAD_SHAPE = 2.0  # of the gamma distribution of loads among sidecars: they differ by 0.7 of the mean
 RESPONSE_TIMEOUT_S = 0.35  # without a byte while a request waits, after which a sidecar gets no more
-REPLACED_PAUSE_S = 1.0  # without requests to a sidecar in whose position another one answers
+REPLACED_PAUSE_S = 1.0  # without requests to a sidecar at whose address another one answers
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.5, 4.0  # after failures, doubled with each one in a row
 
 
@@ -37,7 +37,7 @@
     avoid_until: float = 0.0
     unanswered: dict[int, float] = field(default_factory=dict)  # attempts without a head, and when sent
     unresponsive: bool = False  # nothing comes from it although something should
-    leaving: bool = False  # its answers say so, before the list does
+    leaving: bool = False  # its responses say so, before the list does
     prefix_cache: PrefixCache = field(default_factory=PrefixCache)
     record: TrackRecord = field(default_factory=TrackRecord)
     connections: ConnectionState = field(default_factory=ConnectionState)
--- a/crowwing/tier/front/sidecar_stream.py
+++ b/crowwing/tier/front/sidecar_stream.py
@@ -1,8 +1,8 @@
 """The byte streams to sidecars: httpcore's network backend on asyncio, with what its own leaves undone.
 
-A kept connection must show bytes that nobody asked for, also those that came while it rested, so that it is
-not used again; and the end of a connection must be told apart from its reset, since an answer without a
-length ends with the one and is broken by the other.
+An idle connection must show bytes that nobody asked for, also those that came while it was idle, so that it
+is not used again; and the end of a connection must be distinguished from its reset, since a response without
+a length ends with the one and is broken by the other.
 """
 
 import asyncio
@@ -12,14 +12,20 @@
 
 import httpcore
 
-MAX_UNREAD_BYTES = 64 * 1024  # beyond which the sidecar is held up
+MAX_UNREAD_BYTES = 64 * 1024  # beyond which nothing more is read from the sidecar
+READ_TIMED_OUT = "no byte in time"
+WRITE_TIMED_OUT = "the sidecar does not read"
 SocketOption = Any  # as httpcore declares it
 
 
 class SidecarStream(asyncio.Protocol, httpcore.AsyncNetworkStream):
-    """One connection. Reads as bytes come, so that its state is known at any moment."""
+    """One connection. Reads as bytes come, so that its state is known at any moment.
+
+    Made by `SidecarNetwork`; asyncio calls one half of it and httpcore the other.
+    """
 
     def __init__(self) -> None:
+        """Not connected yet."""
         self._transport: asyncio.Transport | None = None
         self._unread = bytearray()
         self._ended = False  # in order
@@ -72,8 +78,8 @@
         try:
             async with asyncio.timeout(timeout):
                 await self._readable.wait()
-        except TimeoutError:
-            raise httpcore.ReadTimeout("no byte in time") from None
+        except TimeoutError as error:
+            raise httpcore.ReadTimeout(READ_TIMED_OUT) from error
         if self._unread:
             data = bytes(self._unread[:max_bytes])
             del self._unread[:max_bytes]
@@ -100,8 +106,8 @@
         try:
             async with asyncio.timeout(timeout):
                 await self._writable.wait()
-        except TimeoutError:
-            raise httpcore.WriteTimeout("the sidecar does not read") from None
+        except TimeoutError as error:
+            raise httpcore.WriteTimeout(WRITE_TIMED_OUT) from error
         if self._closed:
             raise httpcore.WriteError(str(self._error or "the connection is closed"))
 
@@ -111,8 +117,8 @@
             self._closed = True
             self._transport.abort()
 
-    def get_extra_info(self, info: str) -> Any:  # noqa: ANN401
-        """`is_readable`: whether a connection at rest has bytes or an end, and so can't be used again."""
+    def get_extra_info(self, info: str) -> Any:  # noqa: ANN401  as httpcore declares it
+        """`is_readable`: whether an idle connection has bytes or an end, and so can't be used again."""
         if info == "is_readable":
             return bool(self._unread) or self._ended or self._closed or self._error is not None
         return self._transport.get_extra_info(info) if self._transport is not None else None
@@ -130,14 +136,16 @@
         socket_options: Iterable[SocketOption] | None = None,
     ) -> SidecarStream:
         """Connects; raises httpcore.ConnectError or ConnectTimeout, with no byte sent."""
+        del local_address  # a parameter of httpcore's interface: the system chooses it
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(timeout):
                 transport, stream = await loop.create_connection(SidecarStream, host, port)
-        except TimeoutError:
-            raise httpcore.ConnectTimeout(f"{host}:{port}") from None
+        except TimeoutError as error:
+            raise httpcore.ConnectTimeout(f"{host}:{port}") from error
         except OSError as error:
-            raise httpcore.ConnectError(f"{host}:{port}: {error}") from error
+            reason = f"{host}:{port}: {error}"
+            raise httpcore.ConnectError(reason) from error
         raw: socket.socket | None = transport.get_extra_info("socket")
         for option in socket_options or ():
             if raw is not None:
@@ -145,5 +153,5 @@
         return stream
 
     async def sleep(self, seconds: float) -> None:
-        """Waits between tries, which are not used here."""
+        """Waits between httpcore's own retries, which are not used here."""
         await asyncio.sleep(seconds)
--- a/crowwing/tier/front/store_client.py
+++ b/crowwing/tier/front/store_client.py
@@ -1,9 +1,8 @@
-"""Calls to the primary of the store machines, whichever it is."""
+"""Calls to the primary of the store machines, whichever machine that is."""
 
 import asyncio
 import logging
 from collections.abc import Callable
-from typing import Any
 
 from crowwing.tier.clock import SYSTEM_CLOCK, Clock
 from crowwing.tier.store import commands
@@ -13,14 +12,39 @@
 
 ATTEMPT_TIMEOUT_S = 0.7
 RETRY_PAUSE_S = 0.08
+PRIMARY_MOVED = "the primary has moved"
+
+FrontCommand = (
+    commands.SubmitBatchJob
+    | commands.ReadBatchJob
+    | commands.ReadItemBody
+    | commands.EndBatchJob
+    | commands.LeaseItemsRequest
+    | commands.ReportItemResult
+    | commands.ReportItemFailure
+)
+FrontOutcome = (
+    commands.Done
+    | commands.NotFound
+    | commands.Rejected
+    | commands.Indeterminate
+    | commands.NotPrimary
+    | commands.ItemBody
+    | commands.BatchJobPage
+    | commands.LeaseItemsResponse
+)
 
 
 class StoreClient:
-    """Finds the primary and calls it until there is a clear answer or the time is up."""
+    """Finds the primary and calls it until there is a clear outcome or the time is up.
+
+    Owned by the front's process; the batch interface and the batch job runner call it.
+    """
 
     def __init__(
         self, connections: ConnectionPool, hosts: Callable[[], list[str]], clock: Clock = SYSTEM_CLOCK
     ) -> None:
+        """Calls by `connections`; `hosts` names where the primary may be found."""
         self._connections, self._hosts, self._clock = connections, hosts, clock
         self._primary: str | None = None
         self._moved = asyncio.Event()  # replaced at each change of the primary
@@ -31,9 +55,19 @@
         moved, self._moved = self._moved, asyncio.Event()
         moved.set()
 
-    async def call(self, command: Any, limit_s: float, answer_s: float = ATTEMPT_TIMEOUT_S) -> Any:  # noqa: ANN401
-        """The outcome of a command; Unsure where it may have been done, NotPrimary where it certainly was
-        not.
+    async def call(
+        self, command: FrontCommand, limit_s: float, answer_s: float = ATTEMPT_TIMEOUT_S
+    ) -> FrontOutcome:
+        """Sends a command to the primary.
+
+        Args:
+            command: What is asked.
+            limit_s: The time for all attempts.
+            answer_s: The time for one attempt.
+
+        Returns:
+            The primary's outcome; Indeterminate where the command may have been carried out, NotPrimary
+            where it certainly was not.
         """
         deadline = self._clock.monotonic() + limit_s
         indeterminate = False
@@ -68,7 +102,8 @@
             commands.Indeterminate("no clear answer in time") if indeterminate else commands.NotPrimary(None)
         )
 
-    async def _call_until_moved(self, host: str, command: Any, limit_s: float) -> Any:  # noqa: ANN401
+    async def _call_until_moved(self, host: str, command: FrontCommand, limit_s: float) -> FrontOutcome:
+        """One attempt; raises CallError, also where the primary moves to another host meanwhile."""
         call = asyncio.ensure_future(
             self._connections.call(host, commands.ForwardedCommand(command), limit_s)
         )
@@ -76,11 +111,12 @@
         try:
             await asyncio.wait({call, moved}, return_when=asyncio.FIRST_COMPLETED)
             if not call.done() and self._primary not in (None, host):
-                raise CallError("the primary has moved", True)
-            return await call
+                raise CallError(PRIMARY_MOVED, sent=True)
+            outcome: FrontOutcome = await call
         finally:
             moved.cancel()
             call.cancel()
+        return outcome
 
     def _forget(self, host: str) -> None:
         if self._primary == host:
--- a/crowwing/tier/front/upstream.py
+++ b/crowwing/tier/front/upstream.py
@@ -1,7 +1,7 @@
-"""Requests to sidecars, over kept connections, and how each try ended.
+"""Requests to sidecars, over connections that stay open, and how each attempt ended.
 
-An answer belongs to a request where it carries the request's id; one without an id, or with another, is never
-passed on. A connection is used again only after a whole answer with nothing behind it.
+A response belongs to a request where it carries the request's id; one without an id, or with another, is
+never forwarded. A connection is used again only after a complete response with nothing behind it.
 """
 
 import asyncio
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True)
 class ResponseStarted:
-    """The sidecar has begun to answer this very request."""
+    """The sidecar has begun to respond to this very request."""
 
     status: int
     headers: Headers
@@ -76,8 +76,8 @@
 
     status: int | None  # the sidecar's own, None where it was not reached
     reason: str
-    no_connection: bool = False  # it has no place for another connection, and may be well otherwise
-    load: bytes | None = None  # the `Server-Load` of its answer
+    no_connection: bool = False  # it accepts no further connection, and may be healthy otherwise
+    load: bytes | None = None  # the `Server-Load` of its response
 
 
 @dataclass(frozen=True)
@@ -91,18 +91,19 @@
 
 
 class SidecarClient:
-    """Connections to one sidecar."""
+    """Sends requests to one sidecar. Owned by `SidecarClients`; called by the dispatcher and the poller."""
 
     def __init__(
         self, address: str, state: ConnectionState | None = None, idle: IdleConnections | None = None
     ) -> None:
+        """Connects to `address`, HOST:PORT; `state` and `idle` are shared with routing and other clients."""
         self._address = address
         state = state if state is not None else ConnectionState()
         idle = idle if idle is not None else IdleConnections()
         self._connections = SidecarConnections(address, state, idle, KEEP_IDLE_S, CONNECT_TIMEOUT_S)
 
     async def close(self) -> None:
-        """Closes all connections; open answers break."""
+        """Closes all connections; open responses break."""
         await self._connections.close()
 
     async def _request(self, method: str, target: bytes, headers: Headers, body: bytes) -> httpcore.Response:
@@ -121,7 +122,7 @@
         return response
 
     async def report(self) -> LoadReport | None:
-        """What the sidecar says of its load; None where it says nothing in time."""
+        """The sidecar's load report; None where none comes in time."""
         try:
             async with asyncio.timeout(REPORT_TIMEOUT_S):
                 headers = [(b"Host", self._address.encode())]
@@ -134,7 +135,7 @@
     async def send(
         self, method: str, target: bytes, headers: Headers, body: bytes, request_id: bytes
     ) -> AttemptOutcome:
-        """Sends one request and waits for the head of its answer."""
+        """Sends one request and waits for the head of its response."""
         try:
             response = await self._request(method, target, headers, body)
         except NoConnectionError as error:
@@ -163,10 +164,10 @@
 
 
 def _is_answer_to(response: httpcore.Response, request_id: bytes) -> bool:
-    """Whether a head is the answer to a request, and one head alone.
+    """Whether a head is the response to a request, and one head alone.
 
-    A surplus answer that was broken off within its head runs on into the head of the next one: what comes of
-    that has the status of the first, and the id of the second.
+    A surplus response that was broken off within its head runs on into the head of the next one: what comes
+    of that has the status of the first, and the id of the second.
     """
     ids = [value for name, value in response.headers if name.lower() == b"request-id"]
     if ids != ([request_id] if request_id else []):
@@ -193,13 +194,13 @@
 
 
 async def _abort(response: httpcore.Response) -> None:
-    """Ends an answer with its connection."""
+    """Ends a response with its connection."""
     await response.extensions["network_stream"].aclose()
     await _close(response)
 
 
 async def _close(response: httpcore.Response) -> None:
-    """Closes a response and gives its connection back."""
+    """Closes a response and releases its connection."""
     await response.aclose()
     release = response.extensions.get(RELEASE)
     if release is not None:
@@ -207,7 +208,7 @@
 
 
 async def close_after_answer(response: httpcore.Response) -> None:
-    """Done with an answer; its connection is used again only after a whole one with nothing behind it."""
+    """Done with a response; its connection is used again only after a complete one with nothing behind it."""
     stream = response.extensions["network_stream"]
     if _has_surplus(response) or stream.get_extra_info("is_readable"):
         await stream.aclose()
@@ -215,7 +216,7 @@
 
 
 def _has_surplus(response: httpcore.Response) -> bool:
-    """Whether bytes behind the answer were read with it. httpcore shows its parser's buffer nowhere."""
+    """Whether bytes behind the response were read with it. httpcore shows its parser's buffer nowhere."""
     connection = getattr(response.stream, "_connection", None)
     state: h11.Connection | None = getattr(connection, "_h11_state", None)
     return state is None or bool(state.trailing_data[0])
@@ -233,9 +234,9 @@
 
 
 async def read_body(started: ResponseStarted) -> AsyncGenerator[bytes, None]:
-    """The body as it comes; raises StreamBroken where it ends before its end.
+    """The body as it comes; raises StreamBrokenError where it ends before its end.
 
-    One without a length is whole where its connection ended in order, and broken where that was reset.
+    One without a length is complete where its connection ended in order, and broken where that was reset.
     """
     try:
         async for chunk in _chunks(started.response):
--- a/tests/tier/simulation/machines.py
+++ b/tests/tier/simulation/machines.py
@@ -260,7 +260,7 @@
         request = ClientRequest(method, path, query.encode(), headers, body)
         api = BatchApi(self.store)
         if method == "POST":
-            await api.serve_route(request, LOT_ROUTE, answer.take)
+            await api.serve_route(request, answer.take)
         else:
             await api.serve_without_route(request, answer.take)
         return answer.status, answer.body
--- a/tests/tier/test_processes.py
+++ b/tests/tier/test_processes.py
@@ -218,7 +218,7 @@
         else:
             raise AssertionError(f"a whole answer: {answer.status_code} {answer.text}")
         log = (tier.folder / f"{front}.log").read_text()
-        assert "broke off" in log and "Traceback" not in log
+        assert "response_broken sidecar=" in log and "Traceback" not in log
 
     played(tmp_path, play)
 
@@ -276,7 +276,7 @@
             await tier.until("its end", lambda: nothing_open(tier), 6.0)
             writer.transport.abort()
         log = (tier.folder / f"{front}.log").read_text()
-        assert log.count("broke off") == 2 and "Traceback" not in log
+        assert log.count("response_broken sidecar=") == 2 and "Traceback" not in log
 
     played(tmp_path, play)
 
--- a/tests/tier/test_service_pool.py
+++ b/tests/tier/test_service_pool.py
@@ -6,7 +6,7 @@
 from crowwing.tier.front.admission import AdmissionRequest
 from crowwing.tier.front.attempts import describe_outcome
 from crowwing.tier.front.service_pool import ServicePool
-from crowwing.tier.front.upstream import NotExecuted, ResponseLost, ResponseStarted
+from crowwing.tier.front.upstream import AttemptOutcome, NotExecuted, ResponseLost, ResponseStarted
 from crowwing.tier.platform_list import Sidecar, SidecarList
 
 SERVICE, LATENCY_TARGET_S = "advisor", 5.0
@@ -87,7 +87,7 @@
 
 def test_how_tries_end_is_counted_by_outcome() -> None:
     answer = ResponseStarted(200, [], None)  # type: ignore[arg-type]
-    outcomes = [
+    outcomes: list[AttemptOutcome] = [
         answer,
         NotExecuted(503, ""),
         NotExecuted(None, ""),
