--- a/tests/tier/many_seeds.py
+++ b/tests/tier/many_seeds.py
@@ -1,4 +1,4 @@
-"""Plays the simulated control side for many seeds: `python -m tests.tier.many_seeds`.
+"""Runs the simulated control plane with many seeds: `python -m tests.tier.many_seeds`.
 
 Prints each failing seed with what it found; ends with 1 where there was one. Keep such a seed as a test.
 """
@@ -29,8 +29,8 @@
         log.MAX_ENTRIES, range_transfer.MAX_RANGES_PER_REQUEST = kept
 
 
-def play_with_disks(seed: int, hosts: tuple[str, ...]) -> object:
-    """Disks in trouble, on three machines whatever `hosts` says."""
+def play_with_disks(seed: int, _hosts: tuple[str, ...]) -> object:
+    """Faults of disks, always on three machines."""
     return random_disk_troubles(seed)
 
 
--- a/tests/tier/simulation/checkers/batch_jobs.py
+++ b/tests/tier/simulation/checkers/batch_jobs.py
@@ -85,9 +85,10 @@
     """The body of an item is read as it was submitted."""
     violations = []
     for call in history.calls:
-        if call.kind == "body" and call.value is not None:
-            if call.value.replace(call.key.encode(), b"") or not call.value:
-                violations.append(f"the body of {call.key} came back as {call.value[:60]!r}")
+        if call.kind != "body" or call.value is None:
+            continue
+        if call.value.replace(call.key.encode(), b"") or not call.value:
+            violations.append(f"the body of {call.key} came back as {call.value[:60]!r}")
     return violations
 
 
--- a/tests/tier/simulation/checkers/distribution.py
+++ b/tests/tier/simulation/checkers/distribution.py
@@ -1,5 +1,7 @@
 """Documents at the fronts: no older one after a newer one, and lists of one root at a time."""
 
+from itertools import pairwise
+
 from crowwing.tier.distribution.documents import SIDECARS, Document
 
 
@@ -19,6 +21,6 @@
 def _check_order(host: str, documents: list[Document]) -> list[str]:
     return [
         f"{host}: list {later.version} after {earlier.version}"
-        for earlier, later in zip(documents, documents[1:], strict=False)
+        for earlier, later in pairwise(documents)
         if later.version <= earlier.version
     ]
--- a/tests/tier/simulation/clients.py
+++ b/tests/tier/simulation/clients.py
@@ -79,9 +79,13 @@
             outcome = await machine.machine.service.command(command)
             tell = get_outcome_answer if isinstance(command, commands.GetConfiguration) else outcome_answer
             response = tell(outcome)
+            assert response.status_code is not None
             return response.status_code, bytes(response.content)
 
-        return await call_machine(self.world, self.random, machine, work, SILENCE_S, self.loss)
+        answer: tuple[int, bytes] | None = await call_machine(
+            self.world, self.random, machine, work, SILENCE_S, self.loss
+        )
+        return answer
 
     async def read(self, machine: Store | None = None) -> Call:
         """Reads the newest configuration at one machine."""
@@ -104,7 +108,7 @@
             machines = machines or self._machines()
             call = await self.read(machines.pop())
             if call.value is not None:
-                return call.value[0]
+                return int(call.value[0])
             await asyncio.sleep(self.random.uniform(*PAUSES_S))
         return -1
 
@@ -187,7 +191,7 @@
         self.random = Random(f"{world.seed}/{name}")
         self.jobs: list[str] = []
 
-    async def _call(  # noqa: PLR0913, PLR0917  the parts of a call and of its record
+    async def _call(
         self, kind: str, key: str, method: str, path: str, job_id: str, body: bytes = b""
     ) -> Call:
         front = self.world.fronts[self.random.choice(sorted(self.world.fronts))]
--- a/tests/tier/simulation/disk.py
+++ b/tests/tier/simulation/disk.py
@@ -2,11 +2,13 @@
 
 import asyncio
 from collections.abc import Callable
+from contextlib import suppress
 from dataclasses import dataclass, field
 from pathlib import Path
 from random import Random
 from typing import Any
 
+from crowwing.tier.storage.files import OpenFile
 from crowwing.tier.storage.record_file import StorageError
 from tests.tier.simulation.loop import SimulatedLoop
 
@@ -98,8 +100,9 @@
         inode = self._names[path.name] = Inode()
         return SimulatedFile(self, path.name, inode)
 
-    def sync(self, file: SimulatedFile) -> None:
+    def sync(self, file: OpenFile) -> None:
         """Makes the content durable, and a new name with it."""
+        assert isinstance(file, SimulatedFile)
         self.step()
         if self.is_full and file.inode.unsynced:
             raise OSError(28, "no space left on device")
@@ -130,10 +133,8 @@
         """Keeps or loses what is not synced at random; `work` was in progress and is interrupted anywhere."""
         if work is not None:
             self._steps_left = self._random.randint(0, 6)
-            try:
+            with suppress(PowerLostError, OSError, StorageError):
                 work()
-            except (PowerLostError, OSError, StorageError):
-                pass
             self._steps_left = None
         names: dict[str, Inode] = {}
         for name in sorted({*self._names, *self._durable_names}):
--- a/tests/tier/simulation/faults.py
+++ b/tests/tier/simulation/faults.py
@@ -51,11 +51,11 @@
         self.spares = 0
         self.in_progress: list[asyncio.Task[Any]] = []
         self.kinds: list[FaultKind] = [
-            self.kill, self.power, self.wipe, self.freeze, self.terminate, self.isolate_from_stores, self.partition_one_way,
-            self.isolate_from_all, self.split, self.kill_all, self.power_all, self.wipe_and_power_all,
-            self.slow_disk, self.full_disk, self.stalled_disk, self.step_clock, self.reset, self.quota,
-            self.lose_answers, self.replace, self.add_spare, self.retire, self.change_seeds, self.miss_changes,
-            self.heal_and_kill_others, self.front,
+            self.kill, self.power, self.wipe, self.freeze, self.terminate, self.isolate_from_stores,
+            self.partition_one_way, self.isolate_from_all, self.split, self.kill_all, self.power_all,
+            self.wipe_and_power_all, self.slow_disk, self.full_disk, self.stalled_disk, self.step_clock,
+            self.reset, self.quota, self.lose_answers, self.replace, self.add_spare, self.retire,
+            self.change_seeds, self.miss_changes, self.heal_and_kill_others, self.front,
         ]  # fmt: skip
 
     async def work(self, until: float, gap_s: float = 4.0) -> None:
@@ -209,7 +209,7 @@
 
     # All at once
 
-    async def split(self, host: str, span_s: float) -> None:
+    async def split(self, _host: str, span_s: float) -> None:
         """Half of the store machines are partitioned from the other half."""
         hosts = sorted(self.world.stores)
         self.random.shuffle(hosts)
@@ -227,12 +227,12 @@
                 self.world.start(host)
                 await asyncio.sleep(self.random.uniform(0.0, 0.2))
 
-    async def kill_all(self, host: str, span_s: float) -> None:
+    async def kill_all(self, _host: str, _span_s: float) -> None:
         """All processes are killed."""
         await self._wait_for_acknowledgement()
         await self._stop_all(sorted(self.world.stores), power=False, wiped=None)
 
-    async def power_all(self, host: str, span_s: float) -> None:
+    async def power_all(self, _host: str, _span_s: float) -> None:
         """All store machines lose power."""
         await self._wait_for_acknowledgement()
         await self._stop_all(sorted(self.world.stores), power=True, wiped=None)
@@ -278,7 +278,7 @@
         await asyncio.sleep(span_s)
         store.clock_offset_ms = 0.0
 
-    async def reset(self, host: str, span_s: float) -> None:
+    async def reset(self, host: str, _span_s: float) -> None:
         """Some of a machine's connections are reset."""
         self.world.network.reset_connections(host, 0.5)
 
@@ -290,7 +290,7 @@
             await asyncio.sleep(span_s)
             incarnation.quota = 1.0
 
-    async def lose_answers(self, host: str, span_s: float) -> None:
+    async def lose_answers(self, _host: str, span_s: float) -> None:
         """Packets are lost on all links."""
         self.world.network.loss = 0.05
         await asyncio.sleep(span_s)
@@ -302,7 +302,7 @@
         self.spares += 1
         return f"n{self.spares}"
 
-    async def replace(self, host: str, span_s: float) -> None:
+    async def replace(self, host: str, _span_s: float) -> None:
         """A machine is removed for good; an empty one starts a second later at another address."""
         if not self._may_lose(host, 1.0, disk=True):
             return
@@ -320,7 +320,7 @@
         self.world.seeds = tuple(self.random.sample([host, *others[:2]], len(others[:2]) + 1))
         self.world.start(host)
 
-    async def add_spare(self, host: str, span_s: float) -> None:
+    async def add_spare(self, _host: str, _span_s: float) -> None:
         """An empty store machine is added."""
         if len(self.world.stores) < 6:
             self._start_new(self._new_host())
@@ -341,7 +341,7 @@
                     asyncio.ensure_future(self._stop_for(other, span_s, power=True, wipe=True))
                 )
 
-    async def change_seeds(self, host: str, span_s: float) -> None:
+    async def change_seeds(self, _host: str, _span_s: float) -> None:
         """The settings files name other seeds."""
         hosts = sorted(self.world.stores)
         self.world.seeds = tuple(self.random.sample(hosts, min(3, len(hosts))))
@@ -349,7 +349,7 @@
             if store.machine is not None and store.is_awake:
                 store.machine.take_seeds(self.world.seeds)
 
-    async def front(self, host: str, span_s: float) -> None:
+    async def front(self, _host: str, span_s: float) -> None:
         """A front is killed."""
         if not self.world.fronts:
             return
--- a/tests/tier/simulation/figures.py
+++ b/tests/tier/simulation/figures.py
@@ -4,7 +4,7 @@
 import logging
 import time
 
-from crowwing.tier.distribution.documents import CONFIGURATION
+from crowwing.tier.distribution.documents import CONFIGURATION, Document
 from crowwing.tier.store import commands
 from tests.tier.simulation.clients import Operator
 from tests.tier.simulation.world import World
@@ -13,10 +13,24 @@
 
 
 def quantiles(values: list[float]) -> str:
-    """The middle and the 99th in a hundred, in ms."""
+    """The median and the 99th percentile, in milliseconds."""
     ordered = sorted(values)
-    middle, most = ordered[len(ordered) // 2], ordered[int(len(ordered) * 0.99)]
-    return f"p50 {middle * 1000:.1f} ms, p99 {most * 1000:.1f} ms"
+    median, high = ordered[len(ordered) // 2], ordered[int(len(ordered) * 0.99)]
+    return f"p50 {median * 1000:.1f} ms, p99 {high * 1000:.1f} ms"
+
+
+def record_arrivals(world: World) -> dict[int, list[float]]:
+    """The times at which fronts receive configurations, by version; filled while the world runs."""
+    received_at: dict[int, list[float]] = {}
+    original = world.record_document
+
+    def record(host: str, document: Document) -> None:
+        original(host, document)
+        if document.kind == CONFIGURATION:
+            received_at.setdefault(document.version[0], []).append(world.now)
+
+    world.record_document = record  # type: ignore[method-assign]
+    return received_at
 
 
 def main() -> None:
@@ -29,15 +43,7 @@
     operator = Operator(world, "operator-a")
     confirmed: list[float] = []
     in_force: list[float] = []
-    taken_at: dict[int, list[float]] = {}
-    original = world.record_document
-
-    def took(host: str, document) -> None:  # noqa: ANN001
-        original(host, document)
-        if document.kind == CONFIGURATION:
-            taken_at.setdefault(document.version[0], []).append(world.now)
-
-    world.record_document = took  # type: ignore[method-assign]
+    received_at = record_arrivals(world)
 
     async def change() -> None:
         version = 0
@@ -48,8 +54,8 @@
             confirmed.append(world.now - sent)
             version = step.version
             await asyncio.sleep(0.7)
-            assert len(taken_at[version]) == len(world.fronts)
-            in_force.append(max(taken_at[version]) - sent)
+            assert len(received_at[version]) == len(world.fronts)
+            in_force.append(max(received_at[version]) - sent)
 
     world.run(change())
     machine = world.stores[str(world.primary())].machine
@@ -67,7 +73,8 @@
     print(f"a change is confirmed: {quantiles(confirmed)}")
     print(f"a change is in force at all {len(world.fronts)} fronts: {quantiles(in_force)}")
     print(f"reading the configuration, by a round: {quantiles(world.run(read(commands.GetConfiguration())))}")
-    print(f"reading a lot, by the lease: {quantiles(world.run(read(commands.ReadBatchJob('none', 0, 0))))}")
+    by_lease = quantiles(world.run(read(commands.ReadBatchJob("none", 0, 0))))
+    print(f"reading a batch job, by the lease: {by_lease}")
     took_s = time.monotonic() - began
     print(f"{world.now:.0f} simulated seconds in {took_s:.1f} s, 3 store machines and 9 fronts")
 
--- a/tests/tier/simulation/loop.py
+++ b/tests/tier/simulation/loop.py
@@ -9,9 +9,12 @@
 import contextvars
 import heapq
 from asyncio import events
+from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, TypeVarTuple
+
+Arguments = TypeVarTuple("Arguments")
 
 MAX_TASKS = 2000  # kept before those that have ended are let go
 QUOTA_PERIOD_S = 0.1  # period of a quota of processor time
@@ -68,6 +71,7 @@
 
 class _IncarnationTimerHandle(events.TimerHandle):
     __slots__ = ()
+    _scheduled: bool  # of the base class
 
     def _run(self) -> None:
         if _may_run(self):
@@ -87,6 +91,10 @@
     return True
 
 
+class NothingScheduledError(RuntimeError):
+    """The run waits for something that never comes."""
+
+
 class _NoSelector:
     """In place of waiting for sockets, lets time jump to the next timer."""
 
@@ -96,7 +104,7 @@
     def select(self, timeout: float | None) -> list[Any]:
         """Moves the clock."""
         if timeout is None:
-            raise RuntimeError("nothing is scheduled any more")
+            raise NothingScheduledError
         if timeout > 0:
             self._loop.jump()
         return []
@@ -108,14 +116,17 @@
 class SimulatedLoop(asyncio.BaseEventLoop):
     """Runs callbacks in the order of their simulated times."""
 
+    _scheduled: list[Any]  # of the base class
+    _ready: deque[events.Handle]
+
     def __init__(self) -> None:
         super().__init__()
         self._now = 0.0
         self._selector = _NoSelector(self)
         self.waking = False
-        self.on_exception: Callable[[dict[str, Any]], None] = lambda context: None
-        self.set_exception_handler(lambda loop, context: self.on_exception(context))
-        self.set_task_factory(self._make_task)  # type: ignore[arg-type]
+        self.on_exception: Callable[[dict[str, Any]], None] = lambda _: None
+        self.set_exception_handler(lambda _, context: self.on_exception(context))
+        self.set_task_factory(self._make_task)
 
     def __del__(self) -> None:
         """Nothing is open that would have to be closed."""
@@ -138,7 +149,13 @@
         """To the time of the next timer."""
         self._now = max(self._now, self._scheduled[0]._when)
 
-    def call_at(self, when: float, callback: Any, *args: Any, context: Any = None) -> Any:  # noqa: ANN401
+    def call_at(
+        self,
+        when: float,
+        callback: Callable[[*Arguments], object],
+        *args: *Arguments,
+        context: contextvars.Context | None = None,
+    ) -> events.TimerHandle:
         """Calls back at a simulated time."""
         timer = _IncarnationTimerHandle(when, callback, args, self, context)
         heapq.heappush(self._scheduled, timer)
--- a/tests/tier/simulation/network.py
+++ b/tests/tier/simulation/network.py
@@ -89,12 +89,12 @@
         self, incarnation: Incarnation, host: str, port: int
     ) -> tuple[asyncio.StreamReader, Endpoint]:
         """Opens a connection; hangs where nobody can answer."""
-        await asyncio.sleep(self._delay(0))
+        await asyncio.sleep(self._delay())
         while self._is_partitioned(incarnation.host, host) or host in self.powered_off:
             if (incarnation.host, host) in self.refused_links:
                 raise ConnectionRefusedError(f"{host}:{port}")
             await asyncio.sleep(0.2)
-        await asyncio.sleep(self._delay(0))
+        await asyncio.sleep(self._delay())
         listener = self._listeners.get((host, port))
         if listener is None or listener[0].ended:
             raise ConnectionRefusedError(f"{host}:{port}")
@@ -121,7 +121,7 @@
 
     # Bytes
 
-    def _delay(self, size: int) -> float:
+    def _delay(self) -> float:
         delay = self._random.uniform(*DELAY_S)
         if self.loss and self._random.random() < self.loss:
             delay += self._random.uniform(*RETRANSMIT_S)
@@ -134,7 +134,7 @@
         """Puts bytes on their way."""
         near = sender.incarnation.host
         now = self._loop.time()
-        arrives = now + self._delay(len(data))
+        arrives = now + self._delay()
         if self.bytes_per_s < math.inf:
             sender.free_at = max(now, sender.free_at) + len(data) / self.bytes_per_s
             arrives = max(arrives, sender.free_at)
@@ -152,7 +152,7 @@
             at, self._check_acknowledged, sender, sender.unacknowledged_since, context=Context()
         )
 
-    def _check_acknowledged(self, sender: Endpoint, since: float) -> None:
+    def _check_acknowledged(self, sender: Endpoint, since: float | None) -> None:
         if sender.closed or sender.unacknowledged_since is None:
             return
         if sender.unacknowledged_since == since and self._is_unreachable(sender):
--- a/tests/tier/simulation/plays.py
+++ b/tests/tier/simulation/plays.py
@@ -76,7 +76,7 @@
     world.run(inject_faults())
     _end_faults(world, faults)
     violations = _check_liveness(world, operators[0])
-    final = _read_back(world, operators[0], clients[0])
+    final = _read_back(world, operators[0])
     found: dict[str, int | None] = {}
     world.run(_read_batch_jobs(world, clients[0], found))
     violations += check_configuration(world.history, final)
@@ -131,17 +131,19 @@
     return violations
 
 
-def _read_back(world: World, operator: Operator, client: BatchJobClient) -> tuple[int, str] | None:
+def _read_back(world: World, operator: Operator) -> tuple[int, str] | None:
     async def read() -> tuple[int, str] | None:
         deadline = world.now + READ_BACK_S
         while world.now < deadline:
             call = await operator.read()
             if call.value is not None:
-                return call.value
+                version, content = call.value
+                return version, content
             await asyncio.sleep(0.2)
         return None
 
-    return world.run(read())
+    final: tuple[int, str] | None = world.run(read())
+    return final
 
 
 async def _read_batch_jobs(world: World, client: BatchJobClient, found: dict[str, int | None]) -> None:
--- a/tests/tier/simulation/world.py
+++ b/tests/tier/simulation/world.py
@@ -26,6 +26,17 @@
     """An invariant is violated."""
 
 
+class TooLateError(AssertionError):
+    """Something did not come in time."""
+
+    def __init__(self, seed: int, what: str, span_s: float) -> None:
+        super().__init__(seed, what, span_s)
+
+    def __str__(self) -> str:
+        seed, what, span_s = self.args
+        return f"seed {seed}: {what} in {span_s} s"
+
+
 class World:
     """Machines, the network between them, and the invariants that are checked at each step of a machine."""
 
@@ -57,7 +68,7 @@
         hosts = tuple(hosts)
         self.seeds = tuple(seeds) if seeds is not None else hosts[:3]
         self.acknowledged: list[str] = []
-        self.on_acknowledged: Callable[[str], None] = lambda host: None
+        self.on_acknowledged: Callable[[str], None] = lambda _: None
         self.recorded_documents: dict[str, list[Document]] = {}
         self.checks_leases = True  # off where clock rates differ by more than leases allow for
         self._highest_lease: messages.Term = messages.NO_TERM
@@ -224,9 +235,8 @@
             step()
             self.check(host, node.replica)
 
-        def counted(receivers: Iterable[str], message: object) -> None:
-            receivers = list(receivers)
-            self._count(host, receivers, message, notify_all)
+        def counted(hosts: Iterable[str], body: object) -> None:
+            self._count(host, list(hosts), body, notify_all)
 
         node.step = watched_step  # type: ignore[method-assign]
         node._connections.notify_all = counted  # type: ignore[method-assign]
@@ -323,7 +333,7 @@
             self.run_for(0.1)
             if self.primary() is not None:
                 return
-        raise AssertionError(f"seed {self.seed}: no primary after {span_s} s")
+        raise TooLateError(self.seed, "no primary", span_s)
 
     def acknowledge(self, payload: str, span_s: float = 3.0) -> None:
         """Proposes a payload again and again until it is acknowledged."""
@@ -332,7 +342,7 @@
             self.run_for(0.2)
             if self.is_acknowledged(payload):
                 return
-        raise AssertionError(f"seed {self.seed}: {payload!r} was not acknowledged in {span_s} s")
+        raise TooLateError(self.seed, f"{payload!r} was not acknowledged", span_s)
 
     def close(self) -> None:
         """Ends all processes, so that nothing of them runs later."""
--- a/tests/tier/test_control_scenarios.py
+++ b/tests/tier/test_control_scenarios.py
@@ -26,7 +26,8 @@
         assert await operator.put(change) == 200
         return change.version
 
-    return world.run(work())
+    version: int = world.run(work())
+    return version
 
 
 def check_history(world: World, operator: Operator) -> None:
