--- a/tests/tier/simulation/clients.py
+++ b/tests/tier/simulation/clients.py
@@ -81,9 +81,13 @@
                 read_outcome_response if isinstance(command, commands.GetConfiguration) else outcome_response
             )
             response = tell(outcome)
+            assert response.status_code is not None
             return response.status_code, bytes(response.content)
 
-        return await call_machine(self.world, self.random, machine, work, SILENCE_S, self.loss)
+        answer: tuple[int, bytes] | None = await call_machine(
+            self.world, self.random, machine, work, SILENCE_S, self.loss
+        )
+        return answer
 
     async def read(self, machine: Store | None = None) -> Call:
         """Reads the newest configuration at one machine."""
@@ -106,7 +110,7 @@
             machines = machines or self._machines()
             call = await self.read(machines.pop())
             if call.value is not None:
-                return call.value[0]
+                return int(call.value[0])
             await asyncio.sleep(self.random.uniform(*PAUSES_S))
         return -1
 
