--- a/benchmarks/worth.py
+++ b/benchmarks/worth.py
@@ -111,10 +111,10 @@
 
 def _table(head: str, losses: Iterable[Loss]) -> list[str]:
     lines = [f"{head:<18} {'asked':>7} {'late':>6} {'refused':>7} {'failed':>6} {'lost':>7}"]
-    for loss in losses:
-        lines.append(
-            f"{loss.name:<18} {loss.asked:7} {loss.late:6} {loss.refused:7} {loss.failed:6} {loss.share:7.4f}"
-        )
+    lines += [
+        f"{loss.name:<18} {loss.asked:7} {loss.late:6} {loss.refused:7} {loss.failed:6} {loss.share:7.4f}"
+        for loss in losses
+    ]
     return lines
 
 
--- a/tests/tier/test_admission.py
+++ b/tests/tier/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission before one service: the cut, the order of starts, timeouts, the limit."""
+"""Admission before one service: the priority threshold, the order of starts, timeouts, the limit."""
 
 import pytest
 
@@ -22,7 +22,7 @@
     assert rank_of(2, 0.999) < rank_of(1, 0.0)
 
 
-def test_held_tickets_start_highest_rank_first_within_the_limit() -> None:
+def test_queued_requests_start_highest_rank_first_within_the_limit() -> None:
     admission = Admission(0.0, 4)
     for rank in (0.2, 0.9, 0.5, 0.1, 0.8, 0.7):
         assert admission.arrive(0.0, admission_request(rank), LATENCY_TARGET_S)
@@ -30,16 +30,16 @@
     assert admission.inflight == 4 and admission.queued_count == 2
 
 
-def test_a_held_ticket_is_refused_once_its_timeout_is_over() -> None:
+def test_a_queued_request_is_rejected_once_its_timeout_is_over() -> None:
     admission = Admission(0.0, 4)
     late = admission_request(0.9)
     admission.arrive(0.0, late, LATENCY_TARGET_S)
     assert admission.expire(0.045) == []
-    assert admission.expire(0.047) == [late], "part of the aim while nothing is known"
+    assert admission.expire(0.047) == [late], "a share of the latency target while nothing is known"
     assert admission.queued_count == 0 and admission.rejected_count == 1
 
 
-def test_the_timeout_follows_the_p90_and_what_it_leaves_of_the_aim() -> None:
+def test_the_timeout_follows_the_p90_and_what_it_leaves_of_the_latency_target() -> None:
     queue = Admission(0.0, 4).class_queue("review", 1.0)
     assert queue.timeout_s == pytest.approx(0.23)
     for _ in range(8):
@@ -50,10 +50,10 @@
     assert queue.timeout_s == pytest.approx(0.05)
     for _ in range(64):
         queue.record_latency(0.5)
-    assert queue.timeout_s == pytest.approx(0.23), "a refusal leaves time for another try"
+    assert queue.timeout_s == pytest.approx(0.23), "a rejection leaves time for another attempt"
 
 
-def test_the_cut_rises_while_waits_outlast_timeouts_and_slots_are_full() -> None:
+def test_the_priority_threshold_rises_while_waits_outlast_timeouts_and_slots_are_full() -> None:
     admission = Admission(0.0, 4)
     now = 0.0
     for _ in range(60):
@@ -63,7 +63,7 @@
         admission.expire(now)
     assert admission.priority_threshold > 0.5
     assert not admission.arrive(now, admission_request(0.1, now), LATENCY_TARGET_S), (
-        "refused at once under the cut"
+        "rejected at once under the threshold"
     )
     for _ in range(200):
         now += 0.05
@@ -71,7 +71,7 @@
     assert admission.priority_threshold == 0, "waits that clear lower it"
 
 
-def test_a_quarter_of_the_highest_band_is_never_cut() -> None:
+def test_a_quarter_of_the_highest_band_is_never_rejected_by_the_threshold() -> None:
     admission = Admission(0.0, 4)
     now = 0.0
     for _ in range(1000):
@@ -113,7 +113,7 @@
     crowded = Load(slots, 3 * slots, slots)
     for step in range(1, 400):
         admission.step(0.05 * step, crowded, slots, fronts)
-    assert fronts * admission.limit <= max(0.3 * slots, fronts * 1.0), "the loops can turn work away"
+    assert fronts * admission.limit <= max(0.3 * slots, fronts * 1.0), "the loops can reject work"
     assert admission.limit >= 1.0, "and none of them is starved"
 
 
--- a/tests/tier/test_batch_job_runner.py
+++ b/tests/tier/test_batch_job_runner.py
@@ -1,5 +1,7 @@
 """How often a front asks the primary for items."""
 
+from itertools import pairwise
+
 from crowwing.tier.front.batch_job_runner import POLL_INTERVAL_S, is_call_due, pause_after
 from crowwing.tier.store.leases import LEASE_S
 
@@ -19,7 +21,7 @@
 def test_a_front_without_room_renews_its_leases_in_time_and_does_not_ask_all_the_time() -> None:
     calls = calls_of(60.0, running=5)
     assert len(calls) <= 130
-    assert max(later - earlier for earlier, later in zip(calls, calls[1:], strict=False)) < LEASE_S / 2
+    assert max(later - earlier for earlier, later in pairwise(calls)) < LEASE_S / 2
 
 
 def test_a_front_that_runs_nothing_and_has_no_room_is_heard_about_once_a_second() -> None:
--- a/tests/tier/test_dispatch.py
+++ b/tests/tier/test_dispatch.py
@@ -81,7 +81,7 @@
             "service": "advisor",
             "maxAttempts": attempts,
             "resumable": resumable,
-        }  # fmt: skip
+        }
     )
     deadline = time.monotonic() + 5
     return SidecarRequest(
--- a/tests/tier/test_events.py
+++ b/tests/tier/test_events.py
@@ -7,7 +7,7 @@
 )
 
 
-def test_any_cut_into_chunks_gives_the_same_events() -> None:
+def test_any_split_into_chunks_gives_the_same_events() -> None:
     whole = EventSplitter().feed(STREAM)
     assert [(event.id, event.data) for event in whole] == [
         (1, "one"),
@@ -22,7 +22,7 @@
         assert events == whole and splitter.rest == b""
 
 
-def test_what_is_not_whole_is_kept_back() -> None:
+def test_an_incomplete_event_is_kept_back() -> None:
     splitter = EventSplitter()
     assert splitter.feed(b"id: 1\ndata: half") == []
     assert splitter.rest == b"id: 1\ndata: half"
--- a/tests/tier/test_request_path.py
+++ b/tests/tier/test_request_path.py
@@ -89,7 +89,7 @@
     return head.encode() + b"\r\n\r\n" + body
 
 
-async def silent(request: Request, writer: asyncio.StreamWriter) -> None:
+async def silent(_request: Request, _writer: asyncio.StreamWriter) -> None:
     """Never answers."""
     await asyncio.sleep(60)
 
@@ -156,7 +156,7 @@
 
 
 def test_gone_a_client_that_leaves_in_the_midst_of_its_stream_is_gone_at_the_sidecar() -> None:
-    async def endless(request: Request, writer: asyncio.StreamWriter) -> None:
+    async def endless(_request: Request, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 200 X\r\nRequest-Id: r1\r\nTransfer-Encoding: chunked\r\n\r\n")
         for number in range(1, 500):
             event = b"id: %d\ndata: x\n\n" % number
@@ -198,7 +198,7 @@
 
 @pytest.mark.parametrize("path", ["/safe/x", "/stream/x", "/unsafe/x"])
 def test_budget_no_more_sidecars_run_a_try_than_its_route_allows(path: str) -> None:
-    async def broken(request: Request, writer: asyncio.StreamWriter) -> None:
+    async def broken(_request: Request, writer: asyncio.StreamWriter) -> None:
         writer.transport.abort()
 
     (found, _), got = play(broken, lambda port: one(port, encoded(path)), count=5, maxAttempts=3)
@@ -249,7 +249,7 @@
 
 
 def test_lost_a_kept_connection_has_an_answer_whatever_the_sidecar_does() -> None:
-    async def broken(request: Request, writer: asyncio.StreamWriter) -> None:
+    async def broken(_request: Request, writer: asyncio.StreamWriter) -> None:
         writer.transport.abort()
 
     async def many(port: int) -> list[int]:
--- a/tests/tier/test_service_pool.py
+++ b/tests/tier/test_service_pool.py
@@ -30,7 +30,7 @@
     await asyncio.Event().wait()
 
 
-def test_the_newest_items_give_way_one_for_each_live_request_that_waits() -> None:
+def test_the_newest_items_are_preempted_one_for_each_live_request_that_waits() -> None:
     async def play() -> None:
         pool = full_pool()
         runs = [asyncio.ensure_future(forever()) for _ in range(3)]
@@ -54,7 +54,7 @@
     asyncio.run(play())
 
 
-def test_a_caller_that_goes_leaves_the_hold() -> None:
+def test_a_caller_that_goes_leaves_the_queue() -> None:
     async def play() -> None:
         pool = full_pool()
         asked = asyncio.ensure_future(pool.admit(SERVICE, admission_request(), LATENCY_TARGET_S))
@@ -85,7 +85,7 @@
     )
 
 
-def test_how_tries_end_is_counted_by_outcome() -> None:
+def test_how_attempts_end_is_counted_by_outcome() -> None:
     answer = ResponseStarted(200, [], None)  # type: ignore[arg-type]
     outcomes: list[AttemptOutcome] = [
         answer,
--- a/tests/tier/test_sidecars.py
+++ b/tests/tier/test_sidecars.py
@@ -32,7 +32,7 @@
     return router
 
 
-def test_a_prompt_is_read_as_its_parts() -> None:
+def test_a_prompt_prefix_is_read_as_its_blocks() -> None:
     assert parse_prompt_prefix("5c1e:800,91bd:410, junk,x:y") == (
         PromptBlock("5c1e", 800),
         PromptBlock("91bd", 410),
@@ -55,7 +55,7 @@
     assert router.choose("advisor", (), 0.1).entry.id == "b"
 
 
-def test_a_told_load_fades_so_that_nobody_is_starved_by_old_news() -> None:
+def test_a_reported_load_decays_so_that_nobody_is_starved_by_old_reports() -> None:
     sidecars = table("a")
     state = sidecars.of_service("advisor")[0]
     state.record_load(0.0, LoadReport(48, 12, 48))
@@ -72,7 +72,7 @@
     assert free_slots.batch == 0 and free_slots.live > 8
 
 
-def test_a_large_shared_part_goes_where_it_is_kept_unless_that_is_crowded() -> None:
+def test_a_large_shared_block_goes_where_it_is_cached_unless_that_is_crowded() -> None:
     sidecars = table("a", "b", "c")
     router = router_of(sidecars)
     prompt = (PromptBlock("shared", 13_300), PromptBlock("own", 3_000))
@@ -199,7 +199,7 @@
     assert router.choose("advisor", (), 0.1) is is_usable
 
 
-def test_places_are_counted_on_for_a_moment_where_there_are_many_sidecars() -> None:
+def test_free_slots_are_carried_on_for_a_moment_where_there_are_many_sidecars() -> None:
     sidecars = many(60)
     before = sidecars.free_slots("advisor", 1.0)
     sidecars.count_started("advisor", 10, 5)
@@ -313,7 +313,7 @@
     assert router.choose("advisor", (), 0.05) is not None, "one in doubt is better than none"
 
 
-def test_sidecars_that_tell_their_load_tell_of_the_others_whatever_the_count_of_fronts_is() -> None:
+def test_sidecars_that_report_their_load_count_for_the_others_whatever_the_count_of_fronts_is() -> None:
     for fronts in (3, 72, 3000):
         sidecars = table(*(f"s{number}" for number in range(10)))
         sidecars.fronts = fronts
