--- a/benchmarks/rolling_upgrade.py
+++ b/benchmarks/rolling_upgrade.py
@@ -38,7 +38,7 @@
     configuration,
     environment_of,
 )
-from crowwing.tier.plain_http import NO_CERTIFICATES
+from crowwing.tier.http_client import NO_CERTIFICATES
 
 SIDECARS = 2
 SLOW_PAUSE_MS = 400  # between the events of an item that runs during the upgrade: about two seconds in all
--- a/benchmarks/tier_cpu.py
+++ b/benchmarks/tier_cpu.py
@@ -29,7 +29,7 @@
 from benchmarks.tier_stand.client import ITEMS, Client, MachineError, StreamCounts
 from benchmarks.tier_stand.sidecar_stand_in import start_sidecars
 from benchmarks.tier_stand.stand import FRONT, ROOT, SERVICE, STORES, Platform, Stand, environment_of
-from crowwing.tier.plain_http import NO_CERTIFICATES
+from crowwing.tier.http_client import NO_CERTIFICATES
 
 ROUNDS = 5
 SIDECARS = 2
--- a/tools/lint_exceptions.py
+++ b/tools/lint_exceptions.py
@@ -20,7 +20,7 @@
     """The rules that each file breaks, without any exception but those that stay."""
     ruff = Path(sys.executable).with_name("ruff")
     without = f"lint.per-file-ignores={json.dumps(FOR_GOOD).replace(': ', ' = ')}"
-    command = [ruff, "check", "--exit-zero", "--output-format", "json", "--config", without, *FOLDERS]
+    command = [str(ruff), "check", "--exit-zero", "--output-format", "json", "--config", without, *FOLDERS]
     output = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True).stdout
     found: dict[str, set[str]] = {}
     for finding in json.loads(output):
