--- a/crowwing/tier/replication/member_progress.py
+++ b/crowwing/tier/replication/member_progress.py
@@ -91,7 +91,7 @@
         self._wait_until: dict[str, float] = {}
 
     def may_be_sent(self, now: float, learner: str) -> bool:
-        """Whether a learner has responded, or has had its time to."""
+        """Whether a learner has responded, or had its time to."""
         return now >= self._wait_until.get(learner, now)
 
     def wait(self, learner: str, until: float) -> None:
--- a/tests/tier/exploration.py
+++ b/tests/tier/exploration.py
@@ -1,9 +1,9 @@
 """Every order of deliveries, losses and crashes of three replicas: `python -m tests.tier.exploration`.
 
-Starts from a primary with a lease, all three members, one entry of which is on its way. A step delivers one
+Starts from a primary with a lease, all three members, one entry of which is in flight. A step delivers one
 message, has one disk synced, ends and restarts one replica (what its disk had not synced is lost, or all of
-it), asks for a handover, proposes, or lets time pass. In each state there is at most one lease, and whoever
-leads holds what was committed. Messages that are never delivered are lost ones.
+it), asks for a transfer of the leadership, proposes, or lets time pass. In each state there is at most one
+lease, and whoever leads holds what was committed. Messages that are never delivered are lost ones.
 """
 
 import argparse
@@ -25,7 +25,7 @@
 START_S = 10.0
 
 
-class Ledger:
+class ReplicatedList:
     """The simplest state: payloads in their order, in one range."""
 
     def __init__(self) -> None:
@@ -76,12 +76,12 @@
     """All replicas, what is on its way, and what was promised to clients."""
 
     nodes: dict[str, Node]
-    on_the_way: list[tuple[str, messages.Message]]
+    in_flight: list[tuple[str, messages.Message]]
     now: float
     committed: dict[int, Term] = field(default_factory=dict)
     crashes: int = 0
     wipes: int = 0
-    handovers: int = 0
+    transfers: int = 0
     proposals: int = 0
     waits: int = 0
 
@@ -92,20 +92,20 @@
 
     crashes: int = 1
     wipes: int = 1
-    handovers: int = 1
+    transfers: int = 1
     proposals: int = 1
     waits: int = 3
 
 
-class Broken(AssertionError):
-    """A rule does not hold in a state."""
+class InvariantError(AssertionError):
+    """An invariant does not hold in a state."""
 
 
 def first_state() -> State:
     """A primary with a lease, with one entry on its way."""
     state = State({}, [], START_S)
     for host in HOSTS:
-        replica = Replica(ReplicaSettings(host, HOSTS, 1), Ledger(), START_S - 5, half)
+        replica = Replica(ReplicaSettings(host, HOSTS, 1), ReplicatedList(), START_S - 5, half)
         replica.bootstrap(HOSTS)
         state.nodes[host] = Node(replica)
         collect(state, host)
@@ -114,11 +114,11 @@
         for host in HOSTS:
             collect(state, host)
             sync(state, host)
-        on_the_way, state.on_the_way = state.on_the_way, []
-        for to, message in on_the_way:
+        in_flight, state.in_flight = state.in_flight, []
+        for to, message in in_flight:
             state.nodes[to].replica.receive(state.now, message)
             collect(state, to)
-        if not on_the_way:
+        if not in_flight:
             break
     propose(state, "a")
     assert state.nodes["a"].replica.holds_lease(state.now)
@@ -131,15 +131,15 @@
     node.replica.send_entries(state.now)
     output = node.replica.take_output()
     for to, message in output.immediate:
-        put_on_the_way(state, host, to, message)
+        put_in_flight(state, to, message)
     if output.records or output.durable:
         node.waiting.append(output)
 
 
-def put_on_the_way(state: State, sender: str, to: str, message: messages.Message) -> None:
+def put_in_flight(state: State, to: str, message: messages.Message) -> None:
     """A message that is on its way already is not sent twice."""
-    if to in state.nodes and (to, message) not in state.on_the_way:
-        state.on_the_way.append((to, message))
+    if to in state.nodes and (to, message) not in state.in_flight:
+        state.in_flight.append((to, message))
 
 
 def sync(state: State, host: str) -> None:
@@ -154,7 +154,7 @@
                 node.replica.receive(state.now, message)
                 collect(state, host)
             else:
-                put_on_the_way(state, host, to, message)
+                put_in_flight(state, to, message)
 
 
 def restart(state: State, host: str, wiped: bool) -> None:
@@ -163,7 +163,7 @@
     node.waiting = []
     if wiped:
         node.disk = []
-    node.replica = Replica(ReplicaSettings(host, HOSTS, 1), Ledger(), state.now, half)
+    node.replica = Replica(ReplicaSettings(host, HOSTS, 1), ReplicatedList(), state.now, half)
     if node.disk:
         node.replica.recover(node.disk)
     collect(state, host)
@@ -187,31 +187,36 @@
 
 def steps(state: State, limits: Limits) -> Iterator[tuple[str, Any]]:
     """What may happen next."""
-    for place in range(len(state.on_the_way)):
-        yield "deliver", place
+    for position in range(len(state.in_flight)):
+        yield "deliver", position
     for host in HOSTS:
         if state.nodes[host].waiting:
             yield "sync", host
     for host in HOSTS:
-        if state.crashes < limits.crashes:
-            yield "restart", host
-        if state.wipes < limits.wipes:
-            yield "wipe", host
-        if state.nodes[host].replica.role is Role.PRIMARY:
-            if state.handovers < limits.handovers:
-                yield "handover", host
-            if state.proposals < limits.proposals:
-                yield "propose", host
+        yield from _steps_of_replica(state, limits, host)
     if state.waits < limits.waits:
         yield "wait", SHORT_S
         yield "wait", LONG_S
 
 
-def take(state: State, kind: str, what: Any) -> None:  # noqa: ANN401
+def _steps_of_replica(state: State, limits: Limits, host: str) -> Iterator[tuple[str, Any]]:
+    """What may happen to one replica next, beside its messages and its disk."""
+    if state.crashes < limits.crashes:
+        yield "restart", host
+    if state.wipes < limits.wipes:
+        yield "wipe", host
+    if state.nodes[host].replica.role is Role.PRIMARY:
+        if state.transfers < limits.transfers:
+            yield "transfer", host
+        if state.proposals < limits.proposals:
+            yield "propose", host
+
+
+def carry_out(state: State, kind: str, what: Any) -> None:  # noqa: ANN401
     """Carries one step out."""
     match kind:
         case "deliver":
-            to, message = state.on_the_way.pop(what)
+            to, message = state.in_flight.pop(what)
             state.nodes[to].replica.receive(state.now, message)
             collect(state, to)
         case "sync":
@@ -222,8 +227,8 @@
         case "wipe":
             state.wipes += 1
             restart(state, what, wiped=True)
-        case "handover":
-            state.handovers += 1
+        case "transfer":
+            state.transfers += 1
             state.nodes[what].replica.transfer_leadership(state.now)
             collect(state, what)
         case "propose":
@@ -236,7 +241,7 @@
     """At most one lease; what was committed stays committed at whoever leads."""
     leases = [host for host in HOSTS if state.nodes[host].replica.holds_lease(state.now)]
     if len(leases) > 1:
-        raise Broken(f"{leases} hold leases at once")
+        raise InvariantError(f"{leases} hold leases at once")
     for host in HOSTS:
         replica = state.nodes[host].replica
         if replica.role is not Role.PRIMARY:
@@ -244,7 +249,7 @@
         for index, term in state.committed.items():
             entry = replica.log.at(index)
             if host in leases and (entry is None or entry.term != term):
-                raise Broken(f"{host} leads without the committed entry {index}")
+                raise InvariantError(f"{host} leads without the committed entry {index}")
         for index in range(1, replica.commit_index + 1):
             entry = replica.log.at(index)
             if entry is not None:
@@ -261,12 +266,12 @@
         for parent, way in level:
             for kind, what in list(steps(pickle.loads(parent), limits)):
                 state = pickle.loads(parent)
-                step = f"{kind} {what if kind != 'deliver' else _told(state.on_the_way[what])}"
-                take(state, kind, what)
+                step = f"{kind} {what if kind != 'deliver' else _describe(state.in_flight[what])}"
+                carry_out(state, kind, what)
                 try:
                     check(state)
-                except Broken as error:
-                    raise Broken(f"{error} after {' / '.join((*way, step))}") from None
+                except InvariantError as error:
+                    raise InvariantError(f"{error} after {' / '.join((*way, step))}") from None
                 child = pickle.dumps(state)
                 if hash(child) not in seen:
                     seen.add(hash(child))
@@ -277,7 +282,7 @@
     return len(seen), depth
 
 
-def _told(sent: tuple[str, messages.Message]) -> str:
+def _describe(sent: tuple[str, messages.Message]) -> str:
     return (
         f"{type(sent[1]).__name__} of {sent[1].sender} to {sent[0]}"
         if hasattr(sent[1], "sender")
--- a/tests/tier/test_control_safety_steps.py
+++ b/tests/tier/test_control_safety_steps.py
@@ -1,5 +1,7 @@
 """Single steps of a replica on which the safety arguments of docs/control-safety.md rest."""
 
+from typing import TypeVar
+
 import pytest
 
 from crowwing.tier.replication import messages, timing
@@ -11,6 +13,7 @@
 from crowwing.tier.state.views import TierState
 
 HOSTS = ("a", "b", "c")
+Kind = TypeVar("Kind")
 
 
 def replica_of(host: str) -> Replica:
@@ -21,7 +24,7 @@
     return replica
 
 
-def sent(replica: Replica, kind: type) -> list[tuple[str, object]]:
+def sent(replica: Replica, kind: type[Kind]) -> list[tuple[str, Kind]]:
     """Messages of a kind that the replica has asked to be sent since the last look."""
     output = replica.take_output()
     return [(to, message) for to, message in output.immediate + output.durable if isinstance(message, kind)]
--- a/tests/tier/test_exploration.py
+++ b/tests/tier/test_exploration.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.tier.exploration import Broken, check, explore, first_state
+from tests.tier.exploration import InvariantError, check, explore, first_state
 
 
 def test_no_short_way_breaks_a_rule() -> None:
@@ -18,5 +18,5 @@
     assert view is not None
     other.activate(state.now, view, requested_at=state.now)
     assert other.holds_lease(state.now)
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantError):
         check(state)
--- a/tests/tier/test_replication.py
+++ b/tests/tier/test_replication.py
@@ -227,71 +227,88 @@
     world.heal()
     world.run_for(CATCH_UP_S)
     assert world.primary() == primary, "its role is not questioned"
-    assert world.replica(primary).promised[0] <= before[0] + 1, "one new ballot, to take it back"
+    assert world.replica(primary).promised[0] <= before[0] + 1, "one new term, to take it back"
     assert world.members() == set(HOSTS)
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_messages_that_are_lost_now_and_then_stop_nothing(seed: int) -> None:
     world = quick_world(seed, HOSTS, HOSTS)
-    world.loss = 0.1
+    world.network.loss = 0.1
     world.settle(4.0)
     for number in range(10):
         world.acknowledge(f"change {number},", 4.0)
 
 
+FAULT_KINDS = ("kill", "power", "wipe", "freeze", "cut", "one_way", "all", "all_wipe", "none")
+
+
+class RandomFault:
+    """One fault at one machine, or at all of them at once; it strikes once."""
+
+    def __init__(self, world: World, hosts: tuple[str, ...]) -> None:
+        self._world = world
+        self.host = world.random.choice(hosts)
+        self.kind = world.random.choice(FAULT_KINDS)
+        self._has_struck = False
+
+    def strike(self) -> None:
+        """Has the fault happen."""
+        world, host, kind = self._world, self.host, self.kind
+        if kind in ("kill", "power", "wipe"):
+            world.stop(host, power=kind != "kill", wipe=kind == "wipe")
+        elif kind == "freeze":
+            world.freeze(host, world.random.uniform(0.3, 3.0))
+        elif kind in ("cut", "one_way"):
+            others = [other for other in world.stores if other != host]
+            world.cut([host], others, one_way=kind == "one_way")
+        elif kind in ("all", "all_wipe"):
+            for other in sorted(world.stores):
+                world.stop(other, power=True, wipe=kind == "all_wipe" and other == host)
+
+    def strike_after_acknowledgement(self, _host: str) -> None:
+        """Has the fault happen just after the first acknowledgement."""
+        if not self._has_struck:
+            self._has_struck = True
+            delay_s = self._world.random.uniform(0.0, 0.004)
+            self._world.loop.call_later(delay_s, self.strike, context=Context())
+
+    def strike_unless_struck(self) -> None:
+        """Has the fault happen now, where there was no acknowledgement."""
+        if not self._has_struck:
+            self._has_struck = True
+            self.strike()
+
+
+def propose_some(world: World, first: int, count: int, max_pause_s: float) -> int:
+    """Proposes numbered changes with random pauses; returns the number of the last one."""
+    for number in range(first, first + count):
+        world.propose(str(number))
+        world.run_for(world.random.uniform(0.0, max_pause_s))
+    return first + count - 1
+
+
 def random_troubles(seed: int, hosts: tuple[str, ...]) -> World:
-    """Troubles at random moments, one counted loss at a time, and at times all machines killed at once."""
+    """Faults at random moments, one counted loss at a time, and at times all machines killed at once."""
     world = quick_world(seed, hosts, hosts[:3])
     random = world.random
     number = 0
     for _ in range(6):
-        lost = random.choice(hosts)
-        kind = random.choice(["kill", "power", "wipe", "freeze", "cut", "one_way", "all", "all_wipe", "none"])
-        strikes_at_once = random.random() < 0.5
-        struck = False
-
-        def strike(lost: str = lost, kind: str = kind) -> None:
-            others = [host for host in world.stores if host != lost]
-            if kind in ("kill", "power", "wipe"):
-                world.stop(lost, power=kind != "kill", wipe=kind == "wipe")
-            elif kind == "freeze":
-                world.freeze(lost, random.uniform(0.3, 3.0))
-            elif kind in ("cut", "one_way"):
-                world.cut([lost], others, one_way=kind == "one_way")
-            elif kind in ("all", "all_wipe"):
-                for host in sorted(world.stores):
-                    world.stop(host, power=True, wipe=kind == "all_wipe" and host == lost)
-
-        if strikes_at_once:
-
-            def after_acknowledgement(host: str) -> None:
-                nonlocal struck
-                if not struck:
-                    struck = True
-                    world.loop.call_later(random.uniform(0.0, 0.004), strike, context=Context())
-
-            world.on_acknowledged = after_acknowledgement
-        for _ in range(random.randint(5, 20)):
-            number += 1
-            world.propose(str(number))
-            world.run_for(random.uniform(0.0, 0.15))
-        world.on_acknowledged = lambda host: None
-        if not struck:
-            struck = True
-            strike()
-        for _ in range(random.randint(3, 15)):
-            number += 1
-            world.propose(str(number))
-            world.run_for(random.uniform(0.0, 0.3))
+        fault = RandomFault(world, hosts)
+        if random.random() < 0.5:
+            world.on_acknowledged = fault.strike_after_acknowledgement
+        number = propose_some(world, number + 1, random.randint(5, 20), 0.15)
+        world.on_acknowledged = lambda _host: None
+        fault.strike_unless_struck()
+        number = propose_some(world, number + 1, random.randint(3, 15), 0.3)
         world.heal()
         for host in hosts:
             if not world.stores[host].is_up:
                 world.start(host)
         world.run_for(CATCH_UP_S)
-        assert world.primary() is not None, f"seed {seed}: no primary {CATCH_UP_S} s after {kind} of {lost}"
-        members = world.members()
-        assert members == set(hosts), f"seed {seed}: {members} after {kind} of {lost}"
+        what = f"seed {seed}, after {fault.kind} of {fault.host}"
+        assert world.primary() is not None, f"{what}: no primary after {CATCH_UP_S} s"
+        assert world.members() == set(hosts), what
     return world
 
 
