--- a/tests/tier/test_windows.py
+++ b/tests/tier/test_windows.py
@@ -6,7 +6,7 @@
 
 def test_more_entries_than_the_links_carry_wait_in_the_log_and_unseat_nobody() -> None:
     world = quick_world(8, HOSTS, HOSTS)
-    world.settle()
+    world.stabilize()
     world.acknowledge("first")
     primary = world.primary()
     world.network.bytes_per_s = 2e6
@@ -24,7 +24,7 @@
 
 def test_a_member_is_sent_no_more_than_its_window_without_an_answer() -> None:
     world = quick_world(9, HOSTS, HOSTS)
-    world.settle()
+    world.stabilize()
     world.acknowledge("first")
     primary = world.primary()
     silent = next(host for host in HOSTS if host != primary)
@@ -41,11 +41,11 @@
 
 def test_an_answer_that_was_lost_is_asked_for_again() -> None:
     world = quick_world(10, HOSTS, HOSTS)
-    world.settle()
+    world.stabilize()
     world.acknowledge("first")
     primary = world.primary()
     member = next(host for host in HOSTS if host != primary)
-    world.cut([member], [primary], one_way=True)
+    world.partition([member], [primary], one_way=True)
     world.propose("second")
     world.run_for(0.05)
     world.heal()
