--- a/crowwing/tier/front/main.py
+++ b/crowwing/tier/front/main.py
@@ -135,16 +135,27 @@
         stop, end, settings_changed = asyncio.Event(), asyncio.Event(), asyncio.Event()
         watch_signals(stop, settings_changed)
         tasks = Tasks(stop)
-        settings = self.settings
-        internal = await serve(settings.ip, settings.internal_port, self.handle)
+        internal = await serve(self.settings.ip, self.settings.internal_port, self.handle)
         for work in (
             self.relay.run_child(), self.relay.run_shuffles(), self.pool.run_loops(), self.runner.run(),
             self.run_count(), watch_settings(settings_changed, self.apply_settings),
         ):  # fmt: skip
             tasks.start(work)
-        if settings.cloud is not None:
+        if self.settings.cloud is not None:
             tasks.start(self.run_own_reader())
 
+        serving = self._start_servers(tasks, end)
+        await stop.wait()
+        await self._drain(end, serving)
+        internal.close()
+        tasks.cancel()
+        self.connections.close()
+        log.info("stopped")
+        return 1 if tasks.failed else 0
+
+    def _start_servers(self, tasks: Tasks, end: asyncio.Event) -> list[asyncio.Task[None]]:
+        """Serves clients and the platform's health checks until `end`, where the settings name an address."""
+
         @asgi("/", is_mount=True, copy_scope=False)
         async def proxied(scope: Scope, receive: Receive, send: Send) -> None:
             await self.proxy(scope, receive, send)
@@ -154,30 +165,29 @@
             del scope, receive  # parameters that litestar asks for
             await self.report_readiness(send)
 
-        serving: list[asyncio.Task[None]] = []
+        settings = self.settings
         clients = partial(ClientConnection, self.client_limits)
+        serving: list[asyncio.Task[None]] = []
         for address, handler, connection in (
-            (settings.listen.front, proxied, clients), (settings.listen.ready, ready, None),
-        ):  # fmt: skip
+            (settings.listen.front, proxied, clients),
+            (settings.listen.ready, ready, None),
+        ):
             if address:
                 app = Litestar([handler], openapi_config=None, logging_config=None)
                 server = make_server(app, address, settings.bounds.grace_s, IDLE_DEFAULT_S, connection)
                 serving.append(tasks.start(serve_until(server, end)))
                 log.info("listening address=%s", address)
+        return serving
 
-        await stop.wait()
+    async def _drain(self, end: asyncio.Event, serving: list[asyncio.Task[None]]) -> None:
+        """Graceful shutdown: not ready at once, and open requests and items end within the grace period."""
         log.info("drain_started open_requests=%d", self.proxy.open)
-        deadline = time.monotonic() + settings.bounds.grace_s - END_MARGIN_S
+        deadline = time.monotonic() + self.settings.bounds.grace_s - END_MARGIN_S
         self.proxy.draining = self.runner.draining = True
         await asyncio.sleep(DEREGISTRATION_S)
         end.set()
         await asyncio.wait(serving, timeout=max(0.1, deadline - time.monotonic()))
         await self.runner.finish(max(0.0, deadline - time.monotonic()))
-        internal.close()
-        tasks.cancel()
-        self.connections.close()
-        log.info("stopped")
-        return 1 if tasks.failed else 0
 
 
 async def run_front(settings: Settings) -> int:
