--- a/tests/tier/exchanges.py
+++ b/tests/tier/exchanges.py
@@ -28,7 +28,7 @@
 from tests.tier.misbehaving_sidecar import EVENTS, Ledger, MisbehavingSidecar, body_of
 
 HOST = "shop.example"
-PROMISES = (408, 421, 429, 503)  # it has not run and never will
+NEVER_RAN_STATUSES = (408, 421, 429, 503)  # it has not run and never will
 KINDS = {"/safe/": ("safe", 3, False), "/unsafe/": ("unsafe", 1, False), "/stream/": ("stream", 3, True)}
 DEADLINE_MS = 400
 
@@ -40,7 +40,7 @@
     status: int
     headers: dict[str, str]
     body: bytes
-    is_whole: bool
+    is_complete: bool
 
 
 @dataclass
@@ -54,7 +54,7 @@
 
 @dataclass
 class Outcome:
-    """What a play found."""
+    """What a run found."""
 
     exchanges: int = 0
     served: int = 0
@@ -70,8 +70,8 @@
         }
         for prefix, (kind, attempts, resumable) in KINDS.items()
     ]  # fmt: skip
-    whole = {"version": 1, "routes": routes, "services": [{"name": "s", "maxConns": 400}]}
-    return RoutingTable(Configuration.model_validate(whole))
+    document = {"version": 1, "routes": routes, "services": [{"name": "s", "maxConns": 400}]}
+    return RoutingTable(Configuration.model_validate(document))
 
 
 async def serve_front(pool: ServicePool, stop: asyncio.Event) -> tuple[int, "asyncio.Future[None]"]:
@@ -104,8 +104,8 @@
     async def run(self) -> Outcome:
         """Plays it."""
         sidecars = [
-            MisbehavingSidecar(name, self._ledger, Random(self._random.random()), trouble)
-            for name, trouble in (("a", 0.3), ("b", 0.6), ("c", 0.0))
+            MisbehavingSidecar(name, self._ledger, Random(self._random.random()), fault_rate)
+            for name, fault_rate in (("a", 0.3), ("b", 0.6), ("c", 0.0))
         ]
         for sidecar in sidecars:
             await sidecar.start()
@@ -157,7 +157,7 @@
                     except (asyncio.IncompleteReadError, OSError, TimeoutError) as error:
                         self._unanswered.append(f"{one.path}: no answer: {error!r}")
                         return
-                    if not one.answer.is_whole or one.answer.headers.get("connection") == "close":
+                    if not one.answer.is_complete or one.answer.headers.get("connection") == "close":
                         return
                 if self._random.random() < 0.02:
                     return
@@ -194,7 +194,7 @@
             finding = self._check_runs(one) or (self._check_answer(one, one.answer) if one.answer else "")
             if finding:
                 outcome.findings.append(f"{one.path}: {finding}")
-            outcome.served += one.answer is not None and one.answer.status == 200 and one.answer.is_whole
+            outcome.served += one.answer is not None and one.answer.status == 200 and one.answer.is_complete
         return outcome
 
     def _check_runs(self, sent: Sent) -> str:
@@ -203,7 +203,7 @@
             return f"ran {runs} times"
         if runs > 3:
             return f"ran at {runs} sidecars"
-        refused = sent.answer is not None and sent.answer.status in PROMISES
+        refused = sent.answer is not None and sent.answer.status in NEVER_RAN_STATUSES
         if refused and runs and sent.path.startswith("/unsafe/"):
             return f"was refused with {sent.answer.status} and ran"  # type: ignore[union-attr]
         return ""
@@ -214,7 +214,7 @@
             return "" if stamp is None or answer.status in (500, 504) else f"{answer.status} with a stamp"
         if answer.headers.get("request-id") != sent.id:
             return "an answer with another id"
-        if not answer.is_whole:
+        if not answer.is_complete:
             return ""
         if sent.path.startswith("/stream/"):
             events = "".join(f"id: {n}\ndata: {sent.id}-{n}\n\n" for n in range(1, EVENTS + 1)).encode()
@@ -274,7 +274,7 @@
             )  # fmt: skip
             for finding in outcome.findings[:5]:
                 print(f"seed {seed}: {finding}", flush=True)
-    print(f"{exchanges} exchanges, {served} served whole, {found} findings")
+    print(f"{exchanges} exchanges, {served} served completely, {found} findings")
     return 1 if found else 0
 
 
--- a/tests/tier/loopback.py
+++ b/tests/tier/loopback.py
@@ -76,8 +76,8 @@
             return
         request_id = headers["request-id"]
         if headers.get("target-instance") != self.name:
-            told = b"Request-Id: " + request_id.encode()
-            writer.write(b"HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n" + told + b"\r\n\r\n")
+            header = b"Request-Id: " + request_id.encode()
+            writer.write(b"HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n" + header + b"\r\n\r\n")
             return
         self.runs.append(request_id)
         first = int(headers.get("last-event-id", "0")) + 1
@@ -127,7 +127,7 @@
 
 
 def configuration(version: int) -> bytes:
-    """Two routes: streams, and lots."""
+    """Three routes: streams that may be resumed or not, and batch jobs."""
     common = {"host": HOST_NAME, "service": SERVICE, "maxAttempts": 3, "timeoutMs": 6000, "sloMs": 400}
     routes = [
         {"name": "ask", "pathPrefix": "/ask/", "kind": "stream", "resumable": True, **common},
@@ -136,8 +136,8 @@
     ]
     services = [{"name": SERVICE, "maxConns": 300}]
     limits = {"maxHeaderBytes": 16_000, "headerTimeoutMs": 700, "idleTimeoutMs": 800}
-    whole = {"version": version, "routes": routes, "services": services, "limits": limits}
-    return json.dumps(whole).encode()
+    document = {"version": version, "routes": routes, "services": services, "limits": limits}
+    return json.dumps(document).encode()
 
 
 class Loopback:
@@ -169,7 +169,7 @@
             sidecar.stop()
 
     def launch(self, host: str, bootstrap: bool = False) -> None:
-        """Starts the process of a machine; its disk is what an earlier life left."""
+        """Starts the process of a machine; its disk keeps what an earlier process wrote."""
         role = "store" if host in self.stores else "front"
         listen = (
             f'control = "{host}:{self.port + 1}"'
@@ -195,7 +195,7 @@
         path = self.folder / f"{host}.toml"
         path.write_text(text)
         environment = {**os.environ, "CROWWING_SETTINGS": str(path)}
-        with open(self.folder / f"{host}.log", "ab") as log:
+        with (self.folder / f"{host}.log").open("ab") as log:
             self.processes[host] = subprocess.Popen(
                 [sys.executable, "-m", "crowwing", "tier", role],
                 cwd=ROOT,
--- a/tests/tier/misbehaving_sidecar.py
+++ b/tests/tier/misbehaving_sidecar.py
@@ -14,7 +14,7 @@
 
 @dataclass
 class Ledger:
-    """What all sidecars together ran, and the whole bodies that they made, by the request's id."""
+    """What all sidecars together ran, and the complete bodies that they sent, by the request's id."""
 
     runs: Counter[str] = field(default_factory=Counter)
     bodies: dict[str, list[bytes]] = field(default_factory=dict)
@@ -37,10 +37,10 @@
 
 
 class MisbehavingSidecar:
-    """Answers as PROTOCOL.md says, or in one of the ways in which sidecars in trouble do."""
+    """Answers as the protocol asks, or at random in one of the ways of a faulty sidecar."""
 
-    def __init__(self, name: str, ledger: Ledger, random: Random, trouble: float = 0.5) -> None:
-        self.name, self._ledger, self._random, self._trouble = name, ledger, random, trouble
+    def __init__(self, name: str, ledger: Ledger, random: Random, fault_rate: float = 0.5) -> None:
+        self.name, self._ledger, self._random, self._fault_rate = name, ledger, random, fault_rate
         self._numbers = 0
         self.address = ""
 
@@ -55,7 +55,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            if self._random.random() < 0.02 * self._trouble:
+            if self._random.random() < 0.02 * self._fault_rate:
                 return  # closed after it was accepted
             while await self._serve_one(reader, writer):
                 pass
@@ -74,8 +74,8 @@
         if head[0].startswith("GET /report"):
             return await self._report(writer)
         asked = Asked(headers.get("request-id", ""), head[0].split(" ")[1], headers)
-        trouble = self._random.random() < self._trouble
-        if trouble and self._random.random() < 0.08:
+        misbehaves = self._random.random() < self._fault_rate
+        if misbehaves and self._random.random() < 0.08:
             await self._refuse(asked, writer, early=True)
             await reader.readexactly(length)
             return True
@@ -83,11 +83,11 @@
         if headers.get("target-instance") != self.name:
             writer.write(_head(421, asked.id, [("Content-Length", "0")]))
             return True
-        return await (self._misbehave(asked, writer) if trouble else self._answer(asked, writer))
+        return await (self._misbehave(asked, writer) if misbehaves else self._answer(asked, writer))
 
     async def _report(self, writer: asyncio.StreamWriter) -> bool:
         body = b'{"waiting":0,"running":1}'
-        if self._random.random() < 0.1 * self._trouble:
+        if self._random.random() < 0.1 * self._fault_rate:
             body = b"nothing"
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
         await writer.drain()
@@ -123,8 +123,8 @@
             await self._refuse(asked, writer)
             return True
         body, stamp = self._run(asked)
-        whole, keeps = self._framed(asked, 200, body, stamp)
-        await self._write_in_parts(writer, whole)
+        response, keeps = self._framed(asked, 200, body, stamp)
+        await self._write_in_parts(writer, response)
         return keeps
 
     def _framed(
@@ -136,18 +136,18 @@
             return _head(status, asked.id, fields) + body, False
         if self._random.random() < 0.5:
             return _head(status, asked.id, [*fields, ("Content-Length", str(len(body)))]) + body, True
-        cut = self._random.randint(0, len(body))
-        chunks = [part for part in (body[:cut], body[cut:]) if part]
+        split_at = self._random.randint(0, len(body))
+        chunks = [part for part in (body[:split_at], body[split_at:]) if part]
         coded = b"".join(b"%x\r\n" % len(part) + part + b"\r\n" for part in chunks) + b"0\r\n\r\n"
         return _head(status, asked.id, [*fields, ("Transfer-Encoding", "chunked")]) + coded, True
 
     async def _write_in_parts(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         if self._random.random() < 0.3:
-            cut = self._random.randint(0, len(data))
-            writer.write(data[:cut])
+            split_at = self._random.randint(0, len(data))
+            writer.write(data[:split_at])
             await writer.drain()
             await asyncio.sleep(self._random.uniform(0, 0.002))
-            data = data[cut:]
+            data = data[split_at:]
         writer.write(data)
         await writer.drain()
 
@@ -160,49 +160,49 @@
         return await self._random.choice(ways)(asked, writer)
 
     async def _surplus(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
-        """Behind a whole answer comes another one: at once, later, whole or half, in one packet or two."""
+        """Sends a second response behind a complete one: at once or later, complete or half."""
         body, stamp = self._run(asked)
-        whole, _ = self._framed(asked, 200, body, stamp)
+        response, _ = self._framed(asked, 200, body, stamp)
         other = Asked(self._random.choice([asked.id, "zz9", ""]), asked.path, asked.headers)
         surplus, _ = self._framed(other, 200, b"surplus of " + asked.id.encode(), "surplus")
         if self._random.random() < 0.3:
             surplus = surplus[: self._random.randint(1, len(surplus))]
         if self._random.random() < 0.4:
-            writer.write(whole + surplus)
+            writer.write(response + surplus)
         else:
-            writer.write(whole)
+            writer.write(response)
             await writer.drain()
             await asyncio.sleep(self._random.choice([0, 0.0005, 0.003]))
-            cut = self._random.randint(0, len(surplus))
-            writer.write(surplus[:cut])
+            split_at = self._random.randint(0, len(surplus))
+            writer.write(surplus[:split_at])
             await writer.drain()
             await asyncio.sleep(self._random.choice([0, 0.001]))
-            writer.write(surplus[cut:])
+            writer.write(surplus[split_at:])
         await writer.drain()
         return True
 
     async def _without_id(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
         body, stamp = self._run(asked)
-        whole, _ = self._framed(asked, 200, body, stamp)
-        writer.write(whole.replace(f"Request-Id: {asked.id}\r\n".encode(), b"", 1))
+        response, _ = self._framed(asked, 200, body, stamp)
+        writer.write(response.replace(f"Request-Id: {asked.id}\r\n".encode(), b"", 1))
         await writer.drain()
         return True
 
     async def _unframed(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
         body, stamp = self._run(asked)
-        whole, keeps = self._framed(asked, 200, body, stamp, unframed=True)
-        await self._write_in_parts(writer, whole)
+        response, keeps = self._framed(asked, 200, body, stamp, unframed=True)
+        await self._write_in_parts(writer, response)
         return keeps
 
     async def _unframed_reset(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
         body, stamp = self._run(asked)
-        whole, _ = self._framed(asked, 200, body, stamp, unframed=True)
-        return await self._break_off(writer, whole[: self._random.randint(0, len(whole))], resets=True)
+        response, _ = self._framed(asked, 200, body, stamp, unframed=True)
+        return await self._break_off(writer, response[: self._random.randint(0, len(response))], resets=True)
 
     async def _cut_anywhere(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
         body, stamp = self._run(asked)
-        whole, _ = self._framed(asked, 200, body, stamp)
-        return await self._break_off(writer, whole[: self._random.randint(0, len(whole) - 1)])
+        response, _ = self._framed(asked, 200, body, stamp)
+        return await self._break_off(writer, response[: self._random.randint(0, len(response) - 1)])
 
     async def _break_off(self, writer: asyncio.StreamWriter, data: bytes, resets: bool | None = None) -> bool:
         writer.write(data)
@@ -222,15 +222,15 @@
 
     async def _informational(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
         body, stamp = self._run(asked)
-        whole, keeps = self._framed(asked, 200, body, stamp)
-        writer.write(b"HTTP/1.1 102 Processing\r\n\r\n" + whole)
+        response, keeps = self._framed(asked, 200, body, stamp)
+        writer.write(b"HTTP/1.1 102 Processing\r\n\r\n" + response)
         await writer.drain()
         return keeps
 
     async def _error(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
         body, stamp = self._run(asked)
-        whole, keeps = self._framed(asked, self._random.choice([500, 504]), b"error", stamp)
-        writer.write(whole)
+        response, keeps = self._framed(asked, self._random.choice([500, 504]), b"error", stamp)
+        writer.write(response)
         await writer.drain()
         return keeps
 
