--- a/crowwing/tier/replication/output.py
+++ b/crowwing/tier/replication/output.py
@@ -8,12 +8,16 @@
 
 @dataclass
 class Output:
-    """Records to be put on disk, and messages with their receivers."""
+    """Records to be put on disk, and messages with their receivers.
+
+    Attributes:
+        records: in the order in which they are to be written.
+        durable: messages that are to be sent once the records are on disk.
+        immediate: messages that are to be sent at once.
+    """
 
     records: list[Record] = field(default_factory=list)
-    durable: list[tuple[str, Message]] = field(
-        default_factory=list
-    )  # to be sent once the records are on disk
+    durable: list[tuple[str, Message]] = field(default_factory=list)
     immediate: list[tuple[str, Message]] = field(default_factory=list)
 
 
