--- a/tests/tier/test_sidecars.py
+++ b/tests/tier/test_sidecars.py
@@ -26,8 +26,8 @@
     return made
 
 
-def router_of(sidecars: SidecarTable) -> Router:
-    router = Router(sidecars, Random(1))
+def router_of(sidecars: SidecarTable, random: Random | None = None) -> Router:
+    router = Router(sidecars, random)
     router.zone = "z1"
     return router
 
@@ -163,7 +163,7 @@
 def test_of_many_sidecars_few_are_weighed_for_each_request(monkeypatch: pytest.MonkeyPatch) -> None:
     for count in (60, 5200):
         sidecars = many(count)
-        router = router_of(sidecars)
+        router = router_of(sidecars, Random(1))
         weighed: list[str] = []
         cost = router._cost_ms
 
@@ -178,7 +178,7 @@
 
 def test_of_many_sidecars_the_home_of_a_shared_part_or_a_holder_is_chosen() -> None:
     sidecars = many(60)
-    router = router_of(sidecars)
+    router = router_of(sidecars, Random(1))
     prompt = (PromptBlock("shared", 13_300), PromptBlock("own", 10))
     home = home_of("shared", sidecars.of_service("advisor"))
     assert {router.choose("advisor", prompt, 0.0).entry.id for _ in range(20)} == {home}
@@ -191,7 +191,7 @@
 
 def test_of_many_sidecars_those_that_can_be_used_are_found_among_many_that_cannot() -> None:
     sidecars = many(100)
-    router = router_of(sidecars)
+    router = router_of(sidecars, Random(1))
     is_usable = sidecars.of_service("advisor")[7]
     for state in sidecars.of_service("advisor"):
         if state is not is_usable:
