--- a/crowwing/tier/replication/campaign.py
+++ b/crowwing/tier/replication/campaign.py
@@ -45,7 +45,7 @@
     since: float
     released: Term
     grace_s: float = PREPARE_GRACE_S
-    silent: frozenset[str] = frozenset()
+    unresponsive: frozenset[str] = frozenset()
     promises: dict[str, Promise] = field(default_factory=dict)
     prepared: set[str] = field(default_factory=set)
     majority_at: float | None = None
--- a/crowwing/tier/replication/candidate.py
+++ b/crowwing/tier/replication/candidate.py
@@ -57,10 +57,10 @@
         elif elapsed_s >= campaign.sync_limit_s:
             self._changes.step_down(now, "too few members hold the data")
         else:
-            self._resend_to_silent_targets(now)
-            self._tell_progress(now)
+            self._resend_to_unresponsive_targets(now)
+            self._send_progress(now)
 
-    def _tell_progress(self, now: float) -> None:
+    def _send_progress(self, now: float) -> None:
         campaign = self.campaign
         if now - campaign.progress_sent_at >= HEARTBEAT_INTERVAL_S:
             campaign.progress_sent_at = now
@@ -96,14 +96,14 @@
         promised = set(campaign.promises) & set(base.witnesses)
         if len(promised) >= majority(len(base.witnesses)):
             campaign.majority_at = campaign.majority_at or now
-            if campaign.prepared <= campaign.promises.keys() | campaign.silent:
+            if campaign.prepared <= campaign.promises.keys() | campaign.unresponsive:
                 self._start_sync(now)
 
     def on_nack(self, now: float, nack: messages.Nack) -> None:
         """Steps down for a higher term, and for a primary that a witness still hears."""
         if nack.term != self._core.durable.promised:
             return
-        if self._is_outbid(nack):
+        if self._is_preempted(nack):
             self._yield_to_higher_term(now, nack)
         elif self.campaign.phase is Phase.PREPARE:
             self._changes.step_down(now, f"{nack.sender} hears another primary")
@@ -140,7 +140,7 @@
     def _send_sync(self, now: float, target: str, last: LogPosition) -> None:
         self.campaign.resend_at[target] = now + self._core.send_sync(target, last)
 
-    def _resend_to_silent_targets(self, now: float) -> None:
+    def _resend_to_unresponsive_targets(self, now: float) -> None:
         """Sends again what may have been lost on a connection to an earlier incarnation."""
         campaign = self.campaign
         for target in sorted(campaign.targets - campaign.synced):
@@ -159,11 +159,13 @@
         if len(targets) < self._min_replicas():
             targets = {*promises, core.me}  # who is to leave holds the data until others do
         sync_s = {member: promise.sync_s for member, promise in promises.items()}
-        quick = targets - slow_disks({**sync_s, core.me: core.sync_s}) | {core.me}
-        if len(quick) >= self._min_replicas():
-            targets = quick
-        near = {member for member in targets if member == core.me or core.log.contains(promises[member].last)}
-        eligible = near if len(near) >= self._min_replicas() else targets
+        fast = targets - slow_disks({**sync_s, core.me: core.sync_s}) | {core.me}
+        if len(fast) >= self._min_replicas():
+            targets = fast
+        without_repair = {
+            member for member in targets if member == core.me or core.log.contains(promises[member].last)
+        }
+        eligible = without_repair if len(without_repair) >= self._min_replicas() else targets
         return limit_members(core.me, eligible, promises, self._base(), self._limits.max_replicas)
 
     def on_sync_response(self, now: float, response: messages.SyncResponse) -> None:
@@ -180,7 +182,7 @@
                 campaign.synced.add(response.sender)
                 self._accept_if_synced(now)
             else:
-                self._learner_moved(now, response.sender)
+                self._extend_sync_timeout(now, response.sender)
                 self._send_sync(now, response.sender, response.last)
 
     def _serves(self, term: Term) -> bool:
@@ -191,14 +193,14 @@
         """Sends ranges to a target that needs a repair."""
         if self._serves(request.term):
             range_transfer.send_ranges(self._core, request)
-            self._learner_moved(now, request.sender)
+            self._extend_sync_timeout(now, request.sender)
 
     def on_entries_request(self, now: float, request: messages.EntriesRequest) -> None:
         """Sends the entries that end a repair."""
         if self._serves(request.term) and range_transfer.send_entries_since(self._core, request):
-            self._learner_moved(now, request.sender)
+            self._extend_sync_timeout(now, request.sender)
 
-    def _learner_moved(self, now: float, learner: str) -> None:
+    def _extend_sync_timeout(self, now: float, learner: str) -> None:
         """Waits a while longer for a target that gets on."""
         campaign = self.campaign
         if learner in campaign.targets:
@@ -224,7 +226,7 @@
 
     def _next_witnesses(self) -> tuple[str, ...]:
         campaign = self.campaign
-        responsive = campaign.promises.keys() - campaign.silent
+        responsive = campaign.promises.keys() - campaign.unresponsive
         min_count = min(self._limits.min_witnesses, len(campaign.synced | set(self._base().witnesses)))
         return choose_witnesses(campaign.synced, self._base(), responsive, self._core.excluded, min_count)
 
--- a/crowwing/tier/replication/catch_up.py
+++ b/crowwing/tier/replication/catch_up.py
@@ -35,7 +35,7 @@
     """
 
     heard_at: float
-    moved_at: float
+    progress_at: float
     last: LogPosition = LOG_START
     wait_until: float = 0.0
     is_ready: bool = False
@@ -60,7 +60,7 @@
         self._core = core
         self._view = view
         self._limits = limits
-        self._choose_from = now + LEARNER_CHOICE_DELAY_S
+        self._selection_starts_at = now + LEARNER_CHOICE_DELAY_S
         self._learners: dict[str, Learner] = {}
 
     @property
@@ -79,13 +79,13 @@
     def tick(self, now: float) -> None:
         """Gives up learners that are gone or don't get on, and chooses others in their place."""
         for host, learner in list(self._learners.items()):
-            is_gone = now - learner.heard_at >= LEARNER_TIMEOUT_S
-            is_stalled = not learner.is_ready and now - learner.moved_at >= LEARNER_STALLED_S
-            if is_gone or is_stalled or host in self._core.excluded:
+            has_timed_out = now - learner.heard_at >= LEARNER_TIMEOUT_S
+            is_stalled = not learner.is_ready and now - learner.progress_at >= LEARNER_STALLED_S
+            if has_timed_out or is_stalled or host in self._core.excluded:
                 del self._learners[host]
-                self._core.spares.pass_over(host, now + LEARNER_BACKOFF_S)
+                self._core.spares.back_off(host, now + LEARNER_BACKOFF_S)
         missing = self._missing_count()
-        if missing > 0 and now >= self._choose_from:
+        if missing > 0 and now >= self._selection_starts_at:
             self._choose(now, missing)
 
     def _missing_count(self) -> int:
@@ -96,26 +96,26 @@
         core = self._core
         members = set(self._view.members)
         zones = ZoneSpread(core.zones, (members - core.excluded) | self._learners.keys())
-        taken = members | core.excluded | self._learners.keys()
-        for host in core.spares.choose(now, count, taken, core.log, zones):
-            self._learners[host] = Learner(heard_at=now, moved_at=now)
+        unavailable = members | core.excluded | self._learners.keys()
+        for host in core.spares.choose(now, count, unavailable, core.log, zones):
+            self._learners[host] = Learner(heard_at=now, progress_at=now)
 
     def on_heartbeat_response(self, now: float, response: messages.HeartbeatResponse) -> None:
         """Notes where a replica outside of the view stands, and sends it more if it is a learner."""
         core = self._core
-        core.spares.note(now, response)
+        core.spares.update_status(now, response)
         learner = self._learners.get(response.sender)
         if learner is None:
             return
         learner.heard_at = now
         if response.last != learner.last:
             learner.last = response.last
-            learner.moved_at = now
-        has_quick_disk = response.sync_s < self._slow_disk_s() / 2
-        learner.is_ready = self._is_near(response) and has_quick_disk
+            learner.progress_at = now
+        has_fast_disk = response.sync_s < self._slow_disk_s() / 2
+        learner.is_ready = self._is_within_max_lag(response) and has_fast_disk
         is_complete = response.last == core.log.last and response.synced == core.durable.promised
         # Also what a complete learner is sent makes it write, which shows that a slow disk is quick again.
-        if not (is_complete and has_quick_disk) and now >= learner.wait_until:
+        if not (is_complete and has_fast_disk) and now >= learner.wait_until:
             learner.wait_until = now + core.send_sync(response.sender, response.last)
 
     def _slow_disk_s(self) -> float:
@@ -123,7 +123,7 @@
         sync_s = sorted(self._disk_sync_s.get(member, 0.0) for member in self._view.members)
         return max(SLOW_DISK_SYNC_S, SLOW_DISK_FACTOR * sync_s[(len(sync_s) - 1) // 2])
 
-    def _is_near(self, response: messages.HeartbeatResponse) -> bool:
+    def _is_within_max_lag(self, response: messages.HeartbeatResponse) -> bool:
         log = self._core.log
         if response.synced != self._core.durable.promised:
             return False
@@ -147,18 +147,18 @@
         """Sends ranges to a learner."""
         if self._serves(request.term, request.sender):
             range_transfer.send_ranges(self._core, request)
-            self._note_request(now, request.sender)
+            self._update_progress(now, request.sender)
 
     def on_entries_request(self, now: float, request: messages.EntriesRequest) -> None:
         """Sends the entries that end a repair."""
         serves = self._serves(request.term, request.sender)
         if serves and range_transfer.send_entries_since(self._core, request):
-            self._note_request(now, request.sender)
+            self._update_progress(now, request.sender)
 
     def _serves(self, term: Term, sender: str) -> bool:
         return term == self._core.durable.promised and sender in self._learners
 
-    def _note_request(self, now: float, host: str) -> None:
+    def _update_progress(self, now: float, host: str) -> None:
         learner = self._learners[host]
-        learner.moved_at = now
+        learner.progress_at = now
         learner.wait_until = now + LEARNER_RANGES_WAIT_S
--- a/crowwing/tier/replication/core.py
+++ b/crowwing/tier/replication/core.py
@@ -130,7 +130,7 @@
                 case RangesRecord(last, contents):
                     self.machine.replace_ranges(dict(contents))
                     self.log.reset(last)
-        self.delay_campaign(self.monitor.started_at)
+        self.reset_election_timer(self.monitor.started_at)
 
     def compacted(self) -> Iterable[Record]:
         """Returns records that stand for everything so far; those of the state are made when iterated."""
@@ -160,23 +160,23 @@
         members = view.members if view is not None else ()
         others = [member for member in members if member != self.monitor.leader]
         rank = others.index(self.me) if self.me in others else len(others)
-        patience_s = ELECTION_TIMEOUT_S + ELECTION_DISK_WRITES * self.sync_s
-        return heard_at + patience_s + ELECTION_STAGGER_S * rank + ELECTION_JITTER_S * self._random()
+        timeout_s = ELECTION_TIMEOUT_S + ELECTION_DISK_WRITES * self.sync_s
+        return heard_at + timeout_s + ELECTION_STAGGER_S * rank + ELECTION_JITTER_S * self._random()
 
-    def delay_campaign(self, heard_at: float) -> None:
+    def reset_election_timer(self, heard_at: float) -> None:
         """Waits for its turn to campaign from `heard_at` on."""
         self.monitor.campaign_at = self.next_campaign_at(heard_at)
 
-    def hear_leader(self, now: float, leader: str, term: Term) -> None:
+    def record_leader_contact(self, now: float, leader: str, term: Term) -> None:
         """Notes a message of the leader of a term."""
-        self.monitor.hear(now, leader, term)
-        self.delay_campaign(now)
+        self.monitor.record_contact(now, leader, term)
+        self.reset_election_timer(now)
 
     def request_to_join(self, now: float) -> None:
         """Asks some peers to be made a member, others each time, unless some were asked just before."""
         if now - self.peers.requested_at >= JOIN_RETRY_S:
             self.peers.requested_at = now
-            for peer in self.peers.next_in_turn(self.durable.view, JOIN_FANOUT):
+            for peer in self.peers.next_round_robin(self.durable.view, JOIN_FANOUT):
                 self.send(peer, messages.JoinRequest(self.me, False))
 
     def send_nack(self, to: str, term: Term) -> None:
--- a/crowwing/tier/replication/follower.py
+++ b/crowwing/tier/replication/follower.py
@@ -13,7 +13,7 @@
 from crowwing.tier.replication.peers import NEVER
 from crowwing.tier.replication.roles import RoleChanges, RoleState, role_handlers
 from crowwing.tier.replication.terms import majority
-from crowwing.tier.replication.timing import PRE_VOTE_RETRY_S, SPARE_PATIENCE_S
+from crowwing.tier.replication.timing import PRE_VOTE_RETRY_S, SPARE_JOIN_TIMEOUT_S
 
 
 class Follower(RoleState):
@@ -43,7 +43,7 @@
         is_member = view is not None and core.me in view.members
         if is_member or core.monitor.leader is None:
             return False
-        return now - core.monitor.heard_at < SPARE_PATIENCE_S
+        return now - core.monitor.heard_at < SPARE_JOIN_TIMEOUT_S
 
     def _request_pre_votes(self, now: float) -> None:
         """Asks all witnesses, and again after a while; campaigns at once where no other one is needed."""
@@ -81,7 +81,7 @@
     def on_sync_in_progress(self, now: float, progress: messages.SyncInProgress) -> None:
         """Waits longer with its own campaign."""
         if progress.term == self._core.durable.promised:
-            self._core.delay_campaign(now)
+            self._core.reset_election_timer(now)
 
     handlers = role_handlers(
         {
--- a/crowwing/tier/replication/leader_monitor.py
+++ b/crowwing/tier/replication/leader_monitor.py
@@ -24,25 +24,27 @@
         self.campaign_at = now + ELECTION_TIMEOUT_S
         self.listen_until = now + STARTUP_LISTEN_S
         self.has_earlier_incarnation = False
-        self._vouched: Term = NO_TERM  # the highest term whose leader this replica may have answered
+        self._acknowledged_term: Term = (
+            NO_TERM  # the highest term whose leader this replica may have answered
+        )
 
-    def hear(self, now: float, leader: str, term: Term) -> None:
+    def record_contact(self, now: float, leader: str, term: Term) -> None:
         """Notes a message of the leader of a term, who may count the response for its lease."""
         self.leader, self.heard_at = leader, now
-        self._vouched = max(self._vouched, term)
+        self._acknowledged_term = max(self._acknowledged_term, term)
 
     def is_alive(self, now: float, candidate: str) -> bool:
         """Whether a primary other than the candidate was heard so recently that it may hold a lease."""
         leader_age_s = now - self.heard_at
         return self.leader not in (None, candidate) and leader_age_s < LEADER_STICKINESS_S
 
-    def may_have_vouched_before(self, now: float) -> bool:
+    def may_have_granted_lease_before_restart(self, now: float) -> bool:
         """Whether an earlier incarnation may have vouched for a lease just before it ended."""
         return now - self.started_at < LEADER_STICKINESS_S and self.has_earlier_incarnation
 
-    def may_pass_lease(self, released: Term) -> bool:
+    def is_lease_released(self, released: Term) -> bool:
         """Whether the one lease that this replica may have vouched for has been given up."""
-        return released != NO_TERM and released >= self._vouched
+        return released != NO_TERM and released >= self._acknowledged_term
 
     def may_campaign(self, now: float) -> bool:
         """Whether the primary has been silent for so long that this replica may take its place."""
--- a/crowwing/tier/replication/member.py
+++ b/crowwing/tier/replication/member.py
@@ -14,7 +14,7 @@
         self._core = core
         self._changes = changes
 
-    def _follows(self, now: float, term: Term, sender: str) -> bool:
+    def _adopt_term(self, now: float, term: Term, sender: str) -> bool:
         """Whether this replica takes the sender's data under a term; binds it to that term if so."""
         core = self._core
         if not core.durable.recovered or sender == core.me:
@@ -25,18 +25,18 @@
         self._changes.step_down_from_leading(now, f"{sender} has term {term}")
         if term > core.durable.promised:
             core.durable.promise(term)
-        core.hear_leader(now, sender, term)
+        core.record_leader_contact(now, sender, term)
         return True
 
     def on_sync_request(self, now: float, request: messages.SyncRequest) -> None:
         """Takes in entries that make this replica's data equal to the sender's."""
         core = self._core
-        if not self._follows(now, request.term, request.sender):
+        if not self._adopt_term(now, request.term, request.sender):
             return
         repair = core.repair
         if repair is not None and repair.is_completed_by(request):
             range_transfer.finish_repair(core, repair, request)
-        elif not self._append_following(request):
+        elif not self._append_missing(request):
             response = messages.SyncResponse(request.term, core.me, core.log.last, False)
             core.send(request.sender, response)
             return
@@ -47,7 +47,7 @@
         response = messages.SyncResponse(request.term, core.me, core.log.last, True)
         core.send(request.sender, response, durable=True)
 
-    def _append_following(self, request: messages.SyncRequest) -> bool:
+    def _append_missing(self, request: messages.SyncRequest) -> bool:
         """Takes in what follows `previous`; False where this replica's log has anything else there."""
         log = self._core.log
         if not log.contains(request.previous):
@@ -68,7 +68,7 @@
             if request.term < core.durable.promised:
                 core.send_nack(request.sender, request.term)
             return
-        core.hear_leader(now, request.sender, request.term)
+        core.record_leader_contact(now, request.sender, request.term)
         last = core.log.last[1]
         fresh = [entry for entry in request.entries if entry.index > last]
         if fresh and fresh[0].index != last + 1:
@@ -79,11 +79,11 @@
 
     def on_range_digests(self, now: float, range_digests: messages.RangeDigests) -> None:
         """Finds the ranges in which this replica differs from the sender."""
-        if self._follows(now, range_digests.term, range_digests.sender):
+        if self._adopt_term(now, range_digests.term, range_digests.sender):
             range_transfer.compare_digests(self._core, range_digests)
 
     def on_ranges_response(self, now: float, response: messages.RangesResponse) -> None:
         """Takes in ranges that were requested."""
-        follows = self._follows(now, response.term, response.sender)
-        if follows and self._core.repair is not None:
-            range_transfer.keep_ranges(self._core, self._core.repair, response)
+        adopted = self._adopt_term(now, response.term, response.sender)
+        if adopted and self._core.repair is not None:
+            range_transfer.buffer_ranges(self._core, self._core.repair, response)
--- a/crowwing/tier/replication/member_progress.py
+++ b/crowwing/tier/replication/member_progress.py
@@ -29,7 +29,7 @@
         self.acknowledged = dict.fromkeys(members, last_index)
         self.sent = {member: last_index for member in self.acknowledged if member != me}
         self.disk_sync_s: dict[str, float] = {}
-        self._moved_at: dict[str, float] = {}  # when each acknowledged more, or began to have to
+        self._progress_at: dict[str, float] = {}  # when each acknowledged more, or began to have to
         self._resend_wait_s: dict[str, float] = {}  # of members that were sent the same entries again
 
     def next_span(self, member: str, log: EntryLog) -> tuple[int, int] | None:
@@ -49,14 +49,14 @@
     def mark_sent(self, now: float, member: str, span: tuple[int, int]) -> None:
         """Notes that a member was sent a span."""
         if self.acknowledged[member] >= span[0]:
-            self._moved_at[member] = now  # it had nothing to acknowledge before
+            self._progress_at[member] = now  # it had nothing to acknowledge before
         self.sent[member] = span[1]
 
     def acknowledge(self, now: float, member: str, index: int) -> None:
         """Notes up to which index a member has the entries on disk."""
         if index > self.acknowledged.get(member, DATA_LOST) >= 0:
             self.acknowledged[member] = index
-            self._moved_at[member] = now
+            self._progress_at[member] = now
             self._resend_wait_s.pop(member, None)
 
     def committed(self, members: Iterable[str]) -> int:
@@ -67,15 +67,15 @@
         """Notes that a member has come back without its data."""
         self.acknowledged[member] = DATA_LOST
 
-    def is_stuck(self, now: float, member: str) -> bool:
+    def is_stalled(self, now: float, member: str) -> bool:
         """Whether a member has not acknowledged more for long, though it was sent more."""
         is_waiting = 0 <= self.acknowledged.get(member, DATA_LOST) < self.sent[member]
         wait_s = self._resend_wait_s.get(member, RESEND_AFTER_S)
-        return is_waiting and now - self._moved_at.get(member, now) >= wait_s
+        return is_waiting and now - self._progress_at.get(member, now) >= wait_s
 
     def start_resending(self, now: float, member: str) -> None:
         """Gives a stuck member time to acknowledge what it is sent again, twice as long each time."""
-        self._moved_at[member] = now
+        self._progress_at[member] = now
         wait_s = self._resend_wait_s.get(member, RESEND_AFTER_S)
         self._resend_wait_s[member] = min(MAX_RESEND_WAIT_S, 2 * wait_s)
 
@@ -83,6 +83,6 @@
         """Returns the members whose disk is slow."""
         return slow_disks({member: self.disk_sync_s.get(member, 0.0) for member in members})
 
-    def beyond_log(self, base: LogPosition) -> list[str]:
+    def behind_log(self, base: LogPosition) -> list[str]:
         """Returns the members that the log does not reach back to."""
         return [member for member, sent in self.sent.items() if sent < base[1]]
--- a/crowwing/tier/replication/primary.py
+++ b/crowwing/tier/replication/primary.py
@@ -92,14 +92,14 @@
         """Returns how far the others are behind."""
         core = self._core
         members = self._view().members
-        first = min(
+        lowest = min(
             [self._progress.acknowledged[member] for member in members if member != core.me], default=None
         )
         last = core.log.last[1]
         return Backlog(
             members=len(members),
             learners=len(self._catch_up.learners),
-            lag_bytes=0 if first is None else core.log.bytes_between(max(first, 0), last),
+            lag_bytes=0 if lowest is None else core.log.bytes_between(max(lowest, 0), last),
             uncommitted_bytes=core.log.bytes_between(core.commit_index, last),
         )
 
@@ -119,8 +119,8 @@
         core = self._core
         view = self._view()
         sequence = self._lease.start_round(now, core.me)
-        asked_to_join = core.peers.joined_within(now, 2 * HEARTBEAT_INTERVAL_S)
-        receivers = {*view.witnesses, *self._catch_up.learners, *asked_to_join}
+        joining = core.peers.join_requested_within(now, 2 * HEARTBEAT_INTERVAL_S)
+        receivers = {*view.witnesses, *self._catch_up.learners, *joining}
         self._heartbeat_at = now
         if now - self._announced_at >= ANNOUNCEMENT_INTERVAL_S:
             self._announced_at = now
@@ -165,16 +165,16 @@
             acknowledged = self._progress.acknowledged.get(member, 0)
             return member not in slow, acknowledged, core.peers.heard_at.get(member, 0.0)
 
-        freshest = max(others, key=preference)
+        successor = max(others, key=preference)
         self._lease.is_released = True
-        core.send(freshest, messages.LeadershipTransfer(core.durable.promised, core.me))
+        core.send(successor, messages.LeadershipTransfer(core.durable.promised, core.me))
 
     # Members
 
     def _check_member(self, now: float, response: messages.HeartbeatResponse) -> None:
         member = response.sender
         if response.synced == self._core.durable.promised:
-            if self._progress.is_stuck(now, member):
+            if self._progress.is_stalled(now, member):
                 self._resend(now, response)
             return
         self._progress.mark_data_lost(member)  # its disk, since it became a member
@@ -211,7 +211,7 @@
 
     def on_nack(self, now: float, nack: messages.Nack) -> None:
         """Goes above a term that somebody raised meanwhile, or steps down where it may not lead."""
-        if nack.term != self._core.durable.promised or not self._is_outbid(nack):
+        if nack.term != self._core.durable.promised or not self._is_preempted(nack):
             return
         if self._core.may_lead():
             self._changes.start_campaign(now, above=nack.promised)
@@ -234,7 +234,7 @@
             return
         self._progress.disk_sync_s[core.me] = core.sync_s
         self._catch_up.tick(now)
-        if self._should_hand_over() and now - self._transfer_at >= TRANSFER_PAUSE_S:
+        if self._should_transfer_leadership() and now - self._transfer_at >= TRANSFER_PAUSE_S:
             self._transfer_at = now
             self.transfer_leadership()
             return
@@ -247,10 +247,10 @@
         """Campaigns for a view of its own, with the learners that are ready."""
         joining = self._catch_up.ready(now)
         for learner in joining:
-            self._core.spares.pass_over(learner, now + LEARNER_BACKOFF_S)  # unless the view takes it in
+            self._core.spares.back_off(learner, now + LEARNER_BACKOFF_S)  # unless the view takes it in
         self._changes.start_campaign(now, joining=joining)
 
-    def _should_hand_over(self) -> bool:
+    def _should_transfer_leadership(self) -> bool:
         """Whether this replica is to leave, or its disk is slow where enough members have better ones."""
         core = self._core
         members = self._view().members
@@ -266,14 +266,14 @@
         core = self._core
         heard_at = core.peers.heard_at
         members = self._view().members
-        silent = [
+        unresponsive = [
             member for member in members if member != core.me and now - heard_at[member] >= MEMBER_TIMEOUT_S
         ]
-        if silent:
-            yield f"no answer from {', '.join(silent)}"
-        beyond_log = self._progress.beyond_log(core.log.base)
-        if beyond_log:
-            yield f"the log does not reach back to {', '.join(beyond_log)}"
+        if unresponsive:
+            yield f"no answer from {', '.join(unresponsive)}"
+        behind_log = self._progress.behind_log(core.log.base)
+        if behind_log:
+            yield f"the log does not reach back to {', '.join(behind_log)}"
         slow = self._progress.slow_members(members)
         if slow and len(members) - len(slow) >= self._limits.min_replicas:
             yield f"the disk of {', '.join(sorted(slow))} is slow"
--- a/crowwing/tier/replication/range_repair.py
+++ b/crowwing/tier/replication/range_repair.py
@@ -18,17 +18,17 @@
     """
 
     start: LogPosition
-    wanted: list[int]
+    pending: list[int]
     contents: dict[int, bytes] = field(default_factory=dict)
     positions: dict[int, LogPosition] = field(default_factory=dict)
 
-    def fetched_upto(self, number: int) -> int:
+    def fetched_index(self, number: int) -> int:
         """Returns the index of the last entry that a range holds already."""
         return self.positions.get(number, self.start)[1]
 
     def is_completed_by(self, request: SyncRequest) -> bool:
         """Whether these entries reach from the first digests to the newest range that was fetched."""
-        if self.wanted or request.previous != self.start:
+        if self.pending or request.previous != self.start:
             return False
         newest = max((position[1] for position in self.positions.values()), default=self.start[1])
         return request.previous[1] + len(request.entries) >= newest
--- a/crowwing/tier/replication/range_transfer.py
+++ b/crowwing/tier/replication/range_transfer.py
@@ -64,19 +64,19 @@
 
 def request_next(core: ReplicaCore, repair: RangeRepair, term: Term, sender: str) -> None:
     """Requests the ranges that are still wanted, and at the end the entries behind them."""
-    if repair.wanted:
-        numbers = tuple(repair.wanted[:MAX_RANGES_PER_REQUEST])
+    if repair.pending:
+        numbers = tuple(repair.pending[:MAX_RANGES_PER_REQUEST])
         core.send(sender, messages.RangesRequest(term, core.me, numbers))
     else:
         positions = tuple({repair.start, *repair.positions.values()})
         core.send(sender, messages.EntriesRequest(term, core.me, positions))
 
 
-def keep_ranges(core: ReplicaCore, repair: RangeRepair, response: messages.RangesResponse) -> None:
+def buffer_ranges(core: ReplicaCore, repair: RangeRepair, response: messages.RangesResponse) -> None:
     """Keeps ranges that were fetched, in memory, and requests the next ones."""
-    fresh = [(number, content) for number, content in response.contents if number in repair.wanted]
+    fresh = [(number, content) for number, content in response.contents if number in repair.pending]
     for number, content in fresh:
-        repair.wanted.remove(number)
+        repair.pending.remove(number)
         repair.contents[number] = content
         repair.positions[number] = response.last
     if fresh:  # the second response to what was requested twice is not followed by one more request
@@ -92,7 +92,7 @@
     changed: set[int] = set()
     for entry in request.entries:
         number = core.machine.range_of(entry.payload)
-        if entry.index > repair.fetched_upto(number):
+        if entry.index > repair.fetched_index(number):
             core.machine.apply(entry.payload, entry.index)
             changed.add(number)
         core.log.append(entry)
--- a/crowwing/tier/replication/ranges.py
+++ b/crowwing/tier/replication/ranges.py
@@ -4,14 +4,14 @@
 from collections.abc import Iterable
 from hashlib import blake2b
 
-RANGES = 256  # of the whole state; a comparison sends one digest for each
+RANGE_COUNT = 256  # of the whole state; a comparison sends one digest for each
 DIGEST_BYTES = 16
 COMMON_RANGE = 0  # of what belongs to no key
 
 
 def range_of_key(key: str) -> int:
     """The range of a key; never the common one."""
-    return 1 + crc32(key.encode()) % (RANGES - 1)
+    return 1 + crc32(key.encode()) % (RANGE_COUNT - 1)
 
 
 def digest_of(parts: Iterable[bytes]) -> bytes:
--- a/crowwing/tier/replication/replica.py
+++ b/crowwing/tier/replication/replica.py
@@ -83,7 +83,7 @@
             started: when this incarnation began, if before `now`; nothing was answered in it yet.
         """
         super().__init__(settings.me, settings.seeds, machine, LeaderMonitor(now, started), random)
-        self.limits = ViewLimits.of_faults(settings.faults)
+        self.limits = ViewLimits.for_faults(settings.faults)
         self._lease = Lease(now, confirmed_at=now)
         self._recovery = Recovery(self)
         self._witness = Witness(self, self)
@@ -185,10 +185,10 @@
     def _on_join_request(self, now: float, request: messages.JoinRequest) -> None:
         """Notes who wants to become a member, for a view of its own; forwards it once to the primary."""
         self.peers.add([request.sender])
-        was_noted = now - self.peers.joined_at.get(request.sender, NEVER) < JOIN_RETRY_S / 2
+        is_duplicate = now - self.peers.join_requested_at.get(request.sender, NEVER) < JOIN_RETRY_S / 2
         if request.sender not in self.excluded:
-            self.peers.joined_at[request.sender] = now
-        if self.role is Role.PRIMARY or request.forwarded or was_noted:
+            self.peers.join_requested_at[request.sender] = now
+        if self.role is Role.PRIMARY or request.forwarded or is_duplicate:
             return
         if self.leader is not None and self.leader not in (self.me, request.sender):
             self.send(self.leader, messages.JoinRequest(request.sender, True))
@@ -244,13 +244,13 @@
             released = self.durable.promised
         # Members that are left beside a lost one may be too few to hold the data: others can take its place.
         if len(set(view.members) - self.excluded) - 1 < self.limits.min_replicas:
-            receivers |= self._substitutes(now)
+            receivers |= self._replacements(now)
         campaign = Campaign(
             Phase.PREPARE,
             now,
             released,
             RECONFIGURATION_GRACE_S if was_primary else PREPARE_GRACE_S,
-            self._silent_replicas(now),
+            self._unresponsive_replicas(now),
         )
         number = max(self.durable.promised[0], above[0], self.highest_seen_term_number) + 1
         self.durable.promise((number, self.me))
@@ -260,12 +260,12 @@
             log.info("campaign_started term=%s", self.durable.promised)
         candidate.send_prepares(receivers)
 
-    def _substitutes(self, now: float) -> set[str]:
+    def _replacements(self, now: float) -> set[str]:
         """Replicas outside of the view that may be there to hold the data."""
-        asked = self.peers.joined_within(now, JOIN_REQUEST_VALID_S)
-        return (asked | self.announced | self.spares.heard_within(now)) - self.excluded
+        requested = self.peers.join_requested_within(now, JOIN_REQUEST_VALID_S)
+        return (requested | self.announced | self.spares.heard_within(now)) - self.excluded
 
-    def _silent_replicas(self, now: float) -> frozenset[str]:
+    def _unresponsive_replicas(self, now: float) -> frozenset[str]:
         """Replicas that this one, as primary, has not heard for long; none where it was not primary."""
         heard_at = self.peers.heard_at
         return frozenset(host for host, at in heard_at.items() if now - at >= MEMBER_TIMEOUT_S) - {self.me}
@@ -286,7 +286,7 @@
         """
         self._lease = Lease(now, confirmed_at=requested_at)
         self.durable.view = view
-        self.hear_leader(now, self.me, view.term)
+        self.record_leader_contact(now, self.me, view.term)
         self.peers.begin_view(now, view)
         self.spares.forget(view.members)
         self.commit_index = self.log.last[1]
@@ -301,7 +301,7 @@
         if self.role is not Role.FOLLOWER:
             log.info("stepped_down role=%s term=%s reason=%r", self.role.value, self.durable.promised, reason)
             self._log_phases(now)
-            self.peers.forget_heard()
+            self.peers.clear_heard_at()
             self._begin(Follower(self, self))
         self.monitor.campaign_at = max(self.monitor.campaign_at, self.next_campaign_at(now))
 
--- a/crowwing/tier/replication/roles.py
+++ b/crowwing/tier/replication/roles.py
@@ -59,7 +59,7 @@
         self._changes.step_down(now, f"{nack.sender} is bound to {nack.promised}")
         core.highest_seen_term_number = max(core.highest_seen_term_number, nack.promised[0])
 
-    def _is_outbid(self, nack: messages.Nack) -> bool:
+    def _is_preempted(self, nack: messages.Nack) -> bool:
         """Whether the sender is bound to another term that is not lower than this replica's."""
         promised = self._core.durable.promised
         return nack.promised[0] >= promised[0] and nack.promised != promised
--- a/crowwing/tier/replication/spares.py
+++ b/crowwing/tier/replication/spares.py
@@ -33,21 +33,21 @@
     def __init__(self) -> None:
         """No spares yet."""
         self._statuses: dict[str, SpareStatus] = {}
-        self._passed_over_until: dict[str, float] = {}
+        self._backoff_until: dict[str, float] = {}
 
-    def note(self, now: float, response: HeartbeatResponse) -> None:
+    def update_status(self, now: float, response: HeartbeatResponse) -> None:
         """Takes in a response to a heartbeat."""
         self._statuses[response.sender] = SpareStatus(now, response.last, response.sync_s)
 
-    def pass_over(self, host: str, until: float) -> None:
+    def back_off(self, host: str, until: float) -> None:
         """Chooses a spare for nothing before `until`."""
-        self._passed_over_until[host] = until
+        self._backoff_until[host] = until
 
     def forget(self, hosts: Iterable[str]) -> None:
         """Forgets replicas that are members now."""
         for host in hosts:
             self._statuses.pop(host, None)
-            self._passed_over_until.pop(host, None)
+            self._backoff_until.pop(host, None)
 
     def heard_within(self, now: float, span_s: float = SPARE_VALID_S) -> set[str]:
         """The spares that responded within the last `span_s` seconds."""
@@ -71,7 +71,7 @@
         available = {
             host
             for host in self.heard_within(now)
-            if host not in excluded and now >= self._passed_over_until.get(host, NEVER)
+            if host not in excluded and now >= self._backoff_until.get(host, NEVER)
         }
         chosen: list[str] = []
         while available and len(chosen) < count:
@@ -84,7 +84,7 @@
     def _preference(self, host: str, log: EntryLog, zones: "ZoneSpread") -> tuple[bool, bool, int, str]:
         status = self._statuses[host]
         has_slow_disk = status.disk_sync_s >= SLOW_DISK_SYNC_S / 2
-        return has_slow_disk, not log.contains(status.last), zones.count_beside(host), host
+        return has_slow_disk, not log.contains(status.last), zones.count_in_zone_of(host), host
 
 
 class ZoneSpread:
@@ -102,6 +102,6 @@
         zone = self._zones.get(host, "")
         self._counts[zone] = self._counts.get(zone, 0) + 1
 
-    def count_beside(self, host: str) -> int:
+    def count_in_zone_of(self, host: str) -> int:
         """How many of the replicas are in the zone of a host."""
         return self._counts.get(self._zones.get(host, ""), 0)
--- a/crowwing/tier/replication/timing.py
+++ b/crowwing/tier/replication/timing.py
@@ -21,7 +21,7 @@
 ANNOUNCEMENT_INTERVAL_S = 1.0
 
 # Silence of the primary after which a spare asks to join: two announcements were lost.
-SPARE_PATIENCE_S = 2.5
+SPARE_JOIN_TIMEOUT_S = 2.5
 
 # Elections.
 
--- a/crowwing/tier/replication/view_limits.py
+++ b/crowwing/tier/replication/view_limits.py
@@ -20,7 +20,7 @@
     min_witnesses: int
 
     @classmethod
-    def of_faults(cls, faults: int) -> "ViewLimits":
+    def for_faults(cls, faults: int) -> "ViewLimits":
         """The bounds for so many faults at once."""
-        quorum_group = 2 * faults + 1
-        return cls(faults + 1, max(quorum_group, SMALLEST_FULL_VIEW), quorum_group)
+        group_size = 2 * faults + 1
+        return cls(faults + 1, max(group_size, SMALLEST_FULL_VIEW), group_size)
--- a/crowwing/tier/replication/witness.py
+++ b/crowwing/tier/replication/witness.py
@@ -24,14 +24,14 @@
         if not core.durable.recovered:
             return
         if prepare.sender != core.me:
-            if core.monitor.may_have_vouched_before(now):
+            if core.monitor.may_have_granted_lease_before_restart(now):
                 return  # a lease of a primary that it answered just before it ended may still stand
             if self._refuses(now, prepare):
                 core.send_nack(prepare.sender, prepare.term)
                 return
             self._changes.step_down_from_leading(now, f"{prepare.sender} prepares term {prepare.term}")
             core.durable.promise(prepare.term)
-            core.delay_campaign(now)
+            core.reset_election_timer(now)
         durable = core.durable
         promise = messages.Promise(
             prepare.term, core.me, durable.view, durable.synced, core.log.last, core.sync_s
@@ -45,7 +45,7 @@
         if is_bound or prepare.term == promised:
             return True
         is_leader_alive = self._is_leader_alive(now, prepare.sender)
-        return is_leader_alive and not self._core.monitor.may_pass_lease(prepare.released)
+        return is_leader_alive and not self._core.monitor.is_lease_released(prepare.released)
 
     def _is_leader_alive(self, now: float, candidate: str) -> bool:
         if self.own_lease is not None:
@@ -65,7 +65,7 @@
             self._changes.step_down_from_leading(now, f"{accept.sender} has term {term}")
         core.durable.accept(accept.view)
         if accept.sender != core.me:
-            core.hear_leader(now, accept.sender, term)
+            core.record_leader_contact(now, accept.sender, term)
         core.send(accept.sender, messages.Accepted(term, core.me), durable=True)
 
     def on_heartbeat(self, now: float, heartbeat: messages.Heartbeat) -> None:
@@ -83,7 +83,7 @@
         if heartbeat.sender != core.me:
             reason = f"{heartbeat.sender} is primary with term {heartbeat.term}"
             self._changes.step_down_from_leading(now, reason)
-        core.hear_leader(now, heartbeat.sender, heartbeat.term)
+        core.record_leader_contact(now, heartbeat.sender, heartbeat.term)
         response = messages.HeartbeatResponse(
             heartbeat.term,
             core.me,
@@ -105,6 +105,6 @@
     def _would_promise(self, now: float, candidate: str) -> bool:
         if self.own_lease is not None:
             return not self.own_lease.is_valid(now)
-        if self._core.monitor.may_have_vouched_before(now):
+        if self._core.monitor.may_have_granted_lease_before_restart(now):
             return False
         return not self._core.monitor.is_alive(now, candidate)
--- a/crowwing/tier/state/tier_state.py
+++ b/crowwing/tier/state/tier_state.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator, Mapping, Sequence
 
-from crowwing.tier.replication.ranges import COMMON_RANGE, RANGES, digest_of, range_of_key
+from crowwing.tier.replication.ranges import COMMON_RANGE, RANGE_COUNT, digest_of, range_of_key
 from crowwing.tier.state import events
 from crowwing.tier.state.batch_jobs import BatchJob, PlainBatchJob, item_bytes, result_bytes
 from crowwing.tier.state.changes import AcceptedChanges, PlainChanges
@@ -127,7 +127,7 @@
 
     def digests(self) -> tuple[bytes, ...]:
         """A digest of each range, in the order of their numbers; replicas compare them for repair."""
-        jobs: list[list[bytes]] = [[] for _ in range(RANGES)]
+        jobs: list[list[bytes]] = [[] for _ in range(RANGE_COUNT)]
         for job in self.jobs.values():
             jobs[range_of_key(job.id)].append(job.id.encode() + job.digest)
         jobs[COMMON_RANGE] = [encode(self._common())]
--- a/tests/tier/many_seeds.py
+++ b/tests/tier/many_seeds.py
@@ -13,7 +13,7 @@
 from crowwing.tier.replication import log, range_transfer
 from tests.tier.simulation import plays
 from tests.tier.test_disk_troubles import random_disk_troubles
-from tests.tier.test_replication import HOSTS, random_troubles
+from tests.tier.test_replication import HOSTS, random_faults
 
 FOUR = (*HOSTS, "d")
 CHUNK = 8  # seeds that a worker takes at a time
@@ -24,7 +24,7 @@
     kept = log.MAX_ENTRIES, range_transfer.MAX_RANGES_PER_REQUEST
     log.MAX_ENTRIES, range_transfer.MAX_RANGES_PER_REQUEST = 3, 2
     try:
-        return random_troubles(seed, hosts)
+        return random_faults(seed, hosts)
     finally:
         log.MAX_ENTRIES, range_transfer.MAX_RANGES_PER_REQUEST = kept
 
@@ -35,7 +35,7 @@
 
 
 KINDS: dict[str, Callable[[int, tuple[str, ...]], object]] = {
-    "troubles": random_troubles,
+    "troubles": random_faults,
     "short-logs": play_with_short_logs,
     "disks": play_with_disks,
 }
--- a/tests/tier/simulation/world.py
+++ b/tests/tier/simulation/world.py
@@ -209,7 +209,7 @@
     @property
     def full_view(self) -> int:
         """How many members a view has where there are enough machines."""
-        return ViewLimits.of_faults(self.faults).max_replicas
+        return ViewLimits.for_faults(self.faults).max_replicas
 
     def witnesses(self) -> set[str]:
         """The witnesses of the same view."""
--- a/tests/tier/test_control_safety_steps.py
+++ b/tests/tier/test_control_safety_steps.py
@@ -55,7 +55,7 @@
     return primary_of(HOSTS, at)
 
 
-def test_a_primary_that_hands_over_has_given_up_its_lease_before_the_message_leaves() -> None:
+def test_a_leadership_transfer_releases_the_lease_before_the_message_is_sent() -> None:
     replica = primary_of_three(10.0)
     replica.transfer_leadership(10.01)
     assert not replica.holds_lease(10.01)
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("late", [messages.Promise, messages.Accepted])
-def test_a_word_that_comes_after_the_limit_is_not_counted(late: type) -> None:
+def test_a_response_that_comes_after_the_time_out_is_not_counted(late: type) -> None:
     replica = replica_of("a")
     replica.start_campaign(10.0)
     term = replica.promised
@@ -98,7 +98,7 @@
     assert replica.role.value == "candidate"
 
 
-def test_a_witness_lets_only_the_term_pass_whose_lease_has_been_given_up() -> None:
+def test_a_witness_promises_early_only_if_the_lease_that_it_acknowledged_is_released() -> None:
     witness = replica_of("b")
     view = View((5, "a"), HOSTS, HOSTS)
     witness.receive(10.0, messages.Heartbeat((5, "a"), "a", 1, view))
@@ -111,7 +111,7 @@
     assert sent(witness, messages.Promise) and witness.promised == (6, "c")
 
 
-def test_one_round_has_one_primary_so_that_documents_of_two_can_be_told_apart() -> None:
+def test_one_term_number_has_one_candidate_so_that_documents_of_two_primaries_differ() -> None:
     witness = replica_of("b")
     witness.receive(10.0, messages.Prepare((6, "a"), "a", NO_TERM))
     assert sent(witness, messages.Promise)
@@ -124,7 +124,7 @@
     return LogEntry(FIRST_TERM, number, b"%d" % number)
 
 
-def test_a_member_that_has_taken_in_a_part_does_not_count_as_whole() -> None:
+def test_a_member_that_holds_only_a_part_of_the_log_is_not_marked_synced() -> None:
     """Else a wiped member of the last view could lead with that part, and bring the others to it."""
     learner = replica_of("c")
     term, last = (3, "a"), (FIRST_TERM, 4)
@@ -189,8 +189,8 @@
     for message in (messages.Heartbeat((5, "a"), "a", 1, view), messages.Accept("a", view)):
         witness.receive(10.1, message)
         output = witness.take_output()
-        told = [answer for _, answer in output.immediate + output.durable]
-        assert [type(answer) for answer in told] == [messages.Nack]
+        responses = [answer for _, answer in output.immediate + output.durable]
+        assert [type(answer) for answer in responses] == [messages.Nack]
 
 
 def test_a_view_with_other_witnesses_needs_a_majority_of_the_old_ones_too() -> None:
@@ -232,15 +232,15 @@
         (messages.RecoveryRequest("c"), messages.RecoveryResponse),
     ],
 )
-def test_a_word_that_others_count_waits_for_the_disk(message: messages.Message, answer: type) -> None:
+def test_a_response_that_others_count_waits_for_the_disk(message: messages.Message, answer: type) -> None:
     replica = follower((5, "a"))
     replica.receive(10.0, message)
     output = replica.take_output()
-    assert any(isinstance(told, answer) for _, told in output.durable)
-    assert not any(isinstance(told, answer) for _, told in output.immediate)
+    assert any(isinstance(sent_message, answer) for _, sent_message in output.durable)
+    assert not any(isinstance(sent_message, answer) for _, sent_message in output.immediate)
 
 
-def test_a_machine_without_memory_asks_only_once_no_candidate_counts_its_former_word() -> None:
+def test_a_replica_without_its_disk_recovers_only_once_no_candidate_counts_its_former_responses() -> None:
     replica = Replica(ReplicaSettings("c", HOSTS, 1), TierState(), 10.0, lambda: 0.5)
     replica.tick(10.0 + max(timing.PREPARE_TIMEOUT_S, timing.ACCEPT_TIMEOUT_S))
     assert not sent(replica, messages.RecoveryRequest)
@@ -248,14 +248,14 @@
     assert sent(replica, messages.RecoveryRequest)
 
 
-def test_a_machine_without_memory_asks_whoever_its_heartbeats_name() -> None:
+def test_a_replica_without_its_disk_sends_recovery_requests_to_whoever_a_heartbeat_names() -> None:
     replica = Replica(ReplicaSettings("d", ("gone",), 1), TierState(), 10.0, lambda: 0.5)
     replica.receive(10.1, messages.Heartbeat((5, "a"), "a", 1, View((5, "a"), HOSTS, HOSTS)))
     replica.tick(12.0)
     assert {to for to, _ in sent(replica, messages.RecoveryRequest)} == {"gone", *HOSTS}
 
 
-def respond_as_spare(replica: Replica, at: float) -> None:
+def respond_with_spare(replica: Replica, at: float) -> None:
     """Has d, which holds the primary's data, respond to a heartbeat; the members respond too."""
     for host in (*HOSTS[1:], "d"):
         response = messages.HeartbeatResponse(
@@ -265,10 +265,10 @@
         replica.tick(at)
 
 
-def test_a_replica_that_answers_without_having_asked_is_taken_into_a_view_that_lacks_a_member() -> None:
+def test_a_spare_that_did_not_ask_to_join_is_taken_into_a_view_that_lacks_a_member() -> None:
     replica = primary_of(HOSTS[:2], 10.0)
-    respond_as_spare(replica, 10.31)
-    respond_as_spare(replica, 10.33)
+    respond_with_spare(replica, 10.31)
+    respond_with_spare(replica, 10.33)
     assert "d" in {to for to, _ in sent(replica, messages.Prepare)}, (
         "else it is never among those that promise"
     )
@@ -276,20 +276,20 @@
 
 def test_a_spare_of_a_full_view_is_sent_no_data_and_is_not_asked_to_promise() -> None:
     replica = primary_of_three(10.0)
-    respond_as_spare(replica, 10.31)
-    respond_as_spare(replica, 10.33)
+    respond_with_spare(replica, 10.31)
+    respond_with_spare(replica, 10.33)
     assert not sent(replica, messages.Prepare)
     assert "d" not in {to for to, _ in sent(replica, messages.SyncRequest)}
 
 
-def test_a_primary_shows_itself_to_store_machines_that_are_no_witnesses() -> None:
+def test_a_primary_sends_heartbeats_to_store_machines_that_are_no_witnesses() -> None:
     replica = primary_of_three(10.0)
     replica.announced = frozenset({"d", *HOSTS})
     replica.tick(11.1)
     assert "d" in {to for to, _ in sent(replica, messages.Heartbeat)}
 
 
-def test_a_machine_without_memory_is_bound_by_no_response_that_it_did_not_ask_for() -> None:
+def test_a_replica_without_its_disk_ignores_recovery_responses_that_it_did_not_request() -> None:
     """It answers an earlier incarnation: a promise that was made since may be missing in it."""
     term = (5, "a")
     replica = Replica(ReplicaSettings("c", HOSTS, 1), TierState(), 10.0, lambda: 0.5)
@@ -302,7 +302,7 @@
     assert replica.recovered and replica.promised == term
 
 
-def test_whom_a_former_primary_did_not_hear_stays_a_witness_of_a_much_later_view() -> None:
+def test_an_unresponsive_member_of_a_former_primary_stays_a_witness_of_a_much_later_view() -> None:
     replica = primary_of(HOSTS, 10.0)
     replica.step_down(10.5, "another has a higher term")
     replica.start_campaign(60.0)
--- a/tests/tier/test_control_scenarios.py
+++ b/tests/tier/test_control_scenarios.py
@@ -177,7 +177,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_primary_that_wakes_answers_nothing_from_before_it_stood_still(seed: int) -> None:
+def test_a_primary_that_resumes_after_a_freeze_answers_no_request_from_before_its_end(seed: int) -> None:
     world = World(seed, STORES)
     world.stabilize()
     world.run_for(1.0)
@@ -186,22 +186,22 @@
     old = world.primary()
     assert old is not None
     world.freeze(old, 3.0)
-    thaws_at = world.now + 3.0
+    freeze_ends_at = world.now + 3.0
     others = [world.stores[host] for host in STORES if host != old]
     operator._machines = lambda: list(others)  # type: ignore[method-assign]
     version = put(world, operator)
     answers: list[Call] = []
 
-    async def ask_as_it_wakes() -> None:
-        await asyncio.sleep(thaws_at - world.now - 0.5)
-        asked = [
+    async def request_as_it_resumes() -> None:
+        await asyncio.sleep(freeze_ends_at - world.now - 0.5)
+        requests = [
             operator.read(world.stores[old]),
             operator.put_once(operator.change(version), world.stores[old]),
             operator.retire_once("unknown", world.stores[old]),
         ]
-        answers.extend(await asyncio.gather(*asked))
+        answers.extend(await asyncio.gather(*requests))
 
-    world.run(ask_as_it_wakes())
+    world.run(request_as_it_resumes())
     assert not any(call.is_definite() for call in answers), answers
     check_history(world, operator)
 
@@ -243,7 +243,7 @@
     check_history(world, writer)
 
 
-def test_a_lost_disk_is_made_good_in_time_after_1000_changes_and_with_jobs_of_50_mb() -> None:
+def test_a_lost_disk_is_repaired_in_time_after_1000_changes_and_with_jobs_of_50_mb() -> None:
     world = World(7, STORES)
     world.network.bytes_per_s = 60e6  # of each connection
     world.stabilize()
@@ -279,7 +279,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_primary_that_hands_over_and_is_partitioned_at_once_leads_no_longer(seed: int) -> None:
+def test_a_primary_that_transfers_leadership_and_is_partitioned_at_once_leads_no_longer(seed: int) -> None:
     world = World(seed, STORES)
     world.stabilize()
     world.run_for(1.0)
--- a/tests/tier/test_repair.py
+++ b/tests/tier/test_repair.py
@@ -4,26 +4,26 @@
 
 from crowwing.tier.replication import log, range_transfer, timing
 from tests.tier.simulation.world import World
-from tests.tier.test_replication import CATCH_UP_S, HOSTS, quick_world, random_troubles
+from tests.tier.test_replication import CATCH_UP_S, HOSTS, quick_world, random_faults
 
 FIVE = ("a", "b", "c", "d", "e")
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_random_troubles_with_short_logs_lose_nothing(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_random_faults_with_short_logs_lose_nothing(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(log, "MAX_ENTRIES", 3)  # whoever missed more is repaired by ranges
     monkeypatch.setattr(range_transfer, "MAX_RANGES_PER_REQUEST", 2)
-    world = random_troubles(seed, HOSTS) if seed % 2 else random_troubles(seed, FIVE, faults=2)
+    world = random_faults(seed, HOSTS) if seed % 2 else random_faults(seed, FIVE, faults=2)
     assert world.acknowledged and world.chunks_sent
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_random_troubles_with_a_spare_and_short_logs_lose_nothing(
+def test_random_faults_with_a_spare_and_short_logs_lose_nothing(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(log, "MAX_ENTRIES", 3)
     monkeypatch.setattr(range_transfer, "MAX_RANGES_PER_REQUEST", 2)
-    assert random_troubles(seed, FIVE[:4]).acknowledged
+    assert random_faults(seed, FIVE[:4]).acknowledged
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_repair_in_pieces_lets_entries_come_meanwhile(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_repair_in_chunks_lets_entries_commit_meanwhile(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(log, "MAX_ENTRIES", 60)
     monkeypatch.setattr(range_transfer, "MAX_RANGES_PER_REQUEST", 1)
     world = quick_world(seed, HOSTS, HOSTS)
@@ -65,7 +65,7 @@
     assert world.job_digests(host) == world.job_digests(world.primary())
 
 
-def far_behind(world: World, hosts: tuple[str, ...]) -> None:
+def wipe_two_members(world: World, hosts: tuple[str, ...]) -> None:
     """Two wiped machines come back to a state whose ranges take 2 s on their way."""
     world.stabilize()
     world.run_for(CATCH_UP_S)
@@ -82,9 +82,9 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_repairs_of_two_machines_hold_no_acknowledgement_up(seed: int) -> None:
+def test_repairs_of_two_machines_delay_no_acknowledgement(seed: int) -> None:
     world = quick_world(seed, FIVE, HOSTS, faults=2)
-    far_behind(world, FIVE)
+    wipe_two_members(world, FIVE)
     for number in range(20):
         world.acknowledge(f"during {number},", 0.4)
     world.run_for(CATCH_UP_S)
@@ -96,16 +96,16 @@
 def test_a_new_primary_does_not_wait_for_machines_that_need_a_repair(seed: int) -> None:
     seven = (*FIVE, "f", "g")
     world = quick_world(seed, seven, HOSTS, faults=3)
-    far_behind(world, seven)
+    wipe_two_members(world, seven)
     world.run_for(timing.RECOVERY_DELAY_S + 0.7)
     world.stop(world.primary())
     world.acknowledge("third", 2.0)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_where_too_few_copies_are_left_one_candidate_waits_for_a_repair_undisturbed(seed: int) -> None:
+def test_where_too_few_replicas_are_left_one_candidate_waits_for_a_repair_undisturbed(seed: int) -> None:
     world = quick_world(seed, FIVE, HOSTS, faults=2)
-    far_behind(world, FIVE)
+    wipe_two_members(world, FIVE)
     world.run_for(timing.RECOVERY_DELAY_S + 0.1)
     world.stop(world.primary())
     world.acknowledge("third", 4.5)
--- a/tests/tier/test_replication.py
+++ b/tests/tier/test_replication.py
@@ -59,7 +59,7 @@
     world.acknowledge("second")
 
 
-def test_a_frozen_primary_wakes_fenced() -> None:
+def test_a_frozen_primary_is_fenced_when_it_resumes() -> None:
     world = quick_world(3, HOSTS, HOSTS)
     world.stabilize()
     world.acknowledge("first")
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("direction", ["to", "from", "both"])
-def test_a_cut_off_primary_is_replaced_and_taken_back(direction: str) -> None:
+def test_a_partitioned_primary_is_replaced_and_readmitted(direction: str) -> None:
     world = quick_world(4, HOSTS, HOSTS)
     world.stabilize()
     world.acknowledge("first")
@@ -122,7 +122,7 @@
     world.acknowledge("second")
 
 
-def test_a_seed_killed_before_it_wrote_anything_is_taken_in() -> None:
+def test_a_seed_killed_before_it_wrote_anything_becomes_a_member() -> None:
     world = quick_world(7, HOSTS, HOSTS)
     world.stop("c")
     world.run_for(0.5)
@@ -132,7 +132,7 @@
     assert world.members() == set(HOSTS)
 
 
-def cut_between(world: World, some: set[str], others: set[str]) -> None:
+def partition_both_ways(world: World, some: set[str], others: set[str]) -> None:
     """Cuts both ways between two groups."""
     world.partition(some, others)
 
@@ -147,7 +147,7 @@
     assert world.witnesses() == set(HOSTS)
     acknowledged_by: list[str] = []
     world.on_acknowledged = acknowledged_by.append
-    cut_between(world, {"a", "b"}, {"c", "d"})
+    partition_both_ways(world, {"a", "b"}, {"c", "d"})
     world.run_for(2.0)
     for number in range(20):
         world.propose(f"cut/{number}")
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_view_that_is_cut_in_two_even_halves_acknowledges_nothing_until_joined(seed: int) -> None:
+def test_a_view_partitioned_into_two_even_halves_acknowledges_nothing_until_healed(seed: int) -> None:
     world = quick_world(seed, HOSTS, HOSTS)
     world.stabilize()
     world.acknowledge("first")
@@ -168,7 +168,7 @@
     world.run_for(2.0)
     world.acknowledge("beside one that is gone")
     one, other = sorted(set(HOSTS) - {gone})
-    cut_between(world, {one}, {other})
+    partition_both_ways(world, {one}, {other})
     world.run_for(2.0)
     before = len(world.acknowledged)
     for number in range(20):
@@ -180,12 +180,12 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_minority_that_missed_changes_never_outvotes_a_wiped_machine_and_a_dark_one(seed: int) -> None:
+def test_a_member_that_missed_entries_and_a_wiped_one_elect_no_primary_without_the_third(seed: int) -> None:
     world = quick_world(seed, HOSTS, HOSTS)
     world.stabilize()
     behind = next(host for host in HOSTS if host != world.primary())
     others = set(HOSTS) - {behind}
-    cut_between(world, {behind}, others)
+    partition_both_ways(world, {behind}, others)
     world.acknowledge("missed")
     wiped = sorted(others)[seed % 2]
     world.stop(wiped, power=True, wipe=True)
@@ -202,7 +202,7 @@
     assert world.members() == set(HOSTS)
 
 
-def test_a_machine_without_memory_is_bound_to_the_view_that_it_may_have_accepted() -> None:
+def test_a_recovered_replica_is_bound_to_the_view_that_it_may_have_accepted() -> None:
     older = View((3, "a"), HOSTS, HOSTS)
     newer = View((5, "a"), ("a", "c"), HOSTS)
     replica = Replica(ReplicaSettings("c", HOSTS, 1), TierState(), 0.0, lambda: 0.5)
@@ -219,7 +219,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_after_a_machine_was_emptied_another_may_lose_its_disk(seed: int) -> None:
+def test_after_a_machine_was_retired_another_may_lose_its_disk(seed: int) -> None:
     world = quick_world(seed, (*HOSTS, "d"), HOSTS)
     world.stabilize()
     world.run_for(CATCH_UP_S)
@@ -240,7 +240,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_primary_that_is_lost_for_good_while_a_member_is_being_emptied_is_replaced(seed: int) -> None:
+def test_a_primary_that_is_lost_for_good_while_a_member_is_being_retired_is_replaced(seed: int) -> None:
     world = quick_world(seed, HOSTS, HOSTS)
     world.stabilize()
     world.start("d")
@@ -256,15 +256,15 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_machine_that_was_cut_off_alone_raises_no_ballot(seed: int) -> None:
+def test_a_partitioned_member_raises_no_term(seed: int) -> None:
     world = quick_world(seed, HOSTS, HOSTS)
     world.stabilize()
     world.acknowledge("first")
-    alone = next(host for host in HOSTS if host != world.primary())
-    cut_between(world, {alone}, set(HOSTS) - {alone})
+    partitioned = next(host for host in HOSTS if host != world.primary())
+    partition_both_ways(world, {partitioned}, set(HOSTS) - {partitioned})
     world.run_for(5.0)
     primary = world.primary()
-    assert world.replica(alone).promised <= world.replica(primary).promised
+    assert world.replica(partitioned).promised <= world.replica(primary).promised
     before = world.replica(primary).promised
     world.heal()
     world.run_for(CATCH_UP_S)
@@ -274,7 +274,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_messages_that_are_lost_now_and_then_stop_nothing(seed: int) -> None:
+def test_occasional_message_loss_does_not_stop_commits(seed: int) -> None:
     world = quick_world(seed, HOSTS, HOSTS)
     world.network.loss = 0.1
     world.stabilize(4.0)
@@ -292,9 +292,9 @@
         self._world = world
         self.host = world.random.choice(hosts)
         self.kind = world.random.choice(FAULT_KINDS)
-        self._has_struck = False
+        self._is_injected = False
 
-    def strike(self) -> None:
+    def inject(self) -> None:
         """Has the fault happen."""
         world, host, kind = self._world, self.host, self.kind
         if kind in ("kill", "power", "wipe"):
@@ -308,18 +308,18 @@
             for other in sorted(world.stores):
                 world.stop(other, power=True, wipe=kind == "all_wipe" and other == host)
 
-    def strike_after_acknowledgement(self, _host: str) -> None:
+    def inject_after_acknowledgement(self, _host: str) -> None:
         """Has the fault happen just after the first acknowledgement."""
-        if not self._has_struck:
-            self._has_struck = True
+        if not self._is_injected:
+            self._is_injected = True
             delay_s = self._world.random.uniform(0.0, 0.004)
-            self._world.loop.call_later(delay_s, self.strike, context=Context())
+            self._world.loop.call_later(delay_s, self.inject, context=Context())
 
-    def strike_unless_struck(self) -> None:
+    def inject_unless_injected(self) -> None:
         """Has the fault happen now, where there was no acknowledgement."""
-        if not self._has_struck:
-            self._has_struck = True
-            self.strike()
+        if not self._is_injected:
+            self._is_injected = True
+            self.inject()
 
 
 def propose_some(world: World, first: int, count: int, max_pause_s: float) -> int:
@@ -330,7 +330,7 @@
     return first + count - 1
 
 
-def random_troubles(seed: int, hosts: tuple[str, ...], faults: int = 1) -> World:
+def random_faults(seed: int, hosts: tuple[str, ...], faults: int = 1) -> World:
     """Faults at random moments, one counted loss at a time, and at times all machines killed at once."""
     world = quick_world(seed, hosts, hosts[:3], faults)
     random = world.random
@@ -338,10 +338,10 @@
     for _ in range(6):
         fault = RandomFault(world, hosts)
         if random.random() < 0.5:
-            world.on_acknowledged = fault.strike_after_acknowledgement
+            world.on_acknowledged = fault.inject_after_acknowledgement
         number = propose_some(world, number + 1, random.randint(5, 20), 0.15)
         world.on_acknowledged = lambda _host: None
-        fault.strike_unless_struck()
+        fault.inject_unless_injected()
         number = propose_some(world, number + 1, random.randint(3, 15), 0.3)
         world.heal()
         for host in hosts:
@@ -356,6 +356,6 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_random_troubles_lose_nothing(seed: int) -> None:
+def test_random_faults_lose_nothing(seed: int) -> None:
     hosts = HOSTS if seed % 2 else ("a", "b", "c", "d")
-    assert random_troubles(seed, hosts).acknowledged
+    assert random_faults(seed, hosts).acknowledged
--- a/tests/tier/test_replication_traffic.py
+++ b/tests/tier/test_replication_traffic.py
@@ -63,7 +63,7 @@
     assert sum(field(line, "catch_up_bytes") for line in lines(caplog, "replication_traffic")) > 0
 
 
-def test_a_change_of_the_view_tells_its_phases_and_who_is_left_out(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_view_change_logs_its_phases_and_who_is_left_out(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO, "crowwing.replication")
     world = World(1, ("m0", "m1", "m2"))
     world.stabilize()
--- a/tests/tier/test_view_selection.py
+++ b/tests/tier/test_view_selection.py
@@ -15,9 +15,9 @@
 
 
 def test_a_full_view_has_members_for_a_majority_beyond_the_faults() -> None:
-    assert [ViewLimits.of_faults(faults).max_replicas for faults in (0, 1, 2, 3)] == [3, 3, 5, 7]
-    assert [ViewLimits.of_faults(faults).min_replicas for faults in (0, 1, 2, 3)] == [1, 2, 3, 4]
-    assert [ViewLimits.of_faults(faults).min_witnesses for faults in (0, 1, 2, 3)] == [1, 3, 5, 7]
+    assert [ViewLimits.for_faults(faults).max_replicas for faults in (0, 1, 2, 3)] == [3, 3, 5, 7]
+    assert [ViewLimits.for_faults(faults).min_replicas for faults in (0, 1, 2, 3)] == [1, 2, 3, 4]
+    assert [ViewLimits.for_faults(faults).min_witnesses for faults in (0, 1, 2, 3)] == [1, 3, 5, 7]
 
 
 def test_members_of_the_last_view_come_before_others_and_longer_logs_before_shorter() -> None:
@@ -36,7 +36,7 @@
     assert choose_witnesses(members, BASE, {"d", "e"}, frozenset(), 5) == tuple(sorted(members))
 
 
-def test_a_former_witness_that_promised_comes_before_a_silent_one_and_a_leaving_one_last() -> None:
+def test_a_former_witness_that_promised_comes_before_an_unresponsive_one_and_a_leaving_one_last() -> None:
     members = {"a", "b", "c"}
     assert choose_witnesses(members, BASE, {"e"}, frozenset(), 4) == ("a", "b", "c", "e")
     assert choose_witnesses(members, BASE, {"e"}, frozenset({"e"}), 4) == ("a", "b", "c", "d")
--- a/tests/tier/test_windows.py
+++ b/tests/tier/test_windows.py
@@ -4,7 +4,7 @@
 from tests.tier.test_replication import HOSTS, quick_world
 
 
-def test_more_entries_than_the_links_carry_wait_in_the_log_and_unseat_nobody() -> None:
+def test_more_entries_than_the_links_carry_wait_in_the_log_and_cause_no_election() -> None:
     world = quick_world(8, HOSTS, HOSTS)
     world.stabilize()
     world.acknowledge("first")
@@ -22,13 +22,13 @@
     assert world.entry_bytes_sent <= 2 * 1.05 * sum(len(payload) for payload in payloads), "sent once"
 
 
-def test_a_member_is_sent_no_more_than_its_window_without_an_answer() -> None:
+def test_a_member_is_sent_no_more_than_its_window_without_an_acknowledgement() -> None:
     world = quick_world(9, HOSTS, HOSTS)
     world.stabilize()
     world.acknowledge("first")
     primary = world.primary()
-    silent = next(host for host in HOSTS if host != primary)
-    world.freeze(silent, 0.3)
+    frozen = next(host for host in HOSTS if host != primary)
+    world.freeze(frozen, 0.3)
     world.entry_bytes_sent = 0
     for number in range(100):
         world.propose(f"{number}/" + "x" * 40_000)
@@ -39,7 +39,7 @@
     assert len(world.acknowledged) == 101
 
 
-def test_an_answer_that_was_lost_is_asked_for_again() -> None:
+def test_a_lost_append_response_is_requested_again() -> None:
     world = quick_world(10, HOSTS, HOSTS)
     world.stabilize()
     world.acknowledge("first")
--- a/tests/tier/test_without_a_primary.py
+++ b/tests/tier/test_without_a_primary.py
@@ -22,7 +22,7 @@
 SEEDS = (1, 2, 3)
 STORES = tuple(f"m{number}" for number in range(5))
 FRONTS = tuple(f"f{number}" for number in range(20))
-CALM_S = 4.0
+STEADY_S = 4.0
 OUTAGE_S = 8.0
 SETTLING_S = 2.0  # after the loss of the primary, until everybody has noticed it
 MAX_AMPLIFICATION = 2.0  # calls without a primary to calls with one
@@ -51,11 +51,11 @@
         yield counts
 
 
-def calm_world(seed: int) -> World:
+def steady_world(seed: int) -> World:
     """A world in which all fronts have found the primary."""
     world = World(seed, STORES, faults=2, fronts=FRONTS)
     world.stabilize(8.0)
-    world.run_for(CALM_S)
+    world.run_for(STEADY_S)
     return world
 
 
@@ -78,20 +78,20 @@
 def test_a_retry_storm_of_store_calls_does_not_follow_the_loss_of_the_primary(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    world = calm_world(seed)
+    world = steady_world(seed)
     with counted_calls(monkeypatch) as counts:
-        calm = calls_per_s(world, counts, CALM_S)
+        steady = calls_per_s(world, counts, STEADY_S)
         lose_the_primary(world)
         outage = calls_per_s(world, counts, OUTAGE_S)
     world.close()
-    with_primary = sum(rate for name, rate in calm.items() if name not in RELAY_CALLS)
+    with_primary = sum(rate for name, rate in steady.items() if name not in RELAY_CALLS)
     without = sum(rate for name, rate in outage.items() if name not in RELAY_CALLS)
-    assert without <= MAX_AMPLIFICATION * with_primary, (calm, outage)
+    assert without <= MAX_AMPLIFICATION * with_primary, (steady, outage)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_all_fronts_hear_a_new_primary_in_time_after_a_long_outage(seed: int) -> None:
-    world = calm_world(seed)
+def test_all_fronts_find_a_new_primary_in_time_after_a_long_outage(seed: int) -> None:
+    world = steady_world(seed)
     lose_the_primary(world)
     world.run_for(OUTAGE_S)
     world.heal()
@@ -128,7 +128,7 @@
 def test_a_batch_job_is_not_sent_to_machine_after_machine_without_a_primary(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    world = calm_world(seed)
+    world = steady_world(seed)
     lose_the_primary(world)
     with counted_calls(monkeypatch) as counts:
         status = submit(world)
@@ -141,7 +141,7 @@
 def test_a_batch_job_is_sent_once_to_a_primary_whose_commits_are_slow(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    world = calm_world(seed)
+    world = steady_world(seed)
     world.network.bytes_per_s = SLOW_CONNECTION_BYTES_PER_S
     with counted_calls(monkeypatch) as counts:
         status = submit(world)
@@ -164,7 +164,7 @@
 
 
 @pytest.mark.parametrize(("response_s", "limit_s"), [(0.75, 2.5), (9.0, 0.9)])
-def test_a_caller_hears_at_once_while_others_are_asked_whether_the_primary_has_moved(
+def test_a_caller_gets_its_response_at_once_while_others_are_asked_for_the_primary(
     response_s: float, limit_s: float
 ) -> None:
     loop = SimulatedLoop()
