--- a/crowwing/tier/replication/__init__.py
+++ b/crowwing/tier/replication/__init__.py
@@ -1,7 +1,7 @@
-"""Primary-backup replication, with witnesses that keep only terms and views and decide failover.
+"""Primary-backup replication, with witnesses that store only terms and views and decide failover.
 
-`replica.py` is the entrance: Replica, a step function without input, output or clock. What it does in each
-role stands in `follower.py`, `candidate.py` and `primary.py`; what it does in all of them in `witness.py`,
-`member.py` and `recovery.py`; what these share in `core.py`. `terms.py`, `messages.py` and `records.py` hold
-the values on the wire and on disk, `timing.py` all times and bounds.
+`replica.py` is the entry point: Replica, a step function without I/O or a clock. `follower.py`,
+`candidate.py` and `primary.py` implement the roles; `witness.py`, `member.py` and `recovery.py` what a
+replica does in every role; `core.py` holds the state that they share. `terms.py`, `messages.py` and
+`records.py` define the values on the wire and on disk, `timing.py` all time-outs and limits.
 """
--- a/crowwing/tier/replication/backlog.py
+++ b/crowwing/tier/replication/backlog.py
@@ -1,17 +1,17 @@
-"""What a primary has not brought to the others yet, for the log."""
+"""The replication lag of a view, for the log."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class Backlog:
-    """How far the others are behind a primary.
+    """The replication lag behind a primary.
 
     Attributes:
-        members: how many replicas commit, the primary among them.
-        learners: how many others are being brought up to date.
-        lag_bytes: what the member that is farthest behind has not acknowledged.
-        uncommitted_bytes: what was proposed and is not committed.
+        members: number of members of the view, including the primary.
+        learners: number of replicas that are catching up.
+        lag_bytes: payload bytes that the slowest member has not acknowledged.
+        uncommitted_bytes: payload bytes that were proposed and are not committed.
     """
 
     members: int
@@ -20,7 +20,7 @@
     uncommitted_bytes: int
 
     def __str__(self) -> str:
-        """The fields as they stand in the log."""
+        """The fields as written to the log."""
         return (
             f"members={self.members} learners={self.learners} "
             f"lag_bytes={self.lag_bytes} uncommitted_bytes={self.uncommitted_bytes}"
--- a/crowwing/tier/replication/campaign.py
+++ b/crowwing/tier/replication/campaign.py
@@ -1,4 +1,4 @@
-"""How far a candidate has come on its way to a new view."""
+"""The progress of a campaign for a new view."""
 
 import enum
 from dataclasses import dataclass, field
@@ -10,10 +10,10 @@
 
 
 class Phase(enum.Enum):
-    """The phases of a campaign, in their order."""
+    """The phases of a campaign, in order."""
 
     PREPARE = "prepare"  # witnesses promise the term
-    SYNC = "sync"  # the members to be are brought to the candidate's data
+    SYNC = "sync"  # the future members are synchronized with the candidate's data
     ACCEPT = "accept"  # witnesses accept the view
 
 
@@ -22,23 +22,23 @@
     """One campaign; owned by its Candidate.
 
     Attributes:
-        phase: the present phase.
+        phase: the current phase.
         since: when it began.
-        released: term of the primary that has given up its lease for this campaign, NO_TERM where none has.
-        grace_s: how long it waits for further promises once a majority has promised.
-        silent: replicas that are known not to respond, and not waited for.
+        released: term of the primary that has released its lease for this campaign, NO_TERM if none has.
+        grace_s: wait for further promises once a majority has promised.
+        unresponsive: replicas that are known not to respond; their promises are not waited for.
         promises: promises by sender.
-        prepared: replicas that were sent a Prepare.
-        majority_at: when a majority of the base view's witnesses had promised.
-        base: the highest view that was accepted by those who promised.
-        targets: replicas that are to be members.
-        sync_limit_s: how long the synchronization may take; learners that get on extend it.
-        progress_sent_at: when the others were last told that the synchronization goes on.
-        resend_at: when each target is sent the data again if it does not respond.
-        synced: replicas that hold the candidate's data on disk.
-        view: the view that is proposed.
-        accepted: replicas that have accepted it.
-        phase_s: how long each earlier phase took.
+        prepared: replicas that a Prepare was sent to.
+        majority_at: when the promises reached a majority of the base view's witnesses.
+        base: the highest view among the promises.
+        targets: the future members of the view.
+        sync_limit_s: time-out of the synchronization; extended while targets make progress.
+        progress_sent_at: when SyncInProgress was last sent.
+        resend_at: when the data is sent to each target again if it does not respond.
+        synced: replicas that have the candidate's data on disk.
+        view: the proposed view.
+        accepted: replicas that have accepted the proposed view.
+        phase_s: duration of each completed phase.
     """
 
     phase: Phase
@@ -60,20 +60,20 @@
     phase_s: dict[Phase, float] = field(default_factory=dict)
 
     def enter(self, phase: Phase, now: float) -> None:
-        """Begins the next phase."""
+        """Enters the next phase."""
         self.phase_s[self.phase] = now - self.since
         self.phase = phase
         self.since = now
 
     def durations(self, now: float) -> str:
-        """How long each phase has taken up to now, as it stands in the log."""
+        """The duration of each phase so far, as written to the log."""
         spans = {**self.phase_s, self.phase: now - self.since}
         return " ".join(f"{phase.value}_s={span_s:.3f}" for phase, span_s in spans.items())
 
     def left_out(self) -> dict[str, list[str]]:
-        """The members of the last view and the targets that are no members of the next one, by the reason.
+        """The base view's members and the targets that are not in the new view, by reason.
 
-        Nobody is left out of a campaign that ends before it has chosen its targets.
+        Empty for a campaign that ends before it has chosen its targets.
         """
         if self.phase is Phase.PREPARE:
             return {}
--- a/crowwing/tier/replication/candidate.py
+++ b/crowwing/tier/replication/candidate.py
@@ -1,6 +1,6 @@
-"""A replica that wants to become the primary of a new view, or to change its own view.
+"""The candidate role: a replica that campaigns for a new view, or, as primary, reconfigures its own.
 
-The two phases of Vertical Paxos (Lamport, Malkhi, Zhou 2009), with the transfer of the data between them.
+The two phases of Vertical Paxos (Lamport, Malkhi, Zhou 2009), with state transfer between them.
 """
 
 from collections.abc import Iterable
@@ -24,38 +24,38 @@
 
 
 class Candidate(RoleState):
-    """Opens a term, synchronizes the others with its data, and has the new view accepted."""
+    """Starts a term, synchronizes the future members with its data, and has the new view accepted."""
 
     role: ClassVar[Role] = Role.CANDIDATE
 
     def __init__(
         self, core: ReplicaCore, changes: RoleChanges, campaign: Campaign, limits: ViewLimits
     ) -> None:
-        """A candidate that has promised itself the term of its campaign."""
+        """A candidate that has promised the term of its own campaign."""
         super().__init__(core, changes)
         self.campaign = campaign
         self._limits = limits
 
     def tick(self, now: float) -> None:
-        """Goes on to the next phase, or steps down, where the present one has taken its time."""
+        """Enters the next phase or steps down when the current phase times out."""
         campaign = self.campaign
         elapsed_s = now - campaign.since
         if campaign.phase is Phase.PREPARE:
             if campaign.majority_at is not None and now - campaign.majority_at >= campaign.grace_s:
                 self._start_sync(now)
             elif elapsed_s >= PREPARE_TIMEOUT_S:
-                self._changes.step_down(now, "no majority of the witnesses answers")
+                self._changes.step_down(now, "no majority of the witnesses has promised the term")
         elif campaign.phase is Phase.SYNC:
             self._tick_sync(now, elapsed_s)
         elif elapsed_s >= ACCEPT_TIMEOUT_S:
-            self._changes.step_down(now, "no majority of the witnesses accepts")
+            self._changes.step_down(now, "no majority of the witnesses has accepted the view")
 
     def _tick_sync(self, now: float, elapsed_s: float) -> None:
         campaign = self.campaign
         if elapsed_s >= SYNC_GRACE_S and len(campaign.synced) >= self._min_replicas():
             self._start_accept(now)
         elif elapsed_s >= campaign.sync_limit_s:
-            self._changes.step_down(now, "too few members hold the data")
+            self._changes.step_down(now, "too few members have synchronized")
         else:
             self._resend_to_unresponsive_targets(now)
             self._send_progress(now)
@@ -78,12 +78,12 @@
             core.send(other, messages.Prepare(core.durable.promised, core.me, self.campaign.released))
 
     def on_promise(self, now: float, promise: messages.Promise) -> None:
-        """Counts one promise; also asks the witnesses of a higher view that it tells of."""
+        """Counts one promise; also sends Prepare to the witnesses of a higher view that it reports."""
         campaign = self.campaign
         if promise.term != self._core.durable.promised or campaign.phase is not Phase.PREPARE:
             return
         if now - campaign.since >= PREPARE_TIMEOUT_S:
-            return  # a witness that has lost its disk since may have recovered without this term
+            return  # a witness may have lost its disk since, and recovered without this promise
         campaign.promises[promise.sender] = promise
         views = [answer.view for answer in campaign.promises.values() if answer.view is not None]
         base = max(views, key=lambda view: view.term, default=None)
@@ -100,19 +100,19 @@
                 self._start_sync(now)
 
     def on_nack(self, now: float, nack: messages.Nack) -> None:
-        """Steps down for a higher term, and for a primary that a witness still hears."""
+        """Steps down for a higher term, or if a witness still has contact with another primary."""
         if nack.term != self._core.durable.promised:
             return
         if self._is_preempted(nack):
             self._yield_to_higher_term(now, nack)
         elif self.campaign.phase is Phase.PREPARE:
-            self._changes.step_down(now, f"{nack.sender} hears another primary")
+            self._changes.step_down(now, f"{nack.sender} has contact with another primary")
             self._core.request_to_join(now)
 
-    # The transfer of the data
+    # State transfer
 
     def _base(self) -> View:
-        assert self.campaign.base is not None, "set before the first phase ends"
+        assert self.campaign.base is not None, "set before the prepare phase ends"
         return self.campaign.base
 
     def _min_replicas(self) -> int:
@@ -122,12 +122,12 @@
         core = self._core
         campaign = self.campaign
         base = self._base()
-        # Only a member of the last view that holds its data has everything that was committed.
+        # Only a member of the base view that is synchronized has every committed entry.
         if core.me not in base.members or core.durable.synced < base.term:
-            # With the higher view it does not campaign again.
+            # Knowing the higher view, it does not campaign again.
             if core.durable.view is None or core.durable.view.term < base.term:
                 core.durable.adopt_view(base)
-            self._changes.step_down(now, "its data is older than the last view")
+            self._changes.step_down(now, "its data is older than the base view")
             return
         campaign.enter(Phase.SYNC, now)
         campaign.targets = self._choose_targets()
@@ -141,23 +141,23 @@
         self.campaign.resend_at[target] = now + self._core.send_sync(target, last)
 
     def _resend_to_unresponsive_targets(self, now: float) -> None:
-        """Sends again what may have been lost on a connection to an earlier incarnation."""
+        """Resends data that may have been lost on a connection to an earlier incarnation of the target."""
         campaign = self.campaign
         for target in sorted(campaign.targets - campaign.synced):
             if now >= campaign.resend_at[target]:
                 self._send_sync(now, target, campaign.promises[target].last)
 
     def _choose_targets(self) -> set[str]:
-        """Returns who is to hold the data in the new view: those who promised.
+        """Returns the future members of the view, among the replicas that have promised.
 
-        Where enough stay, without slow disks and without those that need a repair: these would delay the
-        view, and the primary brings them up to date. As many as a full view has, at most.
+        If enough remain, replicas with slow disks and replicas that need a range repair are left out: they
+        would delay the view, and the primary brings them up to date later. At most as many as in a full view.
         """
         core = self._core
         promises = self.campaign.promises
         targets = {member for member in promises if member not in core.excluded} | {core.me}
         if len(targets) < self._min_replicas():
-            targets = {*promises, core.me}  # who is to leave holds the data until others do
+            targets = {*promises, core.me}  # replicas that have to leave stay until others hold the data
         sync_s = {member: promise.sync_s for member, promise in promises.items()}
         fast = targets - slow_disks({**sync_s, core.me: core.sync_s}) | {core.me}
         if len(fast) >= self._min_replicas():
@@ -169,7 +169,7 @@
         return limit_members(core.me, eligible, promises, self._base(), self._limits.max_replicas)
 
     def on_sync_response(self, now: float, response: messages.SyncResponse) -> None:
-        """Sends a target more of the data, or counts it as synchronized."""
+        """Sends a target more data, or counts it as synchronized."""
         core = self._core
         campaign = self.campaign
         if response.term != core.durable.promised:
@@ -186,7 +186,7 @@
                 self._send_sync(now, response.sender, response.last)
 
     def _serves(self, term: Term) -> bool:
-        """Whether this replica's data is what others are to be brought to under a term."""
+        """Whether this replica sends its data to others in a term."""
         return term == self._core.durable.promised and self.campaign.phase is not Phase.PREPARE
 
     def on_ranges_request(self, now: float, request: messages.RangesRequest) -> None:
@@ -196,12 +196,12 @@
             self._extend_sync_timeout(now, request.sender)
 
     def on_entries_request(self, now: float, request: messages.EntriesRequest) -> None:
-        """Sends the entries that end a repair."""
+        """Sends the entries that complete a repair."""
         if self._serves(request.term) and range_transfer.send_entries_since(self._core, request):
             self._extend_sync_timeout(now, request.sender)
 
     def _extend_sync_timeout(self, now: float, learner: str) -> None:
-        """Waits a while longer for a target that gets on."""
+        """Extends the time-outs for a target that makes progress."""
         campaign = self.campaign
         if learner in campaign.targets:
             campaign.resend_at[learner] = now + LEARNER_RANGES_WAIT_S
@@ -231,12 +231,12 @@
         return choose_witnesses(campaign.synced, self._base(), responsive, self._core.excluded, min_count)
 
     def on_accepted(self, now: float, accepted: messages.Accepted) -> None:
-        """Counts one acceptance; the view holds once majorities of old and new witnesses have accepted."""
+        """Counts one acceptance; the view is decided once majorities of old and new witnesses accepted it."""
         campaign = self.campaign
         if accepted.term != self._core.durable.promised or campaign.view is None or campaign.base is None:
             return
         if now - campaign.since >= ACCEPT_TIMEOUT_S:
-            return  # as for a promise that comes too late
+            return  # as in on_promise: the witness may have lost its disk since
         campaign.accepted.add(accepted.sender)
         for witnesses in (campaign.base.witnesses, campaign.view.witnesses):
             if len(campaign.accepted & set(witnesses)) < majority(len(witnesses)):
--- a/crowwing/tier/replication/catch_up.py
+++ b/crowwing/tier/replication/catch_up.py
@@ -1,4 +1,4 @@
-"""The part of a primary that brings spares up to date, as many as its view lacks members."""
+"""Catch-up of learners: the primary brings as many spares up to date as its view lacks members."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -24,14 +24,14 @@
 
 @dataclass
 class Learner:
-    """A spare that is being brought up to date.
+    """A spare that is catching up.
 
     Attributes:
-        heard_at: when it last responded.
-        moved_at: when it last got on.
+        heard_at: when its last response arrived.
+        progress_at: when it last made progress.
         last: the end of its log.
-        wait_until: before this it is sent nothing more, unless it responds.
-        is_ready: whether it is close enough behind to become a member.
+        wait_until: nothing more is sent to it before this time, unless it responds.
+        is_ready: whether its lag and its disk permit it to become a member.
     """
 
     heard_at: float
@@ -42,19 +42,19 @@
 
 
 class CatchUp:
-    """Chooses learners among the spares and sends them what they lack; owned by one Primary."""
+    """Chooses learners among the spares and sends them missing data; owned by one Primary."""
 
     def __init__(
         self, core: ReplicaCore, view: View, limits: ViewLimits, disk_sync_s: Mapping[str, float], now: float
     ) -> None:
-        """No learners yet.
+        """A catch-up without learners.
 
         Args:
             core: the replica.
-            view: the view, which begins now.
-            limits: how many members a full view has.
-            disk_sync_s: seconds that the disk of each member takes for a write, as they tell them.
-            now: the present time.
+            view: the current view, which begins now.
+            limits: the size limits of a view.
+            disk_sync_s: seconds that a write takes on the disk of each member, as reported.
+            now: the current time.
         """
         self._disk_sync_s = disk_sync_s
         self._core = core
@@ -65,7 +65,7 @@
 
     @property
     def learners(self) -> set[str]:
-        """The replicas that are being brought up to date."""
+        """The replicas that are catching up."""
         return set(self._learners)
 
     def ready(self, now: float) -> frozenset[str]:
@@ -77,7 +77,7 @@
         )
 
     def tick(self, now: float) -> None:
-        """Gives up learners that are gone or don't get on, and chooses others in their place."""
+        """Drops learners that have timed out or stalled, and chooses others to replace them."""
         for host, learner in list(self._learners.items()):
             has_timed_out = now - learner.heard_at >= LEARNER_TIMEOUT_S
             is_stalled = not learner.is_ready and now - learner.progress_at >= LEARNER_STALLED_S
@@ -101,7 +101,7 @@
             self._learners[host] = Learner(heard_at=now, progress_at=now)
 
     def on_heartbeat_response(self, now: float, response: messages.HeartbeatResponse) -> None:
-        """Notes where a replica outside of the view stands, and sends it more if it is a learner."""
+        """Updates the status of a replica outside the view, and sends it more data if it is a learner."""
         core = self._core
         core.spares.update_status(now, response)
         learner = self._learners.get(response.sender)
@@ -114,12 +114,12 @@
         has_fast_disk = response.sync_s < self._slow_disk_s() / 2
         learner.is_ready = self._is_within_max_lag(response) and has_fast_disk
         is_complete = response.last == core.log.last and response.synced == core.durable.promised
-        # Also what a complete learner is sent makes it write, which shows that a slow disk is quick again.
+        # A caught-up learner with a slow disk is sent data too: its writes show when the disk is fast again.
         if not (is_complete and has_fast_disk) and now >= learner.wait_until:
             learner.wait_until = now + core.send_sync(response.sender, response.last)
 
     def _slow_disk_s(self) -> float:
-        """Seconds for a write from which a disk is slow beside those of the members."""
+        """The write time from which a disk counts as slow, compared with those of the members."""
         sync_s = sorted(self._disk_sync_s.get(member, 0.0) for member in self._view.members)
         return max(SLOW_DISK_SYNC_S, SLOW_DISK_FACTOR * sync_s[(len(sync_s) - 1) // 2])
 
@@ -133,7 +133,7 @@
         return log.bytes_between(response.last[1], log.last[1]) <= MAX_LEARNER_LAG_BYTES
 
     def on_sync_response(self, now: float, response: messages.SyncResponse) -> None:
-        """Sends digests to a learner that could not follow; any other is sent more at its next response."""
+        """Sends digests to a learner whose log did not match; others get more at their next response."""
         learner = self._learners.get(response.sender)
         if response.term != self._core.durable.promised or learner is None:
             return
@@ -150,7 +150,7 @@
             self._update_progress(now, request.sender)
 
     def on_entries_request(self, now: float, request: messages.EntriesRequest) -> None:
-        """Sends the entries that end a repair."""
+        """Sends the entries that complete a repair."""
         serves = self._serves(request.term, request.sender)
         if serves and range_transfer.send_entries_since(self._core, request):
             self._update_progress(now, request.sender)
--- a/crowwing/tier/replication/core.py
+++ b/crowwing/tier/replication/core.py
@@ -1,4 +1,4 @@
-"""What all roles of a replica share."""
+"""The state and the operations that all roles of a replica share."""
 
 import enum
 from collections.abc import Callable, Iterable, Mapping
@@ -39,7 +39,7 @@
 
 
 class Role(enum.Enum):
-    """What a replica is doing."""
+    """The role of a replica."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -47,10 +47,10 @@
 
 
 def slow_disks(sync_s: dict[str, float]) -> set[str]:
-    """Returns those replicas whose disk is slow, also beside that of most others.
+    """Returns the replicas whose disk is slow, in absolute terms and compared with the median.
 
     Args:
-        sync_s: seconds that each replica's disk takes for a write.
+        sync_s: seconds that a write takes on the disk of each replica.
     """
     if not sync_s:
         return set()
@@ -60,18 +60,18 @@
 
 
 class ReplicaCore:
-    """The log, what is on disk, the peers and the output of one replica; owned by Replica (replica.py).
+    """The log, durable state, peers and output of one replica; base class of Replica (replica.py).
 
     Attributes:
-        commit_index: up to which index entries were committed when this replica was last primary.
-        excluded: replicas that are to leave the view.
-        announced: every store machine that the state knows of.
-        zones: the zone of each replica, as far as it is known.
-        spares: replicas outside of the view that this one has heard of as primary.
-        disk_stalled: whether a write has been under way for long.
-        sync_s: seconds that this replica's disk takes for a write, smoothed.
-        highest_seen_term_number: of terms that others were found to be bound to.
-        repair: the repair by ranges that this replica, as a learner, is in.
+        commit_index: index up to which entries were committed when this replica was last primary.
+        excluded: replicas that have to leave the view.
+        announced: every store machine that is known to the replicated state.
+        zones: the zone of each replica, where known.
+        spares: replicas outside the view that responded to this one as primary.
+        disk_stalled: whether a write to this replica's disk has been pending for too long.
+        sync_s: seconds that a write takes on this replica's disk, smoothed.
+        highest_seen_term_number: the highest term number that other replicas reported as promised.
+        repair: the range repair that this replica, as a learner, has in progress.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
         self.repair: RangeRepair | None = None
 
     def bootstrap(self, members: Iterable[str]) -> None:
-        """Begins the first view; the first member by name campaigns at once."""
+        """Adopts the first view; its first member by name campaigns at once."""
         names = sorted(members)
         self.durable.bootstrap(names)
         if names and names[0] == self.me:
@@ -111,7 +111,7 @@
         self.monitor.heard_at -= LEADER_STICKINESS_S
 
     def recover(self, records: Iterable[Record]) -> None:
-        """Takes in what the disk holds, in the order in which it was written."""
+        """Restores the state from the records on disk, in the order in which they were written."""
         self.monitor.has_earlier_incarnation = True
         durable = self.durable
         for record in records:
@@ -133,7 +133,7 @@
         self.reset_election_timer(self.monitor.started_at)
 
     def compacted(self) -> Iterable[Record]:
-        """Returns records that stand for everything so far; those of the state are made when iterated."""
+        """Returns records that replace all earlier ones (compaction); ranges are encoded during iteration."""
         last = self.log.last
         records: list[Record] = [RangesRecord(last, ()), SyncedTermRecord(self.durable.synced)]
         if self.durable.recovered:
@@ -144,7 +144,7 @@
         return chain(records, (RangesRecord(last, (content,)) for content in ranges))
 
     def may_lead(self) -> bool:
-        """Whether this replica is a member of the last view, with its data, on a machine that works."""
+        """Whether this replica is a member of its highest view, holds its data, and has a working disk."""
         view = self.durable.view
         return (
             view is not None
@@ -155,7 +155,7 @@
         )
 
     def next_campaign_at(self, heard_at: float) -> float:
-        """Returns when this replica campaigns if it hears nothing more: one member after another."""
+        """Returns the expiry of the election timer; staggered by member, so that one campaigns at a time."""
         view = self.durable.view
         members = view.members if view is not None else ()
         others = [member for member in members if member != self.monitor.leader]
@@ -164,35 +164,35 @@
         return heard_at + timeout_s + ELECTION_STAGGER_S * rank + ELECTION_JITTER_S * self._random()
 
     def reset_election_timer(self, heard_at: float) -> None:
-        """Waits for its turn to campaign from `heard_at` on."""
+        """Restarts the election timer from `heard_at`."""
         self.monitor.campaign_at = self.next_campaign_at(heard_at)
 
     def record_leader_contact(self, now: float, leader: str, term: Term) -> None:
-        """Notes a message of the leader of a term."""
+        """Records a message of the leader of a term and resets the election timer."""
         self.monitor.record_contact(now, leader, term)
         self.reset_election_timer(now)
 
     def request_to_join(self, now: float) -> None:
-        """Asks some peers to be made a member, others each time, unless some were asked just before."""
+        """Asks some peers, round robin, to be made a member, at most once per JOIN_RETRY_S."""
         if now - self.peers.requested_at >= JOIN_RETRY_S:
             self.peers.requested_at = now
             for peer in self.peers.next_round_robin(self.durable.view, JOIN_FANOUT):
                 self.send(peer, messages.JoinRequest(self.me, False))
 
     def send_nack(self, to: str, term: Term) -> None:
-        """Refuses what was sent under a term, with the term that this replica is bound to."""
+        """Refuses a message sent under `term`; reports the term that this replica has promised."""
         self.send(to, messages.Nack(term, self.me, self.durable.promised), durable=True)
 
     def append_entries(self, entries: Iterable[LogEntry]) -> None:
-        """Applies the next entries of the log and records them."""
+        """Applies the next log entries and records them."""
         for entry in entries:
             self.machine.apply(entry.payload, entry.index)
             self.log.append(entry)
             self.outbox.record(entry)
-            self.repair = None  # it was compared with the state before
+            self.repair = None  # its digests were compared with the state before these entries
 
     def send_sync(self, target: str, last: LogPosition) -> float:
-        """Sends some of what a replica at `last` lacks, or digests where the log does not reach back to it.
+        """Sends entries to a replica whose log ends at `last`, or range digests if the log lacks `last`.
 
         Returns:
             Seconds to wait for a response before the replica is sent more.
@@ -208,7 +208,7 @@
         return LEARNER_RANGES_WAIT_S
 
     def send_digests(self, target: str, restart: bool = False) -> None:
-        """Begins a repair by range digests, anew where the present one can't be completed (`restart`)."""
+        """Starts a repair by range digests; `restart` if the current one can't be completed."""
         digests = self.machine.digests()
         term = self.durable.promised
         self.send(target, messages.RangeDigests(term, self.me, self.log.last, digests, restart))
--- a/crowwing/tier/replication/durable_state.py
+++ b/crowwing/tier/replication/durable_state.py
@@ -1,4 +1,4 @@
-"""The terms and the view that a replica is bound to, as its disk keeps them."""
+"""The promised and synced terms and the accepted view of a replica, which it writes to disk."""
 
 from collections.abc import Iterable
 
@@ -8,17 +8,17 @@
 
 
 class DurableState:
-    """Changes go into the outbox as records; a message that tells of one has to wait for the disk.
+    """Changes go to the outbox as records; a message that reports a change has to wait for the disk write.
 
     Attributes:
         promised: the highest term that this replica has promised or accepted.
-        view: the highest view that it has accepted or was shown by a primary.
-        synced: the term whose candidate or primary last made its data equal to its own.
-        recovered: False while it does not know what an earlier incarnation, whose disk is lost, has promised.
+        view: the highest view that it has accepted or received from a primary.
+        synced: the term whose candidate or primary last synchronized this replica with its data.
+        recovered: False while the replica has lost its disk and does not know what it promised before.
     """
 
     def __init__(self, outbox: Outbox) -> None:
-        """The state of a replica that knows nothing yet."""
+        """The state of a replica with an empty disk."""
         self._outbox = outbox
         self.promised: Term = NO_TERM
         self.view: View | None = None
@@ -26,7 +26,7 @@
         self.recovered = False
 
     def bootstrap(self, members: Iterable[str]) -> None:
-        """Begins with the first view, of these members, who are its witnesses too."""
+        """Adopts the first view, whose members are also its witnesses."""
         names = tuple(sorted(members))
         self.recovered = True
         self.promise(FIRST_TERM)
@@ -34,21 +34,21 @@
         self.mark_synced(FIRST_TERM)
 
     def promise(self, term: Term) -> None:
-        """Serves no lower term from now on."""
+        """Promises a term: lower terms are refused from now on."""
         self.promised = term
         self._outbox.record(PromisedTermRecord(term))
 
     def accept(self, view: View) -> None:
-        """Accepts a view that its candidate proposes, and with it its term."""
+        """Accepts a view that a candidate proposes, and promises its term."""
         self.promised = view.term
         self.adopt_view(view)
 
     def adopt_view(self, view: View) -> None:
-        """Keeps a view as the highest that this replica knows of."""
+        """Sets the highest view that this replica knows of."""
         self.view = view
         self._outbox.record(AcceptedViewRecord(view))
 
     def mark_synced(self, term: Term) -> None:
-        """Notes that the data equals that of the candidate or primary of a term."""
+        """Sets the term whose candidate or primary this replica is synchronized with."""
         self.synced = term
         self._outbox.record(SyncedTermRecord(term))
--- a/crowwing/tier/replication/follower.py
+++ b/crowwing/tier/replication/follower.py
@@ -1,9 +1,9 @@
-"""A replica that is neither primary nor candidate: it watches the primary, and campaigns when it is silent.
+"""The follower role: monitors the primary, and campaigns when the primary has timed out.
 
-The pre-vote of Raft (Ongaro 2014, section 9.6): a member asks the witnesses whether they would promise it a
-term before it raises one. A machine that is cut off alone finds nobody willing, so it raises no term, and the
-primary need not change its view to get above that one when the partition is over. Nothing of this is kept on
-disk.
+The pre-vote of Raft (Ongaro 2014, section 9.6): before it starts a new term, a member asks the witnesses
+whether they would promise it one. A partitioned machine gets no pre-votes and so starts no term, and the
+primary does not have to change its view to a higher term when the partition heals. Pre-votes are not written
+to disk.
 """
 
 from typing import ClassVar
@@ -17,18 +17,18 @@
 
 
 class Follower(RoleState):
-    """Owns the pre-votes for this replica's next campaign."""
+    """Collects the pre-votes for this replica's next campaign."""
 
     role: ClassVar[Role] = Role.FOLLOWER
 
     def __init__(self, core: ReplicaCore, changes: RoleChanges) -> None:
-        """A follower that has not asked for pre-votes yet."""
+        """A follower that has not requested pre-votes yet."""
         super().__init__(core, changes)
         self._pre_votes_requested_at = NEVER
         self._willing: set[str] = set()
 
     def tick(self, now: float) -> None:
-        """Where the primary is silent: asks for pre-votes as a member, else to be made one."""
+        """If the election timer has expired: requests pre-votes as a member, else asks to join."""
         if not self._core.monitor.may_campaign(now):
             return
         if self._core.may_lead():
@@ -37,7 +37,7 @@
             self._core.request_to_join(now)
 
     def _is_announced_spare(self, now: float) -> bool:
-        """Whether this replica is no member, and heard a primary about as often as spares do."""
+        """Whether this replica is no member, and receives the heartbeats that a primary sends to spares."""
         core = self._core
         view = core.durable.view
         is_member = view is not None and core.me in view.members
@@ -46,7 +46,7 @@
         return now - core.monitor.heard_at < SPARE_JOIN_TIMEOUT_S
 
     def _request_pre_votes(self, now: float) -> None:
-        """Asks all witnesses, and again after a while; campaigns at once where no other one is needed."""
+        """Requests pre-votes of all witnesses, periodically; campaigns at once if its own vote is enough."""
         if now - self._pre_votes_requested_at < PRE_VOTE_RETRY_S:
             return
         core = self._core
@@ -58,7 +58,7 @@
         self._count_pre_votes(now)
 
     def on_pre_vote_response(self, now: float, response: messages.PreVoteResponse) -> None:
-        """Counts one response; a witness that hears another primary has it asked to take this replica in."""
+        """Counts a pre-vote; a refusal means that a primary is alive, so this replica asks to join."""
         if response.term != self._core.durable.promised or now < self._core.monitor.campaign_at:
             return
         if response.willing:
@@ -74,12 +74,12 @@
             self._changes.start_campaign(now)
 
     def on_leadership_transfer(self, now: float, transfer: messages.LeadershipTransfer) -> None:
-        """Campaigns at once: the primary has given up its lease."""
+        """Campaigns at once: the primary has released its lease."""
         if transfer.term == self._core.durable.promised and self._core.may_lead():
             self._changes.start_campaign(now, released=transfer.term)
 
     def on_sync_in_progress(self, now: float, progress: messages.SyncInProgress) -> None:
-        """Waits longer with its own campaign."""
+        """Resets the election timer."""
         if progress.term == self._core.durable.promised:
             self._core.reset_election_timer(now)
 
--- a/crowwing/tier/replication/lease.py
+++ b/crowwing/tier/replication/lease.py
@@ -1,7 +1,8 @@
-"""The lease of a primary: numbered heartbeats, a majority of whose responses confirms it.
+"""The lease of a primary, renewed by responses of a majority of the witnesses to a numbered heartbeat.
 
-A witness that has answered a heartbeat promises nobody else a term for LEADER_STICKINESS_S. LEASE_S is
-shorter, and counts from when the heartbeat was sent, so the lease ends before another primary can be elected.
+A witness that has responded to a heartbeat promises no other replica a term for LEADER_STICKINESS_S. LEASE_S
+is shorter and runs from when the heartbeat was sent, so the lease expires before another primary can be
+elected.
 """
 
 from crowwing.tier.replication.terms import majority
@@ -9,17 +10,17 @@
 
 
 class Lease:
-    """Made anew for each view that the replica leads; the last one stays when it steps down.
+    """Created for each view that the replica leads; the last one remains after it steps down.
 
     Attributes:
         active_since: when the view began.
-        confirmed_at: the newest moment at which a majority of the witnesses is known to have vouched.
-        is_released: whether the lease was given up for good under the present term.
-        sequence: number of the newest heartbeat.
+        confirmed_at: latest send time of a heartbeat or Accept that a majority of the witnesses acknowledged.
+        is_released: whether the lease was permanently released in the present term.
+        sequence: the number of the newest heartbeat.
     """
 
     def __init__(self, now: float, confirmed_at: float) -> None:
-        """A lease of a view that begins `now`, whose witnesses vouch since `confirmed_at`."""
+        """The lease of a view that begins `now`; it runs from `confirmed_at`."""
         self.active_since = now
         self.confirmed_at = confirmed_at
         self.is_released = False
@@ -28,11 +29,11 @@
         self._acknowledged_by: dict[int, set[str]] = {}
 
     def is_valid(self, now: float) -> bool:
-        """Whether its owner, if it is primary, is certainly the only one."""
+        """Whether its owner, if it is primary, is the only one."""
         return not self.is_released and now - self.confirmed_at < LEASE_S
 
     def start_round(self, now: float, me: str) -> int:
-        """Returns the number of a new heartbeat, and forgets those that are too old."""
+        """Returns the number of a new heartbeat, and drops heartbeats older than HEARTBEAT_HISTORY_S."""
         self.sequence += 1
         self._sent_at[self.sequence] = now
         self._acknowledged_by[self.sequence] = {me}
@@ -41,7 +42,7 @@
         return self.sequence
 
     def acknowledge(self, sequence: int, sender: str, witnesses: tuple[str, ...]) -> None:
-        """Counts one response; the lease runs from when its heartbeat was sent."""
+        """Counts one response; the lease runs from when the heartbeat was sent."""
         if sequence not in self._acknowledged_by:
             return
         self._acknowledged_by[sequence].add(sender)
@@ -49,11 +50,11 @@
             self.confirmed_at = max(self.confirmed_at, self._sent_at[sequence])
 
     def has_majority(self, sequence: int, witnesses: tuple[str, ...]) -> bool:
-        """Whether a majority of the witnesses has answered one heartbeat."""
+        """Whether a majority of the witnesses has responded to one heartbeat."""
         return len(self._acknowledged_by[sequence] & set(witnesses)) >= majority(len(witnesses))
 
     def is_confirmed(self, sequence: int, witnesses: tuple[str, ...]) -> bool:
-        """Whether a majority of the witnesses has answered this heartbeat or a later one."""
+        """Whether a majority of the witnesses has responded to this heartbeat or a later one."""
         return any(
             sequence <= later and self.has_majority(later, witnesses) for later in self._acknowledged_by
         )
--- a/crowwing/tier/replication/member.py
+++ b/crowwing/tier/replication/member.py
@@ -1,4 +1,4 @@
-"""What a replica does as a member of the view, or as a learner that is to become one: it takes in data."""
+"""The behaviour of a replica as a member of the view, or as a learner: it receives entries and ranges."""
 
 from crowwing.tier.replication import messages, range_transfer
 from crowwing.tier.replication.core import ReplicaCore
@@ -7,15 +7,15 @@
 
 
 class Member:
-    """Takes in the log entries and ranges of a candidate or primary."""
+    """Appends log entries and applies ranges that a candidate or primary sends."""
 
     def __init__(self, core: ReplicaCore, changes: RoleChanges) -> None:
-        """The member's part of one replica."""
+        """The member role of one replica."""
         self._core = core
         self._changes = changes
 
     def _adopt_term(self, now: float, term: Term, sender: str) -> bool:
-        """Whether this replica takes the sender's data under a term; binds it to that term if so."""
+        """Promises the sender's term; returns False if its data must not be taken under that term."""
         core = self._core
         if not core.durable.recovered or sender == core.me:
             return False
@@ -29,7 +29,7 @@
         return True
 
     def on_sync_request(self, now: float, request: messages.SyncRequest) -> None:
-        """Takes in entries that make this replica's data equal to the sender's."""
+        """Appends the entries that this replica lacks, or completes a repair with them."""
         core = self._core
         if not self._adopt_term(now, request.term, request.sender):
             return
@@ -40,15 +40,15 @@
             response = messages.SyncResponse(request.term, core.me, core.log.last, False)
             core.send(request.sender, response)
             return
-        # Only a log that reaches the end of the sender's holds all that was committed before the term: a part
-        # of it must not make this replica one that may lead.
+        # Only a log that reaches the end of the sender's holds every entry committed before the term; a
+        # replica that holds only a part of it must not become eligible to lead.
         if core.log.last == request.last:
             core.durable.mark_synced(request.term)
         response = messages.SyncResponse(request.term, core.me, core.log.last, True)
         core.send(request.sender, response, durable=True)
 
     def _append_missing(self, request: messages.SyncRequest) -> bool:
-        """Takes in what follows `previous`; False where this replica's log has anything else there."""
+        """Appends what is missing after `previous`; False if this replica's log conflicts with it."""
         log = self._core.log
         if not log.contains(request.previous):
             return False
@@ -62,7 +62,7 @@
         return True
 
     def on_append_request(self, now: float, request: messages.AppendRequest) -> None:
-        """Takes in new entries of the primary, in their order."""
+        """Appends new entries of the primary, in log order."""
         core = self._core
         if request.term != core.durable.promised or core.durable.synced != request.term:
             if request.term < core.durable.promised:
@@ -72,18 +72,18 @@
         last = core.log.last[1]
         fresh = [entry for entry in request.entries if entry.index > last]
         if fresh and fresh[0].index != last + 1:
-            return  # a message was lost; the response to the next heartbeat tells the primary
+            return  # a message was lost; the primary resends it after the next heartbeat response
         core.append_entries(fresh)
         response = messages.AppendResponse(request.term, core.me, core.log.last[1])
         core.send(request.sender, response, durable=True)
 
     def on_range_digests(self, now: float, range_digests: messages.RangeDigests) -> None:
-        """Finds the ranges in which this replica differs from the sender."""
+        """Starts or continues a repair of the ranges whose digests differ."""
         if self._adopt_term(now, range_digests.term, range_digests.sender):
             range_transfer.compare_digests(self._core, range_digests)
 
     def on_ranges_response(self, now: float, response: messages.RangesResponse) -> None:
-        """Takes in ranges that were requested."""
+        """Buffers ranges that were requested."""
         adopted = self._adopt_term(now, response.term, response.sender)
         if adopted and self._core.repair is not None:
             range_transfer.buffer_ranges(self._core, self._core.repair, response)
--- a/crowwing/tier/replication/messages.py
+++ b/crowwing/tier/replication/messages.py
@@ -10,7 +10,7 @@
 @message("AskPreVote")
 @dataclass(frozen=True)
 class PreVoteRequest:
-    """A member bound to `term` asks whether a witness would promise it a higher one."""
+    """A member that has promised `term` asks whether a witness would promise it a higher one."""
 
     term: Term
     sender: str
@@ -19,7 +19,7 @@
 @message("PreVote")
 @dataclass(frozen=True)
 class PreVoteResponse:
-    """Whether the witness would promise a higher term; binds nobody."""
+    """Whether the witness would promise a higher term; this is not binding."""
 
     term: Term
     sender: str
@@ -29,10 +29,10 @@
 @message("Prepare")
 @dataclass(frozen=True)
 class Prepare:
-    """Phase 1: a candidate asks a witness to serve no lower term from now on.
+    """Phase 1: a candidate asks a witness to promise that it accepts no lower term.
 
-    `released`: the term of a primary that has given up its lease for good, NO_TERM where none has. A
-    witness that has answered no later primary need not wait until that lease would have ended.
+    `released`: the term of a primary that has permanently released its lease, NO_TERM if none has. A
+    witness that has acknowledged no later primary need not wait for that lease to expire.
     """
 
     term: Term
@@ -43,9 +43,9 @@
 @message("Promise")
 @dataclass(frozen=True)
 class Promise:
-    """The positive response to Prepare: the highest view accepted, and how far the sender's data goes.
+    """The positive response to Prepare: the highest accepted view, the synced term and the end of the log.
 
-    `sync_s`: seconds that its disk takes for a write.
+    `sync_s`: seconds that a write takes on the sender's disk.
     """
 
     term: Term
@@ -59,7 +59,7 @@
 @message("Refuse")
 @dataclass(frozen=True)
 class Nack:
-    """The negative response to anything sent under `term`, with the term that the sender is bound to."""
+    """The negative response to any message sent under `term`, with the term that the sender has promised."""
 
     term: Term
     sender: str
@@ -69,9 +69,9 @@
 @message("Sync")
 @dataclass(frozen=True)
 class SyncRequest:
-    """The data of a candidate or primary: entries that follow `previous`, of a log that ends at `last`.
+    """Log entries of a candidate or primary that follow `previous`, in a log that ends at `last`.
 
-    Only a receiver whose log reaches `last` holds all that was committed before the term.
+    Only a receiver whose log reaches `last` holds every entry committed before the term.
     """
 
     term: Term
@@ -84,9 +84,9 @@
 @message("Digests")
 @dataclass(frozen=True)
 class RangeDigests:
-    """A digest of each range of the sender's state at `last`, to a replica that its log doesn't reach.
+    """A digest of each range of the sender's state at `last`, for a replica behind the base of its log.
 
-    `restart`: what the receiver has fetched so far can't be completed any more.
+    `restart`: the ranges that the receiver has fetched so far can no longer be completed.
     """
 
     term: Term
@@ -99,7 +99,7 @@
 @message("FetchRanges")
 @dataclass(frozen=True)
 class RangesRequest:
-    """A learner asks for the content of ranges, in this order, as many as one message takes."""
+    """A learner requests the content of ranges, in this order; the response holds as many as fit."""
 
     term: Term
     sender: str
@@ -109,7 +109,7 @@
 @message("Ranges")
 @dataclass(frozen=True)
 class RangesResponse:
-    """The content of ranges as of `last`, each with its number."""
+    """The content of ranges as of log position `last`, each with its range number."""
 
     term: Term
     sender: str
@@ -120,7 +120,7 @@
 @message("FetchEntries")
 @dataclass(frozen=True)
 class EntriesRequest:
-    """A learner has fetched all ranges, and asks for the entries since the first of their positions."""
+    """A learner has fetched all ranges and requests the entries after the lowest of their positions."""
 
     term: Term
     sender: str
@@ -130,10 +130,10 @@
 @message("Synced")
 @dataclass(frozen=True)
 class SyncResponse:
-    """The data of the response's sender equals that of the request's, on disk, up to `last`.
+    """The sender's data equals that of the requester up to `last`, and is on disk.
 
-    `matched` is False where the entries did not follow its log. `last` may lie before the end of the other
-    log, whose owner then sends more.
+    `matched` is False if the requested entries did not match the sender's log. `last` may be below the end
+    of the requester's log; the requester then sends more.
     """
 
     term: Term
@@ -145,7 +145,7 @@
 @message("Syncing")
 @dataclass(frozen=True)
 class SyncInProgress:
-    """A candidate is still synchronizing the others with its data: they need not campaign meanwhile."""
+    """A candidate is still synchronizing members with its data; receivers reset their election timers."""
 
     term: Term
     sender: str
@@ -163,7 +163,7 @@
 @message("Accepted")
 @dataclass(frozen=True)
 class Accepted:
-    """A witness has the view on disk."""
+    """A witness has accepted the view and has it on disk."""
 
     term: Term
     sender: str
@@ -203,10 +203,10 @@
 @message("HeartbeatReply")
 @dataclass(frozen=True)
 class HeartbeatResponse:
-    """The answer to one heartbeat.
+    """The response to one heartbeat.
 
-    `recovered` is False while the sender's own disk lacks what it promised, or does not answer. `sync_s`:
-    seconds that its disk takes for a write.
+    `recovered` is False while the sender's disk has stalled, or while the sender, having lost its disk, does
+    not know what it promised. `sync_s`: seconds that a write takes on the sender's disk.
     """
 
     term: Term
@@ -221,7 +221,7 @@
 @message("Join")
 @dataclass(frozen=True)
 class JoinRequest:
-    """A replica that hears no primary asks to become a member; forwarded to the primary at most once."""
+    """A replica without a primary asks to become a member; forwarded to the primary at most once."""
 
     sender: str
     forwarded: bool
@@ -230,7 +230,7 @@
 @message("Learn")
 @dataclass(frozen=True)
 class RecoveryRequest:
-    """A replica without memory asks what has been promised."""
+    """A replica that has lost its disk asks which term and view others have promised and accepted."""
 
     sender: str
 
@@ -238,7 +238,7 @@
 @message("Learned")
 @dataclass(frozen=True)
 class RecoveryResponse:
-    """What a replica with memory has promised and accepted."""
+    """The highest term that the sender has promised, and the highest view that it has accepted."""
 
     sender: str
     promised: Term
@@ -248,7 +248,7 @@
 @message("Handover")
 @dataclass(frozen=True)
 class LeadershipTransfer:
-    """The primary asks a member to take over; it has given up its lease under this term for good."""
+    """The primary asks a member to take over; it has permanently released its lease of this term."""
 
     term: Term
     sender: str
--- a/crowwing/tier/replication/output.py
+++ b/crowwing/tier/replication/output.py
@@ -1,4 +1,4 @@
-"""What a step of a replica asks its owner to carry out: records for the disk, and messages."""
+"""The output of a step of a replica: records to write to disk, and messages to send."""
 
 from dataclasses import dataclass, field
 
@@ -8,12 +8,12 @@
 
 @dataclass
 class Output:
-    """Records to be put on disk, and messages with their receivers.
+    """Records to write, and messages with their receivers.
 
     Attributes:
-        records: in the order in which they are to be written.
-        durable: messages that are to be sent once the records are on disk.
-        immediate: messages that are to be sent at once.
+        records: in the order in which they have to be written.
+        durable: messages to send only once the records are on disk.
+        immediate: messages to send at once.
     """
 
     records: list[Record] = field(default_factory=list)
@@ -22,24 +22,24 @@
 
 
 class Outbox:
-    """Collects the output of the steps since it was last taken."""
+    """Collects the output of steps until it is taken."""
 
     def __init__(self, me: str) -> None:
-        """An empty outbox of the replica `me`."""
+        """An empty outbox of replica `me`."""
         self._me = me
         self._output = Output()
 
     @property
     def has_records(self) -> bool:
-        """Whether a record waits to be put on disk."""
+        """Whether there is a record that has not been taken."""
         return bool(self._output.records)
 
     def record(self, record: Record) -> None:
-        """Adds a record that is to be put on disk."""
+        """Adds a record to write to disk."""
         self._output.records.append(record)
 
     def send(self, to: str, message: Message, durable: bool = False) -> None:
-        """Adds a message; one that is `durable`, or for this replica itself, waits for the records."""
+        """Adds a message; a `durable` one, and any to this replica itself, waits for the records."""
         waits = durable or to == self._me
         (self._output.durable if waits else self._output.immediate).append((to, message))
 
--- a/crowwing/tier/replication/primary.py
+++ b/crowwing/tier/replication/primary.py
@@ -1,4 +1,4 @@
-"""A replica that is the primary: appends entries, renews its lease, and sees to the view's members."""
+"""The primary role: appends entries, renews the lease, and monitors and replaces members of the view."""
 
 import logging
 from collections.abc import Iterator
@@ -29,12 +29,12 @@
 
 
 class Primary(RoleState):
-    """Decides the order of entries while its view holds."""
+    """Orders the entries of its view."""
 
     role: ClassVar[Role] = Role.PRIMARY
 
     def __init__(self, core: ReplicaCore, changes: RoleChanges, lease: Lease, limits: ViewLimits) -> None:
-        """The primary of the view that the core holds, which begins now."""
+        """The primary of the current view, which begins now."""
         super().__init__(core, changes)
         self._lease = lease
         self._limits = limits
@@ -60,11 +60,11 @@
         return entry.index
 
     def send_entries(self, now: float) -> None:
-        """Sends the other members what was proposed, as far as their windows are open."""
+        """Sends proposed entries to the other members, within their windows."""
         self._send_windows(now, list(self._progress.sent))
 
     def _send_windows(self, now: float, members: list[str]) -> None:
-        """Members that are sent the same entries are sent the same message, so that it is encoded once."""
+        """Reuses one message object for all members that get the same entries, so that it is encoded once."""
         core = self._core
         term = core.durable.promised
         requests: dict[tuple[int, int], messages.AppendRequest] = {}
@@ -76,7 +76,7 @@
                 core.send(member, requests[span])
 
     def on_append_response(self, now: float, response: messages.AppendResponse) -> None:
-        """Counts one acknowledgement: an entry is committed once every member has it on disk."""
+        """Handles an acknowledgement; an entry is committed once every member has it on disk."""
         core = self._core
         if response.term != core.durable.promised:
             return
@@ -89,7 +89,7 @@
         core.commit_index = max(core.commit_index, progress.committed(self._view().members))
 
     def backlog(self) -> Backlog:
-        """Returns how far the others are behind."""
+        """Returns the replication lag of the others."""
         core = self._core
         members = self._view().members
         lowest = min(
@@ -106,16 +106,16 @@
     # The lease
 
     def start_heartbeat(self, now: float) -> int:
-        """Sends a heartbeat at once, and returns its number."""
+        """Sends a heartbeat at once and returns its number."""
         self.send_heartbeat(now)
         return self._lease.sequence
 
     def is_heartbeat_confirmed(self, number: int) -> bool:
-        """Whether a majority of the witnesses has answered this heartbeat or a later one."""
+        """Whether a majority of the witnesses has responded to this heartbeat or a later one."""
         return self._lease.is_confirmed(number, self._view().witnesses)
 
     def send_heartbeat(self, now: float) -> None:
-        """Sends a heartbeat to the witnesses, to learners, to who asks to join, and now and then to all."""
+        """Sends a heartbeat to witnesses, learners and joining replicas, and periodically to all replicas."""
         core = self._core
         view = self._view()
         sequence = self._lease.start_round(now, core.me)
@@ -124,7 +124,7 @@
         self._heartbeat_at = now
         if now - self._announced_at >= ANNOUNCEMENT_INTERVAL_S:
             self._announced_at = now
-            # A replica that lost its disk may have no other way to hear of this one.
+            # A replica that lost its disk may have no other way to learn of this primary.
             receivers |= core.announced - core.excluded
             receivers |= core.spares.heard_within(now)
         heartbeat = messages.Heartbeat(core.durable.promised, core.me, sequence, view)
@@ -134,12 +134,12 @@
             self._lease.confirmed_at = now
 
     def on_heartbeat_response(self, now: float, response: messages.HeartbeatResponse) -> None:
-        """Renews the lease, and sees to the data of the sender."""
+        """Renews the lease, and resends entries or sends catch-up data if the sender needs them."""
         core = self._core
         if response.term != core.durable.promised:
             return
         if not response.recovered:
-            return  # counts as silent: it can neither promise nor keep anything yet
+            return  # counts as no response: the sender can neither promise nor store anything yet
         view = self._view()
         core.peers.heard_at[response.sender] = now
         self._progress.disk_sync_s[response.sender] = response.sync_s
@@ -150,9 +150,10 @@
             self._catch_up.on_heartbeat_response(now, response)
 
     def transfer_leadership(self) -> None:
-        """Gives up the lease and asks the member that is best up to date to take over, if there is one.
+        """Releases the lease and asks the most up-to-date member to take over, if there is one.
 
-        The lease goes before the message: the new primary's witnesses don't wait until it would have ended.
+        The lease is released before the message is sent, because the witnesses then promise the new
+        primary its term without waiting for this lease to expire.
         """
         core = self._core
         members = self._view().members
@@ -177,17 +178,17 @@
             if self._progress.is_stalled(now, member):
                 self._resend(now, response)
             return
-        self._progress.mark_data_lost(member)  # its disk, since it became a member
+        self._progress.mark_data_lost(member)  # the member has lost its disk since it joined the view
         if now - self._lease.active_since >= RECONFIGURATION_PAUSE_S:
             log.info("member_lost_data member=%s", member)
             self._changes.start_campaign(now)
 
     def _resend(self, now: float, response: messages.HeartbeatResponse) -> None:
-        """Sends a member again what it has not acknowledged."""
+        """Resends entries that a member has not acknowledged."""
         core = self._core
         member = response.sender
         self._progress.start_resending(now, member)
-        if response.last[1] >= self._progress.sent[member]:  # only its response was lost
+        if response.last[1] >= self._progress.sent[member]:  # only the response was lost
             core.send(member, messages.AppendRequest(core.durable.promised, core.me, ()))
         elif core.log.contains(response.last):
             self._progress.sent[member] = response.last[1]
@@ -196,21 +197,21 @@
     # Learners
 
     def on_sync_response(self, now: float, response: messages.SyncResponse) -> None:
-        """Hands the response of a learner on."""
+        """Passes the response of a learner to CatchUp."""
         self._catch_up.on_sync_response(now, response)
 
     def on_ranges_request(self, now: float, request: messages.RangesRequest) -> None:
-        """Hands the request of a learner on."""
+        """Passes the request of a learner to CatchUp."""
         self._catch_up.on_ranges_request(now, request)
 
     def on_entries_request(self, now: float, request: messages.EntriesRequest) -> None:
-        """Hands the request of a learner on."""
+        """Passes the request of a learner to CatchUp."""
         self._catch_up.on_entries_request(now, request)
 
-    # Changes of the view
+    # View changes
 
     def on_nack(self, now: float, nack: messages.Nack) -> None:
-        """Goes above a term that somebody raised meanwhile, or steps down where it may not lead."""
+        """Campaigns above a higher term that a witness has promised, or steps down if it may not lead."""
         if nack.term != self._core.durable.promised or not self._is_preempted(nack):
             return
         if self._core.may_lead():
@@ -219,18 +220,18 @@
             self._yield_to_higher_term(now, nack)
 
     def tick(self, now: float) -> None:
-        """Sends heartbeats, and changes the view where its members or witnesses ask for it."""
+        """Sends heartbeats, and steps down, transfers leadership or starts a view change if required."""
         core = self._core
         if now - self._heartbeat_at >= HEARTBEAT_INTERVAL_S:
             self.send_heartbeat(now)
         if now - max(self._lease.confirmed_at, self._lease.active_since) >= MEMBER_TIMEOUT_S:
             core.monitor.heard_at = now - LEADER_STICKINESS_S
-            self._changes.step_down(now, "no majority of the witnesses answers its heartbeats")
+            self._changes.step_down(now, "no majority of the witnesses responds to its heartbeats")
             return
         if now - self._lease.active_since < RECONFIGURATION_PAUSE_S:
             return
         if core.disk_stalled:
-            self._changes.resign(now, "its disk does not answer")
+            self._changes.resign(now, "its disk does not respond")
             return
         self._progress.disk_sync_s[core.me] = core.sync_s
         self._catch_up.tick(now)
@@ -244,14 +245,14 @@
             self._change_view(now)
 
     def _change_view(self, now: float) -> None:
-        """Campaigns for a view of its own, with the learners that are ready."""
+        """Campaigns for a new view that includes the learners that are ready."""
         joining = self._catch_up.ready(now)
         for learner in joining:
-            self._core.spares.back_off(learner, now + LEARNER_BACKOFF_S)  # unless the view takes it in
+            self._core.spares.back_off(learner, now + LEARNER_BACKOFF_S)  # cleared if the view includes it
         self._changes.start_campaign(now, joining=joining)
 
     def _should_transfer_leadership(self) -> bool:
-        """Whether this replica is to leave, or its disk is slow where enough members have better ones."""
+        """Whether this replica has to leave, or its disk is slow and enough members have faster ones."""
         core = self._core
         members = self._view().members
         slow = self._progress.slow_members(members)
@@ -270,10 +271,10 @@
             member for member in members if member != core.me and now - heard_at[member] >= MEMBER_TIMEOUT_S
         ]
         if unresponsive:
-            yield f"no answer from {', '.join(unresponsive)}"
+            yield f"no response from {', '.join(unresponsive)}"
         behind_log = self._progress.behind_log(core.log.base)
         if behind_log:
-            yield f"the log does not reach back to {', '.join(behind_log)}"
+            yield f"the log no longer holds the entries missing at {', '.join(behind_log)}"
         slow = self._progress.slow_members(members)
         if slow and len(members) - len(slow) >= self._limits.min_replicas:
             yield f"the disk of {', '.join(sorted(slow))} is slow"
@@ -283,7 +284,7 @@
         view = self._view()
         leaving = core.excluded & {*view.members, *view.witnesses}
         if leaving and len(set(view.members) - leaving) >= self._limits.min_witnesses:
-            yield f"{', '.join(sorted(leaving))} is to leave"
+            yield f"{', '.join(sorted(leaving))} has to leave"
         ready = self._catch_up.ready(now)
         if ready:
             yield f"{', '.join(sorted(ready))} has caught up"
--- a/crowwing/tier/replication/range_repair.py
+++ b/crowwing/tier/replication/range_repair.py
@@ -1,4 +1,4 @@
-"""How far a learner has come with a repair by range digests."""
+"""The progress of a learner's repair by range digests."""
 
 from dataclasses import dataclass, field
 
@@ -8,13 +8,13 @@
 
 @dataclass
 class RangeRepair:
-    """The ranges that a learner still wants, and those that it has fetched, in memory until the end.
+    """The ranges that a learner has yet to fetch, and those that it has buffered until the repair completes.
 
     Attributes:
-        start: the position that the ranges which did not differ stand for.
-        wanted: numbers of the ranges that are still to be fetched.
-        contents: the ranges that were fetched.
-        positions: the position that each of these stands for.
+        start: the log position of the digests, and so of the ranges that did not differ.
+        pending: numbers of the ranges that are yet to be fetched.
+        contents: the fetched ranges, by number.
+        positions: the log position of each fetched range.
     """
 
     start: LogPosition
@@ -23,11 +23,11 @@
     positions: dict[int, LogPosition] = field(default_factory=dict)
 
     def fetched_index(self, number: int) -> int:
-        """Returns the index of the last entry that a range holds already."""
+        """Returns the index up to which entries are already included in a range."""
         return self.positions.get(number, self.start)[1]
 
     def is_completed_by(self, request: SyncRequest) -> bool:
-        """Whether these entries reach from the first digests to the newest range that was fetched."""
+        """Whether these entries cover the log from the digests to the newest fetched range."""
         if self.pending or request.previous != self.start:
             return False
         newest = max((position[1] for position in self.positions.values()), default=self.start[1])
--- a/crowwing/tier/replication/range_transfer.py
+++ b/crowwing/tier/replication/range_transfer.py
@@ -1,10 +1,10 @@
-"""Brings a replica that needs more than the log holds to another one's data, range by range.
+"""Range transfer: brings a learner up to date that lacks entries which the sender's log no longer holds.
 
-The sender tells a digest of each range of its state. The learner fetches the ranges in which it differs, a
-bounded chunk at a time, each requested once the last has come, so that heartbeats find their way between
-them. The sender's state moves on meanwhile, so each range comes with the position that it stands for; at the
-end the learner fetches the entries since the first digests, and applies to each range those behind its
-position. Until then it keeps its own state, in memory and on disk; the exchange is one record.
+The sender sends a digest of each range of its state. The learner fetches the ranges that differ, in bounded
+chunks and with one request outstanding at a time, so that heartbeats are not queued behind data. The sender's
+state changes meanwhile, so each range carries the log position of its content. At the end the learner
+fetches the entries after the position of the digests, and applies to each range those above its position.
+Until then it keeps its own state, in memory and on disk; all ranges are replaced by one record.
 """
 
 from crowwing.tier.replication import messages
@@ -17,11 +17,11 @@
 MAX_RANGES_PER_REQUEST = 64
 
 
-# The sender, which is a candidate with promises or a primary
+# The sender: a primary, or a candidate past its prepare phase
 
 
 def send_ranges(core: ReplicaCore, request: messages.RangesRequest) -> None:
-    """Sends the requested ranges, as many as fit into one chunk."""
+    """Sends as many of the requested ranges as fit into one chunk."""
     contents: list[tuple[int, bytes]] = []
     size = 0
     for number in request.ranges:
@@ -35,10 +35,10 @@
 
 
 def send_entries_since(core: ReplicaCore, request: messages.EntriesRequest) -> bool:
-    """Sends the entries behind the first of the positions that the learner's ranges stand for.
+    """Sends the entries after the lowest position of the learner's ranges.
 
     Returns:
-        False where the log does not hold them any more: the learner has to begin anew with new digests.
+        False if the log no longer holds them; the learner has been sent new digests and starts over.
     """
     if not all(core.log.contains(position) for position in request.positions):
         core.send_digests(request.sender, restart=True)
@@ -54,7 +54,7 @@
 
 
 def compare_digests(core: ReplicaCore, range_digests: messages.RangeDigests) -> None:
-    """Begins a repair where none is under way, and requests the next ranges."""
+    """Starts a repair if none is in progress or a restart is required, and requests the next ranges."""
     if core.repair is None or range_digests.restart:
         own = core.machine.digests()
         different = [number for number, digest in enumerate(range_digests.digests) if own[number] != digest]
@@ -63,7 +63,7 @@
 
 
 def request_next(core: ReplicaCore, repair: RangeRepair, term: Term, sender: str) -> None:
-    """Requests the ranges that are still wanted, and at the end the entries behind them."""
+    """Requests the next pending ranges, or, once there are none, the entries that complete the repair."""
     if repair.pending:
         numbers = tuple(repair.pending[:MAX_RANGES_PER_REQUEST])
         core.send(sender, messages.RangesRequest(term, core.me, numbers))
@@ -73,18 +73,18 @@
 
 
 def buffer_ranges(core: ReplicaCore, repair: RangeRepair, response: messages.RangesResponse) -> None:
-    """Keeps ranges that were fetched, in memory, and requests the next ones."""
+    """Buffers fetched ranges in memory and requests the next ones."""
     fresh = [(number, content) for number, content in response.contents if number in repair.pending]
     for number, content in fresh:
         repair.pending.remove(number)
         repair.contents[number] = content
         repair.positions[number] = response.last
-    if fresh:  # the second response to what was requested twice is not followed by one more request
+    if fresh:  # a duplicate response does not trigger another request
         request_next(core, repair, response.term, response.sender)
 
 
 def finish_repair(core: ReplicaCore, repair: RangeRepair, request: messages.SyncRequest) -> None:
-    """Replaces the ranges that differed and applies the entries to each from its position on."""
+    """Replaces the ranges that differed, and applies to each the entries above its position."""
     core.repair = None
     core.machine.replace_ranges(repair.contents)
     core.log.reset(request.previous)
--- a/crowwing/tier/replication/records.py
+++ b/crowwing/tier/replication/records.py
@@ -1,4 +1,4 @@
-"""What a replica keeps on disk: log entries, and the terms and views that it is bound to."""
+"""Records that a replica writes to disk: log entries, ranges, and promised and accepted terms and views."""
 
 from dataclasses import dataclass
 
@@ -35,7 +35,7 @@
 @message("SyncedRecord")
 @dataclass(frozen=True)
 class SyncedTermRecord:
-    """The term whose candidate last made this replica's data equal to its own."""
+    """The term whose candidate or primary last synchronized this replica with its data."""
 
     term: Term
 
@@ -43,9 +43,10 @@
 @message("RangesRecord")
 @dataclass(frozen=True)
 class RangesRecord:
-    """Ranges that replace those of what stood before.
+    """Ranges that replace the same ranges of the preceding state.
 
-    With what stood before, or further such records of the same position, they are the state there.
+    Together with the preceding state, or with further such records at the same log position, they make up
+    the state at that position.
     """
 
     last: LogPosition
--- a/crowwing/tier/replication/recovery.py
+++ b/crowwing/tier/replication/recovery.py
@@ -1,7 +1,7 @@
-"""Recovery of a replica without its disk, after Viewstamped Replication Revisited (Liskov, Cowling 2012).
+"""Recovery of a replica that lost its disk, after Viewstamped Replication Revisited (Liskov, Cowling 2012).
 
-It may have promised a term, or accepted a view, that only a majority which it was a part of knows. So it
-takes no part in decisions until enough others have told what they are bound to.
+It may have been part of a majority that promised a term or accepted a view which no other majority knows of.
+So it takes no part in decisions until enough others have reported what they have promised and accepted.
 """
 
 import logging
@@ -15,16 +15,16 @@
 
 
 class Recovery:
-    """Both sides of a recovery."""
+    """Both sides of the recovery protocol."""
 
     def __init__(self, core: ReplicaCore) -> None:
-        """The recovery of one replica."""
+        """The recovery component of one replica."""
         self._core = core
-        self._requested: set[str] = set()  # peers that were asked in this incarnation
+        self._requested: set[str] = set()  # peers that a request was sent to in this incarnation
         self._responses: dict[str, messages.RecoveryResponse] = {}
 
     def tick(self, now: float) -> None:
-        """Asks all peers, as long as this replica has not recovered."""
+        """Sends recovery requests to all peers until this replica has recovered."""
         core = self._core
         is_due = now - core.peers.requested_at >= RECOVERY_RETRY_S
         if now - core.monitor.started_at >= RECOVERY_DELAY_S and is_due:
@@ -34,7 +34,7 @@
                 core.send(peer, messages.RecoveryRequest(core.me))
 
     def on_request(self, _now: float, request: messages.RecoveryRequest) -> None:
-        """Tells what this replica is bound to, if it knows."""
+        """Reports the promised term and the accepted view, if this replica knows them."""
         core = self._core
         core.peers.add([request.sender])
         if core.durable.recovered:
@@ -42,16 +42,16 @@
             core.send(request.sender, response, durable=True)
 
     def on_response(self, _now: float, response: messages.RecoveryResponse) -> None:
-        """Counts one response; binds this replica to the highest ones once they are enough.
+        """Counts one response; adopts the highest term and view once there are enough responses.
 
-        Each majority that this replica was in has another of its members among those that answered. It may
-        have promised their highest term, and accepted their highest view, so it is bound to both. They were
-        asked RECOVERY_DELAY_S into this incarnation: whoever was to promise or accept beside it in an earlier
-        one, for a candidate that still counts its response, had done so by then.
+        Every majority that this replica was part of has another member among the responders. It may have
+        promised their highest term and accepted their highest view, so it adopts both. The requests are sent
+        RECOVERY_DELAY_S into this incarnation: by then, all other members of a majority in which a candidate
+        still counts a response of an earlier incarnation have promised or accepted as well.
         """
         core = self._core
         if core.durable.recovered or response.sender not in self._requested:
-            return  # one that was not asked answers an earlier incarnation, before others promised beside it
+            return  # a response to an earlier incarnation: its sender may have promised more since
         self._responses[response.sender] = response
         views = [answer.view for answer in self._responses.values() if answer.view is not None]
         if not views:
--- a/crowwing/tier/replication/replica.py
+++ b/crowwing/tier/replication/replica.py
@@ -1,13 +1,13 @@
-"""The decisions of one replica: no input or output, no clock and no chance of its own.
+"""One replica as a deterministic state machine, without I/O, a clock or a random generator of its own.
 
 Primary-backup replication with reconfiguration by witnesses, after Vertical Paxos (Lamport, Malkhi, Zhou
 2009).
 A view names the members that hold the data and the witnesses that decide failover. An entry is committed once
-every member of the view has it on disk. A new view needs, in this order: promises of a majority of the
-witnesses of the highest accepted view (after which nothing more is committed under it), a candidate that was
-a member of that view, the candidate's data on disk at every member of the new view, and its acceptance by
-majorities of the old and the new witnesses. docs/serving-tier.md has the argument why no committed entry is
-lost.
+every member of the view has it on disk. A new view requires, in this order: promises of a majority of the
+witnesses of the highest accepted view (after which nothing more is committed in it), a candidate that was
+a member of that view, the candidate's data on disk at every member of the new view, and acceptance of the new
+view by majorities of the old and of the new witnesses. docs/serving-tier.md has the argument why no committed
+entry is lost.
 """
 
 import logging
@@ -45,12 +45,12 @@
 
 @dataclass(frozen=True)
 class ReplicaSettings:
-    """What a replica is given once.
+    """The settings of a replica.
 
     Attributes:
-        me: its own name, by which others send to it.
-        seeds: names of replicas that it knows from the start.
-        faults: how many machines may fail at once without loss.
+        me: its own name, by which other replicas address it.
+        seeds: names of replicas that it knows initially.
+        faults: number of simultaneous machine failures that are tolerated without data loss.
     """
 
     me: str
@@ -62,7 +62,7 @@
     """One replica as a step function: feed it `tick`, `receive`, `propose`, then carry out `take_output()`.
 
     Owned by one Node (store/node.py), which calls it from one event loop. All times are seconds on one
-    monotonic clock. It holds the one role object of the present role, and the parts that are the same in all.
+    monotonic clock. It holds the object of its current role, and the components that every role shares.
     """
 
     def __init__(
@@ -73,14 +73,14 @@
         random: Callable[[], float],
         started: float | None = None,
     ) -> None:
-        """A follower that knows nothing yet: call `recover` or `bootstrap` next, or leave it to recover.
+        """A follower without state: call `recover` or `bootstrap` next, or let it recover from its peers.
 
         Args:
-            settings: who it is.
+            settings: its name, seeds and fault tolerance.
             machine: the state that committed entries are applied to.
-            now: the present time.
-            random: gives numbers from 0 to 1 for the jitter of elections.
-            started: when this incarnation began, if before `now`; nothing was answered in it yet.
+            now: the current time.
+            random: returns numbers from 0 to 1 for election jitter.
+            started: when this incarnation began, if before `now`; it has sent no responses yet.
         """
         super().__init__(settings.me, settings.seeds, machine, LeaderMonitor(now, started), random)
         self.limits = ViewLimits.for_faults(settings.faults)
@@ -92,7 +92,7 @@
 
     @property
     def role(self) -> Role:
-        """What this replica is doing."""
+        """The current role."""
         return self.role_state.role
 
     @property
@@ -107,17 +107,17 @@
 
     @property
     def synced(self) -> Term:
-        """The term whose candidate or primary last made its data equal to its own."""
+        """The term whose candidate or primary last synchronized this replica with its data."""
         return self.durable.synced
 
     @property
     def recovered(self) -> bool:
-        """Whether it knows what it has promised."""
+        """Whether it knows which term it has promised; False after the loss of its disk."""
         return self.durable.recovered
 
     @property
     def leader(self) -> str | None:
-        """The replica that it takes for the primary."""
+        """The presumed primary, if any."""
         return self.monitor.leader
 
     @property
@@ -127,25 +127,25 @@
 
     @property
     def confirmed_at(self) -> float:
-        """When a majority of the witnesses last vouched for it as primary."""
+        """The start of its lease: when the last message was sent that a witness majority acknowledged."""
         return self._lease.confirmed_at
 
     @property
     def active_since(self) -> float:
-        """When the last view began that it was primary of."""
+        """When the last view began in which it was primary."""
         return self._lease.active_since
 
     # Steps
 
     def tick(self, now: float) -> None:
-        """Does what is due; to be called every few hundredths of a second."""
+        """Runs the timers; to be called every few hundredths of a second."""
         if self.durable.recovered:
             self.role_state.tick(now)
         else:
             self._recovery.tick(now)
 
     def receive(self, now: float, message: messages.Message) -> None:
-        """Takes one message in."""
+        """Handles one message."""
         kind = type(message)
         if kind in _MEMBER_HANDLERS:
             _MEMBER_HANDLERS[kind](self._member, now, message)
@@ -159,31 +159,31 @@
             self.role_state.handlers[kind](self.role_state, now, message)
 
     def propose(self, _now: float, payload: bytes) -> int | None:
-        """Appends one entry; returns its index, or None where this is not the primary."""
+        """Appends one entry; returns its index, or None if this is not the primary."""
         return self.role_state.propose(payload) if isinstance(self.role_state, Primary) else None
 
     def send_entries(self, now: float) -> None:
-        """Sends the other members what was proposed, as far as their windows are open.
+        """Sends proposed entries to the other members, within their windows.
 
-        To be called when the own disk begins a write, since a commit waits for that write anyway.
+        To be called when the own disk starts a write: a commit waits for that write anyway.
         """
         if isinstance(self.role_state, Primary):
             self.role_state.send_entries(now)
 
     def backlog(self) -> Backlog | None:
-        """Returns how far the others are behind this replica, or None where it is not the primary."""
+        """Returns the replication lag of the others, or None if this is not the primary."""
         return self.role_state.backlog() if isinstance(self.role_state, Primary) else None
 
     def take_output(self) -> Output:
-        """Returns what is to be carried out since the last call."""
+        """Returns the records to write and the messages to send since the last call."""
         return self.outbox.take()
 
     def add_peers(self, hosts: Iterable[str]) -> None:
-        """Adds replicas that this one has heard of, to be asked where it lacks a memory or a primary."""
+        """Adds replicas to ask for recovery or for membership."""
         self.peers.add(hosts)
 
     def _on_join_request(self, now: float, request: messages.JoinRequest) -> None:
-        """Notes who wants to become a member, for a view of its own; forwards it once to the primary."""
+        """Records the request, for a view of this replica's own; forwards it to the primary at most once."""
         self.peers.add([request.sender])
         is_duplicate = now - self.peers.join_requested_at.get(request.sender, NEVER) < JOIN_RETRY_S / 2
         if request.sender not in self.excluded:
@@ -200,23 +200,23 @@
         return self.role is Role.PRIMARY and self._lease.is_valid(now)
 
     def start_heartbeat(self, now: float) -> int:
-        """Sends a heartbeat at once, and returns its number; this must be the primary."""
+        """Sends a heartbeat at once and returns its number; only for a primary."""
         assert isinstance(self.role_state, Primary), "only a primary sends heartbeats"
         return self.role_state.start_heartbeat(now)
 
     def is_heartbeat_confirmed(self, number: int) -> bool:
-        """Whether a majority of the witnesses has answered this heartbeat or a later one of the same view."""
+        """Whether a majority of the witnesses responded to this heartbeat or a later one of the same view."""
         return isinstance(self.role_state, Primary) and self.role_state.is_heartbeat_confirmed(number)
 
-    # Changes of the role
+    # Role transitions
 
     def transfer_leadership(self, _now: float) -> None:
-        """Gives up the lease and hands the role over, where this is the primary and another can take it."""
+        """As the primary, releases the lease and asks another member to take over, if there is one."""
         if isinstance(self.role_state, Primary):
             self.role_state.transfer_leadership()
 
     def resign(self, now: float, reason: str) -> None:
-        """Stops leading because its own machine can't go on; another member is asked to take over."""
+        """Transfers leadership and steps down, because this machine can't continue as primary."""
         self.transfer_leadership(now)
         self.step_down(now, reason)
         self.monitor.leader = None
@@ -228,13 +228,13 @@
         above: Term = NO_TERM,
         joining: frozenset[str] = frozenset(),
     ) -> None:
-        """Becomes a candidate, under a new term.
+        """Becomes a candidate in a new term.
 
         Args:
-            now: the present time.
-            released: the term whose primary has handed over. A primary releases its own by campaigning.
-            above: a term that others are bound to.
-            joining: replicas that are to become members.
+            now: the current time.
+            released: term of the primary that released its lease. A primary releases its own by campaigning.
+            above: a term promised by others, which the new one has to exceed.
+            joining: replicas to add as members.
         """
         view = self.durable.view
         assert view is not None, "only a replica that may lead campaigns"
@@ -242,7 +242,7 @@
         was_primary = self.role is Role.PRIMARY
         if was_primary:
             released = self.durable.promised
-        # Members that are left beside a lost one may be too few to hold the data: others can take its place.
+        # If one member is lost, the remaining ones may be too few: ask for replacements as well.
         if len(set(view.members) - self.excluded) - 1 < self.limits.min_replicas:
             receivers |= self._replacements(now)
         campaign = Campaign(
@@ -261,17 +261,17 @@
         candidate.send_prepares(receivers)
 
     def _replacements(self, now: float) -> set[str]:
-        """Replicas outside of the view that may be there to hold the data."""
+        """Replicas outside the view that may be available as members."""
         requested = self.peers.join_requested_within(now, JOIN_REQUEST_VALID_S)
         return (requested | self.announced | self.spares.heard_within(now)) - self.excluded
 
     def _unresponsive_replicas(self, now: float) -> frozenset[str]:
-        """Replicas that this one, as primary, has not heard for long; none where it was not primary."""
+        """Replicas that have not responded to this one as primary for long; none if it was not primary."""
         heard_at = self.peers.heard_at
         return frozenset(host for host, at in heard_at.items() if now - at >= MEMBER_TIMEOUT_S) - {self.me}
 
     def available_replicas(self, now: float) -> set[str]:
-        """The replicas that may hold the data, as this replica knows as primary: the view's and spares."""
+        """The witnesses of the view and the responding spares, as known to this replica as primary."""
         witnesses = self.durable.view.witnesses if self.durable.view is not None else ()
         return {*witnesses, *self.spares.heard_within(now)}
 
@@ -279,10 +279,10 @@
         """Becomes the primary of a view that the witnesses have accepted.
 
         Args:
-            now: the present time.
+            now: the current time.
             view: the view.
-            requested_at: when they were asked to accept it; they vouch for it from then on, not from when
-                their last response came, since they may have promised another candidate meanwhile.
+            requested_at: when they were asked to accept it. The lease runs from then, not from their last
+                response, because they may have promised another candidate in between.
         """
         self._lease = Lease(now, confirmed_at=requested_at)
         self.durable.view = view
@@ -297,7 +297,7 @@
         primary.send_heartbeat(now)
 
     def step_down(self, now: float, reason: str) -> None:
-        """Becomes a follower, and waits for its turn before it campaigns again."""
+        """Becomes a follower and extends the election timer."""
         if self.role is not Role.FOLLOWER:
             log.info("stepped_down role=%s term=%s reason=%r", self.role.value, self.durable.promised, reason)
             self._log_phases(now)
@@ -306,12 +306,12 @@
         self.monitor.campaign_at = max(self.monitor.campaign_at, self.next_campaign_at(now))
 
     def step_down_from_leading(self, now: float, reason: str) -> None:
-        """Steps down where this replica is candidate or primary."""
+        """Steps down if this replica is candidate or primary."""
         if self.role is not Role.FOLLOWER:
             self.step_down(now, reason)
 
     def _log_phases(self, now: float) -> None:
-        """Logs how long a campaign that ends now spent in its phases, and who has no place in its view."""
+        """Logs how long the phases of a campaign that ends now took, and which replicas it left out."""
         if isinstance(self.role_state, Candidate):
             campaign = self.role_state.campaign
             durations, left_out = campaign.durations(now), campaign.left_out()
--- a/crowwing/tier/replication/roles.py
+++ b/crowwing/tier/replication/roles.py
@@ -1,4 +1,4 @@
-"""The common shape of roles, and the changes between them."""
+"""The interface of roles, and the transitions between them."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, ClassVar, Protocol
@@ -7,11 +7,11 @@
 from crowwing.tier.replication.core import ReplicaCore, Role
 from crowwing.tier.replication.terms import NO_TERM, Term, View
 
-Handler = Callable[[Any, float, Any], None]  # of one class of messages, so both types are narrower there
+Handler = Callable[[Any, float, Any], None]  # each takes one role class and one message class
 
 
 class RoleChanges(Protocol):
-    """Ends the present role and begins another; done by Replica (replica.py)."""
+    """Transitions between roles; implemented by Replica (replica.py)."""
 
     def start_campaign(
         self,
@@ -26,52 +26,52 @@
         """Becomes the primary of a view."""
 
     def step_down(self, now: float, reason: str) -> None:
-        """Becomes a follower, and waits for its turn before it campaigns again."""
+        """Becomes a follower and extends the election timer."""
 
     def resign(self, now: float, reason: str) -> None:
-        """Hands the role over and steps down."""
+        """Transfers leadership and steps down."""
 
     def step_down_from_leading(self, now: float, reason: str) -> None:
-        """The same where this replica is not a follower already."""
+        """Steps down unless this replica is a follower already."""
 
 
 class RoleState:
-    """What a replica does, and keeps in memory, in one role; made when it begins, dropped when it ends."""
+    """The behaviour and the volatile state of a replica in one role; discarded when the role ends."""
 
     role: ClassVar[Role]
-    handlers: ClassVar[Mapping[type, Handler]]  # of messages that only some roles take
+    handlers: ClassVar[Mapping[type, Handler]]  # of messages that only some roles handle
 
     def __init__(self, core: ReplicaCore, changes: RoleChanges) -> None:
-        """A role over the core of its replica."""
+        """A role on top of the state that all roles share."""
         self._core = core
         self._changes = changes
 
     def tick(self, now: float) -> None:
-        """Does what is due; called every few hundredths of a second."""
+        """Runs the timers; called every few hundredths of a second."""
         raise NotImplementedError
 
     def ignore(self, _now: float, _message: messages.Message) -> None:
-        """Takes no notice of a message that is meant for another role."""
+        """Ignores a message that is meant for another role."""
 
     def _yield_to_higher_term(self, now: float, nack: messages.Nack) -> None:
-        """Steps down, and goes above the term that others are bound to when it campaigns next."""
+        """Steps down; the next campaign uses a term above the one that the sender has promised."""
         core = self._core
-        self._changes.step_down(now, f"{nack.sender} is bound to {nack.promised}")
+        self._changes.step_down(now, f"{nack.sender} has promised term {nack.promised}")
         core.highest_seen_term_number = max(core.highest_seen_term_number, nack.promised[0])
 
     def _is_preempted(self, nack: messages.Nack) -> bool:
-        """Whether the sender is bound to another term that is not lower than this replica's."""
+        """Whether the sender has promised another term that is not lower than this replica's."""
         promised = self._core.durable.promised
         return nack.promised[0] >= promised[0] and nack.promised != promised
 
     def on_sync_response(self, _now: float, response: messages.SyncResponse) -> None:
-        """Sends digests to a replica that could not follow; it may have been asked in an earlier role."""
+        """Sends digests to a replica whose log did not match; the request may date from an earlier role."""
         if response.term == self._core.durable.promised and not response.matched:
             self._core.send_digests(response.sender)
 
 
 def role_handlers(handlers: Mapping[type, Handler]) -> dict[type, Handler]:
-    """Returns the handlers of one role, completed for messages that are meant for others."""
+    """Returns the handlers of one role, with messages for other roles ignored."""
     kinds = (
         messages.Accepted,
         messages.AppendResponse,
--- a/crowwing/tier/replication/spares.py
+++ b/crowwing/tier/replication/spares.py
@@ -1,4 +1,4 @@
-"""Store machines outside of the view: they hold no current data, and replace members that are lost."""
+"""Spares: store machines outside the view, without current data, that replace lost members."""
 
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass
@@ -9,17 +9,17 @@
 from crowwing.tier.replication.terms import LogPosition
 from crowwing.tier.replication.timing import ANNOUNCEMENT_INTERVAL_S, SLOW_DISK_SYNC_S
 
-SPARE_VALID_S = 2.5 * ANNOUNCEMENT_INTERVAL_S  # after which a spare that does not respond counts as gone
+SPARE_VALID_S = 2.5 * ANNOUNCEMENT_INTERVAL_S  # a spare that has not responded for this long is unavailable
 
 
 @dataclass
 class SpareStatus:
-    """What a spare told in its last response to a heartbeat.
+    """The status of a spare, as of its last heartbeat response.
 
     Attributes:
-        heard_at: when it came.
+        heard_at: when the response arrived.
         last: the end of the spare's log.
-        disk_sync_s: seconds that its disk takes for a write.
+        disk_sync_s: seconds that a write takes on its disk.
     """
 
     heard_at: float
@@ -28,23 +28,23 @@
 
 
 class Spares:
-    """The spares that a replica heard of as primary; kept from one of its views to the next."""
+    """The spares that responded to a replica as primary; survives view changes."""
 
     def __init__(self) -> None:
-        """No spares yet."""
+        """An empty table of spares."""
         self._statuses: dict[str, SpareStatus] = {}
         self._backoff_until: dict[str, float] = {}
 
     def update_status(self, now: float, response: HeartbeatResponse) -> None:
-        """Takes in a response to a heartbeat."""
+        """Updates the status of a spare from its heartbeat response."""
         self._statuses[response.sender] = SpareStatus(now, response.last, response.sync_s)
 
     def back_off(self, host: str, until: float) -> None:
-        """Chooses a spare for nothing before `until`."""
+        """Excludes a spare from being chosen before `until`."""
         self._backoff_until[host] = until
 
     def forget(self, hosts: Iterable[str]) -> None:
-        """Forgets replicas that are members now."""
+        """Removes replicas that have become members."""
         for host in hosts:
             self._statuses.pop(host, None)
             self._backoff_until.pop(host, None)
@@ -56,17 +56,17 @@
     def choose(
         self, now: float, count: int, excluded: Collection[str], log: EntryLog, zones: "ZoneSpread"
     ) -> list[str]:
-        """Chooses spares that are to become members.
+        """Chooses spares that will become members.
 
-        Those with quick disks come first, then those that the log reaches back to, then those in zones with
-        the fewest members.
+        Spares with fast disks are preferred, then those that can catch up from the log without a range
+        repair, then those in zones with the fewest members.
 
         Args:
-            now: the present time.
-            count: how many are wanted.
-            excluded: hosts that are not to be chosen.
-            log: the log that they are to be brought up to.
-            zones: the zones of the members, to which the chosen ones are added.
+            now: the current time.
+            count: how many to choose at most.
+            excluded: hosts that must not be chosen.
+            log: the log that they have to catch up with.
+            zones: the zone counts of the members; the chosen spares are added.
         """
         available = {
             host
@@ -88,20 +88,20 @@
 
 
 class ZoneSpread:
-    """How many of some replicas are in each zone."""
+    """The number of replicas in each zone."""
 
     def __init__(self, zones: Mapping[str, str], hosts: Iterable[str]) -> None:
-        """Counts `hosts`; `zones` gives the zone of each replica that is known."""
+        """Counts `hosts`; `zones` maps replicas to zones, where known."""
         self._zones = zones
         self._counts: dict[str, int] = {}
         for host in hosts:
             self.add(host)
 
     def add(self, host: str) -> None:
-        """Counts one more replica."""
+        """Counts another replica."""
         zone = self._zones.get(host, "")
         self._counts[zone] = self._counts.get(zone, 0) + 1
 
     def count_in_zone_of(self, host: str) -> int:
-        """How many of the replicas are in the zone of a host."""
+        """The number of counted replicas in the zone of a host."""
         return self._counts.get(self._zones.get(host, ""), 0)
--- a/crowwing/tier/replication/timing.py
+++ b/crowwing/tier/replication/timing.py
@@ -1,137 +1,139 @@
-"""Times and bounds of replication, each with the decision that it stands for.
+"""Time-outs, intervals and limits of replication.
 
-Durations are in seconds (`_S`), sizes in bytes (`_BYTES`), lengths of the log in entries (`_ENTRIES`).
+Durations are in seconds (`_S`), sizes in bytes (`_BYTES`), log lengths in entries (`_ENTRIES`).
 """
 
 # Heartbeats and the lease.
 
-# Between two heartbeats of the primary, and two SyncInProgress of a candidate.
+# Interval of the primary's heartbeats, and of a candidate's SyncInProgress messages.
 HEARTBEAT_INTERVAL_S = 0.07
 
-# A witness that heard the primary so recently promises nobody else a term.
+# A witness that has received a message of the primary within this time promises no other replica a term.
 LEADER_STICKINESS_S = 0.35
 
-# A primary confirmed so recently is the only one. Under LEADER_STICKINESS_S.
+# Duration of the lease: a primary confirmed within this time is the only one. Below LEADER_STICKINESS_S.
 LEASE_S = 0.3
 
-# Responses to heartbeats that are older are not counted any more.
+# Responses to older heartbeats are ignored.
 HEARTBEAT_HISTORY_S = 2.0
 
-# Between heartbeats to store machines that are neither witnesses nor learners.
+# Interval of heartbeats to store machines that are neither witnesses nor learners.
 ANNOUNCEMENT_INTERVAL_S = 1.0
 
-# Silence of the primary after which a spare asks to join: two announcements were lost.
+# Time without a heartbeat after which a spare asks to join: two announcements were lost.
 SPARE_JOIN_TIMEOUT_S = 2.5
 
 # Elections.
 
-# After a start, for heartbeats of a primary that is there already.
+# Wait after a start for heartbeats of an existing primary.
 STARTUP_LISTEN_S = 0.15
 
-# Silence of the primary after which the first member campaigns.
+# Election time-out: time without a message of the primary after which the first member campaigns.
 ELECTION_TIMEOUT_S = 0.4
 
-# How much longer each further member waits, so that one campaigns at a time.
+# Added to the election time-out for each further member by rank, so that one campaigns at a time.
 ELECTION_STAGGER_S = 0.12
 
-# Upper bound of the random part, for members that wait equally long.
+# Upper bound of the random part of the election time-out, for members with equal time-outs.
 ELECTION_JITTER_S = 0.05
 
-# Writes of its own disk that a member waits longer, so that slow disks don't campaign in turns.
+# Added to the election time-out, in writes of the member's own disk: members with slow disks would otherwise
+# campaign against each other.
 ELECTION_DISK_WRITES = 3.0
 
-# Between two rounds of pre-votes.
+# Interval of pre-vote rounds.
 PRE_VOTE_RETRY_S = 0.1
 
-# How long a candidate with a majority of promises waits for the others.
+# How long a candidate that has promises of a majority waits for the remaining ones.
 PREPARE_GRACE_S = 0.08
 
-# The same for a primary that changes its own view: it knows who is silent and waits for the others alone.
+# The same for a primary that changes its own view: it knows which replicas do not respond and does not wait
+# for those.
 RECONFIGURATION_GRACE_S = 0.3
 
-# After which a candidate without a majority of promises steps down.
+# A candidate without promises of a majority steps down after this time.
 PREPARE_TIMEOUT_S = 1.0
 
-# After which a candidate goes on with those that are synchronized, where they are enough.
+# A candidate proposes a view of the members synchronized by this time, if they are enough.
 SYNC_GRACE_S = 0.6
 
-# After which a candidate that has synchronized too few steps down.
+# A candidate that has synchronized too few members steps down after this time.
 SYNC_TIMEOUT_S = 3.0
 
-# After which a candidate whose view was not accepted steps down.
+# A candidate whose view is not accepted steps down after this time.
 ACCEPT_TIMEOUT_S = 1.2
 
-# Changes of the view.
+# View changes.
 
-# Between the start of a view and the next change of it by its primary.
+# Minimum time from the start of a view to a reconfiguration by its primary.
 RECONFIGURATION_PAUSE_S = 0.3
 
-# Between two requests to a member to take over.
+# Interval of leadership transfer attempts.
 TRANSFER_PAUSE_S = 0.4
 
-# Silence after which the primary leaves a member out.
+# Time without a response after which the primary removes a member from the view.
 MEMBER_TIMEOUT_S = 0.4
 
-# A learner that is so close behind becomes a member, in entries and in bytes of their payloads.
+# Maximum lag with which a learner becomes a member, in entries and in bytes of their payloads.
 MAX_LEARNER_LAG_ENTRIES = 200
 MAX_LEARNER_LAG_BYTES = 256 * 1024
 
-# After the start of a view, for spares to respond before learners are chosen among them.
+# Wait after the start of a view for heartbeat responses of spares, before learners are chosen among them.
 LEARNER_CHOICE_DELAY_S = 0.1
 
-# Silence of a learner after which a spare takes its place.
+# Time without a response after which a learner is replaced by another spare.
 LEARNER_TIMEOUT_S = 1.0
 
-# Without progress, after which another spare takes a learner's place.
+# Time without progress after which a learner is replaced by another spare.
 LEARNER_STALLED_S = 4.0
 
-# For which a learner is passed over that made no progress, or that a view left out.
+# Back-off before a learner that failed to catch up, or that the new view did not include, is chosen again.
 LEARNER_BACKOFF_S = 2.0
 
-# A member whose disk takes so long for a write is left out where enough members stay, if it is also
-# SLOW_DISK_FACTOR slower than most. With half of that time it is taken back.
+# A member whose disk takes this long for a write is removed if enough members remain and its disk is also
+# SLOW_DISK_FACTOR slower than the median. It is readmitted at half of that time.
 SLOW_DISK_SYNC_S = 0.1
 
-# How many times the median write time of the members.
+# Multiple of the members' median write time.
 SLOW_DISK_FACTOR = 4.0
 
-# Entries on their way.
+# Entries in flight.
 
-# Sent to a member without its acknowledgement.
+# Window: unacknowledged payload bytes that are sent to a member.
 SEND_WINDOW_BYTES = 256 * 1024
 
-# Of entries in one AppendRequest.
+# Payload bytes in one AppendRequest.
 MAX_APPEND_BYTES = 64 * 1024
 
-# Of entries that a learner is sent at once.
+# Payload bytes in one SyncRequest.
 MAX_SYNC_BYTES = 256 * 1024
 
-# Without progress, after which a member is sent again what it lacks.
+# Time without progress after which unacknowledged entries are sent to a member again.
 RESEND_AFTER_S = 0.35
 
-# The most that this grows to for a member that makes no progress: copies would fill the link.
+# Upper bound of that time as it doubles: resent entries would saturate the link.
 MAX_RESEND_WAIT_S = 2.8
 
-# After which a learner that does not respond is sent entries once more.
+# Time after which entries are sent again to a learner that has not responded.
 LEARNER_ENTRIES_WAIT_S = 0.5
 
-# The same for digests of ranges.
+# The same for range digests.
 LEARNER_RANGES_WAIT_S = 1.5
 
 # Joining and recovery.
 
-# Between two requests to join.
+# Interval of join requests.
 JOIN_RETRY_S = 0.3
 
-# Peers that one request to join is sent to, in turn, so that many machines that start at once ask few each.
+# Peers per join request, chosen round robin, so that many machines that start at once do not ask all peers.
 JOIN_FANOUT = 5
 
-# How long one request to join counts.
+# How long a join request is valid.
 JOIN_REQUEST_VALID_S = 1.0
 
-# Between two recovery requests.
+# Interval of recovery requests.
 RECOVERY_RETRY_S = 0.2
 
-# Of an incarnation without its disk before its first recovery request. Over PREPARE_TIMEOUT_S and
+# Wait of a replica that has lost its disk before its first recovery request. Above PREPARE_TIMEOUT_S and
 # ACCEPT_TIMEOUT_S, during which a candidate may still count what an earlier incarnation promised or accepted.
 RECOVERY_DELAY_S = 1.4
--- a/crowwing/tier/replication/view_limits.py
+++ b/crowwing/tier/replication/view_limits.py
@@ -1,18 +1,18 @@
-"""How many replicas a view has, by how many faults it is to survive at once."""
+"""Size limits of a view, by the number of simultaneous faults that it tolerates."""
 
 from dataclasses import dataclass
 
-SMALLEST_FULL_VIEW = 3  # members, also where no fault need be survived
+SMALLEST_FULL_VIEW = 3  # members, even if no fault need be tolerated
 
 
 @dataclass(frozen=True)
 class ViewLimits:
-    """Bounds of a view.
+    """Size limits of a view.
 
     Attributes:
-        min_replicas: members that a view needs, so that one at least outlives the faults.
-        max_replicas: members of a full view; store machines beyond them are spares without data.
-        min_witnesses: witnesses of which a majority outlives the faults.
+        min_replicas: minimum number of members, so that at least one survives the faults.
+        max_replicas: members of a full view; further store machines are spares without current data.
+        min_witnesses: minimum number of witnesses, so that a majority survives the faults.
     """
 
     min_replicas: int
@@ -21,6 +21,6 @@
 
     @classmethod
     def for_faults(cls, faults: int) -> "ViewLimits":
-        """The bounds for so many faults at once."""
+        """The limits for a number of simultaneous faults."""
         group_size = 2 * faults + 1
         return cls(faults + 1, max(group_size, SMALLEST_FULL_VIEW), group_size)
--- a/crowwing/tier/replication/view_selection.py
+++ b/crowwing/tier/replication/view_selection.py
@@ -1,4 +1,4 @@
-"""Who is a member and who a witness of a new view: pure functions of what a candidate knows."""
+"""Choice of the members and the witnesses of a new view, as pure functions."""
 
 from collections.abc import Iterable, Mapping
 
@@ -9,17 +9,17 @@
 def limit_members(
     me: str, eligible: Iterable[str], promises: Mapping[str, Promise], base: View, max_count: int
 ) -> set[str]:
-    """Chooses the members to be, where more replicas could be than a view has.
+    """Chooses the members of a new view when more replicas are eligible than a view has.
 
     Args:
-        me: the candidate, which is always among them.
-        eligible: replicas that have promised and may hold the data.
-        promises: what each of them told.
-        base: the last view, whose members come first.
-        max_count: of members of a view.
+        me: the candidate, which is always chosen.
+        eligible: replicas that have promised and may become members.
+        promises: the promise of each.
+        base: the last view, whose members are preferred.
+        max_count: maximum number of members.
 
     Returns:
-        The members of the last view first, and of these the ones whose logs reach furthest.
+        The chosen members: preferably those of the last view, and among these those with the longest logs.
     """
 
     def preference(host: str) -> tuple[bool, int, float, str]:
@@ -35,15 +35,15 @@
 ) -> tuple[str, ...]:
     """Chooses the witnesses of a new view.
 
-    They are its members, and former witnesses where the members are fewer than a majority vote needs: those
-    first that promised the term and stay.
+    They are its members, and, if the members are fewer than `min_count`, former witnesses: preferably those
+    that have promised the term and do not have to leave.
 
     Args:
         synced: the members of the new view.
         base: the last view.
         responsive: replicas that have promised.
-        excluded: replicas that are to leave.
-        min_count: witnesses of which a majority outlives the faults that are to be survived.
+        excluded: replicas that have to leave.
+        min_count: number of witnesses of which a majority survives the tolerated faults.
     """
 
     def preference(host: str) -> tuple[bool, bool, str]:
--- a/crowwing/tier/replication/witness.py
+++ b/crowwing/tier/replication/witness.py
@@ -1,6 +1,6 @@
-"""What a replica does as a witness, in each role: it decides which term and view hold.
+"""The behaviour of a replica as a witness, in every role: it decides which term and view are valid.
 
-Phases 1 and 2 of a change of the view, after Vertical Paxos (Lamport, Malkhi, Zhou 2009).
+Phases 1 and 2 of a view change, after Vertical Paxos (Lamport, Malkhi, Zhou 2009).
 """
 
 from crowwing.tier.replication import messages
@@ -13,19 +13,19 @@
     """Promises terms, accepts views and responds to heartbeats."""
 
     def __init__(self, core: ReplicaCore, changes: RoleChanges) -> None:
-        """The witness's part of one replica."""
+        """The witness role of one replica."""
         self._core = core
         self._changes = changes
         self.own_lease: Lease | None = None  # while this replica is primary
 
     def on_prepare(self, now: float, prepare: messages.Prepare) -> None:
-        """Promises a term, unless a higher one is promised or another primary may hold its lease."""
+        """Promises a term, unless a higher one is promised or another primary may hold a lease."""
         core = self._core
         if not core.durable.recovered:
             return
         if prepare.sender != core.me:
             if core.monitor.may_have_granted_lease_before_restart(now):
-                return  # a lease of a primary that it answered just before it ended may still stand
+                return  # a lease that it acknowledged just before its restart may still be valid
             if self._refuses(now, prepare):
                 core.send_nack(prepare.sender, prepare.term)
                 return
@@ -40,7 +40,7 @@
 
     def _refuses(self, now: float, prepare: messages.Prepare) -> bool:
         promised = self._core.durable.promised
-        # One candidate a term number, so that documents of two primaries can be told apart.
+        # At most one candidate per term number, so that documents of two primaries can be distinguished.
         is_bound = prepare.term[0] <= promised[0] and prepare.term != promised
         if is_bound or prepare.term == promised:
             return True
@@ -69,7 +69,7 @@
         core.send(accept.sender, messages.Accepted(term, core.me), durable=True)
 
     def on_heartbeat(self, now: float, heartbeat: messages.Heartbeat) -> None:
-        """Vouches for the primary, unless a higher term is promised; the response renews its lease."""
+        """Acknowledges the primary, unless a higher term is promised; the response renews its lease."""
         core = self._core
         durable = core.durable
         if heartbeat.term < durable.promised:
@@ -96,7 +96,7 @@
         core.send(heartbeat.sender, response, durable=core.outbox.has_records)
 
     def on_pre_vote_request(self, now: float, request: messages.PreVoteRequest) -> None:
-        """Tells whether this replica would promise a higher term now."""
+        """Responds whether this replica would promise a higher term now."""
         if self._core.durable.recovered:
             willing = self._would_promise(now, request.sender)
             response = messages.PreVoteResponse(request.term, self._core.me, willing)
