--- a/crowwing/tier/replication/primary.py
+++ b/crowwing/tier/replication/primary.py
@@ -260,10 +260,10 @@
         return core.me in core.excluded or (core.me in slow and enough_without)
 
     def _reasons_to_change_view(self, now: float) -> Iterator[str]:
-        yield from self._reasons_of_members(now)
-        yield from self._reasons_of_others(now)
+        yield from self._reasons_to_remove_members(now)
+        yield from self._reasons_to_add_or_retire(now)
 
-    def _reasons_of_members(self, now: float) -> Iterator[str]:
+    def _reasons_to_remove_members(self, now: float) -> Iterator[str]:
         core = self._core
         heard_at = core.peers.heard_at
         members = self._view().members
@@ -279,7 +279,7 @@
         if slow and len(members) - len(slow) >= self._limits.min_replicas:
             yield f"the disk of {', '.join(sorted(slow))} is slow"
 
-    def _reasons_of_others(self, now: float) -> Iterator[str]:
+    def _reasons_to_add_or_retire(self, now: float) -> Iterator[str]:
         core = self._core
         view = self._view()
         leaving = core.excluded & {*view.members, *view.witnesses}
--- a/crowwing/tier/replication/timing.py
+++ b/crowwing/tier/replication/timing.py
@@ -105,13 +105,13 @@
 # Payload bytes in one AppendRequest.
 MAX_APPEND_BYTES = 64 * 1024
 
-# Payload bytes in one SyncRequest.
+# Payload bytes in one SyncRequest, except the one that completes a repair.
 MAX_SYNC_BYTES = 256 * 1024
 
 # Time without progress after which unacknowledged entries are sent to a member again.
 RESEND_AFTER_S = 0.35
 
-# Upper bound of that time as it doubles: resent entries would saturate the link.
+# Upper bound of that time, which doubles without progress: frequent resends would saturate the link.
 MAX_RESEND_WAIT_S = 2.8
 
 # Time after which entries are sent again to a learner that has not responded.
--- a/tests/tier/many_seeds.py
+++ b/tests/tier/many_seeds.py
@@ -20,7 +20,7 @@
 
 
 def play_with_short_logs(seed: int, hosts: tuple[str, ...]) -> object:
-    """Random troubles in which whoever missed a few entries is repaired by ranges."""
+    """Random faults; a replica that missed a few entries is repaired by ranges."""
     kept = log.MAX_ENTRIES, range_transfer.MAX_RANGES_PER_REQUEST
     log.MAX_ENTRIES, range_transfer.MAX_RANGES_PER_REQUEST = 3, 2
     try:
--- a/tests/tier/test_control_safety_steps.py
+++ b/tests/tier/test_control_safety_steps.py
@@ -1,4 +1,4 @@
-"""Single steps of a replica on which the safety arguments of docs/control-safety.md rest."""
+"""Single steps of a replica that the safety arguments of docs/control-safety.md rely on."""
 
 from typing import TypeVar
 
@@ -18,7 +18,7 @@
 
 
 def replica_of(host: str) -> Replica:
-    """One of three machines at their first start."""
+    """One of three replicas at their first start."""
     replica = Replica(ReplicaSettings(host, HOSTS, 1), TierState(), 0.0, lambda: 0.5)
     replica.bootstrap(HOSTS)
     replica.take_output()
@@ -26,13 +26,13 @@
 
 
 def sent(replica: Replica, kind: type[Kind]) -> list[tuple[str, Kind]]:
-    """Messages of a kind that the replica has asked to be sent since the last look."""
+    """Messages of a kind in the replica's output since the last call."""
     output = replica.take_output()
     return [(to, message) for to, message in output.immediate + output.durable if isinstance(message, kind)]
 
 
 def primary_of(hosts: tuple[str, ...], at: float) -> Replica:
-    """Replica a as the primary of all hosts, with a lease from `at` on."""
+    """Replica a as the primary of all hosts, with a lease from `at`."""
     replica = Replica(ReplicaSettings("a", hosts, 1), TierState(), 0.0, lambda: 0.5)
     replica.bootstrap(hosts)
     replica.take_output()
@@ -51,7 +51,7 @@
 
 
 def primary_of_three(at: float) -> Replica:
-    """Replica a as the primary of all three, with a lease from `at` on."""
+    """Replica a as the primary of all three, with a lease from `at`."""
     return primary_of(HOSTS, at)
 
 
@@ -64,7 +64,7 @@
     for host in HOSTS[1:]:
         reply = messages.HeartbeatResponse(replica.promised, host, 2, LOG_START, replica.promised, True, 0.0)
         replica.receive(10.03, reply)
-    assert not replica.holds_lease(10.03), "not under this term any more, whatever comes back"
+    assert not replica.holds_lease(10.03), "a released lease is not renewed in the same term"
 
 
 def test_a_view_that_was_accepted_late_gives_no_lease_beyond_what_its_witnesses_vouch_for() -> None:
@@ -79,7 +79,7 @@
     for host in HOSTS:
         replica.receive(10.9, messages.Accepted(term, host))
     assert replica.role.value == "primary"
-    assert not replica.holds_lease(10.9), "they may have promised another since"
+    assert not replica.holds_lease(10.9), "the witnesses may have promised another candidate since"
 
 
 @pytest.mark.parametrize("late", [messages.Promise, messages.Accepted])
@@ -104,7 +104,7 @@
     witness.receive(10.0, messages.Heartbeat((5, "a"), "a", 1, view))
     witness.take_output()
     witness.receive(10.01, messages.Prepare((6, "c"), "c", (4, "c")))
-    assert sent(witness, messages.Nack) and witness.promised == (5, "a"), "the lease of term 5 may stand"
+    assert sent(witness, messages.Nack) and witness.promised == (5, "a"), "the lease of term 5 may be valid"
     witness.receive(10.02, messages.Prepare((6, "c"), "c", NO_TERM))
     assert sent(witness, messages.Nack)
     witness.receive(10.03, messages.Prepare((6, "c"), "c", (5, "a")))
@@ -125,7 +125,7 @@
 
 
 def test_a_member_that_holds_only_a_part_of_the_log_is_not_marked_synced() -> None:
-    """Else a wiped member of the last view could lead with that part, and bring the others to it."""
+    """Otherwise a wiped member of the last view could lead with a part of the log, and overwrite the rest."""
     learner = replica_of("c")
     term, last = (3, "a"), (FIRST_TERM, 4)
     learner.receive(10.0, messages.SyncRequest(term, "a", LOG_START, (entry(1), entry(2)), last))
@@ -139,7 +139,7 @@
     witness = Replica(ReplicaSettings("b", HOSTS, 1), TierState(), 10.0, lambda: 0.5)
     witness.recover([PromisedTermRecord((5, "a")), AcceptedViewRecord(View((5, "a"), HOSTS, HOSTS))])
     witness.receive(10.1, messages.Prepare((6, "c"), "c", (5, "a")))
-    assert not sent(witness, messages.Promise), "the released term may not be the one that it vouched for"
+    assert not sent(witness, messages.Promise), "the released lease may not be the one that it acknowledged"
     witness.receive(10.2, messages.PreVoteRequest((5, "a"), "c"))
     assert [answer.willing for _, answer in sent(witness, messages.PreVoteResponse)] == [False]
     witness.receive(10.01 + timing.LEADER_STICKINESS_S, messages.Prepare((6, "c"), "c", NO_TERM))
@@ -170,10 +170,10 @@
 
 
 def test_a_member_without_the_views_data_acknowledges_no_entry() -> None:
-    """It has lost its disk since it became a member, and has learned its term from the others."""
+    """The member has lost its disk since it joined the view, and recovered the term from the others."""
     term = (5, "a")
     replica = Replica(ReplicaSettings("b", HOSTS, 1), TierState(), 10.0, lambda: 0.5)
-    replica.tick(11.9)  # it asks
+    replica.tick(11.9)  # sends recovery requests
     for host in ("a", "c"):
         replica.receive(12.0, messages.RecoveryResponse(host, term, View(term, HOSTS, HOSTS)))
     assert replica.promised == term
@@ -194,7 +194,7 @@
 
 
 def test_a_view_with_other_witnesses_needs_a_majority_of_the_old_ones_too() -> None:
-    """Else b and c, which know nothing of it, could make another one of the old view's data."""
+    """Otherwise b and c, which do not know the new view, could form another one from the old view's data."""
     replica = replica_of("a")
     replica.start_campaign(10.0)
     term = replica.promised
@@ -205,13 +205,13 @@
     replica.role_state.campaign = campaign
     for host in ("a", "d"):
         replica.receive(10.1, messages.Accepted(term, host))
-    assert replica.role.value == "candidate", "two of the new ones, and one of the old ones"
+    assert replica.role.value == "candidate", "a majority of the new witnesses, but not of the old ones"
     replica.receive(10.1, messages.Accepted(term, "b"))
     assert replica.role.value == "primary"
 
 
 def follower(term: Term) -> Replica:
-    """Replica b as a member of a view under a term."""
+    """Replica b as a member of a view in a term."""
     replica = replica_of("b")
     replica.receive(9.0, messages.SyncRequest(term, "a", LOG_START, (), LOG_START))
     replica.receive(9.0, messages.Accept("a", View(term, HOSTS, HOSTS)))
@@ -256,7 +256,7 @@
 
 
 def respond_with_spare(replica: Replica, at: float) -> None:
-    """Has d, which holds the primary's data, respond to a heartbeat; the members respond too."""
+    """Delivers heartbeat responses of the members and of d, which holds the primary's data."""
     for host in (*HOSTS[1:], "d"):
         response = messages.HeartbeatResponse(
             replica.promised, host, 1, LOG_START, replica.promised, True, 0.0
@@ -270,7 +270,7 @@
     respond_with_spare(replica, 10.31)
     respond_with_spare(replica, 10.33)
     assert "d" in {to for to, _ in sent(replica, messages.Prepare)}, (
-        "else it is never among those that promise"
+        "without a Prepare it never promises, so it can't become a member"
     )
 
 
@@ -290,7 +290,7 @@
 
 
 def test_a_replica_without_its_disk_ignores_recovery_responses_that_it_did_not_request() -> None:
-    """It answers an earlier incarnation: a promise that was made since may be missing in it."""
+    """Such a response is to an earlier incarnation; a promise made since may be missing in it."""
     term = (5, "a")
     replica = Replica(ReplicaSettings("c", HOSTS, 1), TierState(), 10.0, lambda: 0.5)
     for host in ("a", "b"):
@@ -314,19 +314,19 @@
     replica.receive(60.1, messages.SyncResponse(replica.promised, HOSTS[1], LOG_START, True))
     accepted = {message.view for _, message in sent(replica, messages.Accept)}
     assert {view.members for view in accepted} == {HOSTS[:2]}
-    assert {view.witnesses for view in accepted} == {HOSTS}, "two witnesses would not outlive one fault"
+    assert {view.witnesses for view in accepted} == {HOSTS}, "two witnesses would not tolerate one fault"
 
 
 def test_a_view_of_more_replicas_than_a_full_one_shrinks_to_a_full_one_with_its_witnesses() -> None:
     hosts = ("a", "b", "c", "d", "e", "f", "g")
     replica = primary_of(hosts, 10.0)
     assert replica.view is not None
-    assert replica.view.members == HOSTS, "as an earlier version made views of all"
+    assert replica.view.members == HOSTS, "an earlier version included all replicas in a view"
     assert replica.view.witnesses == HOSTS
 
 
 def test_where_too_few_members_are_left_a_candidate_takes_in_who_asked_to_join() -> None:
-    """Three members with two faults to bear: without one of them the two others can't hold the data."""
+    """Three members that have to tolerate two faults: if one is lost, two are too few to hold the data."""
     replica = Replica(ReplicaSettings("a", HOSTS, 2), TierState(), 0.0, lambda: 0.5)
     replica.bootstrap(HOSTS)
     replica.receive(9.9, messages.JoinRequest("d", False))
--- a/tests/tier/test_control_scenarios.py
+++ b/tests/tier/test_control_scenarios.py
@@ -1,4 +1,4 @@
-"""Simulated runs of the situations that operators ask about: partitions, races, lost disks, slow clocks."""
+"""Simulated scenarios: partitions, races, lost disks and slow clocks."""
 
 import asyncio
 from typing import Any
@@ -22,7 +22,7 @@
 
 
 def put(world: World, operator: Operator) -> int:
-    """Makes one change, and gives its version."""
+    """Makes one change and returns its version."""
 
     async def work() -> int:
         change = operator.change(await operator.read_until_definite())
@@ -34,7 +34,7 @@
 
 
 def check_history(world: World, operator: Operator) -> None:
-    """Reads back at the end and checks the whole history."""
+    """Reads the final value and checks the complete history."""
 
     async def read() -> Any:  # noqa: ANN401
         await operator.read_until_definite()
@@ -79,8 +79,8 @@
 
     world.run(both())
     late = [call for call in answers if call.sent_at > began + 0.6]
-    assert late and not any(call.is_definite() for call in late), "it can't be sure of anything"
-    assert len(confirmed_keys()) > 10, "the others go on"
+    assert late and not any(call.is_definite() for call in late), "a partitioned machine can't be sure"
+    assert len(confirmed_keys()) > 10, "the majority continues"
     world.heal()
     world.run_for(3.0)
     assert world.members() == set(STORES)
@@ -92,7 +92,7 @@
     world = World(seed, STORES)
     world.stabilize()
     ours, theirs = Operator(world, "operator-a"), Operator(world, "operator-b")
-    ours.loss = theirs.loss = 0.6  # of all answers
+    ours.loss = theirs.loss = 0.6  # of all responses
 
     async def race() -> None:
         accepted: list[Any] = []
@@ -103,7 +103,7 @@
             assert sorted(map(str, outcomes)) == ["200", "412"], outcomes
             accepted.append(same_number[outcomes.index(200)])
             for change in accepted:
-                assert await ours.put(change) == 200, "also after others"
+                assert await ours.put(change) == 200, "also after later changes"
         world.stop(str(world.primary()), power=True)
         for change in accepted:
             assert await theirs.put(change) == 200, "also at another primary"
@@ -123,7 +123,7 @@
     operator = Operator(world, "operator-a")
     put(world, operator)
     leaving = sorted(world.stores)[seed % 4]  # a member or the spare
-    assert world.run(operator.retire(leaving, world.now + 10.0)), "it is emptied"
+    assert world.run(operator.retire(leaving, world.now + 10.0)), "it is retired"
     assert len(world.synchronized_members()) == 3
     world.remove(leaving)
     for _ in range(3):
@@ -134,7 +134,7 @@
         put(world, operator)
         assert world.now - began < 4.0
         world.start(lost)
-        world.run_for(world.start_s[1] + CATCH_UP_S)  # just what a machine has to catch up
+        world.run_for(world.start_s[1] + CATCH_UP_S)  # the time within which a machine has to catch up
     for number in range(2):
         gone = sorted(world.members())[seed % 3]
         world.remove(gone)
@@ -166,8 +166,8 @@
     world.run(change_often())
     world.start(away)
     world.run_for(world.start_s[1] + CATCH_UP_S)
-    assert world.members() == set(STORES), "it is a member again in time"
-    for host in STORES:  # and may lead: the others go and come back one after another
+    assert world.members() == set(STORES), "it is a member again within the catch-up time"
+    for host in STORES:  # it must be able to lead: the others lose power one after another
         if host != away:
             world.stop(host, power=True)
             put(world, operator)
@@ -213,7 +213,7 @@
     world.run_for(1.0)
     old = world.primary()
     assert old is not None
-    world.checks_leases = False  # by its own clock its leases last five times as long as they may
+    world.checks_leases = False  # by its slow clock its leases last five times as long as allowed
     world.stores[old].run_clock_at(0.21)
     world.run_for(1.0)
     assert world.primary() == old
@@ -274,7 +274,7 @@
     assert world.members() == set(STORES)
     assert world.job_digests(lost) == world.job_digests(primary)
     sizes = {host: store.files.size() for host, store in world.stores.items()}
-    assert max(sizes.values()) < 4 * 60_000_000, f"files are bounded: {sizes}"
+    assert max(sizes.values()) < 4 * 60_000_000, f"file sizes exceed the limit: {sizes}"
     check_history(world, operator)
 
 
@@ -288,9 +288,9 @@
     machine = world.stores[old].machine
     assert machine is not None
     machine.transfer_leadership()
-    world.run_for(0.0002 * seed)  # the message is on its way
+    world.run_for(0.0002 * seed)  # the transfer message is in flight
     world.partition([old], [host for host in STORES if host != old])
-    world.run_for(2.0)  # each step checks that there is one lease
+    world.run_for(2.0)  # each step checks that there is at most one lease
     assert world.primary() not in (None, old)
 
 
@@ -314,7 +314,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_list_that_was_read_under_a_lease_that_ended_meanwhile_is_not_published(seed: int) -> None:
-    """It stood still meanwhile: its list would get the term and number of the next primary's first one."""
+    """The primary was frozen meanwhile: its list would get the term and number of its successor's first."""
     world = World(seed, STORES, fronts=("f0", "f1"))
     world.stabilize()
     former = world.primary()
--- a/tests/tier/test_elections_after_restarts.py
+++ b/tests/tier/test_elections_after_restarts.py
@@ -1,4 +1,4 @@
-"""Simulated elections among machines of which some have lost power and are back."""
+"""Simulated elections after some machines have lost power and restarted."""
 
 import asyncio
 
@@ -15,12 +15,12 @@
 
 
 async def _never_shuffle(_: Shuffler) -> None:
-    """As in a large fleet, where two given store machines seldom shuffle with each other."""
+    """Simulates a large fleet, where two given store machines seldom shuffle with each other."""
     await asyncio.Event().wait()
 
 
 def longest_election_s(seed: int) -> float:
-    """The longest time without a primary, of losses of the primary one after another, each made good."""
+    """The longest time without a primary, over successive losses of the primary, each repaired."""
     world = World(seed, STORES)
     world.stabilize()
     world.run_for(CATCH_UP_S)
@@ -43,4 +43,4 @@
 ) -> None:
     monkeypatch.setattr(Shuffler, "run", _never_shuffle)
     too_long = {seed: span_s for seed in SEEDS if (span_s := longest_election_s(seed)) >= ACK_S}
-    assert not too_long, f"without a primary, by seed: {too_long}"
+    assert not too_long, f"seconds without a primary, by seed: {too_long}"
--- a/tests/tier/test_repair.py
+++ b/tests/tier/test_repair.py
@@ -1,4 +1,4 @@
-"""Repairs by range digests of machines that the log does not reach, on a simulated network."""
+"""Repair by range digests of machines that lack entries no longer in the log, on a simulated network."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_random_faults_with_short_logs_lose_nothing(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(log, "MAX_ENTRIES", 3)  # whoever missed more is repaired by ranges
+    monkeypatch.setattr(log, "MAX_ENTRIES", 3)  # a replica that missed more entries is repaired by ranges
     monkeypatch.setattr(range_transfer, "MAX_RANGES_PER_REQUEST", 2)
     world = random_faults(seed, HOSTS) if seed % 2 else random_faults(seed, FIVE, faults=2)
     assert world.acknowledged and world.chunks_sent
@@ -42,7 +42,7 @@
     world.run_for(CATCH_UP_S)
     assert world.members() == set(HOSTS)
     assert world.job_digests(host) == world.job_digests(world.primary())
-    assert 1 <= world.ranges_sent <= 12, "six entries, some of them twice, lie in few ranges"
+    assert 1 <= world.ranges_sent <= 12, "six entries, some of them proposed twice, change few ranges"
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -66,7 +66,7 @@
 
 
 def wipe_two_members(world: World, hosts: tuple[str, ...]) -> None:
-    """Two wiped machines come back to a state whose ranges take 2 s on their way."""
+    """Wipes and restarts two members; the transfer of a chunk of ranges takes 2 s."""
     world.stabilize()
     world.run_for(CATCH_UP_S)
     world.acknowledge("first")
@@ -76,7 +76,7 @@
         world.stop(host, power=True, wipe=True)
     world.acknowledge("second", 2.0)
     for replica in world.replicas().values():
-        replica.log.reset(replica.log.last)  # entries don't reach back so far
+        replica.log.reset(replica.log.last)  # the log no longer holds the entries that they lack
     for host in others[:2]:
         world.start(host)
 
@@ -89,7 +89,7 @@
         world.acknowledge(f"during {number},", 0.4)
     world.run_for(CATCH_UP_S)
     assert world.members() == set(FIVE)
-    assert world.chunks_sent <= 6, "what is on its way is not sent again"
+    assert world.chunks_sent <= 6, "chunks in flight are not sent again"
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/tier/test_replication.py
+++ b/tests/tier/test_replication.py
@@ -1,4 +1,4 @@
-"""Replication on a simulated network: seeded random troubles, rules checked after each step."""
+"""Replication on a simulated network: seeded random faults, with invariants checked after each step."""
 
 from contextvars import Context
 
@@ -21,7 +21,7 @@
 def quick_world(
     seed: int, hosts: tuple[str, ...], seeds: tuple[str, ...] | None = None, faults: int = 1
 ) -> World:
-    """Store machines whose processes start at once."""
+    """Creates store machines whose processes start without delay."""
     return World(seed, hosts, seeds, faults, start_s=QUICK_START_S)
 
 
@@ -42,7 +42,7 @@
     world.start(host)
     world.run_for(CATCH_UP_S)
     view = world.replica(world.primary()).view
-    assert set(view.members) == set(HOSTS), "it is a member again in time"
+    assert set(view.members) == set(HOSTS), "it is a member again within the catch-up time"
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -112,7 +112,7 @@
     world.acknowledge("first")
     world.start("d")
     world.run_for(CATCH_UP_S)
-    assert world.members() == set(HOSTS), "with one fault to bear a full view has three members"
+    assert world.members() == set(HOSTS), "a full view that tolerates one fault has three members"
     leaving = world.primary()
     world.retire(leaving)
     world.run_for(3.0)
@@ -133,7 +133,7 @@
 
 
 def partition_both_ways(world: World, some: set[str], others: set[str]) -> None:
-    """Cuts both ways between two groups."""
+    """Partitions two groups from each other, in both directions."""
     world.partition(some, others)
 
 
@@ -153,7 +153,7 @@
         world.propose(f"cut/{number}")
         world.run_for(0.1)
     assert not set(acknowledged_by) & {"c", "d"}, "one of three witnesses is no majority"
-    assert set(acknowledged_by) & {"a", "b"}, "two of three go on"
+    assert set(acknowledged_by) & {"a", "b"}, "two of three witnesses are a majority"
     world.heal()
     world.acknowledge("second", 4.0)
 
@@ -194,7 +194,7 @@
     world.heal()
     world.start(wiped)
     world.run_for(3.0)
-    assert world.primary() is None, "who remembers is dark; the two others must not decide alone"
+    assert world.primary() is None, "the only replica with the entry on disk is powered off"
     world.start(powered_off)
     world.stabilize(4.0)
     world.acknowledge("later")
@@ -206,16 +206,16 @@
     older = View((3, "a"), HOSTS, HOSTS)
     newer = View((5, "a"), ("a", "c"), HOSTS)
     replica = Replica(ReplicaSettings("c", HOSTS, 1), TierState(), 0.0, lambda: 0.5)
-    replica.tick(1.4)  # it asks
+    replica.tick(1.4)  # sends recovery requests
     replica.receive(1.5, messages.RecoveryResponse("b", (9, "b"), older))
     replica.receive(1.5, messages.RecoveryResponse("a", (5, "a"), newer))
     replica.receive(2.0, messages.Prepare((10, "b"), "b", NO_TERM))
     output = replica.take_output()
     promises = [message for _, message in output.durable if isinstance(message, messages.Promise)]
     assert [promise.view for promise in promises] == [newer], (
-        "else b, which missed it, leads without its data"
+        "otherwise b, which missed that view, could lead without its data"
     )
-    assert AcceptedViewRecord(newer) in output.records, "it outlasts a loss of power"
+    assert AcceptedViewRecord(newer) in output.records, "the view must survive a loss of power"
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -268,8 +268,8 @@
     before = world.replica(primary).promised
     world.heal()
     world.run_for(CATCH_UP_S)
-    assert world.primary() == primary, "its role is not questioned"
-    assert world.replica(primary).promised[0] <= before[0] + 1, "one new term, to take it back"
+    assert world.primary() == primary, "the primary was not replaced"
+    assert world.replica(primary).promised[0] <= before[0] + 1, "one new term, to readmit the member"
     assert world.members() == set(HOSTS)
 
 
@@ -286,7 +286,7 @@
 
 
 class RandomFault:
-    """One fault at one machine, or at all of them at once; it strikes once."""
+    """One fault at one machine, or at all of them at once; injected once."""
 
     def __init__(self, world: World, hosts: tuple[str, ...]) -> None:
         self._world = world
@@ -295,7 +295,7 @@
         self._is_injected = False
 
     def inject(self) -> None:
-        """Has the fault happen."""
+        """Injects the fault."""
         world, host, kind = self._world, self.host, self.kind
         if kind in ("kill", "power", "wipe"):
             world.stop(host, power=kind != "kill", wipe=kind == "wipe")
@@ -309,21 +309,21 @@
                 world.stop(other, power=True, wipe=kind == "all_wipe" and other == host)
 
     def inject_after_acknowledgement(self, _host: str) -> None:
-        """Has the fault happen just after the first acknowledgement."""
+        """Injects the fault just after the first acknowledgement."""
         if not self._is_injected:
             self._is_injected = True
             delay_s = self._world.random.uniform(0.0, 0.004)
             self._world.loop.call_later(delay_s, self.inject, context=Context())
 
     def inject_unless_injected(self) -> None:
-        """Has the fault happen now, where there was no acknowledgement."""
+        """Injects the fault now if there was no acknowledgement."""
         if not self._is_injected:
             self._is_injected = True
             self.inject()
 
 
 def propose_some(world: World, first: int, count: int, max_pause_s: float) -> int:
-    """Proposes numbered changes with random pauses; returns the number of the last one."""
+    """Proposes numbered changes with random pauses; returns the last number."""
     for number in range(first, first + count):
         world.propose(str(number))
         world.run_for(world.random.uniform(0.0, max_pause_s))
@@ -331,7 +331,7 @@
 
 
 def random_faults(seed: int, hosts: tuple[str, ...], faults: int = 1) -> World:
-    """Faults at random moments, one counted loss at a time, and at times all machines killed at once."""
+    """Injects random faults: one tolerated loss at a time, and sometimes a power loss of all machines."""
     world = quick_world(seed, hosts, hosts[:3], faults)
     random = world.random
     number = 0
--- a/tests/tier/test_replication_traffic.py
+++ b/tests/tier/test_replication_traffic.py
@@ -1,4 +1,4 @@
-"""What the log tells of the traffic between replicas and of changes of the view."""
+"""Log lines about replication traffic and view changes."""
 
 import logging
 import re
@@ -47,7 +47,7 @@
     [line] = lines(caplog, "replication_traffic")
     assert field(line, "append_messages") >= 2 * 40 and field(line, "append_bytes") > 0
     assert field(line, "members") == 3 and field(line, "learners") == 0
-    assert field(line, "control_messages") >= 2 * 60, "two receivers, a heartbeat each 0.07 s"
+    assert field(line, "control_messages") >= 2 * 60, "two receivers, one heartbeat every 0.07 s"
 
 
 def test_a_machine_without_its_disk_shows_as_catching_up(caplog: pytest.LogCaptureFixture) -> None:
--- a/tests/tier/test_view_selection.py
+++ b/tests/tier/test_view_selection.py
@@ -1,4 +1,4 @@
-"""Who is a member and who a witness of a new view."""
+"""Choice of the members and the witnesses of a new view."""
 
 from crowwing.tier.replication.messages import Promise
 from crowwing.tier.replication.terms import FIRST_TERM, View
--- a/tests/tier/test_windows.py
+++ b/tests/tier/test_windows.py
@@ -1,4 +1,4 @@
-"""Entries on their way to the members: what is sent without an answer, and what is sent again."""
+"""Entries in flight to members: the send window, and resending."""
 
 from crowwing.tier.replication import timing
 from tests.tier.test_replication import HOSTS, quick_world
@@ -12,14 +12,14 @@
     world.network.bytes_per_s = 2e6
     world.entry_bytes_sent = 0
     payloads = [f"{number}/" + "x" * 40_000 for number in range(100)]
-    for payload in payloads:  # four megabytes for each of two members: two seconds of their links
+    for payload in payloads:  # 4 MB to each of two members: 2 s at the links' bandwidth
         world.propose(payload)
     world.run_for(1.0)
     assert 30 <= sum(done in world.acknowledged for done in payloads) < 100
     world.run_for(2.0)
     assert all(payload in world.acknowledged for payload in payloads)
-    assert world.primary() == primary, "heartbeats do not wait behind data"
-    assert world.entry_bytes_sent <= 2 * 1.05 * sum(len(payload) for payload in payloads), "sent once"
+    assert world.primary() == primary, "heartbeats must not queue behind data"
+    assert world.entry_bytes_sent <= 2 * 1.05 * sum(len(payload) for payload in payloads), "sent only once"
 
 
 def test_a_member_is_sent_no_more_than_its_window_without_an_acknowledgement() -> None:
@@ -34,7 +34,7 @@
         world.propose(f"{number}/" + "x" * 40_000)
     world.run_for(0.2)
     each = timing.SEND_WINDOW_BYTES + 2 * timing.MAX_APPEND_BYTES
-    assert world.entry_bytes_sent <= each + 100 * 40_010, "one member stands still, the other gets on"
+    assert world.entry_bytes_sent <= each + 100 * 40_010, "the frozen member gets one window"
     world.run_for(3.0)
     assert len(world.acknowledged) == 101
 
--- a/tests/tier/test_without_a_primary.py
+++ b/tests/tier/test_without_a_primary.py
@@ -1,4 +1,4 @@
-"""What fronts send while no store machine is the primary, and how soon they are back once one is."""
+"""Calls of fronts while there is no primary, and their recovery once there is one."""
 
 import asyncio
 import base64
@@ -24,18 +24,18 @@
 FRONTS = tuple(f"f{number}" for number in range(20))
 STEADY_S = 4.0
 OUTAGE_S = 8.0
-SETTLING_S = 2.0  # after the loss of the primary, until everybody has noticed it
-MAX_AMPLIFICATION = 2.0  # calls without a primary to calls with one
+SETTLING_S = 2.0  # after the loss of the primary, until all machines have detected it
+MAX_AMPLIFICATION = 2.0  # ratio of calls without a primary to calls with one
 APPLY_LIMIT_S = 2.0  # the smallest `configApplyMs` of the users' deployments
 RELAY_CALLS = {"AttachRequest", "ShuffleRequest"}
 ITEM_BODY_BYTES = 1200
 JOB_ITEMS = 39
-SLOW_CONNECTION_BYTES_PER_S = 80_000  # a batch job takes longer than fronts wait before they look around
+SLOW_CONNECTION_BYTES_PER_S = 80_000  # a batch job takes longer than fronts wait before a search
 
 
 @contextmanager
 def counted_calls(monkeypatch: pytest.MonkeyPatch) -> Iterator[Counter[str]]:
-    """Counts the calls that fronts make, by the name of what they send."""
+    """Counts the calls of fronts, by the class name of the command."""
     counts: Counter[str] = Counter()
     call = Connection.call
 
@@ -60,7 +60,7 @@
 
 
 def lose_the_primary(world: World) -> None:
-    """Cuts the store machines off from each other, not from the fronts."""
+    """Partitions the store machines from each other, but not from the fronts."""
     for host in STORES:
         world.partition([host], [other for other in STORES if other != host])
     world.run_for(SETTLING_S)
@@ -68,7 +68,7 @@
 
 
 def calls_per_s(world: World, counts: Counter[str], span_s: float) -> dict[str, float]:
-    """The calls a second of one front, by name."""
+    """Calls per second of one front, by name."""
     counts.clear()
     world.run_for(span_s)
     return {name: count / span_s / len(FRONTS) for name, count in counts.items()}
@@ -105,7 +105,7 @@
 
 
 def submit(world: World) -> int:
-    """Submits a batch job of several items at a front; gives the status."""
+    """Submits a batch job of several items at a front; returns the status."""
     item_body = base64.b64encode(b"x" * ITEM_BODY_BYTES).decode()
     items = [
         {"id": f"i{number}", "path": f"{BATCH_PREFIX}x", "headers": {}, "tokens": 9, "body": item_body}
@@ -151,13 +151,13 @@
 
 
 class UnsureConnections:
-    """The primary responds after a while; other machines do not answer whether they are the primary."""
+    """The primary responds after a delay; other machines never respond to GetStatus."""
 
     def __init__(self, response_s: float) -> None:
         self._response_s = response_s
 
     async def call(self, _host: str, body: commands.ForwardedCommand, timeout_s: float) -> Decoded:
-        """Waits for the response, or for ever."""
+        """Waits for the response; a GetStatus times out."""
         is_question = isinstance(body.command, commands.GetStatus)
         await asyncio.sleep(100 * timeout_s if is_question else self._response_s)
         return outcomes.Done()
