--- a/crowwing/tier/replication/follower.py
+++ b/crowwing/tier/replication/follower.py
@@ -1,9 +1,9 @@
 """The follower role: monitors the primary, and campaigns when the primary has timed out.
 
 The pre-vote of Raft (Ongaro 2014, section 9.6): before it starts a new term, a member asks the witnesses
-whether they would promise it one. A partitioned machine gets no pre-votes and so starts no term, and the
-primary does not have to change its view to a higher term when the partition heals. Pre-votes are not written
-to disk.
+whether they would promise it one. A partitioned machine gets no majority of pre-votes and so starts no term,
+and the primary does not have to change its view to a higher term when the partition heals. Pre-votes are not
+written to disk.
 """
 
 from typing import ClassVar
--- a/crowwing/tier/replication/peers.py
+++ b/crowwing/tier/replication/peers.py
@@ -8,7 +8,7 @@
 
 
 class Peers:
-    """Survives changes of the role, except `heard_at`, which is cleared when this replica stops leading.
+    """The table of peers; survives role transitions, except `heard_at`, which `clear_heard_at` resets.
 
     Attributes:
         heard_at: when this replica, as primary, last received a response of each other one.
--- a/crowwing/tier/replication/recovery.py
+++ b/crowwing/tier/replication/recovery.py
@@ -1,7 +1,7 @@
 """Recovery of a replica that lost its disk, after Viewstamped Replication Revisited (Liskov, Cowling 2012).
 
-It may have been part of a majority that promised a term or accepted a view which no other majority knows of.
-So it takes no part in decisions until enough others have reported what they have promised and accepted.
+A term that it promised, or a view that it accepted, may be known only to a majority that includes it. So it
+takes no part in decisions until enough others have reported what they have promised and accepted.
 """
 
 import logging
--- a/tests/tier/test_control_safety_steps.py
+++ b/tests/tier/test_control_safety_steps.py
@@ -67,7 +67,7 @@
     assert not replica.holds_lease(10.03), "a released lease is not renewed in the same term"
 
 
-def test_a_view_that_was_accepted_late_gives_no_lease_beyond_what_its_witnesses_vouch_for() -> None:
+def test_the_lease_of_a_view_that_was_accepted_late_runs_from_when_the_accept_was_sent() -> None:
     replica = replica_of("a")
     replica.start_campaign(10.0)
     term = replica.promised
@@ -135,7 +135,7 @@
     assert learner.synced == term
 
 
-def test_a_restarted_witness_promises_nobody_until_a_lease_it_may_have_vouched_for_has_ended() -> None:
+def test_a_restarted_witness_promises_no_term_until_a_lease_it_may_have_acknowledged_has_ended() -> None:
     witness = Replica(ReplicaSettings("b", HOSTS, 1), TierState(), 10.0, lambda: 0.5)
     witness.recover([PromisedTermRecord((5, "a")), AcceptedViewRecord(View((5, "a"), HOSTS, HOSTS))])
     witness.receive(10.1, messages.Prepare((6, "c"), "c", (5, "a")))
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.parametrize("members", [("b", "c"), HOSTS])
-def test_who_missed_the_last_view_or_its_data_does_not_lead(members: tuple[str, ...]) -> None:
+def test_a_candidate_that_missed_the_last_view_or_its_data_does_not_lead(members: tuple[str, ...]) -> None:
     replica = replica_of("a")
     replica.start_campaign(10.0, above=(5, "c"))
     first, last = View(FIRST_TERM, HOSTS, HOSTS), View((5, "c"), members, HOSTS)
@@ -325,7 +325,7 @@
     assert replica.view.witnesses == HOSTS
 
 
-def test_where_too_few_members_are_left_a_candidate_takes_in_who_asked_to_join() -> None:
+def test_where_too_few_members_are_left_a_candidate_adds_replicas_that_asked_to_join() -> None:
     """Three members that have to tolerate two faults: if one is lost, two are too few to hold the data."""
     replica = Replica(ReplicaSettings("a", HOSTS, 2), TierState(), 0.0, lambda: 0.5)
     replica.bootstrap(HOSTS)
