--- a/crowwing/tier/replication/primary.py
+++ b/crowwing/tier/replication/primary.py
@@ -1,4 +1,4 @@
-"""A replica that is the primary: appends entries, renews its lease, and sees to the view's members."""
+"""The primary role: appends entries, renews the lease, and monitors and replaces members of the view."""
 
 import logging
 from collections.abc import Iterator
@@ -29,12 +29,12 @@
 
 
 class Primary(RoleState):
-    """Decides the order of entries while its view holds."""
+    """Orders the entries of its view."""
 
     role: ClassVar[Role] = Role.PRIMARY
 
     def __init__(self, core: ReplicaCore, changes: RoleChanges, lease: Lease, limits: ViewLimits) -> None:
-        """The primary of the view that the core holds, which begins now."""
+        """The primary of the current view, which begins now."""
         super().__init__(core, changes)
         self._lease = lease
         self._limits = limits
@@ -60,11 +60,11 @@
         return entry.index
 
     def send_entries(self, now: float) -> None:
-        """Sends the other members what was proposed, as far as their windows are open."""
+        """Sends proposed entries to the other members, within their windows."""
         self._send_windows(now, list(self._progress.sent))
 
     def _send_windows(self, now: float, members: list[str]) -> None:
-        """Members that are sent the same entries are sent the same message, so that it is encoded once."""
+        """Reuses one message object for all members that get the same entries, so that it is encoded once."""
         core = self._core
         term = core.durable.promised
         requests: dict[tuple[int, int], messages.AppendRequest] = {}
@@ -76,7 +76,7 @@
                 core.send(member, requests[span])
 
     def on_append_response(self, now: float, response: messages.AppendResponse) -> None:
-        """Counts one acknowledgement: an entry is committed once every member has it on disk."""
+        """Handles an acknowledgement; an entry is committed once every member has it on disk."""
         core = self._core
         if response.term != core.durable.promised:
             return
@@ -89,42 +89,42 @@
         core.commit_index = max(core.commit_index, progress.committed(self._view().members))
 
     def backlog(self) -> Backlog:
-        """Returns how far the others are behind."""
+        """Returns the replication lag of the others."""
         core = self._core
         members = self._view().members
-        first = min(
+        lowest = min(
             [self._progress.acknowledged[member] for member in members if member != core.me], default=None
         )
         last = core.log.last[1]
         return Backlog(
             members=len(members),
             learners=len(self._catch_up.learners),
-            lag_bytes=0 if first is None else core.log.bytes_between(max(first, 0), last),
+            lag_bytes=0 if lowest is None else core.log.bytes_between(max(lowest, 0), last),
             uncommitted_bytes=core.log.bytes_between(core.commit_index, last),
         )
 
     # The lease
 
     def start_heartbeat(self, now: float) -> int:
-        """Sends a heartbeat at once, and returns its number."""
+        """Sends a heartbeat at once and returns its number."""
         self.send_heartbeat(now)
         return self._lease.sequence
 
     def is_heartbeat_confirmed(self, number: int) -> bool:
-        """Whether a majority of the witnesses has answered this heartbeat or a later one."""
+        """Whether a majority of the witnesses has responded to this heartbeat or a later one."""
         return self._lease.is_confirmed(number, self._view().witnesses)
 
     def send_heartbeat(self, now: float) -> None:
-        """Sends a heartbeat to the witnesses, to learners, to who asks to join, and now and then to all."""
+        """Sends a heartbeat to witnesses, learners and joining replicas, and periodically to all replicas."""
         core = self._core
         view = self._view()
         sequence = self._lease.start_round(now, core.me)
-        asked_to_join = core.peers.joined_within(now, 2 * HEARTBEAT_INTERVAL_S)
-        receivers = {*view.witnesses, *self._catch_up.learners, *asked_to_join}
+        joining = core.peers.join_requested_within(now, 2 * HEARTBEAT_INTERVAL_S)
+        receivers = {*view.witnesses, *self._catch_up.learners, *joining}
         self._heartbeat_at = now
         if now - self._announced_at >= ANNOUNCEMENT_INTERVAL_S:
             self._announced_at = now
-            # A replica that lost its disk may have no other way to hear of this one.
+            # A replica that lost its disk may have no other way to learn of this primary.
             receivers |= core.announced - core.excluded
             receivers |= core.spares.heard_within(now)
         heartbeat = messages.Heartbeat(core.durable.promised, core.me, sequence, view)
@@ -134,12 +134,12 @@
             self._lease.confirmed_at = now
 
     def on_heartbeat_response(self, now: float, response: messages.HeartbeatResponse) -> None:
-        """Renews the lease, and sees to the data of the sender."""
+        """Renews the lease, and resends entries or sends catch-up data if the sender needs them."""
         core = self._core
         if response.term != core.durable.promised:
             return
         if not response.recovered:
-            return  # counts as silent: it can neither promise nor keep anything yet
+            return  # counts as no response: the sender can neither promise nor store anything yet
         view = self._view()
         core.peers.heard_at[response.sender] = now
         self._progress.disk_sync_s[response.sender] = response.sync_s
@@ -150,9 +150,10 @@
             self._catch_up.on_heartbeat_response(now, response)
 
     def transfer_leadership(self) -> None:
-        """Gives up the lease and asks the member that is best up to date to take over, if there is one.
+        """Releases the lease and asks the most up-to-date member to take over, if there is one.
 
-        The lease goes before the message: the new primary's witnesses don't wait until it would have ended.
+        The lease is released before the message is sent, because the witnesses then promise the new
+        primary its term without waiting for this lease to expire.
         """
         core = self._core
         members = self._view().members
@@ -165,29 +166,29 @@
             acknowledged = self._progress.acknowledged.get(member, 0)
             return member not in slow, acknowledged, core.peers.heard_at.get(member, 0.0)
 
-        freshest = max(others, key=preference)
+        successor = max(others, key=preference)
         self._lease.is_released = True
-        core.send(freshest, messages.LeadershipTransfer(core.durable.promised, core.me))
+        core.send(successor, messages.LeadershipTransfer(core.durable.promised, core.me))
 
     # Members
 
     def _check_member(self, now: float, response: messages.HeartbeatResponse) -> None:
         member = response.sender
         if response.synced == self._core.durable.promised:
-            if self._progress.is_stuck(now, member):
+            if self._progress.is_stalled(now, member):
                 self._resend(now, response)
             return
-        self._progress.mark_data_lost(member)  # its disk, since it became a member
+        self._progress.mark_data_lost(member)  # the member has lost its disk since it joined the view
         if now - self._lease.active_since >= RECONFIGURATION_PAUSE_S:
             log.info("member_lost_data member=%s", member)
             self._changes.start_campaign(now)
 
     def _resend(self, now: float, response: messages.HeartbeatResponse) -> None:
-        """Sends a member again what it has not acknowledged."""
+        """Resends entries that a member has not acknowledged."""
         core = self._core
         member = response.sender
         self._progress.start_resending(now, member)
-        if response.last[1] >= self._progress.sent[member]:  # only its response was lost
+        if response.last[1] >= self._progress.sent[member]:  # only the response was lost
             core.send(member, messages.AppendRequest(core.durable.promised, core.me, ()))
         elif core.log.contains(response.last):
             self._progress.sent[member] = response.last[1]
@@ -196,22 +197,22 @@
     # Learners
 
     def on_sync_response(self, now: float, response: messages.SyncResponse) -> None:
-        """Hands the response of a learner on."""
+        """Passes the response of a learner to CatchUp."""
         self._catch_up.on_sync_response(now, response)
 
     def on_ranges_request(self, now: float, request: messages.RangesRequest) -> None:
-        """Hands the request of a learner on."""
+        """Passes the request of a learner to CatchUp."""
         self._catch_up.on_ranges_request(now, request)
 
     def on_entries_request(self, now: float, request: messages.EntriesRequest) -> None:
-        """Hands the request of a learner on."""
+        """Passes the request of a learner to CatchUp."""
         self._catch_up.on_entries_request(now, request)
 
-    # Changes of the view
+    # View changes
 
     def on_nack(self, now: float, nack: messages.Nack) -> None:
-        """Goes above a term that somebody raised meanwhile, or steps down where it may not lead."""
-        if nack.term != self._core.durable.promised or not self._is_outbid(nack):
+        """Campaigns above a higher term that a witness has promised, or steps down if it may not lead."""
+        if nack.term != self._core.durable.promised or not self._is_preempted(nack):
             return
         if self._core.may_lead():
             self._changes.start_campaign(now, above=nack.promised)
@@ -219,22 +220,22 @@
             self._yield_to_higher_term(now, nack)
 
     def tick(self, now: float) -> None:
-        """Sends heartbeats, and changes the view where its members or witnesses ask for it."""
+        """Sends heartbeats, and steps down, transfers leadership or starts a view change if required."""
         core = self._core
         if now - self._heartbeat_at >= HEARTBEAT_INTERVAL_S:
             self.send_heartbeat(now)
         if now - max(self._lease.confirmed_at, self._lease.active_since) >= MEMBER_TIMEOUT_S:
             core.monitor.heard_at = now - LEADER_STICKINESS_S
-            self._changes.step_down(now, "no majority of the witnesses answers its heartbeats")
+            self._changes.step_down(now, "no majority of the witnesses responds to its heartbeats")
             return
         if now - self._lease.active_since < RECONFIGURATION_PAUSE_S:
             return
         if core.disk_stalled:
-            self._changes.resign(now, "its disk does not answer")
+            self._changes.resign(now, "its disk does not respond")
             return
         self._progress.disk_sync_s[core.me] = core.sync_s
         self._catch_up.tick(now)
-        if self._should_hand_over() and now - self._transfer_at >= TRANSFER_PAUSE_S:
+        if self._should_transfer_leadership() and now - self._transfer_at >= TRANSFER_PAUSE_S:
             self._transfer_at = now
             self.transfer_leadership()
             return
@@ -244,14 +245,14 @@
             self._change_view(now)
 
     def _change_view(self, now: float) -> None:
-        """Campaigns for a view of its own, with the learners that are ready."""
+        """Campaigns for a new view that includes the learners that are ready."""
         joining = self._catch_up.ready(now)
         for learner in joining:
-            self._core.spares.pass_over(learner, now + LEARNER_BACKOFF_S)  # unless the view takes it in
+            self._core.spares.back_off(learner, now + LEARNER_BACKOFF_S)  # cleared if the view includes it
         self._changes.start_campaign(now, joining=joining)
 
-    def _should_hand_over(self) -> bool:
-        """Whether this replica is to leave, or its disk is slow where enough members have better ones."""
+    def _should_transfer_leadership(self) -> bool:
+        """Whether this replica has to leave, or its disk is slow and enough members have faster ones."""
         core = self._core
         members = self._view().members
         slow = self._progress.slow_members(members)
@@ -259,31 +260,31 @@
         return core.me in core.excluded or (core.me in slow and enough_without)
 
     def _reasons_to_change_view(self, now: float) -> Iterator[str]:
-        yield from self._reasons_of_members(now)
-        yield from self._reasons_of_others(now)
+        yield from self._reasons_to_remove_members(now)
+        yield from self._reasons_to_add_or_retire(now)
 
-    def _reasons_of_members(self, now: float) -> Iterator[str]:
+    def _reasons_to_remove_members(self, now: float) -> Iterator[str]:
         core = self._core
         heard_at = core.peers.heard_at
         members = self._view().members
-        silent = [
+        unresponsive = [
             member for member in members if member != core.me and now - heard_at[member] >= MEMBER_TIMEOUT_S
         ]
-        if silent:
-            yield f"no answer from {', '.join(silent)}"
-        beyond_log = self._progress.beyond_log(core.log.base)
-        if beyond_log:
-            yield f"the log does not reach back to {', '.join(beyond_log)}"
+        if unresponsive:
+            yield f"no response from {', '.join(unresponsive)}"
+        behind_log = self._progress.behind_log(core.log.base)
+        if behind_log:
+            yield f"the log no longer holds the entries missing at {', '.join(behind_log)}"
         slow = self._progress.slow_members(members)
         if slow and len(members) - len(slow) >= self._limits.min_replicas:
             yield f"the disk of {', '.join(sorted(slow))} is slow"
 
-    def _reasons_of_others(self, now: float) -> Iterator[str]:
+    def _reasons_to_add_or_retire(self, now: float) -> Iterator[str]:
         core = self._core
         view = self._view()
         leaving = core.excluded & {*view.members, *view.witnesses}
         if leaving and len(set(view.members) - leaving) >= self._limits.min_witnesses:
-            yield f"{', '.join(sorted(leaving))} is to leave"
+            yield f"{', '.join(sorted(leaving))} has to leave"
         ready = self._catch_up.ready(now)
         if ready:
             yield f"{', '.join(sorted(ready))} has caught up"
--- a/crowwing/tier/replication/witness.py
+++ b/crowwing/tier/replication/witness.py
@@ -1,6 +1,6 @@
-"""What a replica does as a witness, in each role: it decides which term and view hold.
+"""The behaviour of a replica as a witness, in every role: it decides which term and view are valid.
 
-Phases 1 and 2 of a change of the view, after Vertical Paxos (Lamport, Malkhi, Zhou 2009).
+Phases 1 and 2 of a view change, after Vertical Paxos (Lamport, Malkhi, Zhou 2009).
 """
 
 from crowwing.tier.replication import messages
@@ -13,25 +13,25 @@
     """Promises terms, accepts views and responds to heartbeats."""
 
     def __init__(self, core: ReplicaCore, changes: RoleChanges) -> None:
-        """The witness's part of one replica."""
+        """The witness role of one replica."""
         self._core = core
         self._changes = changes
         self.own_lease: Lease | None = None  # while this replica is primary
 
     def on_prepare(self, now: float, prepare: messages.Prepare) -> None:
-        """Promises a term, unless a higher one is promised or another primary may hold its lease."""
+        """Promises a term, unless a higher one is promised or another primary may hold a lease."""
         core = self._core
         if not core.durable.recovered:
             return
         if prepare.sender != core.me:
-            if core.monitor.may_have_vouched_before(now):
-                return  # a lease of a primary that it answered just before it ended may still stand
+            if core.monitor.may_have_granted_lease_before_restart(now):
+                return  # a lease that it acknowledged just before its restart may still be valid
             if self._refuses(now, prepare):
                 core.send_nack(prepare.sender, prepare.term)
                 return
             self._changes.step_down_from_leading(now, f"{prepare.sender} prepares term {prepare.term}")
             core.durable.promise(prepare.term)
-            core.delay_campaign(now)
+            core.reset_election_timer(now)
         durable = core.durable
         promise = messages.Promise(
             prepare.term, core.me, durable.view, durable.synced, core.log.last, core.sync_s
@@ -40,12 +40,12 @@
 
     def _refuses(self, now: float, prepare: messages.Prepare) -> bool:
         promised = self._core.durable.promised
-        # One candidate a term number, so that documents of two primaries can be told apart.
+        # At most one candidate per term number, so that documents of two primaries can be distinguished.
         is_bound = prepare.term[0] <= promised[0] and prepare.term != promised
         if is_bound or prepare.term == promised:
             return True
         is_leader_alive = self._is_leader_alive(now, prepare.sender)
-        return is_leader_alive and not self._core.monitor.may_pass_lease(prepare.released)
+        return is_leader_alive and not self._core.monitor.is_lease_released(prepare.released)
 
     def _is_leader_alive(self, now: float, candidate: str) -> bool:
         if self.own_lease is not None:
@@ -65,11 +65,11 @@
             self._changes.step_down_from_leading(now, f"{accept.sender} has term {term}")
         core.durable.accept(accept.view)
         if accept.sender != core.me:
-            core.hear_leader(now, accept.sender, term)
+            core.record_leader_contact(now, accept.sender, term)
         core.send(accept.sender, messages.Accepted(term, core.me), durable=True)
 
     def on_heartbeat(self, now: float, heartbeat: messages.Heartbeat) -> None:
-        """Vouches for the primary, unless a higher term is promised; the response renews its lease."""
+        """Acknowledges the primary, unless a higher term is promised; the response renews its lease."""
         core = self._core
         durable = core.durable
         if heartbeat.term < durable.promised:
@@ -83,7 +83,7 @@
         if heartbeat.sender != core.me:
             reason = f"{heartbeat.sender} is primary with term {heartbeat.term}"
             self._changes.step_down_from_leading(now, reason)
-        core.hear_leader(now, heartbeat.sender, heartbeat.term)
+        core.record_leader_contact(now, heartbeat.sender, heartbeat.term)
         response = messages.HeartbeatResponse(
             heartbeat.term,
             core.me,
@@ -96,7 +96,7 @@
         core.send(heartbeat.sender, response, durable=core.outbox.has_records)
 
     def on_pre_vote_request(self, now: float, request: messages.PreVoteRequest) -> None:
-        """Tells whether this replica would promise a higher term now."""
+        """Responds whether this replica would promise a higher term now."""
         if self._core.durable.recovered:
             willing = self._would_promise(now, request.sender)
             response = messages.PreVoteResponse(request.term, self._core.me, willing)
@@ -105,6 +105,6 @@
     def _would_promise(self, now: float, candidate: str) -> bool:
         if self.own_lease is not None:
             return not self.own_lease.is_valid(now)
-        if self._core.monitor.may_have_vouched_before(now):
+        if self._core.monitor.may_have_granted_lease_before_restart(now):
             return False
         return not self._core.monitor.is_alive(now, candidate)
--- a/tests/tier/test_replication.py
+++ b/tests/tier/test_replication.py
@@ -1,4 +1,4 @@
-"""Replication on a simulated network: seeded random troubles, rules checked after each step."""
+"""Replication on a simulated network: seeded random faults, with invariants checked after each step."""
 
 from contextvars import Context
 
@@ -21,7 +21,7 @@
 def quick_world(
     seed: int, hosts: tuple[str, ...], seeds: tuple[str, ...] | None = None, faults: int = 1
 ) -> World:
-    """Store machines whose processes start at once."""
+    """Creates store machines whose processes start without delay."""
     return World(seed, hosts, seeds, faults, start_s=QUICK_START_S)
 
 
@@ -42,7 +42,7 @@
     world.start(host)
     world.run_for(CATCH_UP_S)
     view = world.replica(world.primary()).view
-    assert set(view.members) == set(HOSTS), "it is a member again in time"
+    assert set(view.members) == set(HOSTS), "it is a member again within the catch-up time"
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -59,7 +59,7 @@
     world.acknowledge("second")
 
 
-def test_a_frozen_primary_wakes_fenced() -> None:
+def test_a_frozen_primary_is_fenced_when_it_resumes() -> None:
     world = quick_world(3, HOSTS, HOSTS)
     world.stabilize()
     world.acknowledge("first")
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("direction", ["to", "from", "both"])
-def test_a_cut_off_primary_is_replaced_and_taken_back(direction: str) -> None:
+def test_a_partitioned_primary_is_replaced_and_readmitted(direction: str) -> None:
     world = quick_world(4, HOSTS, HOSTS)
     world.stabilize()
     world.acknowledge("first")
@@ -112,7 +112,7 @@
     world.acknowledge("first")
     world.start("d")
     world.run_for(CATCH_UP_S)
-    assert world.members() == set(HOSTS), "with one fault to bear a full view has three members"
+    assert world.members() == set(HOSTS), "a full view that tolerates one fault has three members"
     leaving = world.primary()
     world.retire(leaving)
     world.run_for(3.0)
@@ -122,7 +122,7 @@
     world.acknowledge("second")
 
 
-def test_a_seed_killed_before_it_wrote_anything_is_taken_in() -> None:
+def test_a_seed_killed_before_it_wrote_anything_becomes_a_member() -> None:
     world = quick_world(7, HOSTS, HOSTS)
     world.stop("c")
     world.run_for(0.5)
@@ -132,8 +132,8 @@
     assert world.members() == set(HOSTS)
 
 
-def cut_between(world: World, some: set[str], others: set[str]) -> None:
-    """Cuts both ways between two groups."""
+def partition_both_ways(world: World, some: set[str], others: set[str]) -> None:
+    """Partitions two groups from each other, in both directions."""
     world.partition(some, others)
 
 
@@ -147,19 +147,19 @@
     assert world.witnesses() == set(HOSTS)
     acknowledged_by: list[str] = []
     world.on_acknowledged = acknowledged_by.append
-    cut_between(world, {"a", "b"}, {"c", "d"})
+    partition_both_ways(world, {"a", "b"}, {"c", "d"})
     world.run_for(2.0)
     for number in range(20):
         world.propose(f"cut/{number}")
         world.run_for(0.1)
     assert not set(acknowledged_by) & {"c", "d"}, "one of three witnesses is no majority"
-    assert set(acknowledged_by) & {"a", "b"}, "two of three go on"
+    assert set(acknowledged_by) & {"a", "b"}, "two of three witnesses are a majority"
     world.heal()
     world.acknowledge("second", 4.0)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_view_that_is_cut_in_two_even_halves_acknowledges_nothing_until_joined(seed: int) -> None:
+def test_a_view_partitioned_into_two_even_halves_acknowledges_nothing_until_healed(seed: int) -> None:
     world = quick_world(seed, HOSTS, HOSTS)
     world.stabilize()
     world.acknowledge("first")
@@ -168,7 +168,7 @@
     world.run_for(2.0)
     world.acknowledge("beside one that is gone")
     one, other = sorted(set(HOSTS) - {gone})
-    cut_between(world, {one}, {other})
+    partition_both_ways(world, {one}, {other})
     world.run_for(2.0)
     before = len(world.acknowledged)
     for number in range(20):
@@ -180,12 +180,12 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_minority_that_missed_changes_never_outvotes_a_wiped_machine_and_a_dark_one(seed: int) -> None:
+def test_a_member_that_missed_entries_and_a_wiped_one_elect_no_primary_without_the_third(seed: int) -> None:
     world = quick_world(seed, HOSTS, HOSTS)
     world.stabilize()
     behind = next(host for host in HOSTS if host != world.primary())
     others = set(HOSTS) - {behind}
-    cut_between(world, {behind}, others)
+    partition_both_ways(world, {behind}, others)
     world.acknowledge("missed")
     wiped = sorted(others)[seed % 2]
     world.stop(wiped, power=True, wipe=True)
@@ -194,7 +194,7 @@
     world.heal()
     world.start(wiped)
     world.run_for(3.0)
-    assert world.primary() is None, "who remembers is dark; the two others must not decide alone"
+    assert world.primary() is None, "the only replica with the entry on disk is powered off"
     world.start(powered_off)
     world.stabilize(4.0)
     world.acknowledge("later")
@@ -202,24 +202,24 @@
     assert world.members() == set(HOSTS)
 
 
-def test_a_machine_without_memory_is_bound_to_the_view_that_it_may_have_accepted() -> None:
+def test_a_recovered_replica_is_bound_to_the_view_that_it_may_have_accepted() -> None:
     older = View((3, "a"), HOSTS, HOSTS)
     newer = View((5, "a"), ("a", "c"), HOSTS)
     replica = Replica(ReplicaSettings("c", HOSTS, 1), TierState(), 0.0, lambda: 0.5)
-    replica.tick(1.4)  # it asks
+    replica.tick(1.4)  # sends recovery requests
     replica.receive(1.5, messages.RecoveryResponse("b", (9, "b"), older))
     replica.receive(1.5, messages.RecoveryResponse("a", (5, "a"), newer))
     replica.receive(2.0, messages.Prepare((10, "b"), "b", NO_TERM))
     output = replica.take_output()
     promises = [message for _, message in output.durable if isinstance(message, messages.Promise)]
     assert [promise.view for promise in promises] == [newer], (
-        "else b, which missed it, leads without its data"
+        "otherwise b, which missed that view, could lead without its data"
     )
-    assert AcceptedViewRecord(newer) in output.records, "it outlasts a loss of power"
+    assert AcceptedViewRecord(newer) in output.records, "the view must survive a loss of power"
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_after_a_machine_was_emptied_another_may_lose_its_disk(seed: int) -> None:
+def test_after_a_machine_was_retired_another_may_lose_its_disk(seed: int) -> None:
     world = quick_world(seed, (*HOSTS, "d"), HOSTS)
     world.stabilize()
     world.run_for(CATCH_UP_S)
@@ -240,7 +240,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_primary_that_is_lost_for_good_while_a_member_is_being_emptied_is_replaced(seed: int) -> None:
+def test_a_primary_that_is_lost_for_good_while_a_member_is_being_retired_is_replaced(seed: int) -> None:
     world = quick_world(seed, HOSTS, HOSTS)
     world.stabilize()
     world.start("d")
@@ -256,25 +256,25 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_machine_that_was_cut_off_alone_raises_no_ballot(seed: int) -> None:
+def test_a_partitioned_member_raises_no_term(seed: int) -> None:
     world = quick_world(seed, HOSTS, HOSTS)
     world.stabilize()
     world.acknowledge("first")
-    alone = next(host for host in HOSTS if host != world.primary())
-    cut_between(world, {alone}, set(HOSTS) - {alone})
+    partitioned = next(host for host in HOSTS if host != world.primary())
+    partition_both_ways(world, {partitioned}, set(HOSTS) - {partitioned})
     world.run_for(5.0)
     primary = world.primary()
-    assert world.replica(alone).promised <= world.replica(primary).promised
+    assert world.replica(partitioned).promised <= world.replica(primary).promised
     before = world.replica(primary).promised
     world.heal()
     world.run_for(CATCH_UP_S)
-    assert world.primary() == primary, "its role is not questioned"
-    assert world.replica(primary).promised[0] <= before[0] + 1, "one new term, to take it back"
+    assert world.primary() == primary, "the primary was not replaced"
+    assert world.replica(primary).promised[0] <= before[0] + 1, "one new term, to readmit the member"
     assert world.members() == set(HOSTS)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_messages_that_are_lost_now_and_then_stop_nothing(seed: int) -> None:
+def test_occasional_message_loss_does_not_stop_commits(seed: int) -> None:
     world = quick_world(seed, HOSTS, HOSTS)
     world.network.loss = 0.1
     world.stabilize(4.0)
@@ -286,16 +286,16 @@
 
 
 class RandomFault:
-    """One fault at one machine, or at all of them at once; it strikes once."""
+    """One fault at one machine, or at all of them at once; injected once."""
 
     def __init__(self, world: World, hosts: tuple[str, ...]) -> None:
         self._world = world
         self.host = world.random.choice(hosts)
         self.kind = world.random.choice(FAULT_KINDS)
-        self._has_struck = False
+        self._is_injected = False
 
-    def strike(self) -> None:
-        """Has the fault happen."""
+    def inject(self) -> None:
+        """Injects the fault."""
         world, host, kind = self._world, self.host, self.kind
         if kind in ("kill", "power", "wipe"):
             world.stop(host, power=kind != "kill", wipe=kind == "wipe")
@@ -308,40 +308,40 @@
             for other in sorted(world.stores):
                 world.stop(other, power=True, wipe=kind == "all_wipe" and other == host)
 
-    def strike_after_acknowledgement(self, _host: str) -> None:
-        """Has the fault happen just after the first acknowledgement."""
-        if not self._has_struck:
-            self._has_struck = True
+    def inject_after_acknowledgement(self, _host: str) -> None:
+        """Injects the fault just after the first acknowledgement."""
+        if not self._is_injected:
+            self._is_injected = True
             delay_s = self._world.random.uniform(0.0, 0.004)
-            self._world.loop.call_later(delay_s, self.strike, context=Context())
+            self._world.loop.call_later(delay_s, self.inject, context=Context())
 
-    def strike_unless_struck(self) -> None:
-        """Has the fault happen now, where there was no acknowledgement."""
-        if not self._has_struck:
-            self._has_struck = True
-            self.strike()
+    def inject_unless_injected(self) -> None:
+        """Injects the fault now if there was no acknowledgement."""
+        if not self._is_injected:
+            self._is_injected = True
+            self.inject()
 
 
 def propose_some(world: World, first: int, count: int, max_pause_s: float) -> int:
-    """Proposes numbered changes with random pauses; returns the number of the last one."""
+    """Proposes numbered changes with random pauses; returns the last number."""
     for number in range(first, first + count):
         world.propose(str(number))
         world.run_for(world.random.uniform(0.0, max_pause_s))
     return first + count - 1
 
 
-def random_troubles(seed: int, hosts: tuple[str, ...], faults: int = 1) -> World:
-    """Faults at random moments, one counted loss at a time, and at times all machines killed at once."""
+def random_faults(seed: int, hosts: tuple[str, ...], faults: int = 1) -> World:
+    """Injects random faults: one tolerated loss at a time, and sometimes a power loss of all machines."""
     world = quick_world(seed, hosts, hosts[:3], faults)
     random = world.random
     number = 0
     for _ in range(6):
         fault = RandomFault(world, hosts)
         if random.random() < 0.5:
-            world.on_acknowledged = fault.strike_after_acknowledgement
+            world.on_acknowledged = fault.inject_after_acknowledgement
         number = propose_some(world, number + 1, random.randint(5, 20), 0.15)
         world.on_acknowledged = lambda _host: None
-        fault.strike_unless_struck()
+        fault.inject_unless_injected()
         number = propose_some(world, number + 1, random.randint(3, 15), 0.3)
         world.heal()
         for host in hosts:
@@ -356,6 +356,6 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_random_troubles_lose_nothing(seed: int) -> None:
+def test_random_faults_lose_nothing(seed: int) -> None:
     hosts = HOSTS if seed % 2 else ("a", "b", "c", "d")
-    assert random_troubles(seed, hosts).acknowledged
+    assert random_faults(seed, hosts).acknowledged
--- a/tests/tier/test_replication_traffic.py
+++ b/tests/tier/test_replication_traffic.py
@@ -1,4 +1,4 @@
-"""What the log tells of the traffic between replicas and of changes of the view."""
+"""Log lines about replication traffic and view changes."""
 
 import logging
 import re
@@ -47,7 +47,7 @@
     [line] = lines(caplog, "replication_traffic")
     assert field(line, "append_messages") >= 2 * 40 and field(line, "append_bytes") > 0
     assert field(line, "members") == 3 and field(line, "learners") == 0
-    assert field(line, "control_messages") >= 2 * 60, "two receivers, a heartbeat each 0.07 s"
+    assert field(line, "control_messages") >= 2 * 60, "two receivers, one heartbeat every 0.07 s"
 
 
 def test_a_machine_without_its_disk_shows_as_catching_up(caplog: pytest.LogCaptureFixture) -> None:
@@ -63,7 +63,7 @@
     assert sum(field(line, "catch_up_bytes") for line in lines(caplog, "replication_traffic")) > 0
 
 
-def test_a_change_of_the_view_tells_its_phases_and_who_is_left_out(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_view_change_logs_its_phases_and_who_is_left_out(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO, "crowwing.replication")
     world = World(1, ("m0", "m1", "m2"))
     world.stabilize()
