--- a/crowwing/tier/state/batch_jobs.py
+++ b/crowwing/tier/state/batch_jobs.py
@@ -5,7 +5,7 @@
 
 from crowwing.tier.state import events
 
-ENTRY_BYTES = 64  # estimated overhead of an item or a result, beside its texts
+ITEM_OVERHEAD_BYTES = 64  # estimated overhead of an item or a result, beside its texts
 
 
 # The fields of a job in the order in which they are encoded.
@@ -26,12 +26,12 @@
 def item_bytes(item: events.BatchItem) -> int:
     """The estimated size of an item on disk and in memory, in bytes."""
     headers = sum(len(name) + len(value) for name, value in item.headers)
-    return ENTRY_BYTES + len(item.body) + len(item.path) + headers
+    return ITEM_OVERHEAD_BYTES + len(item.body) + len(item.path) + headers
 
 
 def result_bytes(result: events.ItemResult) -> int:
     """The estimated size of a result on disk and in memory, in bytes."""
-    return ENTRY_BYTES + len(result.text)
+    return ITEM_OVERHEAD_BYTES + len(result.text)
 
 
 @dataclass
--- a/crowwing/tier/state/changes.py
+++ b/crowwing/tier/state/changes.py
@@ -25,14 +25,14 @@
         """No changes."""
         self._digests: dict[int, bytes] = {}  # in rising order of their versions
         self._versions: dict[bytes, int] = {}
-        self.forgotten = 0
+        self.last_evicted_version = 0
 
     def add(self, version: int, base: int, text: bytes) -> None:
         """Records the newest change; drops the oldest beyond MAX_REMEMBERED_CHANGES."""
         self._add_digest(version, _digest_of_change(base, text))
         while len(self._digests) > MAX_REMEMBERED_CHANGES:
-            self.forgotten = next(iter(self._digests))
-            del self._versions[self._digests.pop(self.forgotten)]
+            self.last_evicted_version = next(iter(self._digests))
+            del self._versions[self._digests.pop(self.last_evicted_version)]
 
     def has_accepted(self, base: int, text: bytes) -> bool:
         """Whether this very change was accepted, as far as it is remembered."""
@@ -44,13 +44,13 @@
 
     def to_plain(self) -> PlainChanges:
         """The fields as they are now, to be encoded; equal records give equal fields."""
-        return (self.forgotten, list(self._digests), b"".join(self._digests.values()))
+        return (self.last_evicted_version, list(self._digests), b"".join(self._digests.values()))
 
     @classmethod
     def from_plain(cls, plain: PlainChanges) -> "AcceptedChanges":
         """The record whose fields `to_plain` gave."""
         changes = cls()
-        changes.forgotten, versions, digests = plain
+        changes.last_evicted_version, versions, digests = plain
         size = len(digests) // len(versions) if versions else 0
         for position, version in enumerate(versions):
             changes._add_digest(version, digests[position * size : (position + 1) * size])
--- a/crowwing/tier/state/tier_state.py
+++ b/crowwing/tier/state/tier_state.py
@@ -45,12 +45,12 @@
         """
         del index
         event: events.Event = decode(payload)
-        self.fold(event)
+        self.apply_event(event)
         job = self.jobs.get(getattr(event, "job_id", ""))
         if job is not None:
             job.digest = digest_of((job.digest, payload))
 
-    def fold(self, event: events.Event) -> None:
+    def apply_event(self, event: events.Event) -> None:
         """Folds one event in."""
         match event:
             case events.ConfigurationAccepted(version, base, text):
--- a/crowwing/tier/store/decisions.py
+++ b/crowwing/tier/store/decisions.py
@@ -57,7 +57,7 @@
     parsed = parse_configuration(command.text)
     if isinstance(parsed, InvalidConfiguration):
         return _rejected(400, f"{parsed.location}: {parsed.reason}")
-    if parsed.version <= state.changes.forgotten:
+    if parsed.version <= state.changes.last_evicted_version:
         reason = f"version {parsed.version} is too old to tell whether it was taken"
         return Decision((), outcomes.Indeterminate(reason))
     if command.base != state.version:
--- a/tests/tier/test_control_safety_steps.py
+++ b/tests/tier/test_control_safety_steps.py
@@ -354,9 +354,9 @@
 def test_an_item_that_is_completed_again_keeps_its_first_result_and_its_position() -> None:
     state = TierState()
     items = tuple(BatchItem(name, "/p/1", (), b"", 1) for name in ("e1", "e2"))
-    state.fold(BatchJobAccepted("j", "h", "/p/", items, 0))
-    state.fold(ItemsCompleted("j", (ItemResult("e1", COMPLETED, "first"),)))
+    state.apply_event(BatchJobAccepted("j", "h", "/p/", items, 0))
+    state.apply_event(ItemsCompleted("j", (ItemResult("e1", COMPLETED, "first"),)))
     stored_bytes = state.stored_bytes
-    state.fold(ItemsCompleted("j", (ItemResult("e1", COMPLETED, "second"),)))
+    state.apply_event(ItemsCompleted("j", (ItemResult("e1", COMPLETED, "second"),)))
     assert [(result.item, result.text) for result in state.jobs["j"].results] == [("e1", "first")]
     assert set(state.jobs["j"].open_items) == {"e2"} and state.stored_bytes == stored_bytes
--- a/tests/tier/test_decisions.py
+++ b/tests/tier/test_decisions.py
@@ -83,7 +83,7 @@
     assert len(encode(state.changes.to_plain())) < 20 * 32
     assert (
         changes.MAX_REMEMBERED_CHANGES == 20
-        and AcceptedChanges.from_plain(state.changes.to_plain()).forgotten == 10
+        and AcceptedChanges.from_plain(state.changes.to_plain()).last_evicted_version == 10
     )
 
 
@@ -217,7 +217,7 @@
 def test_a_store_is_decommissioned_only_while_enough_others_stay() -> None:
     state = TierState()
     for number in range(4):
-        state.fold(events.StoreRegistered(f"store-{number}", f"10.0.0.{number}"))
+        state.apply_event(events.StoreRegistered(f"store-{number}", f"10.0.0.{number}"))
     hosts = [f"10.0.0.{number}" for number in range(4)]
     assert (
         decisions.retire_store(state, commands.RetireStore("unknown"), hosts, 3).outcome
@@ -237,9 +237,9 @@
 def test_a_store_that_left_long_ago_keeps_no_other_from_leaving() -> None:
     state = TierState()
     for number in range(4):
-        state.fold(events.StoreRegistered(f"store-{number}", f"10.0.0.{number}"))
-    state.fold(events.RetireRequested("store-0"))
-    state.fold(events.StoreRegistered("store-4", "10.0.0.4"))
+        state.apply_event(events.StoreRegistered(f"store-{number}", f"10.0.0.{number}"))
+    state.apply_event(events.RetireRequested("store-0"))
+    state.apply_event(events.StoreRegistered("store-4", "10.0.0.4"))
     left = [f"10.0.0.{number}" for number in range(1, 5)]
     assert (
         apply_decision(state, decisions.retire_store(state, commands.RetireStore("store-1"), left, 3))
@@ -250,10 +250,10 @@
 
 def test_a_store_at_the_address_of_a_decommissioned_one_may_stay() -> None:
     state = TierState()
-    state.fold(events.StoreRegistered("store-0", "10.0.0.1"))
-    state.fold(events.RetireRequested("store-0"))
+    state.apply_event(events.StoreRegistered("store-0", "10.0.0.1"))
+    state.apply_event(events.RetireRequested("store-0"))
     assert state.retired_hosts() == {"10.0.0.1"}
-    state.fold(events.StoreRegistered("store-9", "10.0.0.1"))
+    state.apply_event(events.StoreRegistered("store-9", "10.0.0.1"))
     assert state.retired_hosts() == frozenset()
     assert decisions.retire_store(state, commands.RetireStore("store-0"), [], 0).outcome == outcomes.Done(), (
         "it was accepted, and is never rejected"
@@ -263,7 +263,7 @@
 def test_items_are_leased_once_until_the_lease_expires_and_late_jobs_last() -> None:
     state = submitted(2)
     items = (events.BatchItem("j0", "/p/x", (), b"", 1),)
-    state.fold(events.BatchJobAccepted("later", "h.example", "/p/x", items, 2000))
+    state.apply_event(events.BatchJobAccepted("later", "h.example", "/p/x", items, 2000))
     leases = Leases(0.0)
     for job in state.jobs.values():
         leases.add_job(job)
@@ -278,7 +278,7 @@
     again = leases.lease(state, "f2", 5, 1.0 + LEASE_S, never_past_deadline)
     assert sorted(item.id for _, item in again) == ["i1", "j0"], "what was renewed stays"
     assert leases.renew(state, "f1", [("lot", "i1")], 1.1 + LEASE_S) == (("lot", "i1"),)
-    state.fold(events.BatchJobEnded("lot"))
+    state.apply_event(events.BatchJobEnded("lot"))
     assert leases.renew(state, "f1", [("lot", "i0")], 1.1 + LEASE_S) == (("lot", "i0"),)
 
 
@@ -289,7 +289,7 @@
     assert len(leases.lease(state, "f1", 5, 1.0, never_past_deadline)) == 2
     leases.release(state, ("lot", "i1"))
     assert [item.id for _, item in leases.lease(state, "f2", 5, 1.1, never_past_deadline)] == ["i1"]
-    state.fold(events.BatchJobEnded("lot"))
+    state.apply_event(events.BatchJobEnded("lot"))
     assert leases.lease(state, "f3", 5, 1.2 + LEASE_S, never_past_deadline) == []
     assert leases.free_count == 0
 
@@ -303,7 +303,7 @@
     assert [item.id for _, item in leases.lease(state, "f2", 5, 1.1, never_past_deadline)] == ["i1"]
     leases.give_up(state, "f1", [("lot", "i1")])  # the same call once more, its answer was lost
     assert leases.lease(state, "f3", 5, 1.2, never_past_deadline) == [], "it is with f2"
-    state.fold(events.BatchJobEnded("lot"))
+    state.apply_event(events.BatchJobEnded("lot"))
     leases.give_up(state, "f2", [("lot", "i1")])
     assert leases.free_count == 0
 
@@ -312,7 +312,7 @@
     state = TierState()
     for number in range(50):
         items = tuple(events.BatchItem(f"i{number}-{place}", "/p/x", (), b"", 1) for place in range(200))
-        state.fold(events.BatchJobAccepted(f"lot{number}", "h.example", "/p", items, 1000))
+        state.apply_event(events.BatchJobAccepted(f"lot{number}", "h.example", "/p", items, 1000))
     leases = Leases(0.0)
     for job in state.jobs.values():
         leases.add_job(job)
