--- a/crowwing/tier/distribution/parent.py
+++ b/crowwing/tier/distribution/parent.py
@@ -15,8 +15,8 @@
 
 ATTACH_TIMEOUT_S = 0.5
 CHECK_INTERVAL_S = 0.1  # between two looks at the parent, and at most as much again by chance
-MAX_SEARCH_PAUSE_S = 0.8  # after searches without success, whose pauses double from CHECK_INTERVAL_S on
-MAX_PEERS = 3  # asked in one search, besides the probable root and the seeds
+MAX_SEARCH_BACKOFF_S = 0.8  # after searches without success, whose pauses double from CHECK_INTERVAL_S on
+MAX_PEER_CANDIDATES = 3  # asked in one search, besides the probable root and the seeds
 MAX_REDIRECTS = 6  # followed from one of them, each a level down; six full levels hold 5,461 backends
 
 
@@ -56,23 +56,23 @@
         """Attaches anew whenever there is no parent, or its branch has lost the root; runs for ever."""
         pause_s = CHECK_INTERVAL_S
         while True:
-            if self._has_place() or await self._find():
+            if self._is_root_or_attached() or await self._find_parent():
                 pause_s = CHECK_INTERVAL_S
             else:
-                pause_s = min(MAX_SEARCH_PAUSE_S, 2 * pause_s)
+                pause_s = min(MAX_SEARCH_BACKOFF_S, 2 * pause_s)
             await asyncio.sleep(pause_s + pause_s * self._random.random())
 
-    def _has_place(self) -> bool:
+    def _is_root_or_attached(self) -> bool:
         return self._root_role.is_root or self._is_attached()
 
     def _is_attached(self) -> bool:
         is_open = self.connection is not None and not self.connection.is_closed
         return is_open and self._tracker.is_connected
 
-    async def _find(self) -> bool:
+    async def _find_parent(self) -> bool:
         """Tries the probable root, the seeds, and some peers, until one accepts; False where none does."""
         for host in self._candidates():
-            if await self._attach_below(host) or self._root_role.is_root:
+            if await self._attach_via(host) or self._root_role.is_root:
                 return True
         return False
 
@@ -81,14 +81,14 @@
         probable_root = self._root_role.probable_root()
         seeds = self._random.sample(self._view.seeds, len(self._view.seeds))
         known = [peer.host for peer in self._view.peers()]
-        peers = self._random.sample(known, min(MAX_PEERS, len(known)))
+        peers = self._random.sample(known, min(MAX_PEER_CANDIDATES, len(known)))
         hosts = dict.fromkeys((probable_root, *seeds, *peers))
         return [host for host in hosts if host is not None and host != self._view.me.host]
 
-    async def _attach_below(self, host: str) -> bool:
+    async def _attach_via(self, host: str) -> bool:
         """Asks a backend to be the parent; one without capacity names its children, of which one is next."""
         for _ in range(1 + MAX_REDIRECTS):
-            response = await self._ask(host)
+            response = await self._request_attach(host)
             if isinstance(response, AttachResponse):
                 return self._tracker.is_connected
             children = response.hosts if isinstance(response, AttachRedirect) else ()
@@ -98,7 +98,7 @@
             host = self._random.choice(others)
         return False
 
-    async def _ask(self, host: str) -> AttachResponse | AttachRedirect | None:
+    async def _request_attach(self, host: str) -> AttachResponse | AttachRedirect | None:
         """Asks one backend, which is the parent where it accepts; None where it does not respond."""
         try:
             connection = await self._connections.get(host)
--- a/crowwing/tier/distribution/root_tracker.py
+++ b/crowwing/tier/distribution/root_tracker.py
@@ -57,14 +57,14 @@
         self._clock = clock
 
     @property
-    def seconds_disconnected(self) -> float:
+    def seconds_since_heartbeat(self) -> float:
         """How long ago the root's last heartbeat came, in seconds."""
         return self._clock.monotonic() - self.last_heartbeat_at
 
     @property
     def is_connected(self) -> bool:
         """Whether the root's heartbeats arrive."""
-        return self.seconds_disconnected < ROOT_TIMEOUT_S
+        return self.seconds_since_heartbeat < ROOT_TIMEOUT_S
 
     def record_heartbeat(self, heartbeat: HeartbeatNumber, root: str | None) -> bool:
         """Takes in a heartbeat.
--- a/crowwing/tier/distribution/shuffles.py
+++ b/crowwing/tier/distribution/shuffles.py
@@ -10,7 +10,7 @@
 
 SHUFFLE_INTERVAL_S = 0.5  # on average
 MIN_INTERVAL_SHARE = 0.8  # of SHUFFLE_INTERVAL_S, the shortest pause
-INTERVAL_SPREAD = 0.4  # of SHUFFLE_INTERVAL_S, added by chance
+INTERVAL_JITTER_SHARE = 0.4  # of SHUFFLE_INTERVAL_S, added by chance
 SHUFFLE_TIMEOUT_S = 0.5
 
 
@@ -33,7 +33,7 @@
     async def run(self) -> None:
         """Shuffles each interval; runs for ever."""
         while True:
-            pause_share = MIN_INTERVAL_SHARE + INTERVAL_SPREAD * self._random.random()
+            pause_share = MIN_INTERVAL_SHARE + INTERVAL_JITTER_SHARE * self._random.random()
             await asyncio.sleep(SHUFFLE_INTERVAL_S * pause_share)
             await self._shuffle_once()
 
--- a/crowwing/tier/front/main.py
+++ b/crowwing/tier/front/main.py
@@ -124,7 +124,7 @@
         await asyncio.sleep(FIRST_LIST_READ_S * self.random.random())  # the root mostly sends it meanwhile
         read_list = make_list_reader(self.settings.cloud.address)
         while True:
-            if self.relay.tracker.seconds_disconnected >= LIST_READ_AFTER_S or not self.pool.listed:
+            if self.relay.tracker.seconds_since_heartbeat >= LIST_READ_AFTER_S or not self.pool.listed:
                 listed = await read_list()
                 if isinstance(listed, SidecarList):
                     self.pool.apply_endpoint_list(listed)
--- a/crowwing/tier/storage/files.py
+++ b/crowwing/tier/storage/files.py
@@ -27,7 +27,7 @@
         """The content of a file, None where there is none."""
         ...
 
-    def open_at(self, path: Path, size: int) -> OpenFile:
+    def open_truncated(self, path: Path, size: int) -> OpenFile:
         """Opens a file, made if need be, cut to `size` bytes and positioned at its end."""
         ...
 
@@ -61,7 +61,7 @@
         path.parent.mkdir(parents=True, exist_ok=True)
         return path.read_bytes() if path.exists() else None
 
-    def open_at(self, path: Path, size: int) -> OsFile:
+    def open_truncated(self, path: Path, size: int) -> OsFile:
         """Opens a file, made if need be, cut to `size` bytes and positioned at its end."""
         file = OsFile(path, "r+b" if path.exists() else "w+b")
         if os.fstat(file.fileno()).st_size > size:
--- a/crowwing/tier/storage/record_file.py
+++ b/crowwing/tier/storage/record_file.py
@@ -43,7 +43,7 @@
             data = self._files.read(self._path) or b""
             self._files.remove(self._compacted_path)
             payloads, self.size = decode_records(data)
-            self._file = self._files.open_at(self._path, self.size)
+            self._file = self._files.open_truncated(self._path, self.size)
             self._file.sync()
             self._sync_folder()
         except OSError as error:
--- a/tests/tier/simulation/disk.py
+++ b/tests/tier/simulation/disk.py
@@ -90,7 +90,7 @@
         inode = self._names.get(path.name)
         return None if inode is None else bytes(inode.content)
 
-    def open_at(self, path: Path, size: int) -> SimulatedFile:
+    def open_truncated(self, path: Path, size: int) -> SimulatedFile:
         """Opens a file truncated to a size."""
         inode = self._names.setdefault(path.name, Inode())
         del inode.content[size:]
