--- a/tests/tier/many_seeds.py
+++ b/tests/tier/many_seeds.py
@@ -12,7 +12,7 @@
 
 from crowwing.tier.replication import log, range_transfer
 from tests.tier.simulation import plays
-from tests.tier.test_disk_troubles import random_disk_troubles
+from tests.tier.test_disk_faults import random_disk_faults
 from tests.tier.test_replication import HOSTS, random_troubles
 
 FOUR = (*HOSTS, "d")
@@ -31,7 +31,7 @@
 
 def play_with_disks(seed: int, _hosts: tuple[str, ...]) -> object:
     """Faults of disks, always on three machines."""
-    return random_disk_troubles(seed)
+    return random_disk_faults(seed)
 
 
 KINDS: dict[str, Callable[[int, tuple[str, ...]], object]] = {
--- a/tests/tier/mutations.py
+++ b/tests/tier/mutations.py
@@ -20,7 +20,7 @@
 ROOT = Path(__file__).parents[2]
 TESTS = (
     "test_control_safety_steps.py", "test_decisions.py", "test_storage.py", "test_replication.py",
-    "test_relay_steps.py", "test_disk_troubles.py",
+    "test_relay_steps.py", "test_disk_faults.py",
     "test_repair.py", "test_control_scenarios.py",
 )  # fmt: skip
 KINDS = ("three", "short-files-beyond", "dense", "five-two", "short-logs")
--- a/tests/tier/test_disk_troubles.py
+++ b/tests/tier/test_disk_faults.py
@@ -42,7 +42,7 @@
     assert world.members() == set(HOSTS)
 
 
-def test_what_a_full_disk_could_not_keep_survives_its_loss_of_power() -> None:
+def test_acknowledged_entries_survive_a_power_failure_of_a_full_disk() -> None:
     world = quick_world(9, HOSTS, HOSTS)
     world.stabilize()
     world.acknowledge("first")
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("of_primary", [True, False])
-def test_a_disk_that_answers_nothing_holds_nobody_up_for_long(of_primary: bool) -> None:
+def test_a_stalled_disk_delays_the_others_only_briefly(of_primary: bool) -> None:
     world = quick_world(11, HOSTS, HOSTS)
     world.stabilize()
     world.acknowledge("first")
@@ -113,7 +113,7 @@
     assert len(world.members()) >= 2, "nothing is acknowledged on a single replica"
 
 
-def random_disk_troubles(seed: int) -> World:
+def random_disk_faults(seed: int) -> World:
     """Disks in trouble, one after another, beside a lost machine at times."""
     world = quick_world(seed, HOSTS, HOSTS)
     random = world.random
@@ -130,14 +130,14 @@
                 machine.disk_faults.factor = random.choice([5.0, 30.0, 60.0])
             case "power":
                 world.stop(machine.host, power=True, wipe=random.random() < 0.5)
-        for place in range(int(span / 0.1)):
-            world.propose(f"{number}/{place}")
+        for index in range(int(span / 0.1)):
+            world.propose(f"{number}/{index}")
             world.run_for(random.uniform(0.0, 0.2))
         machine.disk_faults.factor = 1.0
         if not machine.is_up:
             world.start(machine.host)
-        for place in range(10):
-            world.propose(f"{number}/after/{place}")
+        for index in range(10):
+            world.propose(f"{number}/after/{index}")
             world.run_for(0.2)
         world.run_for(CATCH_UP_S)
         assert world.primary() is not None, f"seed {seed}: no primary"
@@ -147,8 +147,8 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_random_disk_troubles_lose_nothing(seed: int) -> None:
-    assert random_disk_troubles(seed).acknowledged
+def test_random_disk_faults_lose_nothing(seed: int) -> None:
+    assert random_disk_faults(seed).acknowledged
 
 
 class FailingDisk(Disk):
@@ -176,12 +176,12 @@
             await asyncio.sleep(0.005)
 
 
-def test_a_node_with_a_full_disk_takes_no_part_and_keeps_its_memory(
+def test_a_node_with_a_full_disk_steps_down_and_keeps_running(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(disk_writer, "DISK_RETRY_INTERVAL_S", 0.02)
 
-    async def play() -> None:
+    async def scenario() -> None:
         disk = FailingDisk(tmp_path)
         identity = ReplicaIdentity("127.0.0.1", ("127.0.0.1",), 0)
         connections = ReplicaConnections(ConnectionPool(1), ConnectionPool(1))
@@ -203,10 +203,10 @@
         for task in tasks:
             task.cancel()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_failed_rewrite_leaves_the_old_content_and_frees_its_space(
+def test_a_failed_compaction_keeps_the_old_content_and_removes_the_new_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "state.log"
@@ -243,33 +243,33 @@
     assert not disk.needs_compaction(4 * MEGABYTE), "little would be won"
 
 
-class SlowPreparation:
+class BlockedRecords:
     """Records whose making waits until it is let go on."""
 
     def __init__(self, records: list[Any]) -> None:
         self._records = records
-        self.may_go_on = threading.Event()
+        self.unblocked = threading.Event()
 
     def __iter__(self) -> Iterator[Any]:
-        self.may_go_on.wait(5)
+        self.unblocked.wait(5)
         return iter(self._records)
 
 
 def test_writes_do_not_wait_for_a_compaction_in_flight(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         disk = Disk(tmp_path)
         disk.open()
         await disk.write(["old"])
-        compacted = SlowPreparation(["all"])
+        compacted = BlockedRecords(["all"])
         disk.begin_compaction(compacted)
         await asyncio.wait_for(disk.write(["meanwhile"]), 2)
         assert not disk.needs_compaction(0), "one compaction at a time"
-        compacted.may_go_on.set()
+        compacted.unblocked.set()
         await wait_until(lambda: disk._compaction.replacement.done())
         await disk.write(["later"])
         await disk.write(["last"])
 
-    asyncio.run(play())
+    asyncio.run(scenario())
     assert Disk(tmp_path).open() == ["all", "meanwhile", "later", "last"]
 
 
@@ -280,32 +280,32 @@
     def no_space(*_: object) -> None:
         raise OSError(28, "no space left on device")
 
-    async def play() -> None:
+    async def scenario() -> None:
         disk = Disk(tmp_path)
         disk.open()
         await disk.write(["old"])
         with monkeypatch.context() as patched:
             if fails == "while it is made":
                 patched.setattr(CompactedFile, "_sync", no_space)
-            compacted = SlowPreparation(["all"])
+            compacted = BlockedRecords(["all"])
             disk.begin_compaction(compacted)
             await disk.write(["meanwhile"])
-            compacted.may_go_on.set()
+            compacted.unblocked.set()
             await wait_until(lambda: disk._compaction.replacement.done())
             patched.setattr(CompactedFile, "_sync", no_space)
             await disk.write(["later"])
         await disk.write(["last"])
 
-    asyncio.run(play())
+    asyncio.run(scenario())
     assert Disk(tmp_path).open() == ["old", "meanwhile", "later", "last"]
 
 
-def test_a_loss_of_power_at_each_step_of_a_compaction_loses_no_write(tmp_path: Path) -> None:
-    async def play(folder: Path, moment: int) -> list[Any]:
+def test_a_power_failure_at_each_step_of_a_compaction_loses_no_write(tmp_path: Path) -> None:
+    async def scenario(folder: Path, step_count: int) -> list[Any]:
         disk = Disk(folder)
         disk.open()
         # Held until the write beside it is done: that write would install a compaction that has ended.
-        compacted = SlowPreparation(["old and older"])
+        compacted = BlockedRecords(["old and older"])
         steps = [
             lambda: disk.write(["old"]),
             lambda: disk.write(["older"]),
@@ -315,24 +315,24 @@
             lambda: disk.write(["later"]),
             lambda: disk.write(["last"]),
         ]
-        for step in steps[:moment]:
+        for step in steps[:step_count]:
             await step()
         found = Disk(folder).open()
-        compacted.may_go_on.set()  # its thread may end
+        compacted.unblocked.set()  # its thread may end
         return found
 
-    async def begin(disk: Disk, compacted: SlowPreparation) -> None:
+    async def begin(disk: Disk, compacted: BlockedRecords) -> None:
         disk.begin_compaction(compacted)
 
-    async def finish(disk: Disk, compacted: SlowPreparation) -> None:
-        compacted.may_go_on.set()
+    async def finish(disk: Disk, compacted: BlockedRecords) -> None:
+        compacted.unblocked.set()
         await wait_until(lambda: disk._compaction.replacement.done())
 
-    def folded(records: list[Any]) -> list[Any]:
+    def expanded(records: list[Any]) -> list[Any]:
         return ["old", "older", *records[1:]] if records[:1] == ["old and older"] else records
 
     written = ["old", "older", "meanwhile", "later", "last"]
     counts = [0, 1, 2, 2, 3, 3, 4, 5]
-    for moment, count in enumerate(counts):
-        found = asyncio.run(play(tmp_path / str(moment), moment))
-        assert folded(found) == written[:count], f"after {moment} steps"
+    for step_count, count in enumerate(counts):
+        found = asyncio.run(scenario(tmp_path / str(step_count), step_count))
+        assert expanded(found) == written[:count], f"after {step_count} steps"
--- a/tests/tier/test_events.py
+++ b/tests/tier/test_events.py
@@ -8,18 +8,18 @@
 
 
 def test_any_split_into_chunks_gives_the_same_events() -> None:
-    whole = EventSplitter().feed(STREAM)
-    assert [(event.id, event.data) for event in whole] == [
+    unsplit = EventSplitter().feed(STREAM)
+    assert [(event.id, event.data) for event in unsplit] == [
         (1, "one"),
         (2, "two\nmore"),
         (None, ""),
         (3, "three"),
     ]
-    assert b"".join(event.raw for event in whole) == STREAM
+    assert b"".join(event.raw for event in unsplit) == STREAM
     for size in range(1, 12):
         splitter = EventSplitter()
         events = [e for at in range(0, len(STREAM), size) for e in splitter.feed(STREAM[at : at + size])]
-        assert events == whole and splitter.rest == b""
+        assert events == unsplit and splitter.rest == b""
 
 
 def test_an_incomplete_event_is_kept_back() -> None:
--- a/tests/tier/test_node_concerns.py
+++ b/tests/tier/test_node_concerns.py
@@ -14,7 +14,7 @@
 
 
 def test_decisions_resolve_up_to_the_commit_index_and_the_others_stay() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         decisions = PendingDecisions()
         first, second = decisions.add(3), decisions.add(4)
         decisions.resolve(3)
@@ -22,11 +22,11 @@
         decisions.resolve(4)
         assert second.result() is True
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_decisions_of_a_former_primary_are_abandoned_once() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         decisions = PendingDecisions()
         committed, timed_out, pending = decisions.add(1), decisions.add(2), decisions.add(3)
         decisions.resolve(1)
@@ -36,23 +36,23 @@
         decisions.resolve(9)
         assert pending.result() is False, "what a later primary commits says nothing of it"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_listeners_hear_of_a_change_of_role_but_not_of_a_change_of_the_own_view() -> None:
+def test_listeners_are_notified_of_a_role_change_but_not_of_a_change_of_the_own_view() -> None:
     notifier = RoleNotifier()
-    heard: list[bool] = []
-    notifier.listeners.append(heard.append)
+    notified: list[bool] = []
+    notifier.listeners.append(notified.append)
     notifier.notify(Role.CANDIDATE)
-    assert not heard and not notifier.is_changing_own_view(Role.CANDIDATE)
+    assert not notified and not notifier.is_changing_own_view(Role.CANDIDATE)
     notifier.notify(Role.PRIMARY)
     assert notifier.is_changing_own_view(Role.CANDIDATE)
     notifier.notify(Role.CANDIDATE)
     notifier.notify(Role.PRIMARY)
-    assert heard == [True]
+    assert notified == [True]
     notifier.notify(Role.FOLLOWER)
     notifier.notify(Role.FOLLOWER)
-    assert heard == [True, False]
+    assert notified == [True, False]
     assert not notifier.is_changing_own_view(Role.CANDIDATE)
 
 
--- a/tests/tier/test_recorded_bytes.py
+++ b/tests/tier/test_recorded_bytes.py
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("name", ["appended", "compacted"])
-def test_a_recorded_file_is_rewritten_as_before(name: str, tmp_path: Path) -> None:
+def test_a_recorded_file_is_compacted_as_before(name: str, tmp_path: Path) -> None:
     path = tmp_path / "state.log"
     path.write_bytes((RECORDED / f"{name}.log").read_bytes())
     replica, state = open_recorded(path)
--- a/tests/tier/test_relay_steps.py
+++ b/tests/tier/test_relay_steps.py
@@ -25,7 +25,7 @@
 
 
 def test_heartbeats_and_lists_of_an_old_root_are_ignored_after_a_new_ones() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         relay = relay_of("f")
         parent = object.__new__(Connection)
         relay.parent.connection = parent
@@ -39,7 +39,7 @@
         current = relay.documents.get(SIDECARS)
         assert current is not None and current.body == b"new"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_disconnected_backend_accepts_no_children() -> None:
@@ -52,7 +52,7 @@
 
 
 def test_a_root_that_has_not_counted_the_fronts_leaves_the_former_count_in_force() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         relay = relay_of("f")
         parent = object.__new__(Connection)
         relay.parent.connection = parent
@@ -68,4 +68,4 @@
             "told to one that has just started"
         )
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/tier/test_storage.py
+++ b/tests/tier/test_storage.py
@@ -12,7 +12,7 @@
 RECORDS = [b"first", b"", b"third" * 50]
 
 
-def test_records_come_back_in_order(tmp_path: Path) -> None:
+def test_records_are_read_back_in_order(tmp_path: Path) -> None:
     file = RecordFile(tmp_path / "state.log")
     assert file.open() == []
     file.append(RECORDS[:1])
@@ -21,7 +21,7 @@
     assert RecordFile(tmp_path / "state.log").open() == RECORDS
 
 
-def test_each_torn_end_keeps_all_complete_records_before_it(tmp_path: Path) -> None:
+def test_all_complete_records_before_a_torn_one_are_kept(tmp_path: Path) -> None:
     data = b"".join(encode_record(record) for record in RECORDS)
     ends = [len(b"".join(encode_record(record) for record in RECORDS[:count])) for count in range(4)]
     for length in range(len(data) + 1):
@@ -35,13 +35,13 @@
         assert RecordFile(path).open() == [*RECORDS[:complete], b"next"]
 
 
-def test_a_spoiled_byte_ends_what_is_read() -> None:
+def test_reading_stops_at_a_corrupt_record() -> None:
     data = bytearray(b"".join(encode_record(record) for record in RECORDS))
     data[10] ^= 1
     assert decode_records(bytes(data)) == ([], 0)
 
 
-def test_zeros_where_a_write_was_lost_are_no_records(tmp_path: Path) -> None:
+def test_zeros_left_by_a_lost_write_are_not_read_as_records(tmp_path: Path) -> None:
     path = tmp_path / "state.log"
     path.write_bytes(encode_record(b"kept") + bytes(4096))
     assert RecordFile(path).open() == [b"kept"]
@@ -59,7 +59,7 @@
     assert not (tmp_path / "state.log.new").exists()
 
 
-def test_a_compaction_replaces_everything(tmp_path: Path) -> None:
+def test_a_compaction_replaces_all_records(tmp_path: Path) -> None:
     path = tmp_path / "state.log"
     file = RecordFile(path)
     file.open()
@@ -82,7 +82,7 @@
         file.append([b"lost"])
 
 
-def test_what_is_appended_during_a_compaction_stands_behind_it(tmp_path: Path) -> None:
+def test_records_appended_during_a_compaction_follow_the_compacted_ones(tmp_path: Path) -> None:
     path = tmp_path / "state.log"
     file = RecordFile(path)
     file.open()
@@ -97,7 +97,7 @@
     assert RecordFile(path).open() == [b"all", b"meanwhile", b"now", b"later"]
 
 
-def test_a_loss_of_power_during_a_compaction_keeps_the_file(tmp_path: Path) -> None:
+def test_a_power_failure_during_a_compaction_keeps_the_old_file(tmp_path: Path) -> None:
     path = tmp_path / "state.log"
     file = RecordFile(path)
     file.open()
@@ -130,10 +130,10 @@
     assert RecordFile(tmp_path / "state.log").open() == [*RECORDS, b"later"]
 
 
-def test_a_repair_of_a_large_state_is_one_record_that_is_read_again(tmp_path: Path) -> None:
+def test_a_large_record_is_read_back(tmp_path: Path) -> None:
     file = RecordFile(tmp_path / "state.log")
     file.open()
-    whole_state = bytes(80 * 1024 * 1024)
-    file.append([b"before", whole_state, b"behind"])
+    full_state = bytes(80 * 1024 * 1024)
+    file.append([b"before", full_state, b"behind"])
     file.close()
-    assert RecordFile(tmp_path / "state.log").open() == [b"before", whole_state, b"behind"]
+    assert RecordFile(tmp_path / "state.log").open() == [b"before", full_state, b"behind"]
