--- a/crowwing/tier/distribution/__init__.py
+++ b/crowwing/tier/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""What every backend is to know: peer sampling, the relay tree, and the documents that flow down it."""
+"""Distribution of documents to all backends: relay tree, peer sampling and anti-entropy."""
--- a/crowwing/tier/distribution/children.py
+++ b/crowwing/tier/distribution/children.py
@@ -1,4 +1,4 @@
-"""The parent's side of the relay tree: a bounded number of children, which get documents and heartbeats."""
+"""The parent's side of the relay tree: sends documents and heartbeats to a bounded number of children."""
 
 from random import Random
 
@@ -13,11 +13,11 @@
 from crowwing.tier.distribution.root_tracker import RootRole, RootTracker
 from crowwing.tier.wire.connection import Connection
 
-FANOUT = 4  # children of one backend
+FANOUT = 4  # maximum number of children of one backend
 
 
 class Children:
-    """The backends that this one passes documents and heartbeats on to. Owned by the `Relay`."""
+    """The backends to which this one forwards documents and heartbeats. Owned by `Relay`."""
 
     def __init__(
         self, documents: Documents, tracker: RootTracker, root_role: RootRole, random: Random
@@ -25,10 +25,10 @@
         """Starts without children.
 
         Args:
-            documents: what children get on attaching.
-            tracker: the heartbeat that is passed on.
-            root_role: whether this backend is the root.
-            random: draws the order of redirects.
+            documents: the documents that a child receives on attaching.
+            tracker: provides the heartbeat to forward.
+            root_role: tells whether this backend is the root.
+            random: shuffles the hosts of a redirect.
         """
         self._documents = documents
         self._tracker = tracker
@@ -37,9 +37,9 @@
         self._connections: dict[str, Connection] = {}
 
     def attach(self, connection: Connection, request: AttachRequest) -> AttachResponse | AttachRedirect:
-        """Takes a backend as a child, or redirects it where there is no capacity.
+        """Accepts a backend as a child, or redirects it if there is no capacity.
 
-        A backend without a connection to the root takes none, since its children would hear no heartbeats.
+        A backend that is disconnected from the root accepts no children, since they would get no heartbeats.
         """
         self._connections = {host: child for host, child in self._connections.items() if not child.is_closed}
         if not self._root_role.is_root and not self._tracker.is_connected:
@@ -55,18 +55,18 @@
         )
 
     def detach(self, connection: Connection) -> None:
-        """Forgets a child that has another parent now."""
+        """Removes a child that now has another parent."""
         self._connections = {
             host: child for host, child in self._connections.items() if child is not connection
         }
 
     def push_document(self, document: Document) -> None:
-        """Passes a newer document on."""
+        """Sends a newer document to all children."""
         for child in self._connections.values():
             child.notify(DocumentPush(document))
 
     def send_heartbeats(self) -> None:
-        """Passes the newest heartbeat of the root on."""
+        """Sends the newest heartbeat of the root to all children."""
         heartbeat = RootHeartbeat(
             self._tracker.last_heartbeat,
             self._tracker.root,
--- a/crowwing/tier/distribution/documents.py
+++ b/crowwing/tier/distribution/documents.py
@@ -1,4 +1,4 @@
-"""The documents that all backends are to have, and which version is the newest."""
+"""The versioned documents that are distributed to all backends."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -16,9 +16,9 @@
     """One version of a document.
 
     Attributes:
-        kind: which document: `CONFIGURATION` or `SIDECARS`.
-        version: the higher one of two of a kind is newer.
-        body: the content, whose form depends on the kind.
+        kind: `CONFIGURATION` or `SIDECARS`.
+        version: of two versions of a kind, the higher one is newer.
+        body: the content, in a format that depends on the kind.
     """
 
     kind: str
@@ -27,9 +27,10 @@
 
 
 class Documents:
-    """The newest version of each kind that this process has seen. It never goes back within one process.
+    """The newest version of each kind of document that this process has seen; versions never decrease.
 
-    The process of a front or of a store machine owns it; the relay and the list reader offer to it.
+    Owned by the process of a front or of a store machine. The relay and the list reader offer documents to
+    it.
     """
 
     def __init__(self) -> None:
@@ -38,14 +39,14 @@
         self._listeners: list[Callable[[Document], None]] = []
 
     def add_listener(self, listener: Callable[[Document], None]) -> None:
-        """Calls the listener with each newer document from now on, in the order in which they were added."""
+        """Adds a listener for newer documents. Listeners are called in the order in which they were added."""
         self._listeners.append(listener)
 
     def offer(self, document: Document) -> bool:
-        """Stores a document where it is newer than the current one, and calls the listeners.
+        """Stores a document and calls the listeners if it is newer than the current version.
 
         Returns:
-            False where the current one is as new.
+            Whether the document was newer.
         """
         current = self._current.get(document.kind)
         if current is not None and current.version >= document.version:
@@ -56,15 +57,15 @@
         return True
 
     def get(self, kind: str) -> Document | None:
-        """The newest version of a kind, None before there is any."""
+        """Returns the newest version of a kind, or None if there is none yet."""
         return self._current.get(kind)
 
     def versions(self) -> dict[str, DocumentVersion]:
-        """The version of each kind: the digest that peers compare."""
+        """Returns the version of each kind; peers compare these to find missing documents."""
         return {kind: document.version for kind, document in self._current.items()}
 
     def newer_than(self, versions: Mapping[str, DocumentVersion]) -> tuple[Document, ...]:
-        """The documents that a peer with `versions` lacks."""
+        """Returns the documents that are newer than the given versions, which are those of a peer."""
         return tuple(
             document
             for kind, document in self._current.items()
--- a/crowwing/tier/distribution/environment.py
+++ b/crowwing/tier/distribution/environment.py
@@ -1,4 +1,4 @@
-"""What a relay uses of its process."""
+"""The dependencies of a relay on its process."""
 
 from dataclasses import dataclass
 from random import Random
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True)
 class RelayEnvironment:
-    """What a relay uses of its process; simulated in tests.
+    """The dependencies of a relay on its process; simulated in tests.
 
     Attributes:
-        connections: how other backends are reached.
-        random: draws pauses, peers and candidates.
-        clock: tells how long ago a heartbeat came.
+        connections: the connections to other backends.
+        random: the source of randomness for pauses, peers and candidates.
+        clock: measures the time since the last heartbeat.
     """
 
     connections: ConnectionPool
--- a/crowwing/tier/distribution/messages.py
+++ b/crowwing/tier/distribution/messages.py
@@ -1,4 +1,4 @@
-"""The messages between relays. Which name each has on the wire stands in its decorator."""
+"""The messages between relays. The argument of the decorator is the name on the wire."""
 
 from dataclasses import dataclass
 
@@ -8,17 +8,17 @@
 
 HeartbeatNumber = tuple[
     int, ...
-]  # the number of the root's term, and a count within the term; higher is newer
+]  # number of the root's term, and sequence number within the term; higher is newer
 
 
 @message("Attach")
 @dataclass(frozen=True)
 class AttachRequest:
-    """A backend asks to become a child.
+    """Asks the receiver to become the parent of the sender.
 
     Attributes:
-        host: its address.
-        versions: which documents it has.
+        host: the address of the sender.
+        versions: the versions of the sender's documents.
     """
 
     host: str
@@ -28,12 +28,12 @@
 @message("Attached")
 @dataclass(frozen=True)
 class AttachResponse:
-    """The sender of the request is a child from now on.
+    """Accepts the sender of an `AttachRequest` as a child.
 
     Attributes:
-        documents: what it lacked.
-        heartbeat: the newest heartbeat of the root that the parent has seen.
-        root: the address of the root, None where the parent does not know it.
+        documents: the documents that are missing or older at the child.
+        heartbeat: the newest heartbeat of the root that the parent has received.
+        root: the address of the root; None if the parent does not know it.
         front_count: as in `RootHeartbeat`.
     """
 
@@ -46,10 +46,10 @@
 @message("Redirect")
 @dataclass(frozen=True)
 class AttachRedirect:
-    """No capacity for a child, or no connection to the root.
+    """Rejects an `AttachRequest`, for lack of capacity or of a connection to the root.
 
     Attributes:
-        hosts: backends to ask instead; empty where none is known.
+        hosts: backends to ask instead, which are the children of the sender; empty if it is disconnected.
     """
 
     hosts: tuple[str, ...]
@@ -58,19 +58,19 @@
 @message("Detach")
 @dataclass(frozen=True)
 class DetachNotice:
-    """The receiver is not, or no longer, the parent of the sender, and has its capacity back."""
+    """The receiver is not, or no longer, the parent of the sender, and may free its slot."""
 
 
 @message("Beat")
 @dataclass(frozen=True)
 class RootHeartbeat:
-    """The root is alive. Each parent sends it on to its children.
+    """Shows that the root is alive. Each parent forwards it to its children.
 
     Attributes:
         heartbeat: the number of this heartbeat.
-        root: the address of the root.
-        versions: which documents the sender has.
-        front_count: how many fronts the root hears from, 0 where it does not know yet.
+        root: the address of the root; None if the sender does not know it.
+        versions: the versions of the sender's documents.
+        front_count: the number of fronts that call the root; 0 if it does not know yet.
     """
 
     heartbeat: HeartbeatNumber
@@ -82,7 +82,7 @@
 @message("Push")
 @dataclass(frozen=True)
 class DocumentPush:
-    """A newer document, from a parent or from the partner of a shuffle."""
+    """A newer document, sent by a parent to its children or by the initiator of a shuffle to its partner."""
 
     document: Document
 
@@ -90,11 +90,11 @@
 @message("Shuffle")
 @dataclass(frozen=True)
 class ShuffleRequest:
-    """Two backends exchange peers and compare their documents.
+    """Starts a shuffle, in which two backends exchange peers and compare their documents.
 
     Attributes:
-        peers: some that the sender knows, and itself.
-        versions: which documents the sender has.
+        peers: a sample of the peers that the sender knows, and the sender itself.
+        versions: the versions of the sender's documents.
     """
 
     peers: tuple[Peer, ...]
@@ -104,12 +104,12 @@
 @message("Shuffled")
 @dataclass(frozen=True)
 class ShuffleResponse:
-    """The other half of a shuffle.
+    """The response to a `ShuffleRequest`.
 
     Attributes:
-        peers: some that the responder knows, and itself.
-        documents: what the requester lacked.
-        versions: which documents the responder has.
+        peers: a sample of the peers that the responder knows, and the responder itself.
+        documents: the documents that are missing or older at the requester.
+        versions: the versions of the responder's documents.
     """
 
     peers: tuple[Peer, ...]
@@ -117,5 +117,5 @@
     versions: dict[str, DocumentVersion]
 
 
-# What `Relay.handle` takes. Responses are not among them: they come back from the call.
+# The messages that `Relay.handle` accepts. Responses are not included: `Connection.call` returns them.
 RELAY_MESSAGES = (AttachRequest, DetachNotice, RootHeartbeat, DocumentPush, ShuffleRequest)
--- a/crowwing/tier/distribution/parent.py
+++ b/crowwing/tier/distribution/parent.py
@@ -1,4 +1,4 @@
-"""The child's side of the relay tree: finding a parent, and another one after that is lost."""
+"""The child's side of the relay tree: finds a parent, and a new one when the parent is lost."""
 
 import asyncio
 import logging
@@ -14,17 +14,17 @@
 log = logging.getLogger("crowwing.relay")
 
 ATTACH_TIMEOUT_S = 0.5
-CHECK_INTERVAL_S = 0.1  # between two looks at the parent, and at most as much again by chance
-MAX_SEARCH_BACKOFF_S = 0.8  # after searches without success, whose pauses double from CHECK_INTERVAL_S on
-MAX_PEER_CANDIDATES = 3  # asked in one search, besides the probable root and the seeds
-MAX_REDIRECTS = 6  # followed from one of them, each a level down; six full levels hold 5,461 backends
+CHECK_INTERVAL_S = 0.1  # between checks of the parent, plus random jitter of up to the same length
+MAX_SEARCH_BACKOFF_S = 0.8  # failed searches back off exponentially from CHECK_INTERVAL_S up to this
+MAX_PEER_CANDIDATES = 3  # peers tried in one search, besides the probable root and the seeds
+MAX_REDIRECTS = 6  # per candidate, each one level down; six full levels hold 5,461 backends
 
 
 class ParentFinder:
-    """Keeps this backend attached to a parent. Owned by the `Relay`.
+    """Keeps this backend attached to a parent. Owned by `Relay`.
 
     Attributes:
-        connection: the connection to the parent, None before there is one. It may have ended since.
+        connection: the connection to the parent, which may be closed; None before the first parent.
     """
 
     def __init__(
@@ -39,10 +39,11 @@
 
         Args:
             view: the backends to try.
-            documents: gets what the parent has that is newer.
+            documents: receives the newer documents of the parent.
             tracker: tells whether the root's heartbeats arrive.
-            root_role: the root needs no parent; others try the probable root first.
-            environment: how other backends are reached, and random numbers.
+            root_role: tells whether this backend is the root, which needs no parent, and names the probable
+                root, which others try first.
+            environment: provides connections to other backends and randomness.
         """
         self.connection: Connection | None = None
         self._view = view
@@ -53,7 +54,7 @@
         self._random = environment.random
 
     async def run(self) -> None:
-        """Attaches anew whenever there is no parent, or its branch has lost the root; runs for ever."""
+        """Searches for a parent whenever there is none or its branch has lost the root; runs forever."""
         pause_s = CHECK_INTERVAL_S
         while True:
             if self._is_root_or_attached() or await self._find_parent():
@@ -70,14 +71,14 @@
         return is_open and self._tracker.is_connected
 
     async def _find_parent(self) -> bool:
-        """Tries the probable root, the seeds, and some peers, until one accepts; False where none does."""
+        """Tries the probable root, the seeds and some peers; returns False if none of them accepted."""
         for host in self._candidates():
             if await self._attach_via(host) or self._root_role.is_root:
                 return True
         return False
 
     def _candidates(self) -> list[str]:
-        """Where a search begins, in the order in which they are asked."""
+        """Returns the backends that a search tries, in this order."""
         probable_root = self._root_role.probable_root()
         seeds = self._random.sample(self._view.seeds, len(self._view.seeds))
         known = [peer.host for peer in self._view.peers()]
@@ -86,7 +87,7 @@
         return [host for host in hosts if host is not None and host != self._view.me.host]
 
     async def _attach_via(self, host: str) -> bool:
-        """Asks a backend to be the parent; one without capacity names its children, of which one is next."""
+        """Asks a backend to be the parent, following redirects; returns whether a connected one accepted."""
         for _ in range(1 + MAX_REDIRECTS):
             response = await self._request_attach(host)
             if isinstance(response, AttachResponse):
@@ -99,7 +100,7 @@
         return False
 
     async def _request_attach(self, host: str) -> AttachResponse | AttachRedirect | None:
-        """Asks one backend, which is the parent where it accepts; None where it does not respond."""
+        """Asks one backend, which becomes the parent if it accepts; returns None if the call fails."""
         try:
             connection = await self._connections.get(host)
             request = AttachRequest(self._view.me.host, self._documents.versions())
--- a/crowwing/tier/distribution/relay.py
+++ b/crowwing/tier/distribution/relay.py
@@ -1,9 +1,9 @@
-"""One backend's place in the relay tree, and the shuffles that repair what the tree loses.
+"""One backend's node in the relay tree, and the shuffles that deliver what the tree has lost.
 
-The root is the primary of the store machines. Every other backend attaches to a parent, which passes
-documents on to a bounded number of children and redirects further ones to these. Heartbeats come from the
-root and count up, so a backend whose branch has lost the root, or runs in a circle, sees that they stand
-still and attaches anew.
+The root is the primary of the store machines. Every other backend attaches to a parent, which forwards
+documents to a bounded number of children and redirects further ones to these. The root sends numbered
+heartbeats down the tree. A backend whose branch has lost the root, or is part of a cycle, receives no higher
+number and attaches to another parent.
 """
 
 from crowwing.tier.distribution.children import Children
@@ -30,15 +30,15 @@
 
 
 class Relay:
-    """Keeps this backend's documents as new as the root's.
+    """Keeps this backend's documents as new as those of the root.
 
-    The process of a front or of a store machine owns it: it hands in the messages of `RELAY_MESSAGES`, and
-    runs `parent.run`, `shuffler.run` and, on store machines, `root_heartbeats.run` as tasks of their own.
+    Owned by the process of a front or of a store machine, which passes it the messages of `RELAY_MESSAGES`
+    and runs `parent.run`, `shuffler.run` and, on store machines, `root_heartbeats.run` as separate tasks.
 
     Attributes:
-        documents: this backend's documents.
-        view: the peers that it knows, and the seeds.
-        tracker: what it knows of the root.
+        documents: the documents of this backend.
+        view: the known peers and the seeds.
+        tracker: what this backend knows about the root.
     """
 
     def __init__(
@@ -49,14 +49,14 @@
         environment: RelayEnvironment,
         root_role: RootRole = NO_ROOT_ROLE,
     ) -> None:
-        """Makes a relay without a parent or children.
+        """Creates a relay without a parent or children.
 
         Args:
             me: this backend.
-            seeds: addresses that the settings name.
-            documents: passed on to children when newer ones come.
-            environment: what it uses of its process.
-            root_role: what the process's own replica knows of the root, where it has one.
+            seeds: the addresses of backends in the settings.
+            documents: the documents of this backend; newer ones are forwarded to its children.
+            environment: the dependencies on the process.
+            root_role: what the replica in this process, if there is one, knows about the root.
         """
         self.documents = documents
         self.view = PartialView(me, seeds, environment.random)
@@ -70,14 +70,14 @@
     async def handle(
         self, connection: Connection, message: object
     ) -> AttachResponse | AttachRedirect | ShuffleResponse | None:
-        """Handles what another backend sends.
+        """Handles a message from another backend.
 
         Args:
-            connection: where it came from.
-            message: one of `RELAY_MESSAGES`.
+            connection: the connection that the message arrived on.
+            message: an instance of one of `RELAY_MESSAGES`.
 
         Returns:
-            The response to a request; None where there is none.
+            The response, or None for messages without one.
         """
         match message:
             case AttachRequest():
@@ -93,7 +93,7 @@
         return None
 
     def _on_root_heartbeat(self, connection: Connection, message: RootHeartbeat) -> None:
-        """Passes a newer heartbeat on; a former parent hears that it is none any more."""
+        """Forwards a newer heartbeat to the children; notifies a backend that is no longer the parent."""
         if connection is not self.parent.connection:
             connection.notify(DetachNotice())
             return
--- a/crowwing/tier/distribution/root_heartbeats.py
+++ b/crowwing/tier/distribution/root_heartbeats.py
@@ -1,4 +1,4 @@
-"""The root's heartbeats, which show every backend that its branch of the tree hangs together."""
+"""The root's heartbeats, which show every backend that its branch of the tree is connected to the root."""
 
 import asyncio
 import contextlib
@@ -10,16 +10,16 @@
 
 
 class RootHeartbeats:
-    """Sends numbered heartbeats down the tree while this backend is the root. Owned by the `Relay`."""
+    """Sends numbered heartbeats down the tree while this backend is the root. Owned by `Relay`."""
 
     def __init__(self, host: str, root_role: RootRole, tracker: RootTracker, children: Children) -> None:
-        """Names the parts that it works on.
+        """Creates the heartbeat sender of a backend.
 
         Args:
             host: the address of this backend.
-            root_role: tells whether it is the root, and in which term.
-            tracker: gets each heartbeat, as if it had come from a parent.
-            children: where heartbeats are sent.
+            root_role: tells whether this backend is the root, and in which term.
+            tracker: records each heartbeat, as if it had arrived from a parent.
+            children: the receivers of the heartbeats.
         """
         self._host = host
         self._root_role = root_role
@@ -28,11 +28,11 @@
         self._is_due = asyncio.Event()
 
     def send_now(self) -> None:
-        """Makes the next heartbeat due at once, as this backend has become the root."""
+        """Makes the next heartbeat due immediately; called when this backend becomes the root."""
         self._is_due.set()
 
     async def run(self) -> None:
-        """Sends a heartbeat each interval for as long as this backend is the root; runs for ever."""
+        """Sends a heartbeat every interval while this backend is the root; runs forever."""
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(ROOT_HEARTBEAT_INTERVAL_S):
--- a/crowwing/tier/distribution/root_tracker.py
+++ b/crowwing/tier/distribution/root_tracker.py
@@ -1,4 +1,4 @@
-"""What a backend knows of the root of the relay tree: by its own role, and from heartbeats."""
+"""What a backend knows about the root of the relay tree, from its own replica and from heartbeats."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 from crowwing.tier.clock import Clock
 from crowwing.tier.distribution.messages import HeartbeatNumber
 
-ROOT_TIMEOUT_S = 0.9  # without a new heartbeat of the root, a backend counts as disconnected
+ROOT_TIMEOUT_S = 0.9  # a backend that gets no new heartbeat for this long counts as disconnected
 
 
 def _none() -> None:
@@ -19,12 +19,12 @@
 
 @dataclass(frozen=True)
 class RootRole:
-    """What the replica in this backend's own process knows of the root; a front has none, and the defaults.
+    """What the replica in this process knows about the root. A front has no replica and uses the defaults.
 
     Attributes:
-        term_number: the number of the term in which this backend is the root, None where it is not.
-        probable_root: the address of the backend that may be the root.
-        count_fronts: how many fronts call this backend while it is the root, 0 where it does not know yet.
+        term_number: returns the number of the term in which this backend is the root; None if it is not.
+        probable_root: returns the address of the backend that is probably the root; None if unknown.
+        count_fronts: returns how many fronts call this backend while it is the root; 0 if not known yet.
     """
 
     term_number: Callable[[], int | None] = _none
@@ -33,51 +33,52 @@
 
     @property
     def is_root(self) -> bool:
-        """Whether this backend is the primary of the store machines."""
+        """Whether this backend is the root, which is the primary of the store machines."""
         return self.term_number() is not None
 
 
 class RootTracker:
-    """The newest heartbeat of the root that this backend has seen, and what came with it.
+    """The newest heartbeat of the root that this backend has received, and the data that came with it.
 
-    The `Relay` owns it and its parts share it.
+    Owned by `Relay` and shared by its parts.
     """
 
     def __init__(self, clock: Clock) -> None:
         """Starts as connected, so that a backend has `ROOT_TIMEOUT_S` to find a parent.
 
         Args:
-            clock: tells how long ago a heartbeat came.
+            clock: measures the time since the last heartbeat.
         """
         self.last_heartbeat: HeartbeatNumber = (-1, 0)
         self.last_heartbeat_at = clock.monotonic()
         self.root: str | None = None
-        self.front_count = 0  # as a root has counted them last; 0 before any has
+        self.front_count = 0  # the latest count by a root; 0 before the first
         self.on_root_changed: list[Callable[[str], None]] = []
         self._clock = clock
 
     @property
     def seconds_since_heartbeat(self) -> float:
-        """How long ago the root's last heartbeat came, in seconds."""
+        """Time since the last new heartbeat of the root, in seconds."""
         return self._clock.monotonic() - self.last_heartbeat_at
 
     @property
     def is_connected(self) -> bool:
-        """Whether the root's heartbeats arrive."""
+        """Whether a new heartbeat of the root arrived within `ROOT_TIMEOUT_S`."""
         return self.seconds_since_heartbeat < ROOT_TIMEOUT_S
 
     def record_heartbeat(self, heartbeat: HeartbeatNumber, root: str | None) -> bool:
-        """Takes in a heartbeat.
+        """Records a heartbeat if its number is higher than that of the last one.
 
-        Those of an earlier root go on in a part of the tree after there is a new one, and in a circle of
-        parents for ever; only higher numbers count, so that such a branch notices that it is cut off.
+        Heartbeats of a former root may continue to arrive in a part of the tree after there is a new root,
+        and circulate forever in a cycle of parents. Only higher numbers count, so that such a branch notices
+        that it is disconnected.
 
         Args:
-            heartbeat: its number.
-            root: the address of its root, None where the sender did not know it.
+            heartbeat: the number of the heartbeat.
+            root: the address of the root that sent it; None if the sender did not know it.
 
         Returns:
-            False where it is no newer one.
+            Whether the heartbeat was newer.
         """
         if heartbeat <= self.last_heartbeat:
             return False
@@ -90,10 +91,10 @@
         return True
 
     def record_front_count(self, count: int) -> None:
-        """Takes in a count of fronts.
+        """Records the number of fronts.
 
         Args:
-            count: 0 comes from a root that does not know yet, and leaves the former one in force.
+            count: the number; 0 comes from a root that does not know it yet, and is ignored.
         """
         if count > 0:
             self.front_count = count
--- a/crowwing/tier/distribution/sampling.py
+++ b/crowwing/tier/distribution/sampling.py
@@ -1,7 +1,7 @@
-"""Peer sampling: each backend knows a bounded part of the others, and shuffles it with them.
+"""Peer sampling: each backend knows a bounded subset of the others and exchanges parts of it with them.
 
-After Cyclon (Voulgaris, Gavidia, van Steen 2005): entries have an age, the oldest one is the likely partner
-of a shuffle, and what a peer says of itself is young. Nothing here does input or output.
+Based on Cyclon (Voulgaris, Gavidia, van Steen 2005): entries have an age, the oldest entry is the preferred
+partner of a shuffle, and a backend sends the entry of itself with age 0. This module does no I/O.
 """
 
 from collections.abc import Iterable
@@ -10,22 +10,22 @@
 
 from crowwing.tier.wire.codec import message
 
-VIEW_SIZE = 16  # peers that one backend knows
-SHUFFLE_SIZE = 6  # peers in one half of a shuffle, besides the sender
-STALE_AGE = 40  # shuffles after which a peer that nobody has renewed is dropped
-RANDOM_PARTNER_SHARE = 0.5  # of shuffles; the others go to the oldest peer
+VIEW_SIZE = 16  # maximum number of peers that one backend knows
+SHUFFLE_SIZE = 6  # peers sent in each direction of a shuffle, besides the sender itself
+STALE_AGE = 40  # in shuffles; an entry that was not renewed for this long is removed
+RANDOM_PARTNER_SHARE = 0.5  # share of shuffles with a random peer; the others use the oldest entry
 
 
 @message("Peer")
 @dataclass(frozen=True)
 class Peer:
-    """One backend as others know it.
+    """An entry of a view: one backend as others know it.
 
     Attributes:
-        host: its address.
+        host: the address of the backend.
         role: `front` or `store`.
-        zone: its failure domain.
-        age: how many shuffles ago it spoke for itself.
+        zone: the failure domain of the backend.
+        age: the number of shuffles since the backend sent this entry itself.
     """
 
     host: str
@@ -36,11 +36,11 @@
 
 @dataclass(frozen=True)
 class Shuffle:
-    """A shuffle to be made.
+    """A shuffle to perform.
 
     Attributes:
         partner: the peer to shuffle with.
-        sample: what to send it: some peers and this backend itself.
+        sample: the entries to send: some peers and this backend itself.
     """
 
     partner: Peer
@@ -48,11 +48,11 @@
 
 
 class PartialView:
-    """The part of the fleet that one backend knows. Owned by the `Relay`.
+    """The bounded set of backends that one backend knows. Owned by `Relay`.
 
     Attributes:
         me: this backend.
-        seeds: addresses that the settings name, for as long as no peer is known.
+        seeds: the addresses of backends in the settings; shuffles use them while no peer is known.
     """
 
     def __init__(self, me: Peer, seeds: tuple[str, ...], random: Random) -> None:
@@ -60,8 +60,8 @@
 
         Args:
             me: this backend.
-            seeds: addresses that the settings name.
-            random: draws partners and samples.
+            seeds: the addresses of backends in the settings.
+            random: the source of randomness for partners and samples.
         """
         self.me = me
         self.seeds = seeds
@@ -69,11 +69,11 @@
         self._peers: dict[str, Peer] = {}
 
     def peers(self, role: str | None = None) -> list[Peer]:
-        """The known peers, of one role or of all."""
+        """Returns the known peers, of one role or of all roles."""
         return [peer for peer in self._peers.values() if role is None or peer.role == role]
 
     def add(self, peers: Iterable[Peer]) -> None:
-        """Adds peers, keeping the younger entry of each; beyond `VIEW_SIZE` the oldest are dropped."""
+        """Adds peers, keeping the younger entry of each host; evicts the oldest ones beyond `VIEW_SIZE`."""
         for peer in peers:
             if self._is_younger(peer):
                 self._peers[peer.host] = peer
@@ -88,14 +88,14 @@
         return known is None or peer.age < known.age
 
     def remove(self, host: str) -> None:
-        """Drops a peer that did not respond."""
+        """Removes a peer; called for one that did not respond."""
         self._peers.pop(host, None)
 
     def start_shuffle(self) -> Shuffle | None:
-        """Makes all entries one shuffle older, and chooses the partner of the next one.
+        """Increments the age of all entries, removes stale ones, and chooses a partner.
 
         Returns:
-            What to send and to whom; None where no peer is known.
+            The shuffle to perform; None if no peer is known.
         """
         self._peers = {
             host: replace(peer, age=peer.age + 1)
@@ -113,10 +113,10 @@
         return max(peers, key=lambda peer: peer.age)
 
     def sample(self, receiver: str) -> tuple[Peer, ...]:
-        """Some random peers and this backend itself, to be sent to another one.
+        """Returns some random peers and this backend itself, to send to another backend.
 
         Args:
-            receiver: its address; it is not among them.
+            receiver: the address of the other backend, which is excluded from the peers.
         """
         others = [peer for peer in self._peers.values() if peer.host != receiver]
         chosen = self._random.sample(others, min(SHUFFLE_SIZE, len(others)))
--- a/crowwing/tier/distribution/shuffles.py
+++ b/crowwing/tier/distribution/shuffles.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: shuffles with random peers, which also carry documents that the relay tree has lost."""
+"""Anti-entropy: shuffles with known peers, which also deliver documents that the relay tree has lost."""
 
 import asyncio
 
@@ -8,22 +8,22 @@
 from crowwing.tier.distribution.sampling import PartialView, Peer
 from crowwing.tier.wire.errors import CallError
 
-SHUFFLE_INTERVAL_S = 0.5  # on average
-MIN_INTERVAL_SHARE = 0.8  # of SHUFFLE_INTERVAL_S, the shortest pause
-INTERVAL_JITTER_SHARE = 0.4  # of SHUFFLE_INTERVAL_S, added by chance
+SHUFFLE_INTERVAL_S = 0.5  # mean pause between shuffles
+MIN_INTERVAL_SHARE = 0.8  # shortest pause, as a share of SHUFFLE_INTERVAL_S
+INTERVAL_JITTER_SHARE = 0.4  # maximum random addition, as a share of SHUFFLE_INTERVAL_S
 SHUFFLE_TIMEOUT_S = 0.5
 
 
 class Shuffler:
-    """Exchanges peers and missing documents with one backend after another. Owned by the `Relay`."""
+    """Exchanges peers and missing documents with one backend after another. Owned by `Relay`."""
 
     def __init__(self, view: PartialView, documents: Documents, environment: RelayEnvironment) -> None:
-        """Names the parts that it works on.
+        """Creates the shuffler of a backend.
 
         Args:
             view: the backends to shuffle with.
-            documents: compared with those of the partner.
-            environment: how other backends are reached, and random numbers.
+            documents: the documents of this backend, compared with those of the partner.
+            environment: provides connections to other backends and randomness.
         """
         self._view = view
         self._documents = documents
@@ -31,14 +31,14 @@
         self._random = environment.random
 
     async def run(self) -> None:
-        """Shuffles each interval; runs for ever."""
+        """Performs a shuffle about every `SHUFFLE_INTERVAL_S`; runs forever."""
         while True:
             pause_share = MIN_INTERVAL_SHARE + INTERVAL_JITTER_SHARE * self._random.random()
             await asyncio.sleep(SHUFFLE_INTERVAL_S * pause_share)
             await self._shuffle_once()
 
     async def _shuffle_once(self) -> None:
-        """Shuffles with a peer; where none is known, with a seed."""
+        """Shuffles with a peer, or with a random seed if no peer is known."""
         shuffle = self._view.start_shuffle()
         if shuffle is not None:
             await self._exchange(shuffle.partner.host, shuffle.sample)
@@ -62,11 +62,11 @@
             connection.notify(DocumentPush(document))
 
     def respond(self, request: ShuffleRequest, remote: str) -> ShuffleResponse:
-        """The other half of a shuffle that a peer has started.
+        """Adds the peers of a shuffle that another backend has started, and returns the response.
 
         Args:
-            request: what the peer sent.
-            remote: the address of the peer.
+            request: the request of the other backend.
+            remote: the address of the other backend.
         """
         self._view.add(request.peers)
         return ShuffleResponse(
--- a/crowwing/tier/state/__init__.py
+++ b/crowwing/tier/state/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated state machine: events in the order of the log, and the state folded from them."""
+"""The replicated state machine: the events of the log, and the state that results from applying them."""
--- a/crowwing/tier/state/batch_jobs.py
+++ b/crowwing/tier/state/batch_jobs.py
@@ -1,14 +1,14 @@
-"""A batch job as the state holds it, and its plain form for snapshots and repair."""
+"""Batch jobs in the replicated state, and their encodable form for snapshots and range transfers."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
 from crowwing.tier.state import events
 
-ITEM_OVERHEAD_BYTES = 64  # estimated overhead of an item or a result, beside its texts
+ITEM_OVERHEAD_BYTES = 64  # estimated overhead of an item or a result, on top of its texts
 
 
-# The fields of a job in the order in which they are encoded.
+# The fields of a job in the order in which they are encoded and stored.
 PlainBatchJob = tuple[
     str,
     str,
@@ -24,34 +24,34 @@
 
 
 def item_bytes(item: events.BatchItem) -> int:
-    """The estimated size of an item on disk and in memory, in bytes."""
+    """Returns the estimated size of an item on disk and in memory, in bytes."""
     headers = sum(len(name) + len(value) for name, value in item.headers)
     return ITEM_OVERHEAD_BYTES + len(item.body) + len(item.path) + headers
 
 
 def result_bytes(result: events.ItemResult) -> int:
-    """The estimated size of a result on disk and in memory, in bytes."""
+    """Returns the estimated size of a result on disk and in memory, in bytes."""
     return ITEM_OVERHEAD_BYTES + len(result.text)
 
 
 @dataclass
 class BatchJob:
-    """One batch job: its open items, and its results in the order of their positions.
+    """One batch job with its open items and its results.
 
-    Owned by `TierState`, which alone changes it.
+    Owned by `TierState`; nothing else modifies it.
 
     Attributes:
         id: The job's name, unique among all jobs.
-        host: The host that it was submitted to; with `path` it names the route.
-        path: The path that it was submitted to.
-        at_ms: When the primary accepted it, by its time of day in milliseconds.
-        total: How many items were submitted.
+        host: The host that the job was submitted to; together with `path` it determines the route.
+        path: The path that the job was submitted to.
+        at_ms: When the primary accepted the job: its wall-clock time in milliseconds.
+        total: The number of items submitted.
         open_items: The items without a result, by id, in the order of submission.
-        results: The final results; the index of one is its position, which never changes.
-        failures: The attempts at open items that ended with a 500, by item. Attempts have names, so that one
-            that is reported twice counts once.
+        results: The final results. The index of a result is its position, which never changes.
+        failures: By item, the attempts at open items that ended with status 500. They are stored by name, so
+            that an attempt that is reported twice counts once.
         ended: Whether the client ended the job.
-        digest: A digest of all events that the job went through, in their order; replicas compare it.
+        digest: A digest of all events of the job in log order, by which replicas compare it.
     """
 
     id: str
@@ -67,17 +67,17 @@
 
     @property
     def done(self) -> bool:
-        """Whether no item is left to run."""
+        """Whether there are no more items to run."""
         return self.ended or not self.open_items
 
     @property
     def stored_bytes(self) -> int:
-        """The estimated size of the job on disk and in memory, in bytes."""
+        """Estimated size of the job on disk and in memory, in bytes."""
         items = sum(item_bytes(item) for item in self.open_items.values())
         return items + sum(result_bytes(result) for result in self.results)
 
     def to_plain(self) -> PlainBatchJob:
-        """The fields as they are now, in the order that is encoded; the order is a stored form and stays."""
+        """Returns a copy of the fields in the order of the stored format, which must not change."""
         return (
             self.id,
             self.host,
@@ -93,7 +93,7 @@
 
     @classmethod
     def from_plain(cls, plain: PlainBatchJob) -> "BatchJob":
-        """The job whose fields `to_plain` gave."""
+        """Restores a job from the fields that `to_plain` returned."""
         job_id, host, path, at_ms, total, items, results, failures, ended, digest = plain
         return cls(
             id=job_id,
--- a/crowwing/tier/state/events.py
+++ b/crowwing/tier/state/events.py
@@ -1,13 +1,14 @@
-"""The events of the replicated log; each changes the state once, in the order of the log.
+"""The events of the replicated log; each is applied to the state once, in log order.
 
-The wire names and the order of the fields are a stored form and stay (`crowwing/tier/wire/codec.py`).
+The wire names and the order of the fields are part of the stored format and must not change
+(`crowwing/tier/wire/codec.py`).
 """
 
 from dataclasses import dataclass
 
 from crowwing.tier.wire.codec import message
 
-# States of an item's result, as the batch interface names them.
+# States of an item's result, as the batch API names them.
 COMPLETED = "completed"
 DEAD_LETTER = "dead_letter"
 
@@ -15,7 +16,7 @@
 @message("ConfigurationTaken")
 @dataclass(frozen=True)
 class ConfigurationAccepted:
-    """A configuration is in force from now on; `base` is the version that it was built on."""
+    """A configuration takes effect; `base` is the version that it was derived from."""
 
     version: int
     base: int
@@ -25,7 +26,7 @@
 @message("Item")
 @dataclass(frozen=True)
 class BatchItem:
-    """One item of a batch job as it was submitted; `headers` are names and values in order."""
+    """One item of a batch job as submitted; `headers` are pairs of name and value in their original order."""
 
     id: str
     path: str
@@ -47,7 +48,7 @@
 @message("LotTaken")
 @dataclass(frozen=True)
 class BatchJobAccepted:
-    """A batch job was accepted; `at_ms` is the time of day at the primary, in milliseconds."""
+    """A batch job was accepted; `at_ms` is the primary's wall-clock time in milliseconds."""
 
     job_id: str
     host: str
@@ -59,7 +60,7 @@
 @message("ItemsEnded")
 @dataclass(frozen=True)
 class ItemsCompleted:
-    """Results get the next positions of their job, in this order."""
+    """Results are appended to their job in this order, each at the next position."""
 
     job_id: str
     results: tuple[ItemResult, ...]
@@ -68,7 +69,7 @@
 @message("AttemptFailed")
 @dataclass(frozen=True)
 class AttemptFailed:
-    """An attempt at an item ended with a 500 of the sidecar; `attempt` is its name."""
+    """The sidecar answered an attempt at an item with status 500; `attempt` is the name of the attempt."""
 
     job_id: str
     item: str
@@ -78,7 +79,7 @@
 @message("LotEnded")
 @dataclass(frozen=True)
 class BatchJobEnded:
-    """The client ended a job: its open items are not run any more."""
+    """The client ended a job; its open items are no longer run."""
 
     job_id: str
 
@@ -86,7 +87,7 @@
 @message("LotDropped")
 @dataclass(frozen=True)
 class BatchJobRemoved:
-    """A job's retention time is over."""
+    """A job was removed at the end of its retention time."""
 
     job_id: str
 
@@ -94,7 +95,7 @@
 @message("StoreSeen")
 @dataclass(frozen=True)
 class StoreRegistered:
-    """A store machine has its data under this name, at this address."""
+    """A store machine was registered: `node` is the name of its data, `host` its address."""
 
     node: str
     host: str
--- a/crowwing/tier/state/tier_state.py
+++ b/crowwing/tier/state/tier_state.py
@@ -1,4 +1,4 @@
-"""The state that is folded from the events of the log; equal logs give equal states."""
+"""The state that results from applying the events of the log; equal logs give equal states."""
 
 from collections.abc import Iterator, Mapping, Sequence
 
@@ -8,28 +8,28 @@
 from crowwing.tier.state.changes import AcceptedChanges, PlainChanges
 from crowwing.tier.wire.codec import decode, encode
 
-# Version, changes and text of the configuration; names and addresses of stores; names of the retired ones.
+# Configuration version, changes and text; names and addresses of store machines; names of retired ones.
 PlainCommon = tuple[int, PlainChanges, bytes | None, Sequence[tuple[str, str]], Sequence[str]]
 
 
 class TierState:
-    """The configuration, the batch jobs and the store machines.
+    """The replicated state: the configuration, the batch jobs and the store machines.
 
-    The replica owns it and changes it by `apply` and `replace_ranges` alone; everything else reads it. For
-    repair it is divided in ranges: jobs by the hash of their id, and one common range for the rest.
+    Owned by the replica, which changes it only through `apply` and `replace_ranges`; other code reads it. For
+    repair the state is divided into ranges: jobs by the hash of their id, everything else in a common range.
 
     Attributes:
-        version: The version of the configuration, 0 without one.
-        configuration: The newest configuration as it was submitted.
-        changes: Which changes of the configuration were accepted.
-        jobs: The batch jobs by id, in the order in which they were accepted.
+        version: The version of the configuration; 0 if there is none.
+        configuration: The newest configuration as submitted.
+        changes: The accepted changes of the configuration.
+        jobs: The batch jobs by id, in the order of acceptance.
         stores: The addresses of the store machines by name.
         retired: The names of the store machines that are to be decommissioned.
-        stored_bytes: The estimated size of all jobs on disk.
+        stored_bytes: The estimated size of all jobs on disk, in bytes.
     """
 
     def __init__(self) -> None:
-        """The empty state."""
+        """Creates an empty state."""
         self.version = 0
         self.changes = AcceptedChanges()
         self.configuration: bytes | None = None
@@ -39,9 +39,9 @@
         self.stored_bytes = 0
 
     def apply(self, payload: bytes, index: int) -> None:
-        """Folds in the event that is encoded in an entry of the log; raises MessageError.
+        """Applies the event encoded in a log entry; raises MessageError.
 
-        `index` is the entry's position, which the replica's protocol hands over; this state does not need it.
+        `index` is the index of the entry. The replica's `Machine` interface passes it; it is unused here.
         """
         del index
         event: events.Event = decode(payload)
@@ -51,7 +51,7 @@
             job.digest = digest_of((job.digest, payload))
 
     def apply_event(self, event: events.Event) -> None:
-        """Folds one event in."""
+        """Applies one event, without updating the digest of its job."""
         match event:
             case events.ConfigurationAccepted(version, base, text):
                 self.version = version
@@ -75,7 +75,7 @@
                 self.retired.add(node)
 
     def _add_store(self, node: str, host: str) -> None:
-        """Registers a store machine; an address has one name: a later machine may get an earlier one's."""
+        """Registers a store machine and removes an older name at its address, which machines may reuse."""
         self.stores = {name: other for name, other in self.stores.items() if other != host}
         self.stores[node] = host
 
@@ -102,11 +102,11 @@
             self.stored_bytes -= job.stored_bytes
 
     def retired_hosts(self) -> frozenset[str]:
-        """The addresses of the store machines that are to be decommissioned."""
+        """Returns the addresses of the store machines that are to be decommissioned."""
         return frozenset(self.stores[node] for node in self.retired if node in self.stores)
 
     def _common(self) -> PlainCommon:
-        """The content of the common range; equal states give equal content, so the names are sorted."""
+        """Returns the content of the common range, sorted so that equal states give equal content."""
         stores = sorted(self.stores.items())
         changes = self.changes.to_plain()
         return (self.version, changes, self.configuration, stores, sorted(self.retired))
@@ -121,12 +121,12 @@
 
     @staticmethod
     def range_of(payload: bytes) -> int:
-        """The range that an event changes."""
+        """Returns the range that an encoded event changes."""
         job_id = getattr(decode(payload), "job_id", None)
         return COMMON_RANGE if job_id is None else range_of_key(job_id)
 
     def digests(self) -> tuple[bytes, ...]:
-        """A digest of each range, in the order of their numbers; replicas compare them for repair."""
+        """Returns a digest of each range in the order of range numbers; replicas compare them for repair."""
         jobs: list[list[bytes]] = [[] for _ in range(RANGES)]
         for job in self.jobs.values():
             jobs[range_of_key(job.id)].append(job.id.encode() + job.digest)
@@ -134,9 +134,9 @@
         return tuple(digest_of(sorted(digests)) for digests in jobs)
 
     def freeze(self) -> Iterator[tuple[int, bytes]]:
-        """A snapshot of all ranges that are not empty, as they are now; encoded while it is iterated.
+        """Returns a snapshot of all ranges that are not empty, encoded lazily during iteration.
 
-        The disk's thread iterates it while the state goes on changing, so nothing mutable is shared.
+        A disk thread iterates over it while the state keeps changing, so it shares no mutable data with it.
         """
         jobs: dict[int, list[PlainBatchJob]] = {}
         for job in self.jobs.values():
@@ -145,7 +145,7 @@
         return ((number, encode(content)) for number, content in contents.items())
 
     def dump_range(self, number: int) -> bytes:
-        """The encoded content of one range."""
+        """Returns the encoded content of one range."""
         if number == COMMON_RANGE:
             return encode(self._common())
         return encode([job.to_plain() for job in self._jobs_in(number)])
@@ -154,7 +154,7 @@
         return [job for job in self.jobs.values() if range_of_key(job.id) == number]
 
     def replace_ranges(self, contents: Mapping[int, bytes]) -> None:
-        """Replaces the content of some ranges by what `dump_range` gave at another replica."""
+        """Replaces the content of some ranges by the output of `dump_range` of another replica."""
         for number, content in contents.items():
             if number == COMMON_RANGE:
                 self._load_common(decode(content))
--- a/crowwing/tier/storage/__init__.py
+++ b/crowwing/tier/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Files of the tier's own state."""
+"""Durable storage of the tier's state in record files."""
--- a/crowwing/tier/storage/compaction.py
+++ b/crowwing/tier/storage/compaction.py
@@ -1,4 +1,4 @@
-"""Compaction: a shorter content with the same meaning is written beside a record file, to take its place."""
+"""Compaction: equivalent but shorter records are written to a second file that then replaces the first."""
 
 import contextlib
 from collections.abc import Iterable
@@ -8,21 +8,21 @@
 from crowwing.tier.storage.files import Files, OpenFile, write_all
 from crowwing.tier.storage.records import encode_record
 
-SYNC_INTERVAL_BYTES = 1024 * 1024  # written between two syncs of a compacted file
+SYNC_INTERVAL_BYTES = 1024 * 1024  # written between two fsyncs of a compacted file
 
 
 class CompactedFile:
-    """A file that is written beside a record file and then takes its place; removed where writing fails.
+    """The compacted replacement of a record file, written next to it; removed if writing fails.
 
-    `RecordFile.prepare_compaction` makes it; `RecordFile.install` takes it over, or its maker discards it.
-    One thread at a time uses it.
+    Created by `RecordFile.prepare_compaction`, whose caller passes it to `RecordFile.install` or discards it.
+    Not thread-safe: only one thread at a time may use it.
     """
 
     def __init__(self, path: Path, files: Files) -> None:
-        """Creates the file, empty.
+        """Creates an empty file.
 
         Args:
-            path: the name that it has until it is installed.
+            path: the path of the file until it is installed.
             files: the file operations.
 
         Raises:
@@ -38,12 +38,12 @@
             raise CompactionError(str(path), str(error)) from error
 
     def append(self, payloads: Iterable[bytes]) -> None:
-        """Writes records and syncs them.
+        """Writes records and fsyncs them.
 
-        It syncs each `SYNC_INTERVAL_BYTES`, since one long sync would hold up those of the record file.
+        It also fsyncs every `SYNC_INTERVAL_BYTES`, since one long fsync would delay those of the record file.
 
         Args:
-            payloads: the records' contents.
+            payloads: the payloads of the records.
 
         Raises:
             CompactionError: writing failed; the file is removed.
@@ -53,7 +53,7 @@
                 self._append_record(payload)
             self._sync()
         except OSError as error:
-            self.discard()  # what was written takes space on a full disk
+            self.discard()  # frees its space, since the disk may be full
             raise CompactionError(str(self.path), str(error)) from error
 
     def _append_record(self, payload: bytes) -> None:
@@ -69,7 +69,7 @@
         self._unsynced_bytes = 0
 
     def discard(self) -> None:
-        """Closes and removes the file, as far as the disk lets it."""
+        """Closes and removes the file; errors of the removal are ignored."""
         self.file.close()
         with contextlib.suppress(OSError):
             self._files.remove(self.path)
--- a/crowwing/tier/storage/files.py
+++ b/crowwing/tier/storage/files.py
@@ -1,4 +1,4 @@
-"""The file operations that the tier's state rests on: the operating system's, or simulated ones in tests."""
+"""The file operations used to store the tier's state; tests replace them by simulated ones."""
 
 import os
 from io import FileIO
@@ -7,62 +7,62 @@
 
 
 class OpenFile(Protocol):
-    """A file that is open for appending, without a buffer of its own."""
+    """A file opened for appending, without a user-space buffer."""
 
     def write(self, data: memoryview, /) -> int | None:
-        """Writes some of `data` and returns how many bytes; raises OSError."""
+        """Writes some of `data` and returns the number of bytes written; raises OSError."""
         ...
 
     def sync(self) -> None:
-        """Returns once the content survives a loss of power; raises OSError."""
+        """Makes the written content durable against power failure; raises OSError."""
 
     def close(self) -> None:
-        """Closes it; what was written and not synced may be lost with the power."""
+        """Closes the file without an fsync; unsynced writes may be lost on power failure."""
 
 
 class Files(Protocol):
-    """Operations on the files of one folder; all raise OSError."""
+    """Operations on the files of a folder; all of them raise OSError."""
 
     def read(self, path: Path) -> bytes | None:
-        """The content of a file, None where there is none."""
+        """Returns the content of a file, or None if it does not exist."""
         ...
 
     def open_truncated(self, path: Path, size: int) -> OpenFile:
-        """Opens a file, made if need be, cut to `size` bytes and positioned at its end."""
+        """Opens a file, creating it if missing, truncates it to `size` bytes and seeks to its end."""
         ...
 
     def create(self, path: Path) -> OpenFile:
-        """Opens an empty file."""
+        """Creates a file, or truncates an existing one to length 0, and opens it."""
         ...
 
     def replace(self, source: Path, target: Path) -> None:
-        """Gives a file the name of another, which it replaces."""
+        """Atomically renames `source` to `target`, replacing `target`."""
 
     def remove(self, path: Path) -> None:
-        """Removes a file, if it is there."""
+        """Removes a file if it exists."""
 
     def sync_folder(self, folder: Path) -> None:
-        """Returns once the names in a folder survive a loss of power."""
+        """Makes the directory entries of a folder durable against power failure."""
 
 
 class OsFile(FileIO):
     """An open file of the operating system."""
 
     def sync(self) -> None:
-        """Returns once the content survives a loss of power; raises OSError."""
+        """Makes the written content durable against power failure; raises OSError."""
         os.fsync(self.fileno())
 
 
 class OsFiles:
-    """The operating system's files (`Files`)."""
+    """The files of the operating system; implements `Files`."""
 
     def read(self, path: Path) -> bytes | None:
-        """The content of a file, None where there is none; its folder is made."""
+        """Returns the content of a file, or None if it does not exist; creates its folder if missing."""
         path.parent.mkdir(parents=True, exist_ok=True)
         return path.read_bytes() if path.exists() else None
 
     def open_truncated(self, path: Path, size: int) -> OsFile:
-        """Opens a file, made if need be, cut to `size` bytes and positioned at its end."""
+        """Opens a file, creating it if missing, truncates it to `size` bytes and seeks to its end."""
         file = OsFile(path, "r+b" if path.exists() else "w+b")
         if os.fstat(file.fileno()).st_size > size:
             file.truncate(size)
@@ -70,19 +70,19 @@
         return file
 
     def create(self, path: Path) -> OsFile:
-        """Opens an empty file."""
+        """Creates a file, or truncates an existing one to length 0, and opens it."""
         return OsFile(path, "w+b")
 
     def replace(self, source: Path, target: Path) -> None:
-        """Gives a file the name of another, which it replaces."""
+        """Atomically renames `source` to `target`, replacing `target`."""
         source.replace(target)
 
     def remove(self, path: Path) -> None:
-        """Removes a file, if it is there."""
+        """Removes a file if it exists."""
         path.unlink(missing_ok=True)
 
     def sync_folder(self, folder: Path) -> None:
-        """Returns once the names in a folder survive a loss of power."""
+        """Makes the directory entries of a folder durable against power failure."""
         descriptor = os.open(folder, os.O_RDONLY)
         try:
             os.fsync(descriptor)
@@ -94,7 +94,7 @@
 
 
 def write_all(file: OpenFile, data: bytes) -> None:
-    """Writes all of `data`, in several writes where the file takes only a part at once; raises OSError."""
+    """Writes all of `data`, with several writes if the file accepts only a part of it; raises OSError."""
     unwritten = memoryview(data)
     while unwritten:
         unwritten = unwritten[file.write(unwritten) or 0 :]
--- a/crowwing/tier/storage/record_file.py
+++ b/crowwing/tier/storage/record_file.py
@@ -1,4 +1,4 @@
-"""An append-only file of checksummed records, and its replacement by a compacted one."""
+"""An append-only file of checksummed records that can be replaced by a compacted one."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -8,21 +8,21 @@
 from crowwing.tier.storage.files import OS_FILES, Files, OpenFile, write_all
 from crowwing.tier.storage.records import decode_records, encode_record
 
-COMPACTED_SUFFIX = ".new"  # behind the name of a file, for the compacted one beside it
+COMPACTED_SUFFIX = ".new"  # appended to the name of a record file for its compacted file
 
 
 class RecordFile:
-    """Appends records and reads them back. A torn record at the end, left by a loss of power, is cut off.
+    """Appends records and reads them back. A torn record at the end, left by a power failure, is truncated.
 
-    `store.disk.Disk` owns it. One thread appends and installs; `prepare_compaction` may run in another one
-    meanwhile.
+    Owned by `store.disk.Disk`. One thread appends and installs; `prepare_compaction` may run concurrently in
+    another thread.
     """
 
     def __init__(self, path: Path, files: Files = OS_FILES) -> None:
-        """Names the file; `open` opens it.
+        """Sets the path of the file; `open` opens it.
 
         Args:
-            path: the file. The compacted one stands beside it meanwhile.
+            path: the path of the file. During a compaction the compacted file is next to it.
             files: the file operations.
         """
         self._path = path
@@ -31,13 +31,13 @@
         self.size = 0
 
     def open(self) -> list[bytes]:
-        """Opens the file, creating it if need be, and removes a compacted file that was not installed.
+        """Opens the file, creating it if missing, and removes a compacted file that was not installed.
 
         Returns:
-            The payloads of its records.
+            The payloads of the records in the file.
 
         Raises:
-            OpenError: the file can't be opened or read.
+            OpenError: the file can't be opened, read or truncated.
         """
         try:
             data = self._files.read(self._path) or b""
@@ -55,13 +55,13 @@
         return self._path.with_name(self._path.name + COMPACTED_SUFFIX)
 
     def append(self, payloads: Iterable[bytes]) -> None:
-        """Appends records with one sync; when this returns they survive a loss of power.
+        """Appends records with one fsync; on return they are durable against power failure.
 
         Args:
-            payloads: the records' contents.
+            payloads: the payloads of the records.
 
         Raises:
-            AppendError: writing or syncing failed.
+            AppendError: the write or the fsync failed.
         """
         assert self._file is not None, "the file is not open"
         data = b"".join(encode_record(payload) for payload in payloads)
@@ -73,13 +73,14 @@
         self.size += len(data)
 
     def prepare_compaction(self, payloads: Iterable[bytes]) -> CompactedFile:
-        """Writes a compacted file, while another thread may append to this one.
+        """Writes a compacted file; another thread may append to the record file meanwhile.
 
         Args:
-            payloads: records that stand for all that the file holds now.
+            payloads: records equivalent to the current content of the record file.
 
         Returns:
-            The compacted file. Before it is installed, what was appended meanwhile is appended to it too.
+            The compacted file. Before installing it, the caller must append to it every record that was
+            appended to the record file in the meantime.
 
         Raises:
             CompactionError: writing failed.
@@ -89,15 +90,15 @@
         return compacted
 
     def install(self, compacted: CompactedFile) -> None:
-        """Puts a compacted file in the place of the file in one step.
+        """Atomically replaces the record file by a compacted one.
 
-        After a loss of power meanwhile, either all old records or all new ones are there.
+        After a power failure during this call the file has either all old records or all new ones.
 
         Args:
-            compacted: what `prepare_compaction` made.
+            compacted: the result of `prepare_compaction`.
 
         Raises:
-            InstallError: it failed; which of the two contents is there is not known.
+            InstallError: the replacement failed; it is unknown which of the two contents is in place.
         """
         assert self._file is not None, "the file is not open"
         try:
@@ -112,18 +113,18 @@
             raise InstallError(str(self._path), str(error)) from error
 
     def compact(self, payloads: Iterable[bytes]) -> None:
-        """Replaces the whole content at once.
+        """Atomically replaces the entire content.
 
         Args:
-            payloads: the records that stand in the file from then on.
+            payloads: the new records of the file.
 
         Raises:
-            StorageError: writing or installing failed.
+            StorageError: writing or installing the compacted file failed.
         """
         self.install(self.prepare_compaction(payloads))
 
     def close(self) -> None:
-        """Closes the file; what was appended stays."""
+        """Closes the file; appended records are kept."""
         if self._file is not None:
             self._file.close()
             self._file = None
--- a/tests/tier/test_disk_faults.py
+++ b/tests/tier/test_disk_faults.py
@@ -1,4 +1,4 @@
-"""Disks that take no more bytes, answer nothing for a while, or are slow, under one replica or several."""
+"""Full, stalled and slow disks of one or several replicas, and compactions that fail or lose power."""
 
 import asyncio
 import threading
@@ -114,7 +114,7 @@
 
 
 def random_disk_faults(seed: int) -> World:
-    """Disks in trouble, one after another, beside a lost machine at times."""
+    """Simulates random disk faults and power failures, one after another."""
     world = quick_world(seed, HOSTS, HOSTS)
     random = world.random
     world.stabilize()
@@ -152,25 +152,25 @@
 
 
 class FailingDisk(Disk):
-    """A disk that takes nothing while `full` is set."""
+    """A disk whose writes fail while `full` is set."""
 
     full = False
 
     async def write(self, records: list[Any]) -> None:
-        """Fails while full."""
+        """Raises StorageError while full."""
         if self.full:
             raise StorageError("state.log", "no space left on device")
         await super().write(records)
 
     async def replace_all(self, records: list[Any]) -> None:
-        """Fails while full."""
+        """Raises StorageError while full."""
         if self.full:
             raise StorageError("state.log", "no space left on device")
         await super().replace_all(records)
 
 
 async def wait_until(condition: Any, limit_s: float = 5.0) -> None:  # noqa: ANN401
-    """Lets the loop run until a condition holds."""
+    """Waits until a condition holds; raises TimeoutError after `limit_s` seconds."""
     async with asyncio.timeout(limit_s):
         while not condition():
             await asyncio.sleep(0.005)
@@ -199,7 +199,7 @@
         disk.full = False
         await wait_until(lambda: not node.disk_failed)
         await wait_until(lambda: node.replica.role is Role.PRIMARY)
-        assert not any(task.done() for task in tasks), "the process goes on"
+        assert not any(task.done() for task in tasks), "no task of the process may end"
         for task in tasks:
             task.cancel()
 
@@ -232,7 +232,7 @@
     disk.open()
     disk._file.append([bytes(12 * MEGABYTE)])
     assert disk.needs_compaction(2 * MEGABYTE)
-    assert not disk.needs_compaction(9 * MEGABYTE), "9 MB more do not fit beside 12 of 20"
+    assert not disk.needs_compaction(9 * MEGABYTE), "9 MB more do not fit on a disk of 20 MB beside 12 MB"
 
 
 def test_a_file_is_compacted_sooner_on_a_small_disk(tmp_path: Path) -> None:
@@ -240,11 +240,11 @@
     disk.open()
     disk._file.append([bytes(5 * MEGABYTE)])
     assert disk.needs_compaction(2 * MEGABYTE)
-    assert not disk.needs_compaction(4 * MEGABYTE), "little would be won"
+    assert not disk.needs_compaction(4 * MEGABYTE), "a compaction would free too little"
 
 
 class BlockedRecords:
-    """Records whose making waits until it is let go on."""
+    """Records whose iteration waits until `unblocked` is set."""
 
     def __init__(self, records: list[Any]) -> None:
         self._records = records
@@ -304,7 +304,7 @@
     async def scenario(folder: Path, step_count: int) -> list[Any]:
         disk = Disk(folder)
         disk.open()
-        # Held until the write beside it is done: that write would install a compaction that has ended.
+        # Blocked until the concurrent write is done: a write installs a compaction that is ready.
         compacted = BlockedRecords(["old and older"])
         steps = [
             lambda: disk.write(["old"]),
@@ -318,7 +318,7 @@
         for step in steps[:step_count]:
             await step()
         found = Disk(folder).open()
-        compacted.unblocked.set()  # its thread may end
+        compacted.unblocked.set()  # lets its thread end
         return found
 
     async def begin(disk: Disk, compacted: BlockedRecords) -> None:
--- a/tests/tier/test_events.py
+++ b/tests/tier/test_events.py
@@ -1,4 +1,4 @@
-"""Whole events out of the bytes of a stream."""
+"""Splitting the bytes of an event stream into complete events."""
 
 from crowwing.tier.front.events import EventSplitter
 
--- a/tests/tier/test_node_concerns.py
+++ b/tests/tier/test_node_concerns.py
@@ -1,4 +1,4 @@
-"""The parts of a store machine's node alone: pending decisions, role notifications, delivery of messages."""
+"""Unit tests of the parts of a store machine: pending decisions, role notifications, message delivery."""
 
 import asyncio
 
@@ -34,7 +34,7 @@
         decisions.abandon()
         assert committed.result() is True and timed_out.cancelled() and pending.result() is False
         decisions.resolve(9)
-        assert pending.result() is False, "what a later primary commits says nothing of it"
+        assert pending.result() is False, "a later primary's commits must not resolve it"
 
     asyncio.run(scenario())
 
@@ -57,14 +57,14 @@
 
 
 class RecordingPool(ConnectionPool):
-    """Connections that note what they are to send."""
+    """A pool that records the messages to be sent."""
 
     def __init__(self) -> None:
         super().__init__(1)
         self.sent: list[tuple[list[str], object]] = []
 
     def notify_all(self, receivers: list[str], message: object) -> int:
-        """Notes it; gives the length of the frame that it does not make."""
+        """Records the message; returns 0 as the length of the frame, since none is encoded."""
         self.sent.append((list(receivers), message))
         return 0
 
--- a/tests/tier/test_recorded_bytes.py
+++ b/tests/tier/test_recorded_bytes.py
@@ -1,4 +1,4 @@
-"""The wire and the disk keep the form that earlier versions gave them (recorded/README.md)."""
+"""The wire and disk formats match the bytes recorded by earlier versions (recorded/README.md)."""
 
 import json
 from dataclasses import fields
@@ -22,7 +22,7 @@
 
 
 def to_json(value: Any) -> Any:  # noqa: ANN401
-    """The form of a value in the recorded files, with wire names in the place of classes."""
+    """Converts a value to its JSON form in the recorded files, with wire names instead of classes."""
     name = codec.wire_name(type(value))
     if name is not None:
         return {"message": name, "fields": [to_json(getattr(value, x.name)) for x in fields(value)]}
@@ -36,7 +36,7 @@
 
 
 def test_every_message_is_recorded() -> None:
-    assert codec.wire_names() >= set(MESSAGES), "a message that others send was dropped or renamed"
+    assert codec.wire_names() >= set(MESSAGES), "a message that other versions send was removed or renamed"
     assert set(MESSAGES) >= codec.wire_names(), "record the bytes of the new message"
 
 
@@ -59,7 +59,7 @@
 
 
 def open_recorded(path: Path) -> tuple[Replica, TierState]:
-    """The replica and the state that a file of records stands for."""
+    """Restores the replica and the state from a record file."""
     state = TierState()
     replica = Replica(ReplicaSettings("m0", ("m0", "m1", "m2"), 1), state, 10.0, lambda: 0.5)
     replica.recover([codec.decode(record) for record in RecordFile(path).open()])
@@ -67,7 +67,7 @@
 
 
 def summary_of(replica: Replica, state: TierState) -> dict[str, Any]:
-    """What the recorded summaries hold."""
+    """Returns the values that the recorded summaries contain."""
     return {
         "promised": to_json(replica.promised),
         "view": to_json(replica.view),
@@ -97,7 +97,7 @@
     expected = json.loads((RECORDED / f"{name}.json").read_text())
     del expected["records"]
     assert summary_of(*open_recorded(path)) == expected
-    assert path.read_bytes() == (RECORDED / f"{name}.log").read_bytes(), "opening changes nothing"
+    assert path.read_bytes() == (RECORDED / f"{name}.log").read_bytes(), "opening the file must not change it"
 
 
 @pytest.mark.parametrize("name", ["appended", "compacted"])
@@ -110,7 +110,7 @@
     again = tmp_path / "again.log"
     again.write_bytes(rewritten)
     reopened, before = summary_of(*open_recorded(again)), summary_of(replica, state)
-    for summary in (reopened, before):  # a rewritten file has them by range
+    for summary in (reopened, before):  # a compacted file has the jobs ordered by range
         summary["batch_jobs"].sort()
     assert reopened == before
 
--- a/tests/tier/test_relay_steps.py
+++ b/tests/tier/test_relay_steps.py
@@ -1,4 +1,4 @@
-"""Single steps of the relay tree: heartbeats and documents of an old root after a new one's."""
+"""Single steps of the relay tree: messages of a former root, disconnected parents, and front counts."""
 
 import asyncio
 from random import Random
@@ -19,7 +19,7 @@
 
 
 def relay_of(host: str) -> Relay:
-    """A backend's place in the tree, without connections."""
+    """Returns the relay of a backend without connections."""
     environment = RelayEnvironment(ConnectionPool(1), Random(1))
     return Relay(Peer(host, "front", "z", 0), ("a",), Documents(), environment)
 
@@ -58,14 +58,14 @@
         relay.parent.connection = parent
         await relay.handle(parent, RootHeartbeat((5, 1), "a", {}, 72))
         await relay.handle(parent, RootHeartbeat((6, 1), "c", {}, 0))
-        assert relay.tracker.front_count == 72, "a count of 0 is none"
+        assert relay.tracker.front_count == 72, "a count of 0 is ignored"
         await relay.handle(parent, RootHeartbeat((6, 2), "c", {}, 60))
         assert relay.tracker.front_count == 60
         child = object.__new__(Connection)
         child.is_closed = False
         attached = relay.children.attach(child, AttachRequest("g", {}))
         assert isinstance(attached, AttachResponse) and attached.front_count == 60, (
-            "told to one that has just started"
+            "a newly attached child gets the front count"
         )
 
     asyncio.run(scenario())
--- a/tests/tier/test_relay_tree.py
+++ b/tests/tier/test_relay_tree.py
@@ -1,4 +1,4 @@
-"""Simulated runs of the relay tree at the size of a large deployment: capacity, requests, and documents."""
+"""Simulated runs of the relay tree with up to 165 fronts: capacity, attach requests and documents."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -18,12 +18,12 @@
 STORES = ("m0", "m1", "m2")
 SETTLING_S = 6.0
 SEEDS = range(3)
-CONFIG_APPLY_S = 3.0  # of the large deployments
-MAX_ATTACH_REQUESTS_PER_S = 10.0  # of one front, while nobody has a connection to a root
+CONFIG_APPLY_S = 3.0  # the limit of the large deployments
+MAX_ATTACH_REQUESTS_PER_S = 10.0  # per front, while no backend is connected to a root
 
 
 def world_of(seed: int, fronts: int) -> World:
-    """A world whose relay tree has settled."""
+    """Creates a world and runs it until its relay tree is stable."""
     world = World(seed, STORES, fronts=[f"f{number}" for number in range(fronts)])
     world.stabilize()
     world.run_for(SETTLING_S)
@@ -31,7 +31,7 @@
 
 
 def relay_of(machine: Machine) -> Relay | None:
-    """The relay of a machine whose process runs."""
+    """Returns the relay of a machine, None if its process is not running."""
     if isinstance(machine, Store):
         return machine.machine.relay if machine.machine is not None else None
     relay: Relay | None = getattr(machine, "relay", None)
@@ -39,30 +39,30 @@
 
 
 def relays_of(world: World) -> dict[str, Relay]:
-    """The relays of all running machines, by address."""
+    """Returns the relays of all running machines, by address."""
     found = {machine.host: relay_of(machine) for machine in world.machines()}
     return {host: relay for host, relay in found.items() if relay is not None}
 
 
 def children_of(relay: Relay) -> list[str]:
-    """The addresses of those that it passes documents on to."""
+    """Returns the addresses of the children."""
     connections = relay.children._connections
     return [host for host, connection in connections.items() if not connection.is_closed]
 
 
 def parent_of(relay: Relay) -> str | None:
-    """The address of the parent."""
+    """Returns the address of the parent, None if there is none."""
     connection = relay.parent.connection
     return connection.remote if connection is not None and not connection.is_closed else None
 
 
 def attached(world: World) -> set[str]:
-    """The machines that the root's heartbeats reach."""
+    """Returns the machines that the root's heartbeats reach."""
     return {host for host, relay in relays_of(world).items() if relay.tracker.is_connected}
 
 
 def transfer_leadership(world: World) -> None:
-    """Another store machine becomes the primary, and thereby the root."""
+    """Makes another store machine the primary, and thereby the root."""
     primary = world.primary()
     assert primary is not None
     machine = world.stores[primary].machine
@@ -72,7 +72,7 @@
 
 @contextmanager
 def counted_attach_requests() -> Iterator[Counter[str]]:
-    """Counts the requests to attach, by the address of the child."""
+    """Counts the attach requests by the address of the child."""
     counts: Counter[str] = Counter()
     original = Children.attach
 
@@ -102,7 +102,7 @@
         for child in children_of(relay)
         if child not in relays or parent_of(relays[child]) != host
     ]
-    assert not former, f"seed {seed}: {len(former)} of {FANOUT * len(relays)} places are taken by former ones"
+    assert not former, f"seed {seed}: {len(former)} of {FANOUT * len(relays)} slots held by former children"
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -116,7 +116,7 @@
     with counted_attach_requests() as counts:
         world.run_for(span_s)
     highest = max(counts[host] for host in world.fronts) / span_s
-    assert highest <= MAX_ATTACH_REQUESTS_PER_S, f"seed {seed}: {highest:.0f} a second of one front"
+    assert highest <= MAX_ATTACH_REQUESTS_PER_S, f"seed {seed}: {highest:.0f} requests/s by one front"
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -129,13 +129,13 @@
         world.stabilize()
         world.run_for(CONFIG_APPLY_S)
         missing = set(relays_of(world)) - attached(world)
-        assert not missing, f"seed {seed}: {sorted(missing)} are cut off"
+        assert not missing, f"seed {seed}: {sorted(missing)} are disconnected"
         world.start(lost)
         world.run_for(SETTLING_S)
 
 
 def change(world: World, operator: Operator) -> int:
-    """Makes one change, and gives its version."""
+    """Makes one change and returns its version."""
 
     async def work() -> int:
         change = operator.change(await operator.read_until_definite())
@@ -147,7 +147,7 @@
 
 
 def change_often(world: World, operator: Operator, times: int) -> None:
-    """Makes one change after the other."""
+    """Makes several changes in sequence."""
 
     async def work() -> None:
         version = await operator.read_until_definite()
@@ -160,7 +160,7 @@
 
 
 def restart_fronts(world: World, hosts: list[str]) -> None:
-    """Some fronts lose power at the same moment, and are back a second later."""
+    """Cuts the power of some fronts at the same time and restarts them one second later."""
     for host in hosts:
         world.fronts[host].stop(power=True)
     world.run_for(1.0)
@@ -169,7 +169,7 @@
 
 
 def assert_in_force_in_time(world: World, operator: Operator) -> None:
-    """A change made now is at all fronts within the bound."""
+    """Makes a change and checks that all fronts have it after `CONFIG_APPLY_S`."""
     version = change(world, operator)
     world.run_for(CONFIG_APPLY_S)
     late = []
--- a/tests/tier/test_storage.py
+++ b/tests/tier/test_storage.py
@@ -1,4 +1,4 @@
-"""The record file: every crash point between and inside its operations."""
+"""The record file after crashes, torn or corrupt records, and failed writes and compactions."""
 
 import os
 from pathlib import Path
--- a/tests/tier/test_store_memory.py
+++ b/tests/tier/test_store_memory.py
@@ -1,4 +1,4 @@
-"""What waits in the primary's process while its uplink is far too slow for what it replicates."""
+"""Send buffers of the primary stay within its memory while its uplink is far slower than its appends."""
 
 import asyncio
 
@@ -12,10 +12,10 @@
 
 SEED = 1
 STORES = tuple(f"m{number}" for number in range(18))
-MEMORY_BYTES = 310_000_000  # that one process may have (dncmu-outlet-large)
+MEMORY_BYTES = 310_000_000  # limit of one process (dncmu-outlet-large)
 FAULTS = 8  # so that a full view has 17 members
-OUTAGE_S = 15.0  # `recoveryS` there
-CONNECTION_BYTES_PER_S = 75_000  # a twelfth of an even share of a link of 120 Mbit/s
+OUTAGE_S = 15.0  # `recoveryS` of dncmu-outlet-large
+CONNECTION_BYTES_PER_S = 75_000  # a twelfth of an equal share of a 120 Mbit/s link
 JOBS_PER_S = 5.0
 JOB_ITEMS = 39
 ITEM_BYTES = 4_300
