--- a/tests/tier/test_node_concerns.py
+++ b/tests/tier/test_node_concerns.py
@@ -1,4 +1,4 @@
-"""The parts of a store machine's node alone: pending decisions, role notifications, delivery of messages."""
+"""Unit tests of the parts of a store machine: pending decisions, role notifications, message delivery."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 
 
 def test_decisions_resolve_up_to_the_commit_index_and_the_others_stay() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         decisions = PendingDecisions()
         first, second = decisions.add(3), decisions.add(4)
         decisions.resolve(3)
@@ -22,11 +22,11 @@
         decisions.resolve(4)
         assert second.result() is True
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_decisions_of_a_former_primary_are_abandoned_once() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         decisions = PendingDecisions()
         committed, timed_out, pending = decisions.add(1), decisions.add(2), decisions.add(3)
         decisions.resolve(1)
@@ -34,37 +34,37 @@
         decisions.abandon()
         assert committed.result() is True and timed_out.cancelled() and pending.result() is False
         decisions.resolve(9)
-        assert pending.result() is False, "what a later primary commits says nothing of it"
+        assert pending.result() is False, "a later primary's commits must not resolve it"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_listeners_hear_of_a_change_of_role_but_not_of_a_change_of_the_own_view() -> None:
+def test_listeners_are_notified_of_a_role_change_but_not_of_a_change_of_the_own_view() -> None:
     notifier = RoleNotifier()
-    heard: list[bool] = []
-    notifier.listeners.append(heard.append)
+    notified: list[bool] = []
+    notifier.listeners.append(notified.append)
     notifier.notify(Role.CANDIDATE)
-    assert not heard and not notifier.is_changing_own_view(Role.CANDIDATE)
+    assert not notified and not notifier.is_changing_own_view(Role.CANDIDATE)
     notifier.notify(Role.PRIMARY)
     assert notifier.is_changing_own_view(Role.CANDIDATE)
     notifier.notify(Role.CANDIDATE)
     notifier.notify(Role.PRIMARY)
-    assert heard == [True]
+    assert notified == [True]
     notifier.notify(Role.FOLLOWER)
     notifier.notify(Role.FOLLOWER)
-    assert heard == [True, False]
+    assert notified == [True, False]
     assert not notifier.is_changing_own_view(Role.CANDIDATE)
 
 
 class RecordingPool(ConnectionPool):
-    """Connections that note what they are to send."""
+    """A pool that records the messages to be sent."""
 
     def __init__(self) -> None:
         super().__init__(1)
         self.sent: list[tuple[list[str], object]] = []
 
     def notify_all(self, receivers: list[str], message: object) -> int:
-        """Notes it; gives the length of the frame that it does not make."""
+        """Records the message; returns 0 as the length of the frame, since none is encoded."""
         self.sent.append((list(receivers), message))
         return 0
 
