--- a/crowwing/tier/state/tier_state.py
+++ b/crowwing/tier/state/tier_state.py
@@ -126,13 +126,8 @@
         return COMMON_RANGE if job_id is None else range_of_key(job_id)
 
     def digests(self) -> tuple[bytes, ...]:
-<<<<<<< HEAD
-        """A digest of each range, in the order of their numbers; replicas compare them for repair."""
-        jobs: list[list[bytes]] = [[] for _ in range(RANGE_COUNT)]
-=======
         """Returns a digest of each range in the order of range numbers; replicas compare them for repair."""
-        jobs: list[list[bytes]] = [[] for _ in range(RANGES)]
->>>>>>> wording-state
+        jobs: list[list[bytes]] = [[] for _ in range(RANGE_COUNT)]
         for job in self.jobs.values():
             jobs[range_of_key(job.id)].append(job.id.encode() + job.digest)
         jobs[COMMON_RANGE] = [encode(self._common())]
