--- a/crowwing/logic/intake.py
+++ b/crowwing/logic/admission.py
@@ -1,8 +1,8 @@
 """What comes in: a ticket is read, and judged by the cut, its customer's share and its repeats."""
 
 from crowwing.contract import Id, Repeat, Result, Step
-from crowwing.logic.books import PROBE, SICK, SURVIVE, WAKE_EVERY, Books
-from crowwing.logic.ticket import HELD, NEW, SHARING, Ticket
+from crowwing.logic.backend_state import PROBE, SICK, SURVIVE, WAKE_EVERY, Books
+from crowwing.logic.request_handle import HELD, NEW, SHARING, Ticket
 
 ALIKE, BOUNDS = 20_000, 8  # tries whose bounds are so close share one; bounds remembered a traffic type
 
--- a/crowwing/logic/books.py
+++ b/crowwing/logic/backend_state.py
@@ -5,7 +5,7 @@
 
 from crowwing.contract import Halt, Id, Premises, Repeat, Result, Step
 from crowwing.logic.feedback import ENOUGH, SAMPLES, LimitLoop
-from crowwing.logic.ticket import ASKING, CALLING, HELD, OVER, PAUSED, RUNNING, Ticket
+from crowwing.logic.request_handle import ASKING, CALLING, HELD, OVER, PAUSED, RUNNING, Ticket
 from crowwing.ranked_window import RankedWindows
 
 WAKE_EVERY, WAKE_QUIET = 40_000, 200_000  # the watch over outer limits and gauges; with no ticket open
--- a/crowwing/logic/learned.py
+++ b/crowwing/logic/control_loops.py
@@ -1,9 +1,9 @@
 """What is learned: P90s and timeouts, the inflight limit, the cut, and the free value that follows."""
 
 from crowwing.contract import Result, Signal, Step
-from crowwing.logic.books import PROBE, WAKE_QUIET, Books
+from crowwing.logic.backend_state import PROBE, WAKE_QUIET, Books
 from crowwing.logic.feedback import ENOUGH, SAMPLES, queue_timeout, step_cut
-from crowwing.logic.ticket import ASKING, CALLING, HELD, PAUSED, Ticket
+from crowwing.logic.request_handle import ASKING, CALLING, HELD, PAUSED, Ticket
 
 CUT_MOST = 5 / 6  # the cut's end: tier t0 is never cut
 STRETCH = 1.3  # the run latency, against an uncrowded one, that the limit is steered to
--- a/crowwing/logic/calls.py
+++ b/crowwing/logic/downstream_calls.py
@@ -1,8 +1,8 @@
 """What is called: calls to what lies below, within this backend's share of it."""
 
 from crowwing.contract import Outcome, Repeat, Result, Step
-from crowwing.logic.books import CALL_LEAST, CALL_PATIENCE, SURVIVE, WAKE_EVERY, Books
-from crowwing.logic.ticket import CALLING, RUNNING, Ticket
+from crowwing.logic.backend_state import CALL_LEAST, CALL_PATIENCE, SURVIVE, WAKE_EVERY, Books
+from crowwing.logic.request_handle import CALLING, RUNNING, Ticket
 
 CALL_CROWDED = 2.5  # a call's latency against its usual one from which what lies below is crowded
 
--- a/crowwing/logic/manager.py
+++ b/crowwing/logic/load_manager.py
@@ -1,12 +1,12 @@
 """One backend's decisions, in the order in which a moment is worked through."""
 
 from crowwing.contract import Result, Step
-from crowwing.logic.books import WAKE_EVERY, WAKE_QUIET
-from crowwing.logic.calls import Calls
-from crowwing.logic.intake import Intake
-from crowwing.logic.learned import Learned
-from crowwing.logic.running import Running
-from crowwing.logic.ticket import RUNNING
+from crowwing.logic.admission import Intake
+from crowwing.logic.backend_state import WAKE_EVERY, WAKE_QUIET
+from crowwing.logic.control_loops import Learned
+from crowwing.logic.downstream_calls import Calls
+from crowwing.logic.request_handle import RUNNING
+from crowwing.logic.scheduling import Running
 
 JAM_OVER, JAM_UNDER = 0.6, 0.3  # unread time, in the time tickets come with: leave the list, come back
 RETURNING = 0.5  # part of tickets whose caller was here lately, under which idle connections are closed early
--- a/crowwing/logic/ticket.py
+++ b/crowwing/logic/request_handle.py
@@ -5,7 +5,7 @@
 from crowwing.contract import Halt, Id, Outcome, Repeat, Result
 
 if TYPE_CHECKING:  # only named: the ticket is made by its manager
-    from crowwing.logic.manager import LoadManager
+    from crowwing.logic.load_manager import LoadManager
 
 CALL_TRIES = 3  # of one call
 NEW, HELD, RUNNING, ASKING, CALLING, PAUSED, SHARING, OVER = range(8)
--- a/crowwing/logic/running.py
+++ b/crowwing/logic/scheduling.py
@@ -1,8 +1,8 @@
 """What runs and when: the hold, its timeouts, the start of work, and the watch over outer limits."""
 
 from crowwing.contract import Repeat, Result, Step
-from crowwing.logic.books import SPREAD, SURVIVE, WAKE_EVERY, Books
-from crowwing.logic.ticket import HELD, NEW, PAUSED, RUNNING, Ticket
+from crowwing.logic.backend_state import SPREAD, SURVIVE, WAKE_EVERY, Books
+from crowwing.logic.request_handle import HELD, NEW, PAUSED, RUNNING, Ticket
 
 
 class Running(Books):
--- a/crowwing/program/configuration.py
+++ b/crowwing/program/configuration.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, fields, replace
 
 from crowwing.contract import Names, Premises
-from crowwing.premises import BadPremises, decode
+from crowwing.server_facts import BadPremises, decode
 
 Address = tuple[str, int]
 IN_SERVICE = {"agent", "control", "below", "stop"}  # the parts that a reading in service changes
--- a/crowwing/program/together.py
+++ b/crowwing/program/together.py
@@ -18,7 +18,7 @@
 from crowwing.fleet.uses.loans import wanted
 from crowwing.fleet.uses.turned import Turned
 from crowwing.logic.feedback import ENOUGH
-from crowwing.logic.manager import LoadManager
+from crowwing.logic.load_manager import LoadManager
 from crowwing.routing.dispatcher import Dispatcher
 from crowwing.routing.event_recorder import EventRecorder
 
--- a/crowwing/routing/dispatcher.py
+++ b/crowwing/routing/dispatcher.py
@@ -13,8 +13,8 @@
 from typing import TYPE_CHECKING, Protocol
 
 from crowwing.contract import Names, Outcome, Premises, Repeat, Step
-from crowwing.logic.manager import LoadManager
-from crowwing.logic.ticket import NEW
+from crowwing.logic.load_manager import LoadManager
+from crowwing.logic.request_handle import NEW
 from crowwing.protocol import agent
 from crowwing.protocol.arrival import Arrival
 from crowwing.routing.backend_calls import BackendCalls
--- a/crowwing/routing/open_request.py
+++ b/crowwing/routing/open_request.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import Protocol
 
-from crowwing.logic.ticket import Ticket
+from crowwing.logic.request_handle import Ticket
 from crowwing.protocol.arrival import Arrival
 
 
--- a/crowwing/routing/request_admission.py
+++ b/crowwing/routing/request_admission.py
@@ -1,6 +1,6 @@
 """Hands a request to the decision module, whose handle takes its news from then on."""
 
-from crowwing.logic.manager import LoadManager
+from crowwing.logic.load_manager import LoadManager
 from crowwing.protocol.arrival import Arrival
 from crowwing.routing.open_request import OpenRequest
 
--- a/crowwing/drill/__main__.py
+++ b/crowwing/simulator_adapter/__main__.py
@@ -2,9 +2,9 @@
 
 import sys
 
-from crowwing.drill import frames
-from crowwing.drill.adapter import Adapter, InternalError
-from crowwing.premises import BadPremises
+from crowwing.server_facts import BadPremises
+from crowwing.simulator_adapter import frames
+from crowwing.simulator_adapter.adapter import Adapter, InternalError
 
 
 def main() -> int:
@@ -14,11 +14,13 @@
         while (batch := frames.read_batch(source)) is not None:
             frames.write_reply(sink, adapter.batch(*batch))
     except (frames.BadFrame, BadPremises) as wrong:
-        print(f"crowwing.drill: {wrong}", file=sys.stderr)
+        print(f"crowwing.simulator_adapter: {wrong}", file=sys.stderr)
         return 2
     except InternalError as defect:
         frames.write_reply(sink, [frames.internal_error(defect.who, str(defect))])
-        print(f"crowwing.drill: internal error in instance {defect.who}: {defect}", file=sys.stderr)
+        print(
+            f"crowwing.simulator_adapter: internal error in instance {defect.who}: {defect}", file=sys.stderr
+        )
         return 1
     except (BrokenPipeError, KeyboardInterrupt):
         return 1
--- a/crowwing/drill/adapter.py
+++ b/crowwing/simulator_adapter/adapter.py
@@ -5,10 +5,10 @@
 from typing import Any
 
 from crowwing.contract import Outcome, Result, Step
-from crowwing.drill import frames
-from crowwing.logic.manager import LoadManager
-from crowwing.logic.ticket import Ticket
-from crowwing.premises import BadPremises, decode, us
+from crowwing.logic.load_manager import LoadManager
+from crowwing.logic.request_handle import Ticket
+from crowwing.server_facts import BadPremises, decode, us
+from crowwing.simulator_adapter import frames
 
 _OUTCOMES = {
     100: Outcome.GOOD,
--- a/tests/decision_recording.py
+++ b/tests/decision_recording.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from crowwing.contract import Halt, Outcome, Result, Signal, Step
-from crowwing.logic.manager import LoadManager
+from crowwing.logic.load_manager import LoadManager
 from tests.rig import MS, facts
 
 FILE = Path(__file__).parent / "recorded" / "decisions.json"
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -12,11 +12,11 @@
 import uvloop
 
 from crowwing.contract import Halt, Outcome, Premises, Repeat, Result, Signal, Step, TrafficType
-from crowwing.logic.manager import LoadManager
-from crowwing.logic.ticket import Ticket
-from crowwing.premises import decode
+from crowwing.logic.load_manager import LoadManager
+from crowwing.logic.request_handle import Ticket
 from crowwing.program.backend import Backend
 from crowwing.program.configuration import Configuration
+from crowwing.server_facts import decode
 from tests.parties import FarmAgent, HttpStandIn, reply
 
 MS = 1000
--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -8,7 +8,7 @@
 
 ROOT = Path(__file__).parents[1]
 PAGE = ROOT / "docs" / "architecture.md"
-NAMED = re.compile(r"`((?:tier|logic|program|drill|emulator)/[a-z_/]+\.py)(?::([A-Za-z_.]+))?`")
+NAMED = re.compile(r"`((?:tier|logic|program|simulator_adapter|emulator)/[a-z_/]+\.py)(?::([A-Za-z_.]+))?`")
 
 
 def defined_in(path: Path) -> set[str]:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -13,8 +13,8 @@
 import pytest
 
 from crowwing.contract import Outcome, Repeat, Result, Step
-from crowwing.logic.manager import LoadManager
-from crowwing.logic.ticket import Ticket
+from crowwing.logic.load_manager import LoadManager
+from crowwing.logic.request_handle import Ticket
 from tests.rig import MS, World, facts
 
 HEEDED, FALL, LISTED = (
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -15,11 +15,18 @@
 
 import crowwing
 from crowwing.contract import Halt, Outcome, Signal
-from crowwing.premises import decode
 from crowwing.routing.request_resolver import RequestResolver
+from crowwing.server_facts import decode
 from tests.rig import MS, SETTINGS, World
 
-LOADED = ("logic", "drill", "program", "protocol", "routing", "transport")  # in every backend, or simulated
+LOADED = (
+    "logic",
+    "simulator_adapter",
+    "program",
+    "protocol",
+    "routing",
+    "transport",
+)  # in every backend, or simulated
 CHANGES = (list, dict, set, bytearray, Counter, deque)
 
 
@@ -30,7 +37,7 @@
         for found in pkgutil.iter_modules(root.__path__, f"{root.__name__}."):
             if not found.name.endswith("__main__"):
                 yield importlib.import_module(found.name)
-    yield importlib.import_module("crowwing.premises")
+    yield importlib.import_module("crowwing.server_facts")
     yield importlib.import_module("crowwing.contract")
 
 
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -23,7 +23,7 @@
 
 def drill(raw: bytes) -> subprocess.CompletedProcess:
     return subprocess.run(
-        [sys.executable, "-m", "crowwing.drill"], input=raw, capture_output=True, timeout=30
+        [sys.executable, "-m", "crowwing.simulator_adapter"], input=raw, capture_output=True, timeout=30
     )
 
 
--- a/tests/test_module_at_size.py
+++ b/tests/test_module_at_size.py
@@ -7,9 +7,9 @@
 
 import pytest
 
+from crowwing.logic.admission import SHARE_SPAN
 from crowwing.logic.feedback import ENOUGH, SAMPLES
-from crowwing.logic.intake import SHARE_SPAN
-from crowwing.logic.manager import LoadManager
+from crowwing.logic.load_manager import LoadManager
 from tests.rig import MS, World, facts
 
 TENANTS = 170_000
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from crowwing.premises import BadPremises, decode
+from crowwing.server_facts import BadPremises, decode
 from tests.rig import SETTINGS, Sidecar
 from tests.street import Street, live_in
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -306,7 +306,7 @@
 def test_build_installs_what_run_and_sim_need_and_no_more() -> None:
     assert "requirements.txt" in DEPLOY["build"]
     listed = {line.partition("==")[0] for line in (ROOT / "requirements.txt").read_text().split()}
-    assert listed == imported("crowwing.program.main") | imported("crowwing.drill.__main__")
+    assert listed == imported("crowwing.program.main") | imported("crowwing.simulator_adapter.__main__")
     tools = (ROOT / "requirements-tools.txt").read_text().split("\n")
     assert "-r requirements.txt" in tools
     declared = {line.partition("==")[0] for line in tools if "==" in line} | listed
