--- a/crowwing/contract.py
+++ b/crowwing/contract.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 
-class Repeat(Enum):
+class Idempotency(Enum):
     """What may happen to a ticket that comes again."""
 
-    REDOABLE = auto()
-    LABELLED = auto()
-    IRREVERSIBLE = auto()
+    IDEMPOTENT = auto()
+    KEYED = auto()
+    NON_IDEMPOTENT = auto()
 
 
 class Halt(Enum):
@@ -24,7 +24,7 @@
     FREEZE = auto()
 
 
-class Signal(Enum):
+class LoadSignal(Enum):
     """How those who send read the free value: not at all, or as one of three kinds."""
 
     NONE = auto()
@@ -68,52 +68,52 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TrafficType:
+class RequestClass:
     """One traffic type of a deployment."""
 
-    expected_time: int
-    outer_limit: int
-    repeat: Repeat
-    window: int  # labelled: how long a repeat may follow
-    calls: bool  # may call what lies below
-    credit_without: float  # part of the credit that is left without its calls
-    credit: float = 1.0  # what an answer is worth
+    latency_target: int
+    deadline: int
+    idempotency: Idempotency
+    dedup_window: int  # labelled: how long a repeat may follow
+    makes_calls: bool  # may call what lies below
+    partial_value: float  # part of the credit that is left without its calls
+    value: float = 1.0  # what an answer is worth
 
 
 @dataclass(frozen=True, slots=True)
-class Premises:
+class ServerFacts:
     """The facts that a backend is told at its start."""
 
-    types: tuple[TrafficType, ...]
-    shares: tuple[float, ...]  # tickets a second within each customer's share, over the fleet
-    over_share_credit: float
-    fleet: int
+    classes: tuple[RequestClass, ...]
+    quotas: tuple[float, ...]  # tickets a second within each customer's share, over the fleet
+    over_quota_value: float
+    backends: int
     cores: int
     memory_kb: float
     run_factor: float
     key_kb: float
     halt: Halt
-    signal: Signal
-    stay_away_most: int  # 0: advice to stay away is not passed on
-    crowd: float  # tickets on the cores for each core that a warm backend survives
+    signal: LoadSignal
+    max_retry_after: int  # 0: advice to stay away is not passed on
+    max_per_core: float  # tickets on the cores for each core that a warm backend survives
     cold: bool
-    cold_from: float
-    cold_for: int
-    calls_share: float  # this backend's part of the calls that what lies below survives; 0: none
-    calls_over: int
-    lingers: int
-    fresh_for: int
-    idle_most: int  # after this time callers close idle connections themselves
+    cold_speed: float
+    warm_up: int
+    call_quota: float  # this backend's part of the calls that what lies below survives; 0: none
+    quota_window: int
+    linger: int
+    cache_ttl: int
+    max_idle_time: int  # after this time callers close idle connections themselves
     answer_slack: int
-    grace: int
+    drain_grace: int
 
 
 @dataclass(frozen=True, slots=True)
-class Names:
+class WireNames:
     """What the wires call things; the module knows only their places in these lists."""
 
-    types: tuple[str, ...]
+    classes: tuple[str, ...]
     customers: tuple[str, ...]
     gauges: tuple[str, ...]
-    tells_patience: bool  # each ticket says how long its caller waits
+    passes_deadline: bool  # each ticket says how long its caller waits
     deep_checks: bool
--- a/crowwing/logic/__init__.py
+++ b/crowwing/logic/__init__.py
@@ -1,10 +1,9 @@
-"""All decisions of a backend: what it takes, runs and turns away. The mechanism is Cinnamon (docs/design.md).
+"""All decisions of a backend: what it admits, runs and rejects. The method is Cinnamon (docs/design.md).
 
-One LoadManager serves one life of one backend, in the types of contract.py. Call begin() once, then for each
-moment at which something happened: take() for each ticket read (gives the Ticket on which all its later
-news is a call), that news, wake() for the timer asked for, leave() for the notice to stop, and last turn(),
-which decides. All but take() return the list of (step, ticket, figure) to carry out, in order. Times are in
-microseconds. Drop a ticket once it is `closed`. Nothing here knows a wire or another instance.
-
-This module imports nothing, since the fronts of the serving tier load feedback.py alone.
+One LoadManager serves one incarnation of one backend; types: contract.py. Call begin() once, then, whenever
+something happens: receive() for each request read, the methods of the Request that it returns, wake() for
+the timer asked for, drain() for the notice to stop, and last decide(). All but receive() return a list of
+(step, request, figure), to be carried out in order. Times are in microseconds. Drop a request once it is
+`closed`. No wire and no other instance is known here. This module imports nothing, since the fronts of the
+serving tier load feedback.py alone.
 """
--- a/crowwing/logic/admission.py
+++ b/crowwing/logic/admission.py
@@ -1,124 +1,123 @@
-"""What comes in: a ticket is read, and judged by the cut, its customer's share and its repeats."""
+"""Admission: by the priority threshold, the customer's quota, memory, and deduplication."""
 
-from crowwing.contract import Id, Repeat, Result, Step
-from crowwing.logic.backend_state import PROBE, SICK, SURVIVE, WAKE_EVERY, Books
-from crowwing.logic.request_handle import HELD, NEW, SHARING, Ticket
+from crowwing.contract import Id, Idempotency, Result, Step
+from crowwing.logic.backend_state import MAX_ERROR_RATE, PROBE_RATE, USABLE, WAKE_INTERVAL, BackendState
+from crowwing.logic.request import NEW, QUEUED, SHARING, Request
 
-ALIKE, BOUNDS = 20_000, 8  # tries whose bounds are so close share one; bounds remembered a traffic type
+TOLERANCE, MAX_TIMEOUTS = 20_000, 8  # caller time-outs so close count as one; time-outs kept a class
 
-SHARE_SPAN = 5_000_000  # the time over which a customer's traffic is held against its share
-FLOW_UNITS = 1e9  # a unit so large is made 1 again, and whoever has faded away is forgotten
+QUOTA_WINDOW = 5_000_000  # the time over which a customer's requests are compared with its quota
+MAX_RATE_UNIT = 1e9  # the unit is reset to 1 from here on, and customers that have decayed away are removed
 
 
-class Intake(Books):
-    """Reads and judges arrivals."""
+class Admission(BackendState):
+    """Receives requests and decides which to admit."""
 
-    # fmt: off
-    def take(self, now: int, op_id: Id, kind: int, team: int, rank: float, kb: float, arrived: int, due: int,
-             by: int, repeats: Id, key: Id, write: bool, again: bool = False) -> Ticket:
-        # fmt: on
-        """A ticket has been read; `due` is 0 where its caller's patience is not told. `again`: what is likely
-        a repeat in a storm, though nothing marks it; its rank counts as one beyond its customer's share."""
-        t = Ticket(self, op_id, kind, kb)
-        t.rank = rank * (self.facts.over_share_credit if again else 1.0)
-        t.team, t.arrived, t.repeats, t.key, t.write = team, arrived, repeats, key, write
-        t.due = max(now, due or arrived + t.type.outer_limit)
-        t.aim = min(t.due, arrived + t.type.expected_time)
-        self.span[kind] += round(0.05 * (t.aim - arrived - self.span[kind]))
-        age = self.age(kind, t.type.outer_limit, due - arrived) if due else 0
-        if age < t.type.expected_time:
-            t.aim = max(arrived, min(t.due, arrived + t.type.expected_time - age))
-        else:  # its answer earns nothing any more: it runs only where there is room
-            t.rank = 0.0
-        self.came += 1
-        later = age > 0 or not due  # where nothing tells, tickets are taken to be tried again
-        self.again += max(0.005, 1 / self.came) * (later - self.again)
-        self.turned *= 0.995
-        self.unread += 0.1 * (now - arrived - self.unread)
-        self.returning += max(0.02, 1 / self.came) * ((by in self.weights) - self.returning)
+    def receive(self, now: int, request_id: Id, class_id: int, customer: int, priority: float, size_kb: float,
+                arrived: int, deadline: int, caller: int, repeat_of: Id, key: Id, is_write: bool,
+                likely_repeat: bool = False) -> Request:  # fmt: skip
+        """A request has been read; `deadline` is 0 where its caller tells none. A `likely_repeat` in a retry
+        storm, which nothing marks as one, gets the priority of a request beyond its customer's quota."""
+        r = Request(self, request_id, class_id, size_kb)
+        r.priority = priority * (self.facts.over_quota_value if likely_repeat else 1.0)
+        r.customer, r.arrived, r.repeat_of, r.key, r.write = customer, arrived, repeat_of, key, is_write
+        r.deadline = max(now, deadline or arrived + r.cls.deadline)
+        r.target = min(r.deadline, arrived + r.cls.latency_target)
+        self.budgets[class_id] += round(0.05 * (r.target - arrived - self.budgets[class_id]))
+        age = self.request_age(class_id, r.cls.deadline, deadline - arrived) if deadline else 0
+        if age < r.cls.latency_target:
+            r.target = max(arrived, min(r.deadline, arrived + r.cls.latency_target - age))
+        else:  # the answer has lost its value: it runs only on spare capacity
+            r.priority = 0.0
+        self.received += 1
+        is_retry = age > 0 or not deadline  # without deadlines, requests are taken to be retried
+        self.retried_part += max(0.005, 1 / self.received) * (is_retry - self.retried_part)
+        self.rejected_part *= 0.995
+        self.lag += 0.1 * (now - arrived - self.lag)
+        self.returning += max(0.02, 1 / self.received) * ((caller in self.caller_weights) - self.returning)
         self.shed *= 0.95
-        self.weights[by] = self.weights.get(by, 0.0) + 1.0
-        self.open[op_id] = t
-        self.arrivals.append(t)
-        self.move(t, NEW)
-        return t
+        self.caller_weights[caller] = self.caller_weights.get(caller, 0.0) + 1.0
+        self.requests[request_id] = r
+        self.arrivals.append(r)
+        self.set_state(r, NEW)
+        return r
 
-    def age(self, kind: int, outer: int, left: int) -> int:
-        """How old a ticket was when this try came. Callers bound their tries alike; a bound that few share is
-        what is left of the outer limit. Guards against work for late answers while tickets are tried again.
-        Could harm callers with a bound of their own that send under a 20th: they rank last."""
-        bounds = {at: 0.99 * weight for at, weight in self.bounds[kind].items()}
-        alike = next((at for at in bounds if abs(at - left) < ALIKE), left)
-        if alike == left and len(bounds) == BOUNDS and left not in bounds:
-            del bounds[min(bounds, key=lambda at: bounds[at])]
-        bounds[alike] = bounds.get(alike, 0.0) + 1
-        self.bounds[kind], total = bounds, sum(bounds.values())
-        return 0 if total < 20 or bounds[alike] > total / 20 else max(0, outer - left)
+    def request_age(self, class_id: int, max_age: int, remaining: int) -> int:
+        """How old a request was when this attempt arrived. Callers use the same time-out for most attempts; a
+        rare one is what is left of the request's deadline. Retries whose answers are late get no work so.
+        Wrong for callers with a time-out of their own that send under a 20th: they come last."""
+        timeouts = {timeout: 0.99 * weight for timeout, weight in self.caller_timeouts[class_id].items()}
+        similar = next((known for known in timeouts if abs(known - remaining) < TOLERANCE), remaining)
+        if similar == remaining and len(timeouts) == MAX_TIMEOUTS and remaining not in timeouts:
+            del timeouts[min(timeouts, key=lambda timeout: timeouts[timeout])]
+        timeouts[similar] = timeouts.get(similar, 0.0) + 1
+        self.caller_timeouts[class_id], total = timeouts, sum(timeouts.values())
+        return 0 if total < 20 or timeouts[similar] > total / 20 else max(0, max_age - remaining)
 
-    def judge(self, now: int, out: list[Result]) -> None:
-        """Each arrival of this moment is dismissed at once or joins the hold."""
-        for t in self.arrivals:
-            if t.closed or self.seen_before(t, now, out):
+    def admit_arrivals(self, now: int, out: list[Result]) -> None:
+        """Rejects or queues each request that has arrived since the last decision."""
+        for r in self.arrivals:
+            if r.closed or self.share_or_replace(r, now, out):
                 continue
-            t.rank = self.worth(t, self.share_left(t, now))
-            full = self.used() > SURVIVE * self.facts.memory_kb or self.lined_up(t)
-            if self.barred(t, now):
-                self.dismiss(t, now, out, elsewhere=True)
-            elif t.rank < self.cut or full or not self.keepable(t, now, out):
-                self.dismiss(t, now, out)
+            r.priority = self.effective_priority(r, self.expected_value(r, now))
+            full = self.used_memory() > USABLE * self.facts.memory_kb or self.waits_for_call(r)
+            if self.better_elsewhere(r, now):
+                self.reject(r, now, out, elsewhere=True)
+            elif r.priority < self.threshold or full or not self.entered(r, now, out):
+                self.reject(r, now, out)
             else:
-                self.move(t, HELD)
+                self.set_state(r, QUEUED)
         self.arrivals.clear()
 
-    def barred(self, t: Ticket, now: int) -> bool:
-        """What is better off at another backend: after the grace of a drain, and while runs fail here."""
-        if self.notice:
-            late = now + 2 * self.median[t.kind] + 2 * WAKE_EVERY > self.stop
-            return late or t.arrived > self.notice + self.facts.grace
-        return self.stalled(now) or (self.errors > SICK and self.random() > PROBE)
+    def better_elsewhere(self, r: Request, now: int) -> bool:
+        """Whether another backend should be tried: late in a drain, and while runs hang or fail here."""
+        if self.drain_since:
+            late = now + 2 * self.medians[r.class_id] + 2 * WAKE_INTERVAL > self.stop_at
+            return late or r.arrived > self.drain_since + self.facts.drain_grace
+        return self.stalled(now) or (self.error_rate > MAX_ERROR_RATE and self.random() > PROBE_RATE)
 
-    def share_left(self, t: Ticket, now: int) -> float:
-        """The part of its credit that a ticket can expect. Which tickets lie beyond their customer's share is
-        told nowhere, so all carry alike what its traffic of late, against this backend's even part, says.
-        Guards against floods of one customer. Could harm one whose traffic comes unevenly to the backends."""
-        if not self.facts.shares:
+    def expected_value(self, r: Request, now: int) -> float:
+        """The part of its value that a request can expect. Which requests exceed the customer's quota is not
+        known, so all get the mean over its recent ones, against this backend's even part of the quota. Limits
+        floods of one customer. Wrong for a customer whose requests are spread unevenly over backends."""
+        if not self.facts.quotas:
             return 1.0
-        left, self.flow_at = max(0.0, 1 - (now - self.flow_at) / SHARE_SPAN), now
-        self.flow_unit /= max(left, 1 / FLOW_UNITS)
-        if self.flow_unit >= FLOW_UNITS:
-            least, unit = 1e-6 if left else FLOW_UNITS, self.flow_unit
-            self.flow = {team: seen / unit for team, seen in self.flow.items() if seen > least * unit}
-            self.flow_unit = 1.0
-        self.flow[t.team] = self.flow.get(t.team, 0.0) + self.flow_unit
-        even = 1.3 * self.facts.shares[t.team] / max(1, self.facts.fleet) * self.parts[t.team]
-        inside = min(1.0, (even * SHARE_SPAN / 1e6 + 2) * self.flow_unit / self.flow[t.team])
-        return inside + self.facts.over_share_credit * (1 - inside)
+        decay, self.rates_at = max(0.0, 1 - (now - self.rates_at) / QUOTA_WINDOW), now
+        self.rate_unit /= max(decay, 1 / MAX_RATE_UNIT)
+        if self.rate_unit >= MAX_RATE_UNIT:
+            least, unit = 1e-6 if decay else MAX_RATE_UNIT, self.rate_unit
+            self.rates = {index: rate / unit for index, rate in self.rates.items() if rate > least * unit}
+            self.rate_unit = 1.0
+        self.rates[r.customer] = self.rates.get(r.customer, 0.0) + self.rate_unit
+        cap = 1.3 * self.facts.quotas[r.customer] / max(1, self.facts.backends) * self.quota_parts[r.customer]
+        within = min(1.0, (cap * QUOTA_WINDOW / 1e6 + 2) * self.rate_unit / self.rates[r.customer])
+        return within + self.facts.over_quota_value * (1 - within)
 
-    def worth(self, t: Ticket, part: float) -> float:
-        """The rank of a ticket that expects `part` of its credit: above the types whose credit it passes."""
-        lesser = sum(other.credit < part * t.type.credit for other in self.facts.types)
-        return max(t.rank * part, min(t.rank, lesser / len(self.facts.types)))
+    def effective_priority(self, r: Request, value: float) -> float:
+        """The priority of a request with this part of its value: above the classes that are worth less."""
+        lower = sum(other.value < value * r.cls.value for other in self.facts.classes)
+        return max(r.priority * value, min(r.priority, lower / len(self.facts.classes)))
 
-    def seen_before(self, t: Ticket, now: int, out: list[Result]) -> bool:
-        """Repeats: what has run is shared, and a labelled ticket takes the place of its held earlier try."""
-        first = self.open.get(t.repeats)
-        if not t.repeats or t.repeats in self.unrun or t.type.repeat is Repeat.IRREVERSIBLE:
+    def share_or_replace(self, r: Request, now: int, out: list[Result]) -> bool:
+        """Shares the run of an earlier attempt (True), or replaces a keyed one that is still queued."""
+        first = self.requests.get(r.repeat_of)
+        if not r.repeat_of or r.repeat_of in self.not_run or r.cls.idempotency is Idempotency.NON_IDEMPOTENT:
             return False
-        if first is not None and first.answered and first.type.repeat is Repeat.REDOABLE:
+        if first is not None and first.answered and first.cls.idempotency is Idempotency.IDEMPOTENT:
             return False
-        if first is not None and first.state in (NEW, HELD) and not first.ran:
-            if t.type.repeat is Repeat.LABELLED and first.state == HELD and self.keepable(t, now, out):
-                self.kept.pop(first.id, None)
-                self.dismiss(first, now, out, elsewhere=False)
+        if first is not None and first.state in (NEW, QUEUED) and not first.has_run:
+            if r.cls.idempotency is Idempotency.KEYED and first.state == QUEUED and self.entered(r, now, out):
+                self.entries.pop(first.id, None)
+                self.reject(first, now, out, elsewhere=False)
             return False
-        self.move(t, SHARING)
-        t.ran = True
-        out.append((Step.SHARE, t, 0))
+        self.set_state(r, SHARING)
+        r.has_run = True
+        out.append((Step.SHARE, r, 0))
         return True
 
-    def keepable(self, t: Ticket, now: int, out: list[Result]) -> bool:
-        """A labelled ticket is known by its entry once read; without room for one it may not run."""
-        if t.type.repeat is not Repeat.LABELLED or t.id in self.kept:
+    def entered(self, r: Request, now: int, out: list[Result]) -> bool:
+        """Whether a keyed request has its deduplication entry; without room for one it may not run."""
+        if r.cls.idempotency is not Idempotency.KEYED or r.id in self.entries:
             return True
-        span = t.arrived + t.type.window - now + WAKE_EVERY
-        return span <= 0 or self.keep(t, now, span, out)
+        span = r.arrived + r.cls.dedup_window - now + WAKE_INTERVAL
+        return span <= 0 or self.set_entry(r, now, span, out)
--- a/crowwing/logic/downstream_calls.py
+++ b/crowwing/logic/downstream_calls.py
@@ -1,69 +1,69 @@
-"""What is called: calls to what lies below, within this backend's share of it."""
+"""Downstream calls within this backend's quota of them."""
 
-from crowwing.contract import Outcome, Repeat, Result, Step
-from crowwing.logic.backend_state import CALL_LEAST, CALL_PATIENCE, SURVIVE, WAKE_EVERY, Books
-from crowwing.logic.request_handle import CALLING, RUNNING, Ticket
+from crowwing.contract import Idempotency, Outcome, Result, Step
+from crowwing.logic.backend_state import MAX_CALL_SPAN, MIN_CALL_SPAN, USABLE, WAKE_INTERVAL, BackendState
+from crowwing.logic.request import CALLING, RUNNING, Request
 
-CALL_CROWDED = 2.5  # a call's latency against its usual one from which what lies below is crowded
+SLOW_CALL_FACTOR = 2.5  # the recent call time, in usual ones, from which the downstream is overloaded
 
 
-class Calls(Books):
-    """Makes calls, and learns from their ends."""
+class DownstreamCalls(BackendState):
+    """Makes downstream calls, and adapts their limit to how they end."""
 
-    def allot(self, calls: float, shares: list[float]) -> None:
-        """What this backend has of the fleet's pace of calls and of each customer's share, in even parts; the
-        burst stays its own, so that what one lends and another borrows of the pace adds up to the same."""
-        self.call_part, self.parts = calls, shares
-        self.most_calls = max(self.facts.cores / 2, SURVIVE * self.facts.calls_share * calls)
+    def set_fleet_parts(self, calls: float, quotas: list[float]) -> None:
+        """Sets this backend's part of the fleet's call rate and of each customer's quota; 1.0: an even part.
+        The burst stays as it is, so that lent and borrowed rates add up to the fleet's."""
+        self.call_part, self.quota_parts = calls, quotas
+        self.max_calls = max(self.facts.cores / 2, USABLE * self.facts.call_quota * calls)
 
-    def ask_below(self, now: int, out: list[Result]) -> None:
-        """Makes calls, highest rank first, within this backend's share and what the callee takes at ease."""
+    def make_calls(self, now: int, out: list[Result]) -> None:
+        """Makes calls, highest priority first, within the quota and the limit that adapts to call times."""
         f = self.facts
-        ready = [t for t in self.asking if not t.answered and now >= t.not_before]
-        for t in sorted(ready, key=lambda t: -t.rank):
-            used, spare = self.counts[CALLING] + len(self.lingering), self.spare_calls(now)
-            usual = sorted(self.calls)[len(self.calls) // 2]  # a few lost ones don't move it
-            least = min(CALL_LEAST * usual, (self.burst - f.lingers) / 2)  # given up, it would linger
-            rest = self.median[t.kind] // 2
-            bound = (t.aim if now + rest < t.aim else t.due) - rest - now
-            if bound <= 0 and t.type.credit_without == 0:
-                self.forfeit(t, now, out)
-            elif not f.calls_share or (used < int(self.call_room) and spare > least):
-                if self.crowded(now):
+        ready = [r for r in self.call_queue if not r.answered and now >= r.retry_at]
+        for r in sorted(ready, key=lambda r: -r.priority):
+            used, spare = self.counts[CALLING] + len(self.abandoned_calls), self.spare_call_time(now)
+            usual = sorted(self.call_times)[len(self.call_times) // 2]  # a few lost calls don't move it
+            least = min(MIN_CALL_SPAN * usual, (self.call_burst - f.linger) / 2)  # else it is given up
+            run_time = self.medians[r.class_id] // 2
+            bound = (r.target if now + run_time < r.target else r.deadline) - run_time - now
+            if bound <= 0 and r.cls.partial_value == 0:
+                self.fail(r, now, out)
+            elif not f.call_quota or (used < int(self.call_limit) and spare > least):
+                if self.at_max_concurrency(now):
                     break
-                span = min(max(bound, WAKE_EVERY), t.due - now)
-                if f.calls_share:
-                    part = bound / 2 if t.type.repeat is Repeat.REDOABLE else bound  # for another try
-                    late = min(CALL_PATIENCE * usual, max(CALL_LEAST * usual, part))
-                    span = round(min(span, spare, max(WAKE_EVERY, late)))
-                t.tries += 1
-                t.asked, t.call_until = now, now + span
-                self.move(t, CALLING, keeps_weight=True)
-                out.append((Step.CALL, t, max(1000, span)))
-            elif t.type.credit_without > 0 and (now - t.asked > 4 * self.call_usual or bound <= 0):
-                self.go_on(t, now, out)
+                span = min(max(bound, WAKE_INTERVAL), r.deadline - now)
+                if f.call_quota:  # an idempotent call leaves time for a retry
+                    part = bound / 2 if r.cls.idempotency is Idempotency.IDEMPOTENT else bound
+                    longest = min(MAX_CALL_SPAN * usual, max(MIN_CALL_SPAN * usual, part))
+                    span = round(min(span, spare, max(WAKE_INTERVAL, longest)))
+                r.attempts += 1
+                r.call_since, r.call_end = now, now + span
+                self.set_state(r, CALLING, keeps_memory=True)
+                out.append((Step.CALL, r, max(1000, span)))
+            elif r.cls.partial_value > 0 and (now - r.call_since > 4 * self.usual_call or bound <= 0):
+                self.skip_call(r, now, out)
 
-    def spare_calls(self, now: int) -> float:
-        """Call time to spend now: it comes back at an even pace, and the mean stays in the share if each call
-        out lasts to its bound. Guards against a fleet that spends its time at once and then waits in step."""
-        ahead = sum(t.call_until + self.facts.lingers - now for t in self.open.values() if t.state == CALLING)
-        ahead += sum(until - now for until in self.lingering) + self.facts.lingers
-        return self.burst - self.spent - ahead
+    def spare_call_time(self, now: int) -> float:
+        """Call time available now. It is refilled at an even rate, and calls count as if each lasted to its
+        time-out, so that the quota holds; otherwise the fleet uses it all at once, then waits in step."""
+        used = sum(r.call_end + self.facts.linger - now for r in self.requests.values() if r.state == CALLING)
+        used += sum(until - now for until in self.abandoned_calls) + self.facts.linger
+        return self.call_burst - self.spent - used
 
-    def go_on(self, t: Ticket, now: int, out: list[Result]) -> None:
-        if not self.crowded(now):
-            self.move(t, RUNNING, keeps_weight=True)
-            t.below += now - t.asked
-            out.append((Step.GO_ON, t, 0))
+    def skip_call(self, r: Request, now: int, out: list[Result]) -> None:
+        if not self.at_max_concurrency(now):
+            self.set_state(r, RUNNING, keeps_memory=True)
+            r.call_time += now - r.call_since
+            out.append((Step.GO_ON, r, 0))
 
-    def learn_call(self, took: int, outcome: Outcome) -> None:
-        """The room for calls shrinks while they take far longer than usual or fail, and grows back."""
+    def record_call(self, took: int, outcome: Outcome) -> None:
+        """Lowers the limit of calls while they fail or take far longer than usual, else raises it."""
         if outcome is not Outcome.NEVER_RAN:
-            self.calls.append(took)
-            self.ended_calls += 1
-            part = 1 / self.ended_calls
-            self.call_late += max(0.1, part) * (took - self.call_late)
-            self.call_usual = round(self.call_usual + max(0.003, part) * (took - self.call_usual))
-        slow = outcome is not Outcome.GOOD or self.call_late > CALL_CROWDED * self.call_usual
-        room = self.call_room * 0.97 if slow else self.call_room + 0.1
-        self.call_room = min(self.most_calls, max(1.0, room))
+            self.call_times.append(took)
+            self.call_count += 1
+            part = 1 / self.call_count
+            self.recent_call += max(0.1, part) * (took - self.recent_call)
+            self.usual_call = round(self.usual_call + max(0.003, part) * (took - self.usual_call))
+        slow = outcome is not Outcome.GOOD or self.recent_call > SLOW_CALL_FACTOR * self.usual_call
+        limit = self.call_limit * 0.97 if slow else self.call_limit + 0.1
+        self.call_limit = min(self.max_calls, max(1.0, limit))
--- a/crowwing/logic/load_manager.py
+++ b/crowwing/logic/load_manager.py
@@ -1,18 +1,18 @@
-"""One backend's decisions, in the order in which a moment is worked through."""
+"""The decisions of one backend, and the order in which they are made."""
 
 from crowwing.contract import Result, Step
-from crowwing.logic.admission import Intake
-from crowwing.logic.backend_state import WAKE_EVERY, WAKE_QUIET
-from crowwing.logic.control_loops import Learned
-from crowwing.logic.downstream_calls import Calls
-from crowwing.logic.request_handle import RUNNING
-from crowwing.logic.scheduling import Running
+from crowwing.logic.admission import Admission
+from crowwing.logic.backend_state import IDLE_WAKE_INTERVAL, WAKE_INTERVAL
+from crowwing.logic.control_loops import ControlLoops
+from crowwing.logic.downstream_calls import DownstreamCalls
+from crowwing.logic.request import RUNNING
+from crowwing.logic.scheduling import Scheduling
 
-JAM_OVER, JAM_UNDER = 0.6, 0.3  # unread time, in the time tickets come with: leave the list, come back
-RETURNING = 0.5  # part of tickets whose caller was here lately, under which idle connections are closed early
+LAG_HIGH, LAG_LOW = 0.6, 0.3  # read delay in time budgets: from which unready, under which ready again
+MIN_RETURNING = 0.5  # part of requests with a recent caller, under which idle connections close early
 
 
-class LoadManager(Intake, Running, Calls, Learned):
+class LoadManager(Admission, Scheduling, DownstreamCalls, ControlLoops):
     """Decides for one backend."""
 
     def begin(self, now: int) -> list[Result]:
@@ -20,53 +20,52 @@
 
     def wake(self, now: int, gauges: dict[str, float]) -> list[Result]:
         out: list[Result] = []
-        passed, running = now - self.last_step, self.counts[RUNNING]
+        passed, running = now - self.updated, self.counts[RUNNING]
         self.on_cores += min(1.0, passed / 60_000) * (gauges.get("on_cores", running) - self.on_cores)
-        self.busy = gauges.get("core_use", 1.0)
-        if self.on_cores < self.facts.cores / 2:  # cores with room read at once
-            self.unread *= max(0.0, 1 - passed / 200_000)
-        self.steer(now)
-        # Guards against a reading line that tickets leave too old to run: no answer, so no advice, in time;
-        # only the list is. Should also cover pauses and floods. Could do harm where all leave it in step.
-        jammed = self.unread > (JAM_OVER if self.ready else JAM_UNDER) * min(self.span) or self.sick(now)
-        if jammed == self.ready and not self.notice:
-            self.ready = not jammed
+        self.load = gauges.get("core_use", 1.0)
+        if self.on_cores < self.facts.cores / 2:  # idle cores read at once
+            self.lag *= max(0.0, 1 - passed / 200_000)
+        self.update_controls(now)
+        # Callers of requests that are read too late get no retry-after in time, only the health check keeps
+        # them away; also in pauses and floods. A risk where all backends become unready at once.
+        overdue = self.lag > (LAG_HIGH if self.ready else LAG_LOW) * min(self.budgets) or self.unhealthy(now)
+        if overdue == self.ready and not self.drain_since:
+            self.ready = not overdue
             out.append((Step.READY if self.ready else Step.UNREADY, None, 0))
-        self.tell(now, out)
-        # Guards against a table full of callers that don't come back: it costs capacity, and others find no
-        # room. Should also cover restarts. Where what is dismissed is tried again it stays full while cores
-        # are, since who finds no room costs no reading; that it is not, only dismissals can
-        # show. Could do harm where opening a connection costs as much as a run.
-        closes = 1 if self.busy > 0.8 else 3
-        closes = 1 if self.returning > RETURNING else 60 if self.final() else closes
-        idle = self.facts.idle_most // closes
-        if idle != self.idle:
-            self.idle = idle
+        self.report_spare_capacity(now, out)
+        # Connections of callers that don't return, as after restarts, would keep others out. With retries, a
+        # full table shelters busy cores, since a connection not accepted costs no reading; that there are
+        # none, only rejections show. A risk where opening a connection costs as much as a run.
+        divisor = 1 if self.load > 0.8 else 3
+        divisor = 1 if self.returning > MIN_RETURNING else 60 if self.rejection_is_final() else divisor
+        idle = self.facts.max_idle_time // divisor
+        if idle != self.idle_timeout:
+            self.idle_timeout = idle
             out.append((Step.IDLE, None, idle))
         return out
 
-    def leave(self, now: int, stop: int) -> list[Result]:
-        """The notice to leave: the process is stopped at `stop`."""
-        self.notice, self.stop = now, stop
+    def drain(self, now: int, stop: int) -> list[Result]:
+        """Starts the drain: the process is stopped at `stop`."""
+        self.drain_since, self.stop_at = now, stop
         out: list[Result] = [(Step.UNREADY, None, 0)]
-        self.tell(now, out)
+        self.report_spare_capacity(now, out)
         return out
 
-    def turn(self, now: int) -> list[Result]:
-        """Everything that happened now is known: judge arrivals, the hold and calls, and start what fits."""
+    def decide(self, now: int) -> list[Result]:
+        """Decides once everything that happened now has been reported: arrivals, the queue and calls."""
         out: list[Result] = []
-        if now >= self.next_watch:
-            self.watch(now, out)
-        self.judge(now, out)
-        self.start(now, out)
-        self.ask_below(now, out)
-        self.unrun.clear()
-        self.rest(now, out)
+        if now >= self.next_check:
+            self.check_deadlines(now, out)
+        self.admit_arrivals(now, out)
+        self.start_queued(now, out)
+        self.make_calls(now, out)
+        self.not_run.clear()
+        self.schedule_wake(now, out)
         return out
 
-    def rest(self, now: int, out: list[Result]) -> None:
-        """Wakes soon while a ticket is open, seldom while none is; a wake asked for cannot be taken back."""
-        span = WAKE_EVERY if self.open else WAKE_QUIET
+    def schedule_wake(self, now: int, out: list[Result]) -> None:
+        """Asks for a wake-up timer, soon while a request is open; a timer cannot be cancelled."""
+        span = WAKE_INTERVAL if self.requests else IDLE_WAKE_INTERVAL
         if not now < self.next_wake <= now + span:
             self.next_wake = now + span
             out.append((Step.WAKE, None, span))
--- a/crowwing/logic/scheduling.py
+++ b/crowwing/logic/scheduling.py
@@ -1,61 +1,61 @@
-"""What runs and when: the hold, its timeouts, the start of work, and the watch over outer limits."""
+"""Scheduling: the queue and its time-outs, the start of runs, and the check of deadlines."""
 
-from crowwing.contract import Repeat, Result, Step
-from crowwing.logic.backend_state import SPREAD, SURVIVE, WAKE_EVERY, Books
-from crowwing.logic.request_handle import HELD, NEW, PAUSED, RUNNING, Ticket
+from crowwing.contract import Idempotency, Result, Step
+from crowwing.logic.backend_state import MOST_REJECTED, USABLE, WAKE_INTERVAL, BackendState
+from crowwing.logic.request import NEW, PAUSED, QUEUED, RUNNING, Request
 
 
-class Running(Books):
-    """Starts held work, and answers what its time is up for."""
+class Scheduling(BackendState):
+    """Starts queued requests, and answers those whose time is up."""
 
-    def start(self, now: int, out: list[Result]) -> None:
-        """Held tickets past their timeout are dismissed; what fits is started, highest rank first."""
+    def start_queued(self, now: int, out: list[Result]) -> None:
+        """Rejects queued requests past their time-out; starts what fits, highest priority first."""
         for queue in self.queues:
-            for t in queue[:]:
-                if now >= self.patience(t) or self.stalled(now):
-                    self.waited = max(self.waited, (now - t.arrived) / max(1, self.patience(t) - t.arrived))
-                    self.dismiss(t, now, out)
-        for t in sorted((t for queue in self.queues for t in queue), key=lambda t: -t.rank):
-            if self.counts[RUNNING] >= int(self.limit) or self.crowded(now):
+            for r in queue[:]:
+                if now >= self.wait_until(r) or self.stalled(now):
+                    self.waited = max(self.waited, (now - r.arrived) / max(1, self.wait_until(r) - r.arrived))
+                    self.reject(r, now, out)
+        for r in sorted((r for queue in self.queues for r in queue), key=lambda r: -r.priority):
+            if self.counts[RUNNING] >= int(self.limit) or self.at_max_concurrency(now):
                 break
-            if not self.fits(t):
+            if not self.fits(r):
                 continue
-            if self.facts.fresh_for and t.key and not t.write and t.type.repeat is Repeat.REDOABLE:
-                self.keep(t, now, t.due - now + self.facts.fresh_for, out)
-            t.ran, t.below, t.crowd = True, 0, max(self.counts[RUNNING], self.on_cores)
-            self.moved = self.moved if self.counts[RUNNING] else now
-            self.move(t, RUNNING)
-            out.append((Step.RUN, t, 0))
+            if self.facts.cache_ttl and r.key and not r.write and r.cls.idempotency is Idempotency.IDEMPOTENT:
+                self.set_entry(r, now, r.deadline - now + self.facts.cache_ttl, out)
+            r.has_run, r.call_time, r.concurrency = True, 0, max(self.counts[RUNNING], self.on_cores)
+            self.progressed = self.progressed if self.counts[RUNNING] else now
+            self.set_state(r, RUNNING)
+            out.append((Step.RUN, r, 0))
 
-    def patience(self, t: Ticket) -> int:
-        """Until when a held ticket is worth holding: its queue timeout, and while an answer can earn."""
-        if t.ran and t.type.repeat is not Repeat.REDOABLE:
-            return t.due
-        # Guards against dismissals for a chance wait while cores idle again soon: few cores, long runs. Waits
-        # are stretched only while little is dismissed, and where that is the end of a ticket. Could harm
-        # where runs vary so much that half of what starts at the end of the stretched time answers late.
-        spare = max(0.0, 1 - self.shed / SPREAD) if self.final() else 0.0
-        more = max(0, self.span[t.kind] - self.median[t.kind] - self.timeout[t.kind])
-        return min(t.arrived + self.timeout[t.kind] + round(spare * more), t.aim - self.median[t.kind] // 2)
+    def wait_until(self, r: Request) -> int:
+        """Until when a request may be queued: its queue time-out, while an answer still has its value."""
+        if r.has_run and r.cls.idempotency is not Idempotency.IDEMPOTENT:
+            return r.deadline
+        # Few cores with long runs: no rejection for a chance wait just before a core is free, while few are
+        # rejected and finally. Too long where run times vary so much that half of the last starts are late.
+        part = max(0.0, 1 - self.shed / MOST_REJECTED) if self.rejection_is_final() else 0.0
+        extra = max(0, self.budgets[r.class_id] - self.medians[r.class_id] - self.timeouts[r.class_id])
+        return min(r.arrived + self.timeouts[r.class_id] + round(part * extra),
+                   r.target - self.medians[r.class_id] // 2)  # fmt: skip
 
-    def fits(self, t: Ticket) -> bool:
-        """Whether memory and the line before what lies below leave room for one more run."""
-        more = 0.0 if t.state == PAUSED else t.kb * (self.facts.run_factor - 1)
-        return not self.lined_up(t) and self.used() + more <= SURVIVE * self.facts.memory_kb
+    def fits(self, r: Request) -> bool:
+        """Whether memory and the queue for downstream calls allow one more run."""
+        extra = 0.0 if r.state == PAUSED else r.size_kb * (self.facts.run_factor - 1)
+        return not self.waits_for_call(r) and self.used_memory() + extra <= USABLE * self.facts.memory_kb
 
-    def watch(self, now: int, out: list[Result]) -> None:
-        """Outer limits, entries that ran out, calls that left; stopped work that did not stop."""
-        self.next_watch = now + WAKE_EVERY // 2
-        early = max(0, 2 * WAKE_EVERY - self.facts.answer_slack)
-        last = self.stop - 3 * WAKE_EVERY if self.notice else now + 1
-        for t in list(self.open.values()):
-            if t.answered and t.state == RUNNING and 0 < t.halted < now - 5 * WAKE_EVERY:
-                self.halt(t, now, out)
-            elif not t.answered and now >= min(t.due - early, last):
-                if t.state in (NEW, HELD) and not t.ran:
-                    self.dismiss(t, now, out)
+    def check_deadlines(self, now: int, out: list[Result]) -> None:
+        """Answers requests at their deadlines, repeats halts without effect, and drops expired entries."""
+        self.next_check = now + WAKE_INTERVAL // 2
+        early = max(0, 2 * WAKE_INTERVAL - self.facts.answer_slack)
+        last = self.stop_at - 3 * WAKE_INTERVAL if self.drain_since else now + 1
+        for r in list(self.requests.values()):
+            if r.answered and r.state == RUNNING and 0 < r.halted < now - 5 * WAKE_INTERVAL:
+                self.halt(r, now, out)
+            elif not r.answered and now >= min(r.deadline - early, last):
+                if r.state in (NEW, QUEUED) and not r.has_run:
+                    self.reject(r, now, out)
                 else:
-                    self.forfeit(t, now, out)
-        self.kept = {op_id: until for op_id, until in self.kept.items() if until > now}
-        while self.lingering and self.lingering[0] <= now:
-            self.lingering.popleft()
+                    self.fail(r, now, out)
+        self.entries = {request_id: until for request_id, until in self.entries.items() if until > now}
+        while self.abandoned_calls and self.abandoned_calls[0] <= now:
+            self.abandoned_calls.popleft()
--- a/crowwing/program/backend.py
+++ b/crowwing/program/backend.py
@@ -56,10 +56,10 @@
         facts = configuration.facts
         self.recorder, self.pool = EventRecorder(log.write), BufferPool()
         budget = DescriptorBudget(configuration.sockets)
-        shortest = min(kind.expected_time for kind in facts.types) / 1e6
+        shortest = min(kind.latency_target for kind in facts.classes) / 1e6
         self.front = Front(loop, self.recorder, configuration.names.deep_checks, shortest / 2)
         self.listener = Listener(loop, self.pool, budget.incoming, self.front.window)
-        self.listener.idle = facts.idle_most / 1e6 or None
+        self.listener.idle = facts.max_idle_time / 1e6 or None
         self.reporter = Reporter(loop, configuration.control, self.pool, configuration.name, self.recorder)
         self.dispatcher = self.front.dispatcher = Dispatcher(
             loop, facts, configuration.names, configuration.seed, configuration.agent, configuration.below,
@@ -103,13 +103,13 @@
         from crowwing.storm.returns import Returns
 
         facts, span = self.configuration.facts, round(storm.window_s * 1e6)
-        now, types, most = self.dispatcher.now, len(facts.types), storm.prints_most
+        now, types, most = self.dispatcher.now, len(facts.classes), storm.prints_most
         storm_monitor = StormMonitor(
             now, self.recorder, types, storm.prints, span, most, storm.lowers_repeats
         )
         if storm.paces_returns:
             chance = random.Random(f"{self.configuration.seed}/returns")
-            storm_monitor.returns = Returns(now(), facts.stay_away_most, chance)
+            storm_monitor.returns = Returns(now(), facts.max_retry_after, chance)
         self.front.retry_after = storm.retry_after
         return storm_monitor
 
@@ -244,7 +244,7 @@
 
     async def _drain(self, began: float, stop: float) -> None:
         """Stays for what callers still send, until they have all gone or the end is near."""
-        grace, end = self.configuration.facts.grace / 1e6, began + stop
+        grace, end = self.configuration.facts.drain_grace / 1e6, began + stop
         while self.dispatcher.manager is not None and self.loop.time() < end - LAST_CALL:
             answered = all(request.answered for request in self.dispatcher.open_requests.values())
             if answered and self.loop.time() > began + grace and not self.listener.connections:
@@ -286,11 +286,11 @@
         if manager is not None:
             running |= {
                 "held": manager.counts[1], "running": manager.counts[2], "limit": round(manager.limit, 2),
-                "cut": round(manager.cut, 3), "errors": round(manager.errors, 3),
-                "unread_ms": round(manager.unread / 1000, 1), "asking": len(manager.asking),
-                "calling": manager.counts[4], "call_room": round(manager.call_room, 1),
-                "call_ms": round(manager.call_late / 1000, 1),
-                "call_usual_ms": round(manager.call_usual / 1000, 1),
+                "cut": round(manager.threshold, 3), "errors": round(manager.error_rate, 3),
+                "unread_ms": round(manager.lag / 1000, 1), "asking": len(manager.call_queue),
+                "calling": manager.counts[4], "call_room": round(manager.call_limit, 1),
+                "call_ms": round(manager.recent_call / 1000, 1),
+                "call_usual_ms": round(manager.usual_call / 1000, 1),
             }  # fmt: skip
         if self.dispatcher.storm_monitor is not None:
             view = self.dispatcher.storm_monitor.look()
--- a/crowwing/program/configuration.py
+++ b/crowwing/program/configuration.py
@@ -4,8 +4,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, fields, replace
 
-from crowwing.contract import Names, Premises
-from crowwing.server_facts import BadPremises, decode
+from crowwing.contract import ServerFacts, WireNames
+from crowwing.server_facts import InvalidSettingsError, decode
 
 Address = tuple[str, int]
 IN_SERVICE = {"agent", "control", "below", "stop"}  # the parts that a reading in service changes
@@ -28,8 +28,8 @@
     seed: int
     stop: int  # microseconds from the notice to the end
     sockets: int
-    facts: Premises
-    names: Names
+    facts: ServerFacts
+    names: WireNames
 
     def follow(self, told: "Configuration") -> tuple["Configuration", list[str], list[str]]:
         """This one with the parts of another that can change in service; what those are, and what cannot.
@@ -58,7 +58,7 @@
     try:
         facts, names = decode(told["settings"])
         # No command tells the farm agent to go on without a call, whatever such an answer would be worth.
-        facts = replace(facts, types=tuple(replace(kind, credit_without=0.0) for kind in facts.types))
+        facts = replace(facts, classes=tuple(replace(kind, partial_value=0.0) for kind in facts.classes))
         configuration = Configuration(
             name=str(environment.get("PROXY_NAME") or told["name"]),
             own=str(told.get("name", environment.get("PROXY_NAME"))),
@@ -66,7 +66,7 @@
             agent=_address(told["agent"]),
             control=_address(told["control"]),
             below=_address(told["backend"])
-            if told.get("backend") or any(k.calls for k in facts.types)
+            if told.get("backend") or any(k.makes_calls for k in facts.classes)
             else None,
             seed=int(str(told["seed"]), 16),
             stop=round(float(told["stop_ms"]) * 1000),
@@ -76,7 +76,7 @@
         )
     except KeyError as missing:
         raise BadConfiguration(f"{path}: {missing} is missing") from None
-    except BadPremises as wrong:
+    except InvalidSettingsError as wrong:
         raise BadConfiguration(f"{path}: {wrong}") from None
     except (ValueError, TypeError, AttributeError, OverflowError) as wrong:
         raise BadConfiguration(f"{path}: {wrong}") from None
@@ -96,5 +96,5 @@
     facts = configuration.facts
     if configuration.stop <= 0:
         raise BadConfiguration(f"{path}: stop_ms is not above 0")
-    if not facts.types:
+    if not facts.classes:
         raise BadConfiguration(f"{path}: no traffic types")
--- a/crowwing/program/together.py
+++ b/crowwing/program/together.py
@@ -12,12 +12,12 @@
 from types import SimpleNamespace
 from typing import TYPE_CHECKING
 
-from crowwing.contract import Names
+from crowwing.contract import WireNames
 from crowwing.fleet.state.copies import NotKept
 from crowwing.fleet.uses import lesson, quota
 from crowwing.fleet.uses.loans import wanted
 from crowwing.fleet.uses.turned import Turned
-from crowwing.logic.feedback import ENOUGH
+from crowwing.logic.feedback import MIN_SAMPLES
 from crowwing.logic.load_manager import LoadManager
 from crowwing.routing.dispatcher import Dispatcher
 from crowwing.routing.event_recorder import EventRecorder
@@ -36,7 +36,7 @@
         self,
         link: "Link",
         dispatcher: Dispatcher,
-        names: Names,
+        names: WireNames,
         fleet: SimpleNamespace,
         life: str,
         recorder: EventRecorder,
@@ -77,16 +77,16 @@
             self._share()
         if self.turned is not None and self.dispatcher.storm_monitor is not None:
             self._tell_turned(self.turned)
-        manager.allot(self._borrow(manager) if self.lends else 1.0, self.parts)
+        manager.set_fleet_parts(self._borrow(manager) if self.lends else 1.0, self.parts)
         self.link.turn()
 
     def _borrow(self, manager: LoadManager) -> float:
         now, loans = self.link.now(), self.member.loans
-        (at, spent), self.spent = self.spent, (now, manager.below_time)
-        if at and now > at and manager.call_pace > 0:
-            used = (manager.below_time - spent) / (now - at) / manager.call_pace
+        (at, spent), self.spent = self.spent, (now, manager.call_total)
+        if at and now > at and manager.call_rate > 0:
+            used = (manager.call_total - spent) / (now - at) / manager.call_rate
             self.used += (used - self.used) / MEMORY
-        starved = bool(manager.asking) and manager.spent > manager.burst / 2
+        starved = bool(manager.call_queue) and manager.spent > manager.call_burst / 2
         want = wanted(self.used, loans.part(now), starved)
         loans.turn(now, self.member.membership.alive(), self.used, want)
         return loans.part(now)
@@ -119,10 +119,10 @@
     def _teach(self, manager: LoadManager) -> None:
         """Only what was measured here."""
         kinds = tuple(
-            (manager.timeout[k], manager.median[k]) if len(runs) >= ENOUGH else (0, 0)
+            (manager.timeouts[k], manager.medians[k]) if len(runs) >= MIN_SAMPLES else (0, 0)
             for k, runs in enumerate(manager.runs)
         )
-        call = manager.call_usual if manager.ended_calls > 2 * ENOUGH else 0
+        call = manager.usual_call if manager.call_count > 2 * MIN_SAMPLES else 0
         if call or any(kinds):
             learned = lesson.Lesson(kinds, manager.limit, call)
             self._put(self.link.wall(), f"lesson/{self.member.me}", learned.told(), LESSON_LIFE)
@@ -131,9 +131,9 @@
         """Once, when this member has caught up."""
         self.taught = True
         lessons = (entry.value for _, entry in self.member.copies.under("lesson/"))
-        start = lesson.taken(lessons, len(manager.facts.types))
+        start = lesson.taken(lessons, len(manager.facts.classes))
         if start is not None:
-            manager.taught(self.dispatcher.now(), start.kinds, start.limit, start.call)
+            manager.apply_learned(self.dispatcher.now(), start.kinds, start.limit, start.call)
             self.recorder.event("taught", call_ms=start.call / 1000, limit=round(start.limit, 2))
 
     def _put(self, wall: int, key: str, value: object, life: int) -> None:
--- a/crowwing/routing/dispatcher.py
+++ b/crowwing/routing/dispatcher.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Protocol
 
-from crowwing.contract import Names, Outcome, Premises, Repeat, Step
+from crowwing.contract import Idempotency, Outcome, ServerFacts, Step, WireNames
 from crowwing.logic.load_manager import LoadManager
-from crowwing.logic.request_handle import NEW
+from crowwing.logic.request import NEW
 from crowwing.protocol import agent
 from crowwing.protocol.arrival import Arrival
 from crowwing.routing.backend_calls import BackendCalls
@@ -59,8 +59,8 @@
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        facts: Premises,
-        names: Names,
+        facts: ServerFacts,
+        names: WireNames,
         seed: int,
         farm: tuple[str, int],
         below: tuple[str, int] | None,
@@ -82,7 +82,7 @@
         self.clock = 0
         self.due = False  # a turn is on its way
         self.resolver, self.relay = RequestResolver(names, facts), ResponseRelay(recorder, self._answered)
-        patience = min(kind.expected_time for kind in facts.types) / 1e6
+        patience = min(kind.latency_target for kind in facts.classes) / 1e6
         self.send = WorkerCommands(loop, farm, pool, recorder, self._notice, patience)
         self.call = BackendCalls(loop, below, pool, calls_most, recorder, self._reply)
         self.wake = WakeTimer(loop, self.now, self.send, recorder, lambda: self._hear(self._nothing, None))
@@ -126,7 +126,7 @@
             self.recorder.count("answered_again")  # it ran, and must not twice
             caller.forfeited() if ended.result is None else caller.settled(ended.result)
         elif known is None:
-            labelled = self.facts.types[kind].repeat is Repeat.LABELLED
+            labelled = self.facts.classes[kind].idempotency is Idempotency.KEYED
             request = OpenRequest(arrival, caller, work)
             repeats = self.repeats.first(request, min(self.now(), arrival.arrived)) if labelled else ""
             self.recorder.count("had")
@@ -157,7 +157,7 @@
     def leave(self, stop: int) -> None:
         """The notice to leave; `stop` is when the process is ended."""
         if self.manager is not None:
-            self._hear(lambda now, request: self.manager.leave(now, stop), None)
+            self._hear(lambda now, request: self.manager.drain(now, stop), None)
 
     def end(self) -> None:
         """The process ends now. Guards against a loop held up for so long that the module had no turn."""
@@ -175,8 +175,8 @@
         """What a dismissal tells its caller, which a storm may pace."""
         if self.storm_monitor is not None:
             try:
-                brings = self.manager.weights.get(request.by, 1.0)
-                return self.storm_monitor.away(request.by, brings, round(away), request.handle.due)
+                brings = self.manager.caller_weights.get(request.by, 1.0)
+                return self.storm_monitor.away(request.by, brings, round(away), request.handle.deadline)
             except Exception:
                 self._blind("returns", request)
         return away
@@ -216,7 +216,7 @@
                     self._abandon(request)
         if self.manager is not None:
             self._decide(now)
-            if len(self.open_requests) != len(self.manager.open):
+            if len(self.open_requests) != len(self.manager.requests):
                 for request in [
                     request
                     for request in self.open_requests.values()
@@ -224,14 +224,14 @@
                 ]:
                     self._close(request)
             self.recorder.holds(
-                len(self.open_requests) == len(self.manager.open), "the desk's tickets are the module's"
+                len(self.open_requests) == len(self.manager.requests), "the desk's tickets are the module's"
             )
         self.repeats.expire(now)
 
     def _decide(self, now: int) -> None:
         """Guards against a ticket that the module or a stage fails on: it is given up, the others go on."""
         try:
-            self.route.carry_out(self.manager.turn(now))
+            self.route.carry_out(self.manager.decide(now))
             return
         except Exception:
             self.recorder.defect("turn", None)
@@ -239,7 +239,7 @@
         overdue = [
             s
             for s in self.open_requests.values()
-            if s.handle and (now >= s.handle.due or s.handle.state == NEW)
+            if s.handle and (now >= s.handle.deadline or s.handle.state == NEW)
         ]
         for request in overdue:
             self._abandon(request)
@@ -260,7 +260,7 @@
             except Exception:
                 self.recorder.defect("close", request.id)
                 handle.closed = True
-                self.manager.open.pop(request.id, None)
+                self.manager.requests.pop(request.id, None)
         self._close(request)
 
     def _close(self, request: OpenRequest) -> None:
@@ -303,7 +303,7 @@
             self.relay.settle(request, result)
         else:
             self.relay.forfeit(request)
-        return request.handle.ended(now, 0, Outcome.FAILED if result is None else Outcome.GOOD)
+        return request.handle.run_ended(now, 0, Outcome.FAILED if result is None else Outcome.GOOD)
 
     def _gone(self, now: int, request: OpenRequest, caller: Caller) -> list | None:
         if caller in request.callers:
@@ -312,7 +312,7 @@
             return None
         self.recorder.count("gone")
         request.answered, request.body = True, b""
-        return request.handle.gone(now)
+        return request.handle.caller_gone(now)
 
     def _called(
         self, now: int, request: OpenRequest, took: int, outcome: Outcome, body: bytes
@@ -322,7 +322,7 @@
         if outcome is Outcome.GOOD:
             self.send.deliver(request, body)
             request.wanted = None
-        return request.handle.called(now, took, outcome)
+        return request.handle.call_ended(now, took, outcome)
 
     def _farm_news(self, now: int, _: None, notice: agent.Notice) -> list | None:
         match notice:
@@ -368,7 +368,11 @@
     def _ended(self, now: int, request: OpenRequest, notice: agent.Ended) -> list:
         request.launched, request.wanted = False, None
         end = notice.end
-        if end == "STOPPED" and not request.answered and request.handle.type.repeat is not Repeat.REDOABLE:
+        if (
+            end == "STOPPED"
+            and not request.answered
+            and request.handle.cls.idempotency is not Idempotency.IDEMPOTENT
+        ):
             # Guards against a run that was stopped though nobody asked: held again, it would run twice.
             end = "ERROR"
         self.repeats.ended(request, end == "OK", end != "MOOT", notice.result)
@@ -378,9 +382,9 @@
                 self.relay.settle(request, notice.result)
             elif end != "STOPPED":
                 self.relay.forfeit(request)
-        return request.handle.ended(now, notice.took, ENDS[end])
+        return request.handle.run_ended(now, notice.took, ENDS[end])
 
     def _wants(self, now: int, request: OpenRequest, notice: agent.Wants) -> list:
         request.asks += 1
         request.wanted = notice.body
-        return request.handle.needs_call(now)
+        return request.handle.call_needed(now)
--- a/crowwing/routing/open_request.py
+++ b/crowwing/routing/open_request.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import Protocol
 
-from crowwing.logic.request_handle import Ticket
+from crowwing.logic.request import Request
 from crowwing.protocol.arrival import Arrival
 
 
@@ -56,7 +56,7 @@
         self.id, self.type, self.body = arrival.id, arrival.type, arrival.body
         self.print = print_of(arrival)  # tells its like without its body
         self.callers = [caller]  # more than one where the same try came again over another connection
-        self.handle: Ticket | None = None
+        self.handle: Request | None = None
         self.answered = False
         self.launched = False  # from the launch until the run's end is known
         self.runs = self.frozen = self.asks = 0  # launches so far, the last told to stop, and calls wanted
--- a/crowwing/routing/request_admission.py
+++ b/crowwing/routing/request_admission.py
@@ -18,7 +18,7 @@
     """Makes the module take a request, and keeps its handle."""
     # A stamp ahead of our clock counts as now: the machine's clock may have stepped between the two readings.
     arrived = min(now, arrival.arrived)
-    request.handle = manager.take(
+    request.handle = manager.receive(
         now,
         request.id,
         kind,
--- a/crowwing/routing/request_resolver.py
+++ b/crowwing/routing/request_resolver.py
@@ -2,7 +2,7 @@
 
 from urllib.parse import unquote
 
-from crowwing.contract import Names, Premises
+from crowwing.contract import ServerFacts, WireNames
 from crowwing.protocol.arrival import Arrival
 
 FAR = 4  # outer limits of its traffic type that a ticket's times may lie from now
@@ -15,12 +15,12 @@
 class RequestResolver:
     """The classes and tenants of the settings by name. Owned by `Dispatcher`."""
 
-    def __init__(self, names: Names, facts: Premises) -> None:
+    def __init__(self, names: WireNames, facts: ServerFacts) -> None:
         """Resolves by what the settings say."""
-        self.limits = [kind.outer_limit for kind in facts.types]
-        self.types = {name: n for n, name in enumerate(names.types)}
+        self.limits = [kind.deadline for kind in facts.classes]
+        self.types = {name: n for n, name in enumerate(names.classes)}
         self.customers = {name: n for n, name in enumerate(names.customers)}
-        self.tells_patience = names.tells_patience
+        self.tells_patience = names.passes_deadline
 
     def place(self, arrival: Arrival, now: int) -> tuple[int, int]:
         """The places of its traffic type and its customer."""
--- a/crowwing/routing/retry_table.py
+++ b/crowwing/routing/retry_table.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from itertools import count
 
-from crowwing.contract import Repeat
+from crowwing.contract import Idempotency
 from crowwing.protocol.arrival import Arrival
 from crowwing.routing.open_request import OpenRequest
 from crowwing.routing.request_resolver import InvalidRequestError
@@ -32,7 +32,7 @@
         """The work of a request, kept until `until` microseconds."""
         self.work, self.id, self.content = request.work, request.id, request.content
         self.until = until
-        self.lag = request.handle.type.outer_limit  # what came in time may be read so late
+        self.lag = request.handle.cls.deadline  # what came in time may be read so late
         self.request: OpenRequest | None = request  # until its ticket is closed
         self.ran = False
         self.result: bytes | None = None  # of the run that ended well
@@ -98,11 +98,11 @@
 
     def began(self, request: OpenRequest, now: int) -> None:
         """It runs: from now on it is known, also where the module had no entry to keep it by."""
-        kind = request.handle.type
-        if kind.repeat is Repeat.REDOABLE:
+        kind = request.handle.cls
+        if kind.idempotency is Idempotency.IDEMPOTENT:
             return
-        labelled = kind.repeat is Repeat.LABELLED
-        self.keep(request, request.handle.arrived + kind.window if labelled else now + kind.outer_limit)
+        labelled = kind.idempotency is Idempotency.KEYED
+        self.keep(request, request.handle.arrived + kind.dedup_window if labelled else now + kind.deadline)
         self.ids[request.id] = self.entries[request.work]
         self.ids[request.id].ran = True
 
@@ -124,7 +124,7 @@
                 del self.entries[request.work]
             del self.ids[request.id]
             self._over(entry, None)
-        elif good and request.handle.type.repeat is Repeat.LABELLED:
+        elif good and request.handle.cls.idempotency is Idempotency.KEYED:
             entry.result = result
             self._over(entry, result)
 
--- a/crowwing/routing/worker_commands.py
+++ b/crowwing/routing/worker_commands.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from crowwing.contract import Repeat
+from crowwing.contract import Idempotency
 from crowwing.protocol import agent
 from crowwing.routing.event_recorder import EventRecorder
 from crowwing.routing.open_request import OpenRequest
@@ -62,7 +62,7 @@
         self.recorder.holds(not request.launched, "launched while its run is on")
         request.launched = True
         request.runs += 1
-        once = request if request.handle.type.repeat is not Repeat.REDOABLE else None
+        once = request if request.handle.cls.idempotency is not Idempotency.IDEMPOTENT else None
         self._issue(agent.launch(request.id, request.type, request.body), self._still_runs(request), once)
 
     def freeze(self, request: OpenRequest, _: float = 0) -> None:
--- a/crowwing/simulator_adapter/__main__.py
+++ b/crowwing/simulator_adapter/__main__.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from crowwing.server_facts import BadPremises
+from crowwing.server_facts import InvalidSettingsError
 from crowwing.simulator_adapter import frames
 from crowwing.simulator_adapter.adapter import Adapter, InternalError
 
@@ -13,7 +13,7 @@
     try:
         while (batch := frames.read_batch(source)) is not None:
             frames.write_reply(sink, adapter.batch(*batch))
-    except (frames.BadFrame, BadPremises) as wrong:
+    except (frames.BadFrame, InvalidSettingsError) as wrong:
         print(f"crowwing.simulator_adapter: {wrong}", file=sys.stderr)
         return 2
     except InternalError as defect:
--- a/crowwing/simulator_adapter/adapter.py
+++ b/crowwing/simulator_adapter/adapter.py
@@ -6,8 +6,8 @@
 
 from crowwing.contract import Outcome, Result, Step
 from crowwing.logic.load_manager import LoadManager
-from crowwing.logic.request_handle import Ticket
-from crowwing.server_facts import BadPremises, decode, us
+from crowwing.logic.request import Request
+from crowwing.server_facts import InvalidSettingsError, decode, us
 from crowwing.simulator_adapter import frames
 
 _OUTCOMES = {
@@ -29,16 +29,16 @@
 _wake = frames.packer(1010, "IdI")
 
 _ENCODE: dict[Step, Callable[[int, Any, float], bytes]] = {
-    Step.RUN: lambda who, t, _: _run(who, t.id),
-    Step.HALT: lambda who, t, _: _halt(who, t.id),
-    Step.DISMISS: lambda who, t, away: _dismiss(who, t.id, away / 1000, 0),
-    Step.DISMISS_ALL: lambda who, t, away: _dismiss(who, t.id, away / 1000, 1),
-    Step.FORFEIT: lambda who, t, _: _forfeit(who, t.id),
-    Step.CALL: lambda who, t, most: _call(who, t.id, most / 1000),
-    Step.GO_ON: lambda who, t, _: _go_on(who, t.id),
-    Step.KEEP: lambda who, t, span: _keep(who, t.id, span / 1000),
-    Step.FORGET: lambda who, t, _: _forget(who, t.id),
-    Step.SHARE: lambda who, t, _: _share(who, t.id),
+    Step.RUN: lambda who, r, _: _run(who, r.id),
+    Step.HALT: lambda who, r, _: _halt(who, r.id),
+    Step.DISMISS: lambda who, r, away: _dismiss(who, r.id, away / 1000, 0),
+    Step.DISMISS_ALL: lambda who, r, away: _dismiss(who, r.id, away / 1000, 1),
+    Step.FORFEIT: lambda who, r, _: _forfeit(who, r.id),
+    Step.CALL: lambda who, r, most: _call(who, r.id, most / 1000),
+    Step.GO_ON: lambda who, r, _: _go_on(who, r.id),
+    Step.KEEP: lambda who, r, span: _keep(who, r.id, span / 1000),
+    Step.FORGET: lambda who, r, _: _forget(who, r.id),
+    Step.SHARE: lambda who, r, _: _share(who, r.id),
     Step.READY: lambda who, _t, _f: _health(who, 1, 1),
     Step.UNREADY: lambda who, _t, _f: _health(who, 0, 1),
     Step.FREE_VALUE: lambda who, _, value: _free_value(who, value),
@@ -63,19 +63,19 @@
     def __init__(self, now: int, entropy: int, settings: bytes) -> None:
         facts, names = decode(settings)
         self.gauges = names.gauges
-        self.tickets: dict[int, Ticket] = {}
+        self.tickets: dict[int, Request] = {}
         self.manager = LoadManager(facts, now, random.Random(entropy))
 
     def hear(self, now: int, event: tuple) -> list[Result]:
         code = event[0]
         if code == frames.ARRIVAL:
             (_, _, op_id, grade, team, key, due, _, kb, rank, attrs, by, age, repeats) = event
-            types = self.manager.facts.types
+            types = self.manager.facts.classes
             if grade >= len(types):
                 raise frames.BadFrame(f"ARRIVAL names traffic type {grade} of {len(types)}")
-            if self.manager.facts.shares and team >= len(self.manager.facts.shares):
-                raise frames.BadFrame(f"ARRIVAL names customer {team} of {len(self.manager.facts.shares)}")
-            ticket = self.manager.take(
+            if self.manager.facts.quotas and team >= len(self.manager.facts.quotas):
+                raise frames.BadFrame(f"ARRIVAL names customer {team} of {len(self.manager.facts.quotas)}")
+            ticket = self.manager.receive(
                 now, op_id, grade, team, rank, kb, now - us(age), us(due), by, repeats, key, bool(attrs & 4)
             )  # fmt: skip
             self.tickets[op_id] = ticket
@@ -83,20 +83,20 @@
         if code == frames.RING:
             return self.manager.wake(now, dict(zip(self.gauges, event[3], strict=False)))
         if code == frames.SIGTERM:
-            return self.manager.leave(now, us(event[2]))
+            return self.manager.drain(now, us(event[2]))
         ticket = self.tickets.get(event[2])
         if ticket is None:
             return []
         if code == frames.FINISHED:
-            return ticket.ended(now, us(event[3]), _outcome(event[4]))
+            return ticket.run_ended(now, us(event[3]), _outcome(event[4]))
         if code == frames.WANTS_CALL:
-            return ticket.needs_call(now)
+            return ticket.call_needed(now)
         if code == frames.DEP_REPLY:
-            return ticket.called(now, us(event[3]), _outcome(event[4]))
-        return ticket.gone(now)
+            return ticket.call_ended(now, us(event[3]), _outcome(event[4]))
+        return ticket.caller_gone(now)
 
     def turn(self, now: int) -> list[Result]:
-        results = self.manager.turn(now)
+        results = self.manager.decide(now)
         self.tickets = {op_id: t for op_id, t in self.tickets.items() if not t.closed}
         return results
 
@@ -140,7 +140,7 @@
     def _guard(who: int, call: Callable, *given: object) -> object:
         try:
             return call(*given)
-        except (frames.BadFrame, BadPremises):
+        except (frames.BadFrame, InvalidSettingsError):
             raise
         except Exception as defect:
             raise InternalError(who, f"{type(defect).__name__}: {defect}") from defect
--- a/crowwing/tier/front/admission.py
+++ b/crowwing/tier/front/admission.py
@@ -10,7 +10,7 @@
 from asyncio import Future
 from dataclasses import dataclass, field
 
-from crowwing.logic.feedback import ENOUGH, SAMPLES, LimitLoop, queue_timeout, step_cut
+from crowwing.logic.feedback import MIN_SAMPLES, SAMPLES, LimitController, queue_timeout, step_threshold
 from crowwing.ranked_window import RankedWindow
 
 RANK_BANDS = 6  # priorities 0 to 5, 0 the most important
@@ -65,7 +65,7 @@
     def record_latency(self, latency_s: float) -> None:
         """Takes in the time to the first event of one run."""
         self.latencies.add(latency_s)
-        if len(self.latencies) >= ENOUGH:
+        if len(self.latencies) >= MIN_SAMPLES:
             max_timeout_s = QUEUE_TIMEOUT_TARGET_SHARE * self.latency_target_s
             self.timeout_s = queue_timeout(
                 self.latencies.ranked, self.latency_target_s, MIN_QUEUE_TIMEOUT_S, max_timeout_s
@@ -128,7 +128,7 @@
         """Starts with a limit of `share`, this front's even share of the slots."""
         self.min_limit = compute_min_limit(share)
         self.limit = max(self.min_limit, share)
-        self._limit_loop = LimitLoop(*LIMIT_GAINS)
+        self._limit_loop = LimitController(*LIMIT_GAINS)
         self.priority_threshold = self._threshold_base = 0.0
         self.inflight = 0
         self.rejected_count, self.last_rejected_at = 0, -1e9
@@ -261,7 +261,7 @@
                 if not request.is_batch_item:
                     max_wait_ratio = max(max_wait_ratio, (now - request.arrived) / queue.timeout_s)
         idle_share = idle / max(1.0, load.slots)
-        self._threshold_base, self.priority_threshold = step_cut(
+        self._threshold_base, self.priority_threshold = step_threshold(
             self._threshold_base,
             dt,
             max_wait_ratio,
--- a/tests/decision_recording.py
+++ b/tests/decision_recording.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from crowwing.contract import Halt, Outcome, Result, Signal, Step
+from crowwing.contract import Halt, LoadSignal, Outcome, Result, Step
 from crowwing.logic.load_manager import LoadManager
 from tests.rig import MS, facts
 
@@ -19,11 +19,11 @@
 MOMENTS = 700
 VARIANTS: dict[str, dict[str, Any]] = {
     "plain": {},
-    "without halts and signals": {"halt": Halt.NONE, "signal": Signal.NONE, "shares": ()},
-    "freezing, by weight": {"halt": Halt.FREEZE, "signal": Signal.WEIGHT, "fresh_for": 900 * MS},
-    "cold, by floor": {"cold": True, "signal": Signal.FLOOR, "fleet": 5},
-    "few cores, no calls below": {"cores": 1, "calls_share": 0.0, "memory_kb": 6000.0},
-    "short of memory": {"memory_kb": 1200.0, "fresh_for": 500 * MS},
+    "without halts and signals": {"halt": Halt.NONE, "signal": LoadSignal.NONE, "quotas": ()},
+    "freezing, by weight": {"halt": Halt.FREEZE, "signal": LoadSignal.WEIGHT, "cache_ttl": 900 * MS},
+    "cold, by floor": {"cold": True, "signal": LoadSignal.FLOOR, "backends": 5},
+    "few cores, no calls below": {"cores": 1, "call_quota": 0.0, "memory_kb": 6000.0},
+    "short of memory": {"memory_kb": 1200.0, "cache_ttl": 500 * MS},
 }
 
 
@@ -47,10 +47,12 @@
             self._now += self._random.randint(1, 30 if number % 200 < 120 else 90) * MS
             for results in self._news(number):
                 self._note(results)
-            self._note(self.manager.turn(self._now))
+            self._note(self.manager.decide(self._now))
             self._requests = {key: held for key, held in self._requests.items() if not held.closed}
             manager = self.manager
-            self.lines.append(f"{manager.limit!r} {manager.cut!r} {manager.timeout} {manager.call_room!r}")
+            self.lines.append(
+                f"{manager.limit!r} {manager.threshold!r} {manager.timeouts} {manager.call_limit!r}"
+            )
 
     def _note(self, results: list[Result]) -> None:
         for step, request, figure in results:
@@ -70,11 +72,13 @@
             )
             yield self.manager.wake(self._now, gauges)
         if number == 20:
-            self.manager.taught(self._now, ((300 * MS, 200 * MS),) * 3, 6.0, 40 * MS)
+            self.manager.apply_learned(self._now, ((300 * MS, 200 * MS),) * 3, 6.0, 40 * MS)
         if number % 150 == 149:
-            self.manager.allot(draw.uniform(0.5, 1.5), [draw.uniform(0.5, 1.5) for _ in self._facts.shares])
+            self.manager.set_fleet_parts(
+                draw.uniform(0.5, 1.5), [draw.uniform(0.5, 1.5) for _ in self._facts.quotas]
+            )
         if number == MOMENTS - 60:
-            yield self.manager.leave(self._now, self._now + 3000 * MS)
+            yield self.manager.drain(self._now, self._now + 3000 * MS)
 
     def _take(self) -> None:
         draw = self._random
@@ -82,8 +86,8 @@
         arrived = self._now - draw.choice((0, 0, 0, 20, 700)) * MS
         repeats = draw.choice(list(self._requests)) if self._requests and draw.random() < 0.2 else 0
         due = arrived + draw.choice((5000, 5000, 2500, 900)) * MS if draw.random() < 0.8 else 0
-        team = draw.randrange(len(self._facts.shares)) if self._facts.shares else 0
-        self._requests[self._next_id] = self.manager.take(
+        team = draw.randrange(len(self._facts.quotas)) if self._facts.quotas else 0
+        self._requests[self._next_id] = self.manager.receive(
             self._now, self._next_id, draw.randrange(3), team, draw.random(), draw.uniform(5, 60), arrived,
             due, draw.randrange(7), repeats, draw.choice((0, 0, 5, 6)), draw.random() < 0.3,
             draw.random() < 0.05,
@@ -93,13 +97,13 @@
         draw, now = self._random, self._now
         took = draw.choice((60, 200, 300, 900, 2500)) * MS
         if draw.random() < 0.12:
-            yield request.ended(now, took, draw.choice((*[Outcome.GOOD] * 6, *Outcome)))
+            yield request.run_ended(now, took, draw.choice((*[Outcome.GOOD] * 6, *Outcome)))
         if draw.random() < 0.06:
-            yield request.needs_call(now)
+            yield request.call_needed(now)
         if draw.random() < 0.25:
-            yield request.called(now, took // 4, draw.choice((*[Outcome.GOOD] * 4, *Outcome)))
+            yield request.call_ended(now, took // 4, draw.choice((*[Outcome.GOOD] * 4, *Outcome)))
         if draw.random() < 0.02:
-            yield request.gone(now)
+            yield request.caller_gone(now)
 
 
 def digest(variant: str, seed: int) -> str:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -11,9 +11,9 @@
 
 import uvloop
 
-from crowwing.contract import Halt, Outcome, Premises, Repeat, Result, Signal, Step, TrafficType
+from crowwing.contract import Halt, Idempotency, LoadSignal, Outcome, RequestClass, Result, ServerFacts, Step
 from crowwing.logic.load_manager import LoadManager
-from crowwing.logic.request_handle import Ticket
+from crowwing.logic.request import Request
 from crowwing.program.backend import Backend
 from crowwing.program.configuration import Configuration
 from crowwing.server_facts import decode
@@ -22,26 +22,27 @@
 MS = 1000
 
 
-def facts(**changes: object) -> Premises:
-    kinds = (Repeat.REDOABLE, Repeat.LABELLED, Repeat.IRREVERSIBLE)
+def facts(**changes: object) -> ServerFacts:
+    kinds = (Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NON_IDEMPOTENT)
     types = tuple(
-        TrafficType(
-            expected_time=2000 * MS,
-            outer_limit=5000 * MS,
-            repeat=repeat,
-            window=4000 * MS,
-            calls=True,
-            credit_without=0.5 if n == 0 else 0.0,
+        RequestClass(
+            latency_target=2000 * MS,
+            deadline=5000 * MS,
+            idempotency=repeat,
+            dedup_window=4000 * MS,
+            makes_calls=True,
+            partial_value=0.5 if n == 0 else 0.0,
         )
         for n, repeat in enumerate(kinds)
     )
     given = dict(
-        types=types, shares=(30.0, 10.0), over_share_credit=0.1, fleet=1, cores=4, memory_kb=20000.0,
-        run_factor=8.0, key_kb=60.0, halt=Halt.DISCARD, signal=Signal.ALLOWANCE, stay_away_most=1000 * MS,
-        crowd=5.0, cold=False, cold_from=0.2, cold_for=10000 * MS, calls_share=3.0, calls_over=5000 * MS,
-        lingers=200 * MS, fresh_for=0, idle_most=15000 * MS, answer_slack=80 * MS, grace=2000 * MS,
+        classes=types, quotas=(30.0, 10.0), over_quota_value=0.1, backends=1, cores=4, memory_kb=20000.0,
+        run_factor=8.0, key_kb=60.0, halt=Halt.DISCARD, signal=LoadSignal.ALLOWANCE,
+        max_retry_after=1000 * MS, max_per_core=5.0, cold=False, cold_speed=0.2, warm_up=10000 * MS,
+        call_quota=3.0, quota_window=5000 * MS, linger=200 * MS, cache_ttl=0, max_idle_time=15000 * MS,
+        answer_slack=80 * MS, drain_grace=2000 * MS,
     )  # fmt: skip
-    return Premises(**(given | changes))
+    return ServerFacts(**(given | changes))
 
 
 class World:
@@ -52,7 +53,7 @@
         self.now, self.ids, self.callers = 10_000_000, 0, callers
         self.facts = facts(**changes)
         self.manager = LoadManager(self.facts, self.now, random.Random(seed + 1))
-        self.tickets: dict[int, Ticket] = {}
+        self.tickets: dict[int, Request] = {}
         self.state: dict[int, str] = {}  # what the world knows of each open ticket
         self.answers: dict[int, Step] = {}
         self.gone: set[int] = set()
@@ -63,7 +64,7 @@
         self.log: list[tuple[Step, int]] = []
         self.asleep_until, self.notice, self.stop = 0, 0, 0
         self.calls: dict[int, int] = {}  # call -> until when it is in hand at most
-        self.area = [0] * (self.facts.calls_over // MS)  # calls in hand, by millisecond
+        self.area = [0] * (self.facts.quota_window // MS)  # calls in hand, by millisecond
         self.figures: dict[Step, float] = {}
         self.apply(self.manager.begin(self.now))
 
@@ -77,7 +78,7 @@
         repeats = self.batch.get(self.work[op_id], first if until >= arrived else 0)
         self.batch[self.work[op_id]] = op_id
         due = arrived + left if left else 0
-        self.tickets[op_id] = self.manager.take(
+        self.tickets[op_id] = self.manager.receive(
             self.now, op_id, kind, team, rank, 25.0, arrived, due, op_id % self.callers, repeats, 0, False
         )
         self.state[op_id] = "held"
@@ -102,7 +103,7 @@
                 self.state[op_id] = "halting"
             elif step in (Step.DISMISS, Step.DISMISS_ALL):
                 assert was == "held" and op_id not in self.answers, "one answer, and no dismissal of what ran"
-                assert ticket.type.repeat is Repeat.REDOABLE or not ticket.ran
+                assert ticket.cls.idempotency is Idempotency.IDEMPOTENT or not ticket.has_run
                 self.answer(ticket, step)
                 del self.state[op_id]
             elif step is Step.FORFEIT:
@@ -114,7 +115,7 @@
                 self.state[op_id] = "calling"
                 self.calls[op_id] = self.now + figure
             elif step is Step.GO_ON:
-                assert was == "asking" and ticket.type.credit_without > 0
+                assert was == "asking" and ticket.cls.partial_value > 0
                 self.state[op_id] = "running"
             elif step is Step.KEEP:
                 self.kept[self.work[op_id]] = (op_id, self.now + figure)
@@ -123,16 +124,16 @@
             elif step is Step.SHARE:
                 self.state[op_id] = "sharing"
 
-    def start(self, ticket: Ticket) -> None:
+    def start(self, ticket: Request) -> None:
         if self.notice:
-            assert ticket.arrived <= self.notice + self.facts.grace, "nothing late is run in a drain"
+            assert ticket.arrived <= self.notice + self.facts.drain_grace, "nothing late is run in a drain"
         before = self.ran.setdefault(self.work[ticket.id], [])
-        if ticket.type.repeat is Repeat.LABELLED:
-            assert all(ticket.arrived - at > ticket.type.window for at in before), "no effect twice"
-        assert ticket.type.repeat is not Repeat.IRREVERSIBLE or not before, "no effect twice"
+        if ticket.cls.idempotency is Idempotency.KEYED:
+            assert all(ticket.arrived - at > ticket.cls.dedup_window for at in before), "no effect twice"
+        assert ticket.cls.idempotency is not Idempotency.NON_IDEMPOTENT or not before, "no effect twice"
         before.append(ticket.arrived)
 
-    def answer(self, ticket: Ticket, step: Step) -> None:
+    def answer(self, ticket: Request, step: Step) -> None:
         assert ticket.id not in self.answers, "one answer"
         self.answers[ticket.id] = step
 
@@ -144,18 +145,18 @@
             self.state[op_id] = "paused" if self.facts.halt is Halt.FREEZE else "held"
         else:
             self.state.pop(op_id, None)
-        self.apply(self.tickets[op_id].ended(self.now, took, outcome))
+        self.apply(self.tickets[op_id].run_ended(self.now, took, outcome))
 
     def needs_call(self, op_id: int) -> None:
         self.state[op_id] = "asking"
-        self.apply(self.tickets[op_id].needs_call(self.now))
+        self.apply(self.tickets[op_id].call_needed(self.now))
 
     def turn(self, gauges: dict[str, float] | None = None) -> None:
         if self.now >= self.asleep_until:
             running = sum(s == "running" for s in self.state.values())
             told = {"on_cores": running, "core_use": min(1.0, running / self.facts.cores)}
             self.apply(self.manager.wake(self.now, gauges or told))
-        self.apply(self.manager.turn(self.now))
+        self.apply(self.manager.decide(self.now))
         self.batch.clear()
         self.check()
 
@@ -165,17 +166,17 @@
         on_cores = 0
         for op_id, state in self.state.items():
             t = self.tickets[op_id]
-            due = min(t.due, self.stop) if self.stop else t.due
+            due = min(t.deadline, self.stop) if self.stop else t.deadline
             assert op_id in self.answers or op_id in self.gone or self.now <= due + slack, "no ticket is lost"
-            heavy += t.kb * (1 if state in ("held", "sharing") else f.run_factor)
+            heavy += t.size_kb * (1 if state in ("held", "sharing") else f.run_factor)
             on_cores += state in ("running", "halting")
         live = sum(until > self.now for _, until in self.kept.values())
         assert heavy + live * f.key_kb <= f.memory_kb, "memory"
-        warm = min(1.0, (self.now - 10_000_000) / f.cold_for) if f.cold else 1.0
-        speed = f.cold_from + (1 - f.cold_from) * warm
-        assert on_cores <= f.cores * (1 + (f.crowd - 1) * speed), "the crowd on the cores"
-        assert sum(self.area) <= f.calls_share * len(self.area), "what all backends call"
-        assert len(self.manager.open) <= len(self.state) and len(self.manager.kept) <= len(self.kept)
+        warm = min(1.0, (self.now - 10_000_000) / f.warm_up) if f.cold else 1.0
+        speed = f.cold_speed + (1 - f.cold_speed) * warm
+        assert on_cores <= f.cores * (1 + (f.max_per_core - 1) * speed), "the crowd on the cores"
+        assert sum(self.area) <= f.call_quota * len(self.area), "what all backends call"
+        assert len(self.manager.requests) <= len(self.state) and len(self.manager.entries) <= len(self.kept)
 
     def advance(self, ms: int) -> None:
         for _ in range(ms):
@@ -183,7 +184,7 @@
             in_hand = 0
             for op_id, until in list(self.calls.items()):
                 if self.state.get(op_id) != "calling":  # given up: it lingers
-                    self.calls[op_id] = until = min(until, self.now + self.facts.lingers)
+                    self.calls[op_id] = until = min(until, self.now + self.facts.linger)
                     in_hand += until > self.now
                     if until <= self.now:
                         del self.calls[op_id]
@@ -323,7 +324,7 @@
     def check(self) -> None:
         """What must hold once nothing is open: no defect, nothing left in a table, every ticket run once."""
         assert not self.counts["defects"] and not self.counts["stray_defect"], self.lines
-        assert not self.backend.dispatcher.open_requests and not self.backend.dispatcher.manager.open
+        assert not self.backend.dispatcher.open_requests and not self.backend.dispatcher.manager.requests
         once = (
             times
             for ident, times in self.farm.begun.items()
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from crowwing.contract import Outcome, Repeat, Result, Step
+from crowwing.contract import Idempotency, Outcome, Result, Step
 from crowwing.logic.load_manager import LoadManager
-from crowwing.logic.request_handle import Ticket
+from crowwing.logic.request import Request
 from tests.rig import MS, World, facts
 
 HEEDED, FALL, LISTED = (
@@ -35,19 +35,23 @@
     def __init__(self, seed: int, callers: int) -> None:
         self.chance, self.callers = random.Random(seed), callers
         base = facts(
-            cold=True, cold_for=15000 * MS, cores=6, crowd=8.0, memory_kb=2e5, shares=(), calls_share=0.0
+            cold=True, warm_up=15000 * MS, cores=6, max_per_core=8.0, memory_kb=2e5, quotas=(), call_quota=0.0
         )
         kind = replace(
-            base.types[0], calls=False, repeat=Repeat.REDOABLE, expected_time=1800 * MS, outer_limit=4500 * MS
+            base.classes[0],
+            makes_calls=False,
+            idempotency=Idempotency.IDEMPOTENT,
+            latency_target=1800 * MS,
+            deadline=4500 * MS,
         )
-        self.facts = replace(base, types=(kind,))
+        self.facts = replace(base, classes=(kind,))
         self.now = self.born = 10_000_000
         self.manager = LoadManager(self.facts, self.now, random.Random(seed + 1))
         self.value, self.wake, self.ids, self.served = 0.0, 0, 0, 0
         self.told: dict[int, tuple[float, int]] = {}  # caller -> what it was told, and until when it minds
         self.away, self.out = [0] * callers, [0] * callers
         self.left: dict[int, float] = {}  # run -> work to do
-        self.open: dict[int, Ticket] = {}
+        self.open: dict[int, Request] = {}
         self.by: dict[int, int] = {}
         self.got: list[tuple[int, bool]] = []  # when each came, and whether its caller had our word in mind
         self.apply(self.manager.begin(self.now))
@@ -81,7 +85,7 @@
         self.got.append((self.now, minds))
         due = self.now + 3000 * MS
         self.by[self.ids] = caller
-        self.open[self.ids] = self.manager.take(
+        self.open[self.ids] = self.manager.receive(
             self.now, self.ids, 0, 0, self.chance.random(), 25.0, self.now, due, caller, 0, 0, False
         )
         self.out[caller] += 1
@@ -98,11 +102,11 @@
                 if not ticket.answered:
                     self.answered(ident)
                     self.served += 1
-                self.apply(ticket.ended(self.now, self.now - ticket.arrived, Outcome.GOOD))
+                self.apply(ticket.run_ended(self.now, self.now - ticket.arrived, Outcome.GOOD))
         if self.now >= self.wake:
             busy = min(1.0, len(self.left) / 6)
             self.apply(self.manager.wake(self.now, {"on_cores": len(self.left), "core_use": busy}))
-        self.apply(self.manager.turn(self.now))
+        self.apply(self.manager.decide(self.now))
         self.open = {ident: ticket for ident, ticket in self.open.items() if not ticket.closed}
 
     def play(self, rate: float, in_step: bool, seconds: int = 10) -> None:
@@ -120,7 +124,7 @@
         for first, at in enumerate(times):
             got = self.got[first : bisect.bisect_right(times, at + FALL)]
             if sum(minded for _, minded in got) > 2 / 3 * len(got):
-                speed = 0.2 + 0.8 * min(1.0, (at - self.born) / self.facts.cold_for)
+                speed = 0.2 + 0.8 * min(1.0, (at - self.born) / self.facts.warm_up)
                 worst = max(worst, len(got) - allowed(6 * (1 + 7 * speed)))
         return worst
 
@@ -138,7 +142,7 @@
 
 def test_the_check_above_sees_a_backend_that_tells_callers_of_room_which_it_has_not() -> None:
     cold = ColdStart(1, 30)
-    cold.manager.level = lambda room: 20.0
+    cold.manager.capacity_per_caller = lambda room: 20.0
     cold.play(160, False)
     assert cold.worst() > 0
 
@@ -148,10 +152,10 @@
     """All start at once before a slow back end, with more to call than it takes; the mean of the rule."""
     chance, fleet = random.Random(4), 30
     worlds = [
-        World(7 if in_step else seed, calls_share=0.4, memory_kb=2e5, shares=(), cold=True)
+        World(7 if in_step else seed, call_quota=0.4, memory_kb=2e5, quotas=(), cold=True)
         for seed in range(fleet)
     ]
-    budget = fleet * worlds[0].facts.calls_share
+    budget = fleet * worlds[0].facts.call_quota
     most = 0.0
     for step in range(650):
         begin = [chance.random() < 0.2 for _ in worlds]
@@ -167,7 +171,7 @@
                     late = world.now >= world.calls[ident]  # given up: it lingers there
                     world.state[ident] = "asking" if late else "running"
                     outcome = Outcome.UNSURE if late else Outcome.GOOD
-                    world.apply(world.tickets[ident].called(world.now, 1000 * MS, outcome))
+                    world.apply(world.tickets[ident].call_ended(world.now, 1000 * MS, outcome))
                     if not late:
                         world.calls.pop(ident, None)
                         world.end(ident, Outcome.GOOD)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -14,7 +14,7 @@
 import pytest
 
 import crowwing
-from crowwing.contract import Halt, Outcome, Signal
+from crowwing.contract import Halt, LoadSignal, Outcome
 from crowwing.routing.request_resolver import RequestResolver
 from crowwing.server_facts import decode
 from tests.rig import MS, SETTINGS, World
@@ -60,11 +60,11 @@
 def script(world: World, seed: int) -> Iterator[None]:
     """A busy stretch in a world of its own, a step at a time."""
     chance = random.Random(seed)
-    customers = max(1, len(world.facts.shares))
+    customers = max(1, len(world.facts.quotas))
     for _ in range(500):
         for _ in range(chance.randrange(3)):
             world.arrive(
-                chance.randrange(len(world.facts.types)), chance.random(), 0, chance.randrange(200 * MS),
+                chance.randrange(len(world.facts.classes)), chance.random(), 0, chance.randrange(200 * MS),
                 chance.choice([0, 3000 * MS]), chance.randrange(customers),
             )  # fmt: skip
         for ident, state in list(world.state.items()):
@@ -79,9 +79,9 @@
 
 def worlds() -> list[World]:
     """Three customers' deployments: their numbers of tenants, shares, signals and types all differ."""
-    first = World(1, shares=(30.0, 10.0), signal=Signal.ALLOWANCE, fresh_for=0)
-    second = World(2, shares=(), signal=Signal.FLOOR, cores=2, halt=Halt.NONE)
-    third = World(3, shares=(5.0, 7.0, 900.0), signal=Signal.WEIGHT, memory_kb=9000.0, cold=True)
+    first = World(1, quotas=(30.0, 10.0), signal=LoadSignal.ALLOWANCE, cache_ttl=0)
+    second = World(2, quotas=(), signal=LoadSignal.FLOOR, cores=2, halt=Halt.NONE)
+    third = World(3, quotas=(5.0, 7.0, 900.0), signal=LoadSignal.WEIGHT, memory_kb=9000.0, cold=True)
     return [first, second, third]
 
 
@@ -131,10 +131,10 @@
     told["lanes"] = [told["lanes"][n] | {"promise": 1000.0 * (n + 1)} for n in (2, 0, 1)]
     facts, known = decode(told)
     resolver = RequestResolver(known, facts)
-    assert [facts.shares[resolver.customers[names[n]]] for n in order] == [shares[n] for n in order]
-    assert len(facts.shares) == len(order) == len(resolver.customers)
+    assert [facts.quotas[resolver.customers[names[n]]] for n in order] == [shares[n] for n in order]
+    assert len(facts.quotas) == len(order) == len(resolver.customers)
     for n, lane in enumerate(SETTINGS["lanes"]):
-        assert facts.types[resolver.types[lane["name"]]].expected_time == 1000 * MS * (n + 1)
+        assert facts.classes[resolver.types[lane["name"]]].latency_target == 1000 * MS * (n + 1)
 
 
 def test_settings_read_twice_share_nothing_that_can_change() -> None:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,28 +1,28 @@
 """Plain cases of the guards: shares, repeats, outer limits, drains, hung work, connections, ages."""
 
-from crowwing.contract import Halt, Outcome, Signal, Step
+from crowwing.contract import Halt, LoadSignal, Outcome, Step
 from tests.rig import MS, World
 from tests.test_mechanism import FULL, IDLE, crowded, pass_time, steps
 
 
 def test_over_share_tickets_rank_below_all_others() -> None:
     world = crowded()
-    world.manager.facts = World(1, shares=(0.1, 100.0)).facts
-    world.manager.flow, world.manager.parts = {0: 200.0, 1: 100.0}, [1.0, 1.0]
+    world.manager.facts = World(1, quotas=(0.1, 100.0)).facts
+    world.manager.rates, world.manager.quota_parts = {0: 200.0, 1: 100.0}, [1.0, 1.0]
     flood, fair = world.arrive(0, 0.4, team=0), world.arrive(0, 0.99, team=1)
     world.turn(FULL)
-    assert world.tickets[flood].rank < 0.1 and world.tickets[fair].rank == 0.99
+    assert world.tickets[flood].priority < 0.1 and world.tickets[fair].priority == 0.99
 
 
 def test_allowance_shrinks_with_the_heaviest_caller_first() -> None:
     manager = crowded().manager
-    manager.weights = {0: 30.0, 1: 2.0}
-    assert manager.level(4.0) < manager.level(400.0)
-    assert manager.level(0.0) == 0
+    manager.caller_weights = {0: 30.0, 1: 2.0}
+    assert manager.capacity_per_caller(4.0) < manager.capacity_per_caller(400.0)
+    assert manager.capacity_per_caller(0.0) == 0
 
 
 def test_labelled_repeat_of_a_held_try_takes_its_place_and_of_a_run_one_shares() -> None:
-    world = World(1, shares=())
+    world = World(1, quotas=())
     first, second = world.arrive(1, 0.9, work=7), world.arrive(1, 0.9, work=7)
     world.turn()
     assert first in steps(world, Step.DISMISS_ALL) and second in steps(world, Step.RUN)
@@ -46,21 +46,21 @@
     world.turn()
     world.end(op_id, Outcome.GOOD)
     ticket = world.tickets[op_id]
-    assert not ticket.ended(world.now, 1, Outcome.GOOD) and not ticket.needs_call(world.now)
-    assert not ticket.called(world.now, 1, Outcome.GOOD) and not ticket.gone(world.now)
+    assert not ticket.run_ended(world.now, 1, Outcome.GOOD) and not ticket.call_needed(world.now)
+    assert not ticket.call_ended(world.now, 1, Outcome.GOOD) and not ticket.caller_gone(world.now)
 
 
 def test_notice_to_leave_tells_the_list_and_the_callers() -> None:
-    for signal, value in ((Signal.ALLOWANCE, 0.0), (Signal.WEIGHT, 0.0), (Signal.FLOOR, 1.0)):
+    for signal, value in ((LoadSignal.ALLOWANCE, 0.0), (LoadSignal.WEIGHT, 0.0), (LoadSignal.FLOOR, 1.0)):
         world = World(1, signal=signal)
         world.arrive(0, 0.9)
         world.turn()
-        world.apply(world.manager.leave(world.now, world.now + 5000 * MS))
+        world.apply(world.manager.drain(world.now, world.now + 5000 * MS))
         assert Step.UNREADY in world.figures and world.figures[Step.FREE_VALUE] == value
 
 
 def test_hung_work_sends_all_elsewhere_until_it_moves() -> None:
-    world = World(1, shares=())
+    world = World(1, quotas=())
     ids = [world.arrive(0, 0.5) for _ in range(6)]
     world.turn(FULL)
     pass_time(world, 1100, FULL, hung=True)
@@ -72,7 +72,7 @@
 
 
 def test_quiet_backend_wakes_seldom_and_an_open_ticket_soon() -> None:
-    world = World(1, shares=())
+    world = World(1, quotas=())
     world.arrive(0, 0.5)
     world.turn(IDLE)
     assert world.asleep_until - world.now <= 40 * MS
@@ -87,43 +87,43 @@
         ((400, FULL, 5000, 60), (400, FULL, 0, 1), (400, IDLE, 0, 3), (2, FULL, 5000, 1)),
     )
     for callers, gauges, left, parts in cases:  # `left` 0: nothing tells whether a ticket came before
-        world = World(1, callers, shares=())
+        world = World(1, callers, quotas=())
         for _ in range(200):
             world.arrive(0, 0.5, left=left * MS)
             pass_time(world, 20, gauges)
-            world.manager.turned = 0.2
+            world.manager.rejected_part = 0.2
         assert world.figures.get(Step.IDLE, base) == base // parts
-    world = World(1, 400, shares=())
+    world = World(1, 400, quotas=())
     for _ in range(100):  # the first case again, once dismissed tickets come back with part of their time
         for n in range(8):
             world.arrive(0, 0.5, left=(5000 if n % 4 else 2000 + 37 * (world.now // MS % 59)) * MS)
         pass_time(world, 20, FULL)
-    assert world.manager.again > 0.1 and world.figures.get(Step.IDLE, base) == base
+    assert world.manager.retried_part > 0.1 and world.figures.get(Step.IDLE, base) == base
 
 
 def test_a_try_with_part_of_the_outer_limit_left_is_as_old_as_the_rest() -> None:
-    world = World(1, shares=())
+    world = World(1, quotas=())
     for n in range(100):  # two kinds of caller: one waits the whole outer limit, one 1.2 s for each try
         world.arrive(0, 0.5, left=(1200 if n % 5 == 0 else 5000) * MS)
         pass_time(world, 20, IDLE)
     for left, aim, rank in ((5000, 2000, 0.5), (1200, 1200, 0.5), (3800, 800, 0.5), (2900, 2000, 0.0)):
         ticket = world.tickets[world.arrive(0, 0.5, left=left * MS)]
-        assert (ticket.aim - ticket.arrived, ticket.rank) == (aim * MS, rank)
-    assert len(world.manager.bounds[0]) <= 8
+        assert (ticket.target - ticket.arrived, ticket.priority) == (aim * MS, rank)
+    assert len(world.manager.caller_timeouts[0]) <= 8
 
 
 def test_other_backends_are_named_less_the_more_is_dismissed() -> None:
     for shed, step in ((0.0, Step.DISMISS), (0.6, Step.DISMISS_ALL)):
         world = crowded()
-        world.manager.stretch, world.manager.shed = 3.0, shed
+        world.manager.slowdown, world.manager.shed = 3.0, shed
         world.arrive(0, 0.0)
         world.turn(FULL)
         assert world.log[-1][0] is step
 
 
 def test_line_before_what_lies_below_dismisses_at_once_what_cannot_go_without() -> None:
-    world = World(1, shares=())
-    world.manager.call_room = 0
+    world = World(1, quotas=())
+    world.manager.call_limit = 0
     ids = [world.arrive(1, 0.9) for _ in range(4)]
     world.turn()
     for op_id in ids:
@@ -134,15 +134,15 @@
 
 
 def test_share_of_a_fraction_of_a_ticket_a_second_still_holds_whole_tickets() -> None:
-    world = World(1, shares=(30.0, 10.0), fleet=300)
+    world = World(1, quotas=(30.0, 10.0), backends=300)
     pass_time(world, 25000, IDLE)
     op_id = world.arrive(0, 0.9, team=1)
     world.turn(IDLE)
-    assert world.tickets[op_id].rank == 0.9
+    assert world.tickets[op_id].priority == 0.9
 
 
 def test_a_chance_pause_of_two_cores_is_not_taken_for_hung_work() -> None:
-    world = World(1, shares=(), cores=2)
+    world = World(1, quotas=(), cores=2)
     for _ in range(60):  # runs end a second apart
         op_id = world.arrive(0, 0.5)
         world.turn(IDLE)
@@ -154,7 +154,7 @@
 
 
 def test_the_first_long_runs_of_a_cold_backend_are_not_taken_for_hung_work() -> None:
-    world = World(1, shares=(), cores=2, cold=True)
+    world = World(1, quotas=(), cores=2, cold=True)
     ids = [world.arrive(0, 0.5) for _ in range(2)]
     pass_time(world, 1500, FULL, hung=True)  # a fifth of the speed: runs of a third of a second
     assert world.manager.ready and set(ids) <= set(steps(world, Step.RUN))
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from crowwing.contract import Repeat
+from crowwing.contract import Idempotency
 from crowwing.routing.open_request import OpenRequest
 from crowwing.routing.request_resolver import InvalidRequestError
 from crowwing.routing.retry_table import RetryTable, work_of
@@ -86,7 +86,7 @@
     async def scene(town: Town) -> None:
         town.farm.hold = True
         town.backend.dispatcher.manager.limit = 0.0
-        town.backend.dispatcher.manager.steer = lambda now: None
+        town.backend.dispatcher.manager.update_controls = lambda now: None
         first = again(town, 1)
         await town.until(lambda: town.backend.dispatcher.manager.counts[1] == 1)
         second = again(town, 2)
@@ -131,7 +131,8 @@
         over = town.backend.dispatcher.repeats.ids[ident(1)].until
         await town.until(
             lambda: (
-                town.backend.dispatcher.now() > over + 100 * MS and not town.backend.dispatcher.manager.kept
+                town.backend.dispatcher.now() > over + 100 * MS
+                and not town.backend.dispatcher.manager.entries
             )
         )
         second = again(town, 2)
@@ -262,8 +263,8 @@
         id=ident(n), type="book", body=b"b", customer="", sidecar=1, kb=1.0, rank=0.5, key=f"k{n}"
     )
     request = OpenRequest(arrival, None, work_of(arrival, 1, 0))
-    kind = SimpleNamespace(repeat=Repeat.LABELLED, window=window, outer_limit=outer)
-    request.handle = SimpleNamespace(type=kind, arrived=arrived)
+    kind = SimpleNamespace(idempotency=Idempotency.KEYED, dedup_window=window, deadline=outer)
+    request.handle = SimpleNamespace(cls=kind, arrived=arrived)
     return request
 
 
@@ -360,13 +361,13 @@
     changed["lanes"][1]["name"] = "réserve 1"
 
     async def scene(town: Town) -> None:
-        taken, take = [], town.backend.dispatcher.manager.take
+        taken, take = [], town.backend.dispatcher.manager.receive
 
         def seen(now: int, op_id: str, kind: int, team: int, *more: object) -> object:
             taken.append((kind, team))
             return take(now, op_id, kind, team, *more)
 
-        town.backend.dispatcher.manager.take = seen
+        town.backend.dispatcher.manager.receive = seen
         for n, name in enumerate(names):
             assert (await ask_one(town, n, "pay", X_Merchant=name))[0] == 200
         latin = Sidecar.ticket(ident(8), "pay", X_Merchant="ümlaut-line").decode().encode("latin-1")
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from crowwing.contract import Outcome, Signal, Step
+from crowwing.contract import LoadSignal, Outcome, Step
 from tests.rig import MS, World
 
 FULL = {"on_cores": 6.0, "core_use": 1.0}
@@ -19,13 +19,13 @@
     for _ in range(ms // 10):
         world.advance(10)
         if not hung:  # runs move, though none ends here
-            world.manager.moved = world.now
+            world.manager.progressed = world.now
         world.turn(gauges)
 
 
 def crowded(**changes: object) -> World:
     """A backend whose cores are full and whose hold outwaits its timeout."""
-    world = World(1, memory_kb=1e6, shares=(), **changes)
+    world = World(1, memory_kb=1e6, quotas=(), **changes)
     for n in range(300):
         if n % 10 == 0:
             world.arrive(0, 0.5)
@@ -35,24 +35,24 @@
 
 def test_cut_rises_and_dismisses_low_ranks_at_once() -> None:
     world = crowded()
-    assert world.manager.cut > 0
+    assert world.manager.threshold > 0
     low, high = world.arrive(0, 0.0), world.arrive(0, 0.99)
     world.turn(FULL)
     assert low in world.answers and high not in world.answers
 
 
 def test_cut_stays_down_while_cores_idle_and_falls_as_waits_clear() -> None:
-    world = World(1, memory_kb=1e6, shares=())
+    world = World(1, memory_kb=1e6, quotas=())
     for n in range(300):
         if n % 10 == 0:
             world.arrive(0, 0.5)
         pass_time(world, 10, FULL | {"core_use": 0.5})
-    assert world.manager.cut == 0
+    assert world.manager.threshold == 0
     world = crowded()
     for op_id in [op_id for op_id, state in world.state.items() if state == "running"]:
         world.end(op_id, Outcome.GOOD)
     pass_time(world, 9000, IDLE)
-    assert world.manager.cut == 0
+    assert world.manager.threshold == 0
 
 
 def test_cut_never_reaches_the_highest_tier() -> None:
@@ -60,19 +60,19 @@
     for _ in range(400):
         world.arrive(0, 0.99)
         pass_time(world, 10, FULL)
-    assert world.manager.cut <= 5 / 6
+    assert world.manager.threshold <= 5 / 6
 
 
 def test_highest_rank_starts_first() -> None:
-    world = World(1, shares=())
+    world = World(1, quotas=())
     for rank in (0.1, 0.9, 0.5, 0.7, 0.3, 0.8):
         world.arrive(0, rank)
     world.turn()
-    assert [world.tickets[op_id].rank for op_id in steps(world, Step.RUN)] == [0.9, 0.8, 0.7, 0.5]
+    assert [world.tickets[op_id].priority for op_id in steps(world, Step.RUN)] == [0.9, 0.8, 0.7, 0.5]
 
 
 def test_held_ticket_is_dismissed_past_its_timeout_and_not_before() -> None:
-    world = World(1, shares=())
+    world = World(1, quotas=())
     ids = [world.arrive(0, 0.5) for _ in range(5)]
     world.turn(FULL)
     pass_time(world, 1900, FULL)
@@ -83,7 +83,7 @@
 
 def test_waits_are_stretched_while_little_is_dismissed_and_that_is_the_end_of_a_ticket() -> None:
     for shed, left, stretched in ((0.0, 5000, True), (0.9, 5000, False), (0.0, 0, False)):
-        world = World(1, shares=(), signal=Signal.NONE)
+        world = World(1, quotas=(), signal=LoadSignal.NONE)
         for _ in range(80):  # runs of 400 ms: a timeout of 400 ms
             op_id = world.arrive(0, 0.5, left=left * MS)
             world.turn(IDLE)
@@ -91,23 +91,23 @@
             pass_time(world, 10, IDLE)
         held = [world.arrive(0, 0.5, left=left * MS) for _ in range(5)][4]
         for _ in range(100):
-            world.manager.shed, world.manager.turned = shed, 0.2
+            world.manager.shed, world.manager.rejected_part = shed, 0.2
             pass_time(world, 10, FULL)
         assert (held not in world.answers) is stretched
 
 
 def test_a_type_without_enough_runs_of_its_own_goes_by_all_runs() -> None:
-    world = World(1, shares=())
+    world = World(1, quotas=())
     for n in range(12):  # ten of one type, one each of the others
         op_id = world.arrive(max(0, n - 9), 0.5)
         world.turn(IDLE)
         world.end(op_id, Outcome.GOOD, took=400 * MS)
         pass_time(world, 10, IDLE)
-    assert world.manager.timeout == [400 * MS] * 3 and world.manager.median == [400 * MS] * 3
+    assert world.manager.timeouts == [400 * MS] * 3 and world.manager.medians == [400 * MS] * 3
 
 
 def test_limit_starts_at_the_cores_climbs_while_they_idle_and_stays_under_the_ceiling() -> None:
-    world = World(1, shares=(), memory_kb=1e6)
+    world = World(1, quotas=(), memory_kb=1e6)
     assert world.manager.limit == 4
     for _ in range(200):
         world.arrive(0, 0.5)
@@ -116,13 +116,13 @@
 
 
 def test_quick_failures_do_not_shrink_the_timeout_and_send_work_elsewhere() -> None:
-    world = World(1, shares=())
+    world = World(1, quotas=())
     for _ in range(60):
         op_id = world.arrive(0, 0.5)
         world.turn(IDLE)
         if world.state.get(op_id) == "running":
             world.end(op_id, Outcome.FAILED, took=MS)
-    assert world.manager.timeout[0] == 2000 * MS and world.manager.limit >= 4
+    assert world.manager.timeouts[0] == 2000 * MS and world.manager.limit >= 4
     for _ in range(20):
         world.arrive(0, 0.9)
         world.turn(IDLE)
@@ -131,7 +131,7 @@
 
 def test_share_under_one_call_still_lets_calls_out() -> None:
     for share in (0.1, 0.4):  # the first holds hardly more than what one call lingers for
-        world = World(1, shares=(), calls_share=share)
+        world = World(1, quotas=(), call_quota=share)
         ids = [world.arrive(2, 0.5) for _ in range(2)]
         world.turn()
         for op_id in ids:
@@ -140,7 +140,7 @@
         assert steps(world, Step.CALL) == ids[:1]
         pass_time(world, 30, IDLE)
         world.state[ids[0]] = "running"
-        world.apply(world.tickets[ids[0]].called(world.now, 30 * MS, Outcome.GOOD))
+        world.apply(world.tickets[ids[0]].call_ended(world.now, 30 * MS, Outcome.GOOD))
         for _ in range(150):
             if len(steps(world, Step.CALL)) < 2:
                 pass_time(world, 10, IDLE)
@@ -150,7 +150,7 @@
 def test_calls_go_out_at_an_even_pace_while_what_lies_below_is_slow() -> None:
     """What is spent at once and then waited for, by all backends in step, crowds what lies below again and
     again; and a call is not made with less time than calls take, only to be given up."""
-    world = World(1, shares=(), calls_share=0.72, cores=6, memory_kb=1e6, cold=False)
+    world = World(1, quotas=(), call_quota=0.72, cores=6, memory_kb=1e6, cold=False)
     out: dict[int, int] = {}  # call -> when its reply comes
     started, known = [0] * 20, 0
     for step in range(2000):
@@ -158,14 +158,14 @@
             world.arrive(2, 0.5)
         pass_time(world, 10, IDLE)
         for op_id in [op_id for op_id, state in world.state.items() if state == "running"]:
-            if world.tickets[op_id].asked:
+            if world.tickets[op_id].call_since:
                 world.end(op_id, Outcome.GOOD)
             else:
                 world.needs_call(op_id)
         for kind, op_id in world.log[known:]:
             if kind is Step.CALL:
                 started[step // 100] += 1
-                bound = world.tickets[op_id].call_until - world.now
+                bound = world.tickets[op_id].call_end - world.now
                 assert step < 300 or bound >= 340 * MS, "given up before calls come back"
                 out[op_id] = world.now + 200 * MS
         known = len(world.log)
@@ -173,88 +173,91 @@
             del out[op_id]
             if world.state.get(op_id) == "calling":
                 world.state[op_id] = "running"
-                world.apply(world.tickets[op_id].called(world.now, 200 * MS, Outcome.GOOD))
+                world.apply(world.tickets[op_id].call_ended(world.now, 200 * MS, Outcome.GOOD))
     assert min(started[3:]) >= 1 and max(started[3:]) <= 4, started
 
 
 def test_a_call_goes_out_only_with_the_time_that_slow_ones_take() -> None:
     """One that is given up stays below for a while, and costs the share more than several good ones."""
-    world = World(1, shares=(), calls_share=0.72, memory_kb=1e6)
+    world = World(1, quotas=(), call_quota=0.72, memory_kb=1e6)
     manager = world.manager
     for _ in range(20):
-        manager.learn_call(50 * MS, Outcome.GOOD)
+        manager.record_call(50 * MS, Outcome.GOOD)
     op_id = world.arrive(2, 0.5)
     world.turn(IDLE)
     world.needs_call(op_id)
     for medians, goes_out in ((7, []), (9, [op_id])):
-        manager.spent = manager.burst - manager.facts.lingers - medians * 50 * MS
-        world.apply(manager.turn(world.now))
+        manager.spent = manager.call_burst - manager.facts.linger - medians * 50 * MS
+        world.apply(manager.decide(world.now))
         assert steps(world, Step.CALL) == goes_out
-    assert world.tickets[op_id].call_until - world.now == 450 * MS
+    assert world.tickets[op_id].call_end - world.now == 450 * MS
 
 
 def test_the_pace_of_calls_follows_what_the_fleet_lends_and_the_burst_stays() -> None:
-    world = World(1, shares=(), calls_share=0.72, memory_kb=1e6)
+    world = World(1, quotas=(), call_quota=0.72, memory_kb=1e6)
     manager = world.manager
-    burst, most = manager.burst, manager.most_calls
+    burst, most = manager.call_burst, manager.max_calls
     left = {}
     for part in (0.5, 1.0, 2.0):
-        manager.allot(part, [])
+        manager.set_fleet_parts(part, [])
         manager.spent = burst
-        manager.steer(manager.last_step + 100 * MS)
+        manager.update_controls(manager.updated + 100 * MS)
         left[part] = burst - manager.spent
     assert left[0.5] == pytest.approx(left[1.0] / 2) and left[2.0] == pytest.approx(2 * left[1.0])
-    assert manager.burst == burst and manager.most_calls >= most
+    assert manager.call_burst == burst and manager.max_calls >= most
 
 
 def test_a_customers_share_follows_its_part_of_the_quota() -> None:
     def expects(part: float) -> float:
-        world = World(1, shares=(6.0, 6.0))
-        world.manager.allot(1.0, [part, 1.0])
+        world = World(1, quotas=(6.0, 6.0))
+        world.manager.set_fleet_parts(1.0, [part, 1.0])
         for _ in range(200):  # ten a second of a share of six
             ticket = world.tickets[world.arrive(0, 0.5)]
             pass_time(world, 100, IDLE)
-        return world.manager.share_left(ticket, world.now)
+        return world.manager.expected_value(ticket, world.now)
 
     assert 0.1 < expects(0.2) < expects(1.0) < 0.95 and expects(3.0) == 1.0
 
 
 def test_a_dear_ticket_of_a_customer_beyond_its_share_still_ranks_above_cheap_ones() -> None:
-    world = World(1, shares=(0.1, 100.0))
-    cheap, dear = (replace(world.facts.types[n], credit=credit) for n, credit in ((0, 1.0), (2, 10.0)))
-    world.manager.facts = replace(world.facts, types=(cheap, cheap, dear))
+    world = World(1, quotas=(0.1, 100.0))
+    cheap, dear = (replace(world.facts.classes[n], value=value) for n, value in ((0, 1.0), (2, 10.0)))
+    world.manager.facts = replace(world.facts, classes=(cheap, cheap, dear))
     t = world.tickets[world.arrive(2, 0.9)]
-    t.type = dear
-    assert world.manager.worth(t, 0.5) == 2 / 3 and world.manager.worth(t, 0.05) == 0.9 * 0.05
-    assert world.manager.worth(t, 1.0) == 0.9
+    t.cls = dear
+    assert (
+        world.manager.effective_priority(t, 0.5) == 2 / 3
+        and world.manager.effective_priority(t, 0.05) == 0.9 * 0.05
+    )
+    assert world.manager.effective_priority(t, 1.0) == 0.9
 
 
 def test_what_others_learned_is_a_start_and_never_goes_over_what_was_measured() -> None:
-    world = World(1, shares=(), calls_share=0.72, memory_kb=1e6)
+    world = World(1, quotas=(), call_quota=0.72, memory_kb=1e6)
     manager = world.manager
-    kinds = len(manager.facts.types)
+    kinds = len(manager.facts.classes)
     for _ in range(20):
         world.manager.runs.add(0, 300 * MS)
-    mine = manager.timeout[0]
-    manager.taught(world.now, tuple((77 * MS, 33 * MS) for _ in range(kinds)), 5.0, 40 * MS)
-    assert manager.timeout[0] == mine and manager.timeout[1] == 77 * MS and manager.median[1] == 33 * MS
-    assert manager.call_usual == 40 * MS and manager.ended_calls
-    manager.learn_call(200 * MS, Outcome.GOOD)
-    assert manager.call_usual < 70 * MS, "the first call of a cold start is not taken for the usual one"
-    manager.taught(world.now, ((0, 0),) * kinds, 5.0, 900 * MS)
-    assert manager.call_usual < 70 * MS
+    mine = manager.timeouts[0]
+    manager.apply_learned(world.now, tuple((77 * MS, 33 * MS) for _ in range(kinds)), 5.0, 40 * MS)
+    assert manager.timeouts[0] == mine and manager.timeouts[1] == 77 * MS and manager.medians[1] == 33 * MS
+    assert manager.usual_call == 40 * MS and manager.call_count
+    manager.record_call(200 * MS, Outcome.GOOD)
+    assert manager.usual_call < 70 * MS, "the first call of a cold start is not taken for the usual one"
+    manager.apply_learned(world.now, ((0, 0),) * kinds, 5.0, 900 * MS)
+    assert manager.usual_call < 70 * MS
 
 
 def test_crowded_callee_shrinks_the_room_for_calls() -> None:
     world = World(1)
-    before = world.manager.call_room
+    before = world.manager.call_limit
     for took in [50 * MS] * 100 + [500 * MS] * 50:
-        world.manager.learn_call(took, Outcome.GOOD)
-    assert world.manager.call_room < before
+        world.manager.record_call(took, Outcome.GOOD)
+    assert world.manager.call_limit < before
 
 
 def test_reading_line_too_long_leaves_the_list_and_comes_back() -> None:
-    world = World(1, shares=())
+    world = World(1, quotas=())
     for _ in range(40):
         world.arrive(0, 0.5, age=1900 * MS)
     world.asleep_until = 0
@@ -267,15 +270,15 @@
 def test_calls_that_are_never_answered_do_not_lengthen_the_bound_of_others() -> None:
     def bound(lost: int, took: int, kind: int = 1) -> int:
         """With every so many calls lost, and the others so long."""
-        world = World(1, shares=(), memory_kb=1e6)
+        world = World(1, quotas=(), memory_kb=1e6)
         for n in range(60):
             gone = lost and n % lost == 0
-            world.manager.learn_call(600 * MS if gone else took, Outcome.UNSURE if gone else Outcome.GOOD)
+            world.manager.record_call(600 * MS if gone else took, Outcome.UNSURE if gone else Outcome.GOOD)
         op_id = world.arrive(kind, 0.9)
         world.turn(IDLE)
         world.needs_call(op_id)
         world.turn(IDLE)
-        return world.tickets[op_id].call_until - world.now
+        return world.tickets[op_id].call_end - world.now
 
     assert bound(0, 3 * MS) == bound(5, 3 * MS) == 60 * MS
     assert bound(0, 30 * MS) == 600 * MS  # where all are slow it follows
@@ -286,8 +289,8 @@
 
 def test_a_line_before_calls_keeps_no_caller_away_while_cores_have_room() -> None:
     for gauges, away in ((IDLE, False), (FULL, True)):
-        world = World(1, shares=(), memory_kb=1e6)
-        world.manager.call_room = 0
+        world = World(1, quotas=(), memory_kb=1e6)
+        world.manager.call_limit = 0
         for _ in range(4):
             op_id = world.arrive(1, 0.9)
             world.turn(gauges)
@@ -295,13 +298,13 @@
         world.advance(100)
         world.turn(gauges)
         ticket = world.tickets[world.arrive(1, 0.9)]
-        results = world.manager.turn(world.now)
+        results = world.manager.decide(world.now)
         figure = next(figure for _, dismissed, figure in results if dismissed is ticket)
         assert (figure > 0) == away
 
 
 def test_tickets_of_impatient_callers_are_not_taken_for_old() -> None:
-    world = World(1, shares=())
+    world = World(1, quotas=())
     world.arrive(0, 0.5, left=4500 * MS)
     hasty = world.arrive(0, 0.5, left=1000 * MS)
     world.turn()
--- a/tests/test_module_at_size.py
+++ b/tests/test_module_at_size.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from crowwing.logic.admission import SHARE_SPAN
-from crowwing.logic.feedback import ENOUGH, SAMPLES
+from crowwing.logic.admission import QUOTA_WINDOW
+from crowwing.logic.feedback import MIN_SAMPLES, SAMPLES
 from crowwing.logic.load_manager import LoadManager
 from tests.rig import MS, World, facts
 
@@ -27,55 +27,55 @@
 
 def share(world: World, team: int) -> float:
     """What a ticket of this customer can expect, come now."""
-    return world.manager.share_left(world.tickets[world.arrive(0, 0.5, team=team)], world.now)
+    return world.manager.expected_value(world.tickets[world.arrive(0, 0.5, team=team)], world.now)
 
 
 def test_a_ticket_touches_its_own_customer_alone() -> None:
-    world = World(1, shares=(0.01,) * TENANTS)
+    world = World(1, quotas=(0.01,) * TENANTS)
     for team in range(10):
         share(world, team * 1000)
-    assert len(world.manager.flow) == 10, "nothing is kept for customers that did not come"
+    assert len(world.manager.rates) == 10, "nothing is kept for customers that did not come"
 
 
 def test_customers_that_stay_away_are_forgotten() -> None:
-    world = World(1, shares=(0.01,) * 1000)
+    world = World(1, quotas=(0.01,) * 1000)
     for team in range(1000):
         share(world, team)
     for _ in range(1000):  # another one goes on, a ticket in 200 ms
         world.now += 200 * MS
         share(world, 7)
-    assert set(world.manager.flow) == {7}
-    world.now += SHARE_SPAN
+    assert set(world.manager.rates) == {7}
+    world.now += QUOTA_WINDOW
     share(world, 9)
-    assert set(world.manager.flow) == {9}, "a span without a ticket empties it at once"
+    assert set(world.manager.rates) == {9}, "a span without a ticket empties it at once"
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_what_a_customer_can_expect_is_what_fading_every_count_says(seed: int) -> None:
     chance = random.Random(seed)
-    world = World(1, shares=(5.0, 0.5, 80.0, 1.0))
+    world = World(1, quotas=(5.0, 0.5, 80.0, 1.0))
     flow, at = [0.0] * 4, world.now
     for _ in range(3000):
         world.now += round(chance.expovariate(1) * chance.choice([0, 20, 200, 2000])) * MS
         team = chance.randrange(4)
-        left, at = max(0.0, 1 - (world.now - at) / SHARE_SPAN), world.now
+        left, at = max(0.0, 1 - (world.now - at) / QUOTA_WINDOW), world.now
         flow = [left * seen for seen in flow]
         flow[team] += 1
-        even = 1.3 * world.facts.shares[team] * SHARE_SPAN / 1e6 + 2
+        even = 1.3 * world.facts.quotas[team] * QUOTA_WINDOW / 1e6 + 2
         inside = min(1.0, even / flow[team])
         assert share(world, team) == pytest.approx(inside + 0.1 * (1 - inside), abs=1e-7)
 
 
 def of_types(count: int) -> LoadManager:
-    kinds = tuple(replace(facts().types[0]) for _ in range(count))
-    return LoadManager(facts(types=kinds, shares=()), 0, random.Random(1))
+    kinds = tuple(replace(facts().classes[0]) for _ in range(count))
+    return LoadManager(facts(classes=kinds, quotas=()), 0, random.Random(1))
 
 
 def ended(manager: LoadManager, world: World, kind: int, took: int) -> None:
     """A run of this type ended by itself."""
     t = world.tickets[world.arrive(0, 0.5)]
-    t.kind = kind
-    manager.learn(t, took, good=True)
+    t.class_id = kind
+    manager.record_run(t, took, good=True)
 
 
 def test_the_end_of_a_run_compares_as_little_among_many_traffic_types() -> None:
@@ -83,7 +83,7 @@
     for count in (8, 40):
         manager, world, chance = of_types(count), World(1), random.Random(2)
         for kind in range(count):
-            for _ in range(ENOUGH - 1):  # all of them go by the runs of all
+            for _ in range(MIN_SAMPLES - 1):  # all of them go by the runs of all
                 ended(manager, world, kind, Counted(chance.randrange(500 * MS)))
         Counted.compared = 0
         ended(manager, world, 3, Counted(chance.randrange(500 * MS)))
@@ -96,7 +96,7 @@
     chance, world, count = random.Random(seed), World(1), 6
     manager = of_types(count)
     runs = [deque(maxlen=SAMPLES) for _ in range(count)]
-    timeout, median = manager.timeout[:], manager.median[:]
+    timeout, median = manager.timeouts[:], manager.medians[:]
     for _ in range(1200):
         k, took = (
             min(chance.randrange(20), count - 1),
@@ -104,11 +104,11 @@
         )
         runs[k].append(took)
         for j, own in enumerate(runs):
-            few = len(own) < ENOUGH
+            few = len(own) < MIN_SAMPLES
             ranked = sorted(one for kind in runs for one in kind) if few else sorted(own)
-            if (few or j == k) and len(ranked) >= ENOUGH:
+            if (few or j == k) and len(ranked) >= MIN_SAMPLES:
                 median[j], p90 = ranked[len(ranked) // 2], ranked[len(ranked) * 9 // 10]
-                timeout[j] = max(manager.span[j] // 8, min(p90, manager.span[j] - p90))
+                timeout[j] = max(manager.budgets[j] // 8, min(p90, manager.budgets[j] - p90))
         ended(manager, world, k, took)
-        assert (manager.timeout, manager.median) == (timeout, median)
+        assert (manager.timeouts, manager.medians) == (timeout, median)
     assert sorted(one for kind in manager.runs for one in kind) == manager.runs.ranked
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -120,8 +120,8 @@
 
     async def scene(town: Town) -> None:
         dispatcher, turns = town.backend.dispatcher, []
-        turn = dispatcher.manager.turn
-        dispatcher.manager.turn = lambda now: turns.append(now) or turn(now)
+        turn = dispatcher.manager.decide
+        dispatcher.manager.decide = lambda now: turns.append(now) or turn(now)
         dispatcher.send.sample = lambda: False
         town.farm.hold = True
         asked = asyncio.create_task(ask_one(town, 1, left=2500))
@@ -155,7 +155,7 @@
         town.farm.writer.write(town.farm.greet)
         await town.until(lambda: town.backend.front.good)
         manager = town.backend.dispatcher.manager
-        assert manager.facts.cold and 900_000 < town.backend.dispatcher.now() - manager.born < 30_000_000
+        assert manager.facts.cold and 900_000 < town.backend.dispatcher.now() - manager.started < 30_000_000
         await town.until(lambda: town.backend.dispatcher.send.fenced)
         assert (await ask_one(town, 2))[0] == 200
 
--- a/tests/test_program_life.py
+++ b/tests/test_program_life.py
@@ -29,11 +29,14 @@
         town.backend.dispatcher.route.by_ticket[Step.RUN] = failing
         answers = await asyncio.gather(*(ask_one(town, n) for n in range(4)))
         assert [status for status, _, _ in answers] == [200, 500, 200, 200]
-        assert town.counts["defects"] == 1 and not town.backend.dispatcher.manager.open
+        assert town.counts["defects"] == 1 and not town.backend.dispatcher.manager.requests
         assert "made up" in next(line["trace"] for line in town.lines if line["event"] == "defect")
-        turn, town.backend.dispatcher.manager.turn = town.backend.dispatcher.manager.turn, lambda now: 1 / 0
+        turn, town.backend.dispatcher.manager.decide = (
+            town.backend.dispatcher.manager.decide,
+            lambda now: 1 / 0,
+        )
         assert (await ask_one(town, 5))[0] == 500
-        town.backend.dispatcher.manager.turn = turn
+        town.backend.dispatcher.manager.decide = turn
         assert (await ask_one(town, 6))[0] == 200
 
     play_in(Town(), scene)
@@ -194,7 +197,7 @@
         await town.until(lambda: ident(2) in town.farm.running)
         town.farm.running.clear()
         town.farm.writer.write(f"refusal launch {ident(2)}\r\n".encode())
-        assert (await unknown)[0] == 500 and not town.backend.dispatcher.manager.errors
+        assert (await unknown)[0] == 500 and not town.backend.dispatcher.manager.error_rate
         town.check()
 
     play_in(Town(), scene)
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -10,7 +10,7 @@
 
 
 def world(**changes: object) -> World:
-    return World(1, shares=(), **changes)
+    return World(1, quotas=(), **changes)
 
 
 def runs(w: World) -> int:
@@ -24,7 +24,7 @@
 def pass_time(w: World, ms: int) -> None:
     for _ in range(ms // 10):
         w.advance(10)
-        w.manager.moved = w.now  # its runs move, though none ends here
+        w.manager.progressed = w.now  # its runs move, though none ends here
         w.turn()
 
 
@@ -125,7 +125,7 @@
         if w.state.get(op_id) == "running":
             w.end(op_id, Outcome.GOOD)
         pass_time(w, 50)
-    kept = len(w.manager.kept)
+    kept = len(w.manager.entries)
     new, known, redoable = w.arrive(LABELLED, 0.9, 300), w.arrive(LABELLED, 0.9, 100), w.arrive(0, 0.9)
     w.turn()
     assert step_of(w, new) in (Step.DISMISS, Step.DISMISS_ALL) and step_of(w, known) is Step.SHARE
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from crowwing.contract import Halt, Outcome, Signal
+from crowwing.contract import Halt, LoadSignal, Outcome
 from tests.rig import MS, World
 
 
@@ -13,19 +13,19 @@
     world = World(
         seed,
         halt=chance.choice(list(Halt)),
-        signal=chance.choice(list(Signal)),
+        signal=chance.choice(list(LoadSignal)),
         cold=chance.random() < 0.3,
         memory_kb=chance.choice([3000.0, 20000.0]),
-        calls_share=chance.choice([0.4, 3.0]),
-        stay_away_most=chance.choice([0, 1000 * MS]),
-        shares=chance.choice([(), (30.0, 10.0)]),
+        call_quota=chance.choice([0.4, 3.0]),
+        max_retry_after=chance.choice([0, 1000 * MS]),
+        quotas=chance.choice([(), (30.0, 10.0)]),
     )
     load = chance.choice([0.5, 3.0])  # tickets a step of 10 ms are a tenth of this
     drain_at = chance.choice([0, 600])
     for step in range(1500):
         if step == drain_at > 0:
             world.notice, world.stop = world.now, world.now + 6000 * MS
-            world.apply(world.manager.leave(world.now, world.stop))
+            world.apply(world.manager.drain(world.now, world.stop))
         for _ in range(3 if chance.random() < load / 30 else int(chance.random() < load / 10)):
             earlier = chance.randrange(1, 40) if chance.random() < 0.5 else 0
             kind = earlier % 3 if earlier else chance.randrange(3)
@@ -38,7 +38,7 @@
             ticket, luck = world.tickets[op_id], chance.random()
             over = op_id in world.answers or op_id in world.gone
             if state == "running" and luck < 0.05:
-                if luck < 0.02 and ticket.type.calls and not over:
+                if luck < 0.02 and ticket.cls.makes_calls and not over:
                     world.needs_call(op_id)
                 else:
                     world.end(op_id, Outcome.FAILED if luck < 0.025 else Outcome.GOOD)
@@ -52,14 +52,14 @@
                 world.state[op_id] = "running" if outcome is Outcome.GOOD else "asking"
                 if outcome is not Outcome.UNSURE:
                     del world.calls[op_id]
-                world.apply(ticket.called(world.now, 50 * MS, outcome))
+                world.apply(ticket.call_ended(world.now, 50 * MS, outcome))
             elif state == "sharing" and luck < 0.05:
                 world.end(op_id, Outcome.GOOD)
             elif luck > 0.998 and not over:
                 world.gone.add(op_id)
                 if state in ("held", "paused", "sharing"):
                     del world.state[op_id]
-                world.apply(ticket.gone(world.now))
+                world.apply(ticket.caller_gone(world.now))
         world.turn()
         if world.stop and world.now >= world.stop - 20 * MS:
             break
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from crowwing.server_facts import BadPremises, decode
+from crowwing.server_facts import InvalidSettingsError, decode
 from tests.rig import SETTINGS, Sidecar
 from tests.street import Street, live_in
 
@@ -64,5 +64,5 @@
 @pytest.mark.parametrize("odd", ["1e999", "NaN"])
 def test_numbers_that_are_none_are_one_line(odd: str) -> None:
     text = json.dumps(SETTINGS).replace('"promise": 20000.0', f'"promise": {odd}')
-    with pytest.raises(BadPremises):
+    with pytest.raises(InvalidSettingsError):
         decode(text)
--- a/tests/test_storm_returns.py
+++ b/tests/test_storm_returns.py
@@ -81,7 +81,7 @@
         assert all(0 < away <= 1000 for away, _ in paced) and all(after == 1 for _, after in paced)
         town.backend.dispatcher.storm_monitor.sight.good_rate = 20.0
         manager = town.backend.dispatcher.manager
-        manager.facts = dataclasses.replace(manager.facts, stay_away_most=100_000)
+        manager.facts = dataclasses.replace(manager.facts, max_retry_after=100_000)
         spread = await asked_while_sick(town, 200, 12)
         assert len({away for away, _ in spread}) > 6 and max(away for away, _ in spread) > 150
         town.check()
@@ -110,8 +110,8 @@
         storm_seen(town)
         town.farm.hold = True
         dispatcher, taken = town.backend.dispatcher, []
-        take = dispatcher.manager.take
-        dispatcher.manager.take = lambda *given: (taken.append(given[-1]), take(*given))[1]
+        take = dispatcher.manager.receive
+        dispatcher.manager.receive = lambda *given: (taken.append(given[-1]), take(*given))[1]
         dispatcher.manager.stalled = lambda now: True
         for n in range(3):
             side = await Sidecar(town).open()
