--- a/crowwing/logic/admission.py
+++ b/crowwing/logic/admission.py
@@ -1,7 +1,7 @@
 """Admission: by the priority threshold, the customer's quota, memory, and deduplication."""
 
 from crowwing.contract import Id, Idempotency, Result, Step
-from crowwing.logic.backend_state import MAX_ERROR_RATE, PROBE_RATE, USABLE, WAKE_INTERVAL, BackendState
+from crowwing.logic.backend_state import MAX_ERROR_RATE, PROBE_RATE, TIMER_INTERVAL, USABLE, BackendState
 from crowwing.logic.request import NEW, QUEUED, SHARING, Request
 
 TOLERANCE, MAX_TIMEOUTS = 20_000, 8  # caller time-outs so close count as one; time-outs kept a class
@@ -31,8 +31,8 @@
             r.priority = 0.0
         self.received += 1
         is_retry = age > 0 or not deadline  # without deadlines, requests are taken to be retried
-        self.retried_part += max(0.005, 1 / self.received) * (is_retry - self.retried_part)
-        self.rejected_part *= 0.995
+        self.retry_rate += max(0.005, 1 / self.received) * (is_retry - self.retry_rate)
+        self.rejection_rate *= 0.995
         self.lag += 0.1 * (now - arrived - self.lag)
         self.returning += max(0.02, 1 / self.received) * ((caller in self.caller_weights) - self.returning)
         self.shed *= 0.95
@@ -72,7 +72,7 @@
     def better_elsewhere(self, r: Request, now: int) -> bool:
         """Whether another backend should be tried: late in a drain, and while runs hang or fail here."""
         if self.drain_since:
-            late = now + 2 * self.medians[r.class_id] + 2 * WAKE_INTERVAL > self.stop_at
+            late = now + 2 * self.medians[r.class_id] + 2 * TIMER_INTERVAL > self.stop_at
             return late or r.arrived > self.drain_since + self.facts.drain_grace
         return self.stalled(now) or (self.error_rate > MAX_ERROR_RATE and self.random() > PROBE_RATE)
 
@@ -85,11 +85,11 @@
         decay, self.rates_at = max(0.0, 1 - (now - self.rates_at) / QUOTA_WINDOW), now
         self.rate_unit /= max(decay, 1 / MAX_RATE_UNIT)
         if self.rate_unit >= MAX_RATE_UNIT:
-            least, unit = 1e-6 if decay else MAX_RATE_UNIT, self.rate_unit
-            self.rates = {index: rate / unit for index, rate in self.rates.items() if rate > least * unit}
+            minimum, unit = 1e-6 if decay else MAX_RATE_UNIT, self.rate_unit
+            self.rates = {n: rate / unit for n, rate in self.rates.items() if rate > minimum * unit}
             self.rate_unit = 1.0
         self.rates[r.customer] = self.rates.get(r.customer, 0.0) + self.rate_unit
-        cap = 1.3 * self.facts.quotas[r.customer] / max(1, self.facts.backends) * self.quota_parts[r.customer]
+        cap = 1.3 * self.facts.quotas[r.customer] / max(1, self.facts.backends) * self.quota_scale[r.customer]
         within = min(1.0, (cap * QUOTA_WINDOW / 1e6 + 2) * self.rate_unit / self.rates[r.customer])
         return within + self.facts.over_quota_value * (1 - within)
 
@@ -119,5 +119,5 @@
         """Whether a keyed request has its deduplication entry; without room for one it may not run."""
         if r.cls.idempotency is not Idempotency.KEYED or r.id in self.entries:
             return True
-        span = r.arrived + r.cls.dedup_window - now + WAKE_INTERVAL
+        span = r.arrived + r.cls.dedup_window - now + TIMER_INTERVAL
         return span <= 0 or self.set_entry(r, now, span, out)
--- a/crowwing/logic/backend_state.py
+++ b/crowwing/logic/backend_state.py
@@ -8,14 +8,14 @@
 from crowwing.logic.request import CALL_PENDING, CALLING, CLOSED, PAUSED, QUEUED, RUNNING, Request
 from crowwing.ranked_window import RankedWindows
 
-WAKE_INTERVAL, IDLE_WAKE_INTERVAL = 40_000, 200_000  # between wake-up timers; with no request open
+TIMER_INTERVAL, IDLE_TIMER_INTERVAL = 40_000, 200_000  # between wake-up timers; with no request open
 LIMIT_GAINS = 12, 0.5, 0.6, 0.05  # climb, proportional, integral and derivative, in cores
 USABLE = 0.75  # part used of the concurrency, memory and calls that a backend survives
 STALL_FACTOR = 6  # mean gaps between two progress events without one, after which runs count as hung
 MAX_ERROR_RATE, PROBE_RATE = 0.25, 0.1  # error rate from which requests are sent elsewhere; part still tried
 MIN_RETRY_AFTER, RETRY_GAIN = 0.2, 2.0  # retry-after in parts of the longest: least, and by threshold
 MIN_RETRIED = 0.2  # retries for each rejected request, below which rejections count as final
-MOST_REJECTED = 0.5  # part of recent arrivals rejected, from which no other backend is suggested
+MAX_REJECTION_RATE = 0.5  # part of recent arrivals rejected, from which no other backend is suggested
 MAX_CALL_SPAN, MIN_CALL_SPAN = 20, 8  # bounds of a call's time-out, in recent median call times
 CALL_BURST, MAX_CALL_BURST, REFILL = 0.25, 0.6, 0.3  # parts of the call quota: burst, its limit, refill
 
@@ -34,7 +34,7 @@
         self.abandoned_calls: deque[int] = deque()  # when calls given up cease to occupy the downstream
         self.counts = [0] * 8  # open requests by state
         # Times: start, control step, next check and wake-up, last event of a run, decay of caller weights.
-        self.started = self.updated = self.next_check = self.next_wake = self.progressed = self.decayed = now
+        self.started = self.updated = self.next_check = self.next_timer = self.progressed = self.decayed = now
         # Memory of open requests; the threshold and its integral part; longest wait in queue time-outs.
         self.memory_used = self.threshold = self.base = self.waited = 0.0
         # Recent part of failed runs; runs on the cores; load of the cores; delay of reading; requests read a
@@ -60,11 +60,11 @@
         self.ready, self.idle_timeout, self.reported, self.returning = True, facts.max_idle_time, -1.0, 1.0
         self.caller_weights: dict[int, float] = {}  # recent requests by caller; decays
         self.caller_timeouts: list[dict[int, float]] = [{} for _ in facts.classes]  # with decaying weights
-        self.retried_part = self.rejected_part = 0.0  # of the last 200 or so arrivals: retries, rejections
+        self.retry_rate = self.rejection_rate = 0.0  # of the last 200 or so arrivals: retries, rejections
         # Requests received; start and end of the drain (0: none); usual call time; calls that ended.
         self.received = self.drain_since = self.stop_at = self.usual_call = self.call_count = 0
         self.call_total = 0.0  # call time since the start; tells how much of the rate can be lent
-        self.call_part, self.quota_parts = 1.0, [1.0] * len(facts.quotas)  # 1.0: an even part of the fleet's
+        self.call_scale, self.quota_scale = 1.0, [1.0] * len(facts.quotas)  # 1.0: an even part of the fleet's
 
     def used_memory(self) -> float:
         return self.memory_used + len(self.entries) * self.facts.key_kb
@@ -73,16 +73,16 @@
         if span <= 0:
             if self.entries.pop(r.id, None) is not None:
                 out.append((Step.FORGET, r, 0))
-        elif r.id in self.entries or self.has_entry_room():
+        elif r.id in self.entries or self.has_entry_capacity():
             self.entries[r.id] = now + span
             out.append((Step.KEEP, r, span))
         return span > 0 and r.id in self.entries
 
     def rejection_is_final(self) -> bool:
         """Whether rejected requests are hardly ever retried."""
-        return self.retried_part < MIN_RETRIED * self.rejected_part
+        return self.retry_rate < MIN_RETRIED * self.rejection_rate
 
-    def has_entry_room(self) -> bool:
+    def has_entry_capacity(self) -> bool:
         """Whether one more entry leaves a third of the usable memory to requests. Entries go only as their
         windows end and would crowd out idempotent requests. Too little where a window's keys need more."""
         limit, size = USABLE * self.facts.memory_kb, self.facts.key_kb
@@ -104,7 +104,7 @@
     def at_max_concurrency(self, now: int) -> bool:
         return self.counts[RUNNING] + self.counts[CALLING] >= self.max_concurrency(now)
 
-    def note_progress(self, now: int) -> None:
+    def record_progress(self, now: int) -> None:
         self.progress_gap += 0.05 * (now - self.progressed - self.progress_gap)
         self.progressed = now
 
@@ -123,13 +123,13 @@
             return self.fail(r, now, out)
         self.set_entry(r, now, 0, out)
         self.shed += 0.05
-        self.rejected_part += 0.005
-        local = bool(elsewhere) or self.unhealthy(now) or self.drain_since > 0
-        line = self.load < 0.9 and self.waits_for_call(r)  # retry at once: other classes have capacity
-        part = 1.0 if local else 0.0 if line else min(1.0, MIN_RETRY_AFTER + RETRY_GAIN * self.threshold)
+        self.rejection_rate += 0.005
+        here = bool(elsewhere) or self.unhealthy(now) or self.drain_since > 0
+        wait = self.load < 0.9 and self.waits_for_call(r)  # retry at once: other classes have capacity
+        delay = 1.0 if here else 0.0 if wait else min(1.0, MIN_RETRY_AFTER + RETRY_GAIN * self.threshold)
         if elsewhere is None:  # the fewer are rejected here, the likelier others have capacity
-            local |= self.random() > self.shed / MOST_REJECTED
-        out.append((Step.DISMISS if local else Step.DISMISS_ALL, r, round(self.facts.max_retry_after * part)))
+            here |= self.random() > self.shed / MAX_REJECTION_RATE
+        out.append((Step.DISMISS if here else Step.DISMISS_ALL, r, round(self.facts.max_retry_after * delay)))
         r.answered = True
         self.not_run.add(r.id)
         return self.close(r)
--- a/crowwing/logic/control_loops.py
+++ b/crowwing/logic/control_loops.py
@@ -1,7 +1,7 @@
 """Control loops: queue time-outs, the concurrency limit, the priority threshold and the spare capacity."""
 
 from crowwing.contract import LoadSignal, Result, Step
-from crowwing.logic.backend_state import IDLE_WAKE_INTERVAL, PROBE_RATE, BackendState
+from crowwing.logic.backend_state import IDLE_TIMER_INTERVAL, PROBE_RATE, BackendState
 from crowwing.logic.feedback import MIN_SAMPLES, SAMPLES, queue_timeout, step_threshold
 from crowwing.logic.request import CALL_PENDING, CALLING, PAUSED, QUEUED, Request
 
@@ -18,9 +18,9 @@
         f, dt = self.facts, (now - self.updated) / 1e6
         calls = self.counts[CALLING] + len(self.abandoned_calls)
         self.call_total += dt * 1e6 * calls
-        self.spent = max(0.0, self.spent + dt * 1e6 * (calls - self.call_rate * self.call_part))
+        self.spent = max(0.0, self.spent + dt * 1e6 * (calls - self.call_rate * self.call_scale))
         self.updated = now
-        if now - self.decayed >= IDLE_WAKE_INTERVAL:
+        if now - self.decayed >= IDLE_TIMER_INTERVAL:
             decay, self.decayed = max(0.0, 1 - (now - self.decayed) / 1e6), now
             self.caller_weights = {caller: decay * w for caller, w in self.caller_weights.items() if w > 0.01}
             self.read_rate = sum(self.caller_weights.values())
@@ -67,25 +67,25 @@
     def report_spare_capacity(self, now: int, out: list[Result]) -> None:
         """Reports the spare capacity where it changed by more than 5%."""
         f = self.facts
-        room = ((self.limit + (QUEUED_PER_CORE - self.threshold) * f.cores)
-                * self.speed(now) * (PROBE_RATE if self.unhealthy(now) else 1))  # fmt: skip
-        room += self.counts[CALL_PENDING] + self.counts[CALLING]
-        value = self.capacity_per_caller(0.0 if self.drain_since else room)
+        capacity = ((self.limit + (QUEUED_PER_CORE - self.threshold) * f.cores)
+                    * self.speed(now) * (PROBE_RATE if self.unhealthy(now) else 1))  # fmt: skip
+        capacity += self.counts[CALL_PENDING] + self.counts[CALLING]
+        value = self.capacity_per_caller(0.0 if self.drain_since else capacity)
         if f.signal is LoadSignal.FLOOR:
             value = 1.0 if self.drain_since else self.threshold
         elif f.signal is LoadSignal.WEIGHT:
-            value = 0.0 if self.drain_since else min(1.0, room / max(1, len(self.requests)))
+            value = 0.0 if self.drain_since else min(1.0, capacity / max(1, len(self.requests)))
         if f.signal is not LoadSignal.NONE and abs(value - self.reported) > 0.05 * max(value, self.reported):
             self.reported = value
             out.append((Step.FREE_VALUE, None, value))
 
-    def capacity_per_caller(self, room: float) -> float:
-        """How many requests each caller may have open so that together they use the room; max-min fair."""
+    def capacity_per_caller(self, capacity: float) -> float:
+        """The open requests each caller may have so that together they use `capacity`; max-min fair."""
         present = len(self.requests) + self.read_rate * self.lag / 1e6  # unread ones by Little's law
-        parts = sorted(self.caller_weights.values())
-        scale = present / max(1e-9, sum(parts))
-        for n, part in enumerate(parts):
-            if part * scale * (len(parts) - n) >= room:
-                return room / (len(parts) - n)
-            room -= part * scale
-        return max(parts, default=0.0) * scale + room
+        weights = sorted(self.caller_weights.values())
+        scale = present / max(1e-9, sum(weights))
+        for n, weight in enumerate(weights):
+            if weight * scale * (len(weights) - n) >= capacity:
+                return capacity / (len(weights) - n)
+            capacity -= weight * scale
+        return max(weights, default=0.0) * scale + capacity
--- a/crowwing/logic/feedback.py
+++ b/crowwing/logic/feedback.py
@@ -9,25 +9,25 @@
 
 
 def step_threshold(
-    base: float, dt: float, wait: float, saturated: bool, idle_part: float, most: float
+    base: float, dt: float, wait: float, saturated: bool, idle_ratio: float, maximum: float
 ) -> tuple[float, float]:
     """One step of the priority threshold by the longest wait: its integral part, and the threshold.
 
-    `wait` is in queue time-outs. The threshold rises only while saturated, and falls faster by `idle_part`.
+    `wait` is in queue time-outs. The threshold rises only while saturated, and falls faster by `idle_ratio`.
     """
     over = min(1.0, wait - TARGET_WAIT)
     if over > 0 and saturated:
-        base = min(most, base + RISE * dt * over)
+        base = min(maximum, base + RISE * dt * over)
     else:
         over = min(over, 0.0)
-        base = max(0.0, base + dt * (FALL * over - IDLE_FALL * max(0.0, idle_part)))
-    return base, min(most, base + GAIN * max(0.0, over))
+        base = max(0.0, base + dt * (FALL * over - IDLE_FALL * max(0.0, idle_ratio)))
+    return base, min(maximum, base + GAIN * max(0.0, over))
 
 
-def queue_timeout(ranked: Sequence[float], aim: float, least: float, most: float) -> float:
+def queue_timeout(ranked: Sequence[float], budget: float, minimum: float, maximum: float) -> float:
     """How long a request may be queued: the P90 of the ranked latencies, or what that leaves of its time."""
     p90 = ranked[len(ranked) * 9 // 10]
-    return max(least, min(p90, aim - p90, most))
+    return max(minimum, min(p90, budget - p90, maximum))
 
 
 class LimitController:
--- a/crowwing/logic/load_manager.py
+++ b/crowwing/logic/load_manager.py
@@ -2,7 +2,7 @@
 
 from crowwing.contract import Result, Step
 from crowwing.logic.admission import Admission
-from crowwing.logic.backend_state import IDLE_WAKE_INTERVAL, WAKE_INTERVAL
+from crowwing.logic.backend_state import IDLE_TIMER_INTERVAL, TIMER_INTERVAL
 from crowwing.logic.control_loops import ControlLoops
 from crowwing.logic.downstream_calls import DownstreamCalls
 from crowwing.logic.request import RUNNING
@@ -18,7 +18,7 @@
     def begin(self, now: int) -> list[Result]:
         return [(Step.READY, None, 0)]
 
-    def wake(self, now: int, gauges: dict[str, float]) -> list[Result]:
+    def on_timer(self, now: int, gauges: dict[str, float]) -> list[Result]:
         out: list[Result] = []
         passed, running = now - self.updated, self.counts[RUNNING]
         self.on_cores += min(1.0, passed / 60_000) * (gauges.get("on_cores", running) - self.on_cores)
@@ -60,12 +60,12 @@
         self.start_queued(now, out)
         self.make_calls(now, out)
         self.not_run.clear()
-        self.schedule_wake(now, out)
+        self.schedule_timer(now, out)
         return out
 
-    def schedule_wake(self, now: int, out: list[Result]) -> None:
+    def schedule_timer(self, now: int, out: list[Result]) -> None:
         """Asks for a wake-up timer, soon while a request is open; a timer cannot be cancelled."""
-        span = WAKE_INTERVAL if self.requests else IDLE_WAKE_INTERVAL
-        if not now < self.next_wake <= now + span:
-            self.next_wake = now + span
+        span = TIMER_INTERVAL if self.requests else IDLE_TIMER_INTERVAL
+        if not now < self.next_timer <= now + span:
+            self.next_timer = now + span
             out.append((Step.WAKE, None, span))
--- a/crowwing/logic/request.py
+++ b/crowwing/logic/request.py
@@ -26,7 +26,7 @@
         m, was = self.manager, self.state
         if self.closed or was not in (RUNNING, CALL_PENDING, CALLING, SHARING):
             return []
-        m.note_progress(now)
+        m.record_progress(now)
         if was == CALLING:
             m.abandoned_calls.append(now + m.facts.linger)
         if outcome is Outcome.STOPPED and not self.answered:  # halted by us: back to the queue
@@ -45,7 +45,7 @@
         """The run needs a downstream call; until that ends it does not count towards the limit of runs."""
         if self.state == RUNNING and not self.answered:
             self.call_since, self.attempts = now, 0
-            self.manager.note_progress(now)
+            self.manager.record_progress(now)
             self.manager.set_state(self, CALL_PENDING, keeps_memory=True)
         return []
 
--- a/crowwing/logic/scheduling.py
+++ b/crowwing/logic/scheduling.py
@@ -1,7 +1,7 @@
 """Scheduling: the queue and its time-outs, the start of runs, and the check of deadlines."""
 
 from crowwing.contract import Idempotency, Result, Step
-from crowwing.logic.backend_state import MOST_REJECTED, USABLE, WAKE_INTERVAL, BackendState
+from crowwing.logic.backend_state import MAX_REJECTION_RATE, TIMER_INTERVAL, USABLE, BackendState
 from crowwing.logic.request import NEW, PAUSED, QUEUED, RUNNING, Request
 
 
@@ -33,9 +33,9 @@
             return r.deadline
         # Few cores with long runs: no rejection for a chance wait just before a core is free, while few are
         # rejected and finally. Too long where run times vary so much that half of the last starts are late.
-        part = max(0.0, 1 - self.shed / MOST_REJECTED) if self.rejection_is_final() else 0.0
+        extension = max(0.0, 1 - self.shed / MAX_REJECTION_RATE) if self.rejection_is_final() else 0.0
         extra = max(0, self.budgets[r.class_id] - self.medians[r.class_id] - self.timeouts[r.class_id])
-        return min(r.arrived + self.timeouts[r.class_id] + round(part * extra),
+        return min(r.arrived + self.timeouts[r.class_id] + round(extension * extra),
                    r.target - self.medians[r.class_id] // 2)  # fmt: skip
 
     def fits(self, r: Request) -> bool:
@@ -45,11 +45,11 @@
 
     def check_deadlines(self, now: int, out: list[Result]) -> None:
         """Answers requests at their deadlines, repeats halts without effect, and drops expired entries."""
-        self.next_check = now + WAKE_INTERVAL // 2
-        early = max(0, 2 * WAKE_INTERVAL - self.facts.answer_slack)
-        last = self.stop_at - 3 * WAKE_INTERVAL if self.drain_since else now + 1
+        self.next_check = now + TIMER_INTERVAL // 2
+        early = max(0, 2 * TIMER_INTERVAL - self.facts.answer_slack)
+        last = self.stop_at - 3 * TIMER_INTERVAL if self.drain_since else now + 1
         for r in list(self.requests.values()):
-            if r.answered and r.state == RUNNING and 0 < r.halted < now - 5 * WAKE_INTERVAL:
+            if r.answered and r.state == RUNNING and 0 < r.halted < now - 5 * TIMER_INTERVAL:
                 self.halt(r, now, out)
             elif not r.answered and now >= min(r.deadline - early, last):
                 if r.state in (NEW, QUEUED) and not r.has_run:
--- a/crowwing/program/together.py
+++ b/crowwing/program/together.py
@@ -77,7 +77,7 @@
             self._share()
         if self.turned is not None and self.dispatcher.storm_monitor is not None:
             self._tell_turned(self.turned)
-        manager.set_fleet_parts(self._borrow(manager) if self.lends else 1.0, self.parts)
+        manager.set_fleet_scale(self._borrow(manager) if self.lends else 1.0, self.parts)
         self.link.turn()
 
     def _borrow(self, manager: LoadManager) -> float:
--- a/crowwing/routing/dispatcher.py
+++ b/crowwing/routing/dispatcher.py
@@ -332,7 +332,9 @@
                 return self._per_ticket(self._wants, now, notice)
             case agent.Sampled():
                 if self.wake.sampled(notice.tag):
-                    return self.manager.wake(now, dict(zip(self.names.gauges, notice.gauges, strict=False)))
+                    return self.manager.on_timer(
+                        now, dict(zip(self.names.gauges, notice.gauges, strict=False))
+                    )
             case agent.Exercised():
                 self.check.answered(notice.tag, notice.good)
             case agent.Greeting():
--- a/crowwing/simulator_adapter/adapter.py
+++ b/crowwing/simulator_adapter/adapter.py
@@ -81,7 +81,7 @@
             self.tickets[op_id] = ticket
             return []
         if code == frames.RING:
-            return self.manager.wake(now, dict(zip(self.gauges, event[3], strict=False)))
+            return self.manager.on_timer(now, dict(zip(self.gauges, event[3], strict=False)))
         if code == frames.SIGTERM:
             return self.manager.drain(now, us(event[2]))
         ticket = self.tickets.get(event[2])
--- a/tests/decision_recording.py
+++ b/tests/decision_recording.py
@@ -70,11 +70,11 @@
             gauges = (
                 {"on_cores": draw.uniform(0, 8), "core_use": draw.random()} if draw.random() < 0.9 else {}
             )
-            yield self.manager.wake(self._now, gauges)
+            yield self.manager.on_timer(self._now, gauges)
         if number == 20:
             self.manager.apply_learned(self._now, ((300 * MS, 200 * MS),) * 3, 6.0, 40 * MS)
         if number % 150 == 149:
-            self.manager.set_fleet_parts(
+            self.manager.set_fleet_scale(
                 draw.uniform(0.5, 1.5), [draw.uniform(0.5, 1.5) for _ in self._facts.quotas]
             )
         if number == MOMENTS - 60:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -155,7 +155,7 @@
         if self.now >= self.asleep_until:
             running = sum(s == "running" for s in self.state.values())
             told = {"on_cores": running, "core_use": min(1.0, running / self.facts.cores)}
-            self.apply(self.manager.wake(self.now, gauges or told))
+            self.apply(self.manager.on_timer(self.now, gauges or told))
         self.apply(self.manager.decide(self.now))
         self.batch.clear()
         self.check()
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -105,7 +105,7 @@
                 self.apply(ticket.run_ended(self.now, self.now - ticket.arrived, Outcome.GOOD))
         if self.now >= self.wake:
             busy = min(1.0, len(self.left) / 6)
-            self.apply(self.manager.wake(self.now, {"on_cores": len(self.left), "core_use": busy}))
+            self.apply(self.manager.on_timer(self.now, {"on_cores": len(self.left), "core_use": busy}))
         self.apply(self.manager.decide(self.now))
         self.open = {ident: ticket for ident, ticket in self.open.items() if not ticket.closed}
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -8,7 +8,7 @@
 def test_over_share_tickets_rank_below_all_others() -> None:
     world = crowded()
     world.manager.facts = World(1, quotas=(0.1, 100.0)).facts
-    world.manager.rates, world.manager.quota_parts = {0: 200.0, 1: 100.0}, [1.0, 1.0]
+    world.manager.rates, world.manager.quota_scale = {0: 200.0, 1: 100.0}, [1.0, 1.0]
     flood, fair = world.arrive(0, 0.4, team=0), world.arrive(0, 0.99, team=1)
     world.turn(FULL)
     assert world.tickets[flood].priority < 0.1 and world.tickets[fair].priority == 0.99
@@ -91,14 +91,14 @@
         for _ in range(200):
             world.arrive(0, 0.5, left=left * MS)
             pass_time(world, 20, gauges)
-            world.manager.rejected_part = 0.2
+            world.manager.rejection_rate = 0.2
         assert world.figures.get(Step.IDLE, base) == base // parts
     world = World(1, 400, quotas=())
     for _ in range(100):  # the first case again, once dismissed tickets come back with part of their time
         for n in range(8):
             world.arrive(0, 0.5, left=(5000 if n % 4 else 2000 + 37 * (world.now // MS % 59)) * MS)
         pass_time(world, 20, FULL)
-    assert world.manager.retried_part > 0.1 and world.figures.get(Step.IDLE, base) == base
+    assert world.manager.retry_rate > 0.1 and world.figures.get(Step.IDLE, base) == base
 
 
 def test_a_try_with_part_of_the_outer_limit_left_is_as_old_as_the_rest() -> None:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -91,7 +91,7 @@
             pass_time(world, 10, IDLE)
         held = [world.arrive(0, 0.5, left=left * MS) for _ in range(5)][4]
         for _ in range(100):
-            world.manager.shed, world.manager.rejected_part = shed, 0.2
+            world.manager.shed, world.manager.rejection_rate = shed, 0.2
             pass_time(world, 10, FULL)
         assert (held not in world.answers) is stretched
 
@@ -199,7 +199,7 @@
     burst, most = manager.call_burst, manager.max_calls
     left = {}
     for part in (0.5, 1.0, 2.0):
-        manager.set_fleet_parts(part, [])
+        manager.set_fleet_scale(part, [])
         manager.spent = burst
         manager.update_controls(manager.updated + 100 * MS)
         left[part] = burst - manager.spent
@@ -210,7 +210,7 @@
 def test_a_customers_share_follows_its_part_of_the_quota() -> None:
     def expects(part: float) -> float:
         world = World(1, quotas=(6.0, 6.0))
-        world.manager.set_fleet_parts(1.0, [part, 1.0])
+        world.manager.set_fleet_scale(1.0, [part, 1.0])
         for _ in range(200):  # ten a second of a share of six
             ticket = world.tickets[world.arrive(0, 0.5)]
             pass_time(world, 100, IDLE)
