--- a/crowwing/routing/request_admission.py
+++ b/crowwing/routing/request_admission.py
@@ -1,6 +1,6 @@
 """Hands a request to the decision module, whose handle takes its news from then on."""
 
-from crowwing.logic.manager import LoadManager
+from crowwing.logic.load_manager import LoadManager
 from crowwing.protocol.arrival import Arrival
 from crowwing.routing.open_request import OpenRequest
 
@@ -18,7 +18,7 @@
     """Makes the module take a request, and keeps its handle."""
     # A stamp ahead of our clock counts as now: the machine's clock may have stepped between the two readings.
     arrived = min(now, arrival.arrived)
-    request.handle = manager.take(
+    request.handle = manager.receive(
         now,
         request.id,
         kind,
