--- a/crowwing/contract.py
+++ b/crowwing/contract.py
@@ -1,6 +1,6 @@
-"""The types between the decision module and whatever carries its tickets. No decisions live here.
+"""The types at the boundary of the decision module. No decisions are made here.
 
-Times are whole microseconds on one clock that only goes forward.
+Times are whole microseconds of one monotonic clock.
 """
 
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 
 class Idempotency(Enum):
-    """What may happen to a ticket that comes again."""
+    """Whether a request may be run again: always, once per idempotency key, or never."""
 
     IDEMPOTENT = auto()
     KEYED = auto()
@@ -17,7 +17,7 @@
 
 
 class Halt(Enum):
-    """What becomes of running work that is stopped."""
+    """What a halt does to a running request: not supported, its work is discarded, or frozen."""
 
     NONE = auto()
     DISCARD = auto()
@@ -25,7 +25,7 @@
 
 
 class LoadSignal(Enum):
-    """How those who send read the free value: not at all, or as one of three kinds."""
+    """How callers read FREE_VALUE: not at all, as a least priority, as open requests each, or as a weight."""
 
     NONE = auto()
     FLOOR = auto()
@@ -34,7 +34,7 @@
 
 
 class Outcome(Enum):
-    """How a run or a call ended, as far as its repetition matters."""
+    """How a run or a call ended, as far as it matters for a retry."""
 
     GOOD = auto()
     FAILED = auto()
@@ -44,76 +44,76 @@
 
 
 class Step(Enum):
-    """What the module asks for. A result is (step, ticket or None, figure)."""
-
-    RUN = auto()
-    HALT = auto()
-    DISMISS = auto()  # figure: for how long to stay away; another backend may be tried
-    DISMISS_ALL = auto()  # the same, and no other backend should be tried
-    FORFEIT = auto()
-    CALL = auto()  # figure: give up after
-    GO_ON = auto()
-    KEEP = auto()  # figure: for how long
-    FORGET = auto()
-    SHARE = auto()
-    READY = auto()  # health checks are answered good, from store
-    UNREADY = auto()  # health checks are answered bad, from store
-    FREE_VALUE = auto()  # figure: the value
-    IDLE = auto()  # figure: connections that carry nothing for so long are closed
-    WAKE = auto()  # figure: in so long
+    """What the module asks for. A result is (step, request or None, figure); times are in microseconds."""
+
+    RUN = auto()  # start or continue the run
+    HALT = auto()  # stop the run
+    DISMISS = auto()  # reject, another backend may be tried; figure: retry-after
+    DISMISS_ALL = auto()  # reject, no other backend should be tried; figure: retry-after
+    FORFEIT = auto()  # answer with an error: it may have run
+    CALL = auto()  # make its downstream call; figure: time-out
+    GO_ON = auto()  # continue the run without its call
+    KEEP = auto()  # keep a deduplication entry; figure: for how long
+    FORGET = auto()  # remove the deduplication entry
+    SHARE = auto()  # answer with the result of the earlier attempt
+    READY = auto()  # answer health checks with success from now on
+    UNREADY = auto()  # answer health checks with failure from now on
+    FREE_VALUE = auto()  # report the spare capacity; figure: its value, read as LoadSignal says
+    IDLE = auto()  # figure: the idle time-out of connections
+    WAKE = auto()  # set the wake-up timer; figure: its delay
 
 
 Result = tuple[Step, Any, float]
-Id = int | str  # of a ticket, as the wire gives it
+Id = int | str  # of a request, as the wire gives it
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One traffic type of a deployment."""
+    """One request class of a deployment."""
 
     latency_target: int
     deadline: int
     idempotency: Idempotency
-    dedup_window: int  # labelled: how long a repeat may follow
-    makes_calls: bool  # may call what lies below
-    partial_value: float  # part of the credit that is left without its calls
-    value: float = 1.0  # what an answer is worth
+    dedup_window: int  # for how long a keyed request may be retried
+    makes_calls: bool  # runs may call the downstream
+    partial_value: float  # the part of the value of an answer given without the calls
+    value: float = 1.0  # of an answer, relative to other classes
 
 
 @dataclass(frozen=True, slots=True)
 class ServerFacts:
-    """The facts that a backend is told at its start."""
+    """The facts that a backend is given at its start."""
 
     classes: tuple[RequestClass, ...]
-    quotas: tuple[float, ...]  # tickets a second within each customer's share, over the fleet
-    over_quota_value: float
-    backends: int
+    quotas: tuple[float, ...]  # of each customer: requests a second over all backends
+    over_quota_value: float  # the part of its value that a request beyond the quota has
+    backends: int  # the size of the fleet
     cores: int
     memory_kb: float
-    run_factor: float
-    key_kb: float
+    run_factor: float  # memory of a running request, in sizes of a queued one
+    key_kb: float  # memory of a deduplication entry
     halt: Halt
     signal: LoadSignal
-    max_retry_after: int  # 0: advice to stay away is not passed on
-    max_per_core: float  # tickets on the cores for each core that a warm backend survives
-    cold: bool
-    cold_speed: float
-    warm_up: int
-    call_quota: float  # this backend's part of the calls that what lies below survives; 0: none
-    quota_window: int
-    linger: int
-    cache_ttl: int
-    max_idle_time: int  # after this time callers close idle connections themselves
-    answer_slack: int
-    drain_grace: int
+    max_retry_after: int  # 0: callers get no retry-after
+    max_per_core: float  # concurrent runs for each core that a warm backend survives
+    cold: bool  # starts cold and has to warm up
+    cold_speed: float  # the part of its full speed that a cold backend has
+    warm_up: int  # the time from the start to full speed
+    call_quota: float  # mean concurrent calls allowed to this backend; 0: no limit
+    quota_window: int  # the time over which the mean of calls is taken
+    linger: int  # for how long a call given up still occupies the downstream
+    cache_ttl: int  # for how long results of idempotent requests are shared
+    max_idle_time: int  # after which callers close idle connections themselves
+    answer_slack: int  # by which an answer may miss its deadline
+    drain_grace: int  # for how long requests may still arrive after the drain began
 
 
 @dataclass(frozen=True, slots=True)
 class WireNames:
-    """What the wires call things; the module knows only their places in these lists."""
+    """Names on the wire; the decision module knows only their indices."""
 
     classes: tuple[str, ...]
     customers: tuple[str, ...]
     gauges: tuple[str, ...]
-    passes_deadline: bool  # each ticket says how long its caller waits
+    passes_deadline: bool  # each request tells its caller's deadline
     deep_checks: bool
--- a/crowwing/ranked_window.py
+++ b/crowwing/ranked_window.py
@@ -1,4 +1,4 @@
-"""The newest values of several kinds, each in ascending order, and all of them together."""
+"""Sliding windows of the newest values in ascending order, of one kind and of several kinds."""
 
 from bisect import bisect_left, insort
 from collections import deque
@@ -9,7 +9,7 @@
 
 
 class RankedWindow(Generic[Number]):
-    """The newest values of one kind."""
+    """The newest values, ranked."""
 
     def __init__(self, size: int) -> None:
         self._size = size
@@ -24,7 +24,7 @@
         return iter(self._newest)
 
     def add(self, value: Number) -> Number | None:
-        """Takes one in; gives the oldest, where that is dropped for it."""
+        """Adds a value; returns the oldest one if that is evicted for it."""
         oldest = self._newest.popleft() if len(self._newest) >= self._size else None
         if oldest is not None:
             del self.ranked[bisect_left(self.ranked, oldest)]
@@ -34,7 +34,7 @@
 
 
 class RankedWindows(Generic[Number]):
-    """The newest values of each of several kinds."""
+    """The newest values of each of several kinds, ranked by kind and over all kinds."""
 
     def __init__(self, kinds: int, size: int) -> None:
         self._windows: list[RankedWindow[Number]] = [RankedWindow(size) for _ in range(kinds)]
@@ -48,7 +48,7 @@
         return iter(self._windows)
 
     def add(self, kind: int, value: Number) -> None:
-        """Takes a value of a kind in."""
+        """Adds a value of a kind."""
         oldest = self._windows[kind].add(value)
         if oldest is not None:
             del self.ranked[bisect_left(self.ranked, oldest)]
--- a/crowwing/simulator_adapter/__init__.py
+++ b/crowwing/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module on the wire of the simulator: frames, adapter and the command that runs them."""
+"""Runs the decision module on the simulator's wire: frames, adapter and command."""
--- a/crowwing/simulator_adapter/__main__.py
+++ b/crowwing/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""The command: batches on standard input, replies on standard output, until the input ends."""
+"""The command: reads batches from standard input and writes replies to standard output until it ends."""
 
 import sys
 
@@ -12,14 +12,15 @@
     adapter = Adapter()
     try:
         while (batch := frames.read_batch(source)) is not None:
-            frames.write_reply(sink, adapter.batch(*batch))
-    except (frames.BadFrame, InvalidSettingsError) as wrong:
-        print(f"crowwing.simulator_adapter: {wrong}", file=sys.stderr)
+            frames.write_reply(sink, adapter.process_batch(*batch))
+    except (frames.InvalidFrameError, InvalidSettingsError) as error:
+        print(f"crowwing.simulator_adapter: {error}", file=sys.stderr)
         return 2
-    except InternalError as defect:
-        frames.write_reply(sink, [frames.internal_error(defect.who, str(defect))])
+    except InternalError as error:
+        frames.write_reply(sink, [frames.internal_error(error.instance, str(error))])
         print(
-            f"crowwing.simulator_adapter: internal error in instance {defect.who}: {defect}", file=sys.stderr
+            f"crowwing.simulator_adapter: internal error in instance {error.instance}: {error}",
+            file=sys.stderr,
         )
         return 1
     except (BrokenPipeError, KeyboardInterrupt):
