--- a/tests/decision_recording.py
+++ b/tests/decision_recording.py
@@ -1,6 +1,6 @@
-"""Plays the decision module by seed and digests each step that it takes: the same steps give the same digest.
+"""Runs the decision module on random events by seed, and digests every step that it takes.
 
-`python -m tests.decision_recording` writes tests/recorded/decisions.json, of the version that is checked out.
+`python -m tests.decision_recording` writes tests/recorded/decisions.json for the version that is checked out.
 """
 
 import hashlib
@@ -16,7 +16,7 @@
 
 FILE = Path(__file__).parent / "recorded" / "decisions.json"
 SEEDS = range(12)
-MOMENTS = 700
+TICKS = 700
 VARIANTS: dict[str, dict[str, Any]] = {
     "plain": {},
     "without halts and signals": {"halt": Halt.NONE, "signal": LoadSignal.NONE, "quotas": ()},
@@ -27,8 +27,8 @@
 }
 
 
-class Play:
-    """One life of one backend, with news drawn by chance."""
+class RecordedRun:
+    """One incarnation of one backend with random events."""
 
     def __init__(self, variant: str, seed: int) -> None:
         self._random = random.Random(f"{variant}/{seed}")
@@ -41,31 +41,31 @@
         self.lines: list[str] = []
 
     def run(self) -> None:
-        """Plays all moments."""
-        self._note(self.manager.begin(self._now))
-        for number in range(MOMENTS):
+        """Runs all ticks."""
+        self._record(self.manager.begin(self._now))
+        for number in range(TICKS):
             self._now += self._random.randint(1, 30 if number % 200 < 120 else 90) * MS
-            for results in self._news(number):
-                self._note(results)
-            self._note(self.manager.decide(self._now))
-            self._requests = {key: held for key, held in self._requests.items() if not held.closed}
+            for results in self._events(number):
+                self._record(results)
+            self._record(self.manager.decide(self._now))
+            self._requests = {key: request for key, request in self._requests.items() if not request.closed}
             manager = self.manager
             self.lines.append(
                 f"{manager.limit!r} {manager.threshold!r} {manager.timeouts} {manager.call_limit!r}"
             )
 
-    def _note(self, results: list[Result]) -> None:
+    def _record(self, results: list[Result]) -> None:
         for step, request, figure in results:
             if step is Step.WAKE:
                 self._wake_at = self._now + round(figure)
             self.lines.append(f"{step.name} {request.id if request else '-'} {figure!r}")
 
-    def _news(self, number: int) -> Iterator[list[Result]]:
+    def _events(self, number: int) -> Iterator[list[Result]]:
         draw = self._random
         for _ in range(draw.randint(0, 6 if number % 200 < 120 else 1)):
-            self._take()
+            self._arrive()
         for request in list(self._requests.values()):
-            yield from self._news_of(request)
+            yield from self._events_of(request)
         if self._now >= self._wake_at:
             gauges = (
                 {"on_cores": draw.uniform(0, 8), "core_use": draw.random()} if draw.random() < 0.9 else {}
@@ -77,23 +77,23 @@
             self.manager.set_fleet_scale(
                 draw.uniform(0.5, 1.5), [draw.uniform(0.5, 1.5) for _ in self._facts.quotas]
             )
-        if number == MOMENTS - 60:
+        if number == TICKS - 60:
             yield self.manager.drain(self._now, self._now + 3000 * MS)
 
-    def _take(self) -> None:
+    def _arrive(self) -> None:
         draw = self._random
         self._next_id += 1
         arrived = self._now - draw.choice((0, 0, 0, 20, 700)) * MS
         repeats = draw.choice(list(self._requests)) if self._requests and draw.random() < 0.2 else 0
         due = arrived + draw.choice((5000, 5000, 2500, 900)) * MS if draw.random() < 0.8 else 0
-        team = draw.randrange(len(self._facts.quotas)) if self._facts.quotas else 0
+        customer = draw.randrange(len(self._facts.quotas)) if self._facts.quotas else 0
         self._requests[self._next_id] = self.manager.receive(
-            self._now, self._next_id, draw.randrange(3), team, draw.random(), draw.uniform(5, 60), arrived,
-            due, draw.randrange(7), repeats, draw.choice((0, 0, 5, 6)), draw.random() < 0.3,
+            self._now, self._next_id, draw.randrange(3), customer, draw.random(), draw.uniform(5, 60),
+            arrived, due, draw.randrange(7), repeats, draw.choice((0, 0, 5, 6)), draw.random() < 0.3,
             draw.random() < 0.05,
         )  # fmt: skip
 
-    def _news_of(self, request: Any) -> Iterator[list[Result]]:  # noqa: ANN401
+    def _events_of(self, request: Any) -> Iterator[list[Result]]:  # noqa: ANN401
         draw, now = self._random, self._now
         took = draw.choice((60, 200, 300, 900, 2500)) * MS
         if draw.random() < 0.12:
@@ -107,14 +107,14 @@
 
 
 def digest(variant: str, seed: int) -> str:
-    """What all steps of one play come to."""
-    play = Play(variant, seed)
-    play.run()
-    return hashlib.sha256("\n".join(play.lines).encode()).hexdigest()
+    """The digest of all steps of one run."""
+    recorded_run = RecordedRun(variant, seed)
+    recorded_run.run()
+    return hashlib.sha256("\n".join(recorded_run.lines).encode()).hexdigest()
 
 
 def digests() -> dict[str, list[str]]:
-    """All plays."""
+    """The digests of all runs."""
     return {variant: [digest(variant, seed) for seed in SEEDS] for variant in VARIANTS}
 
 
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""The wire: the page's own example, and input that is not of this wire."""
+"""The simulator's wire: the example of its specification, and invalid input."""
 
 import subprocess
 import sys
@@ -21,14 +21,14 @@
     )
 
 
-def drill(raw: bytes) -> subprocess.CompletedProcess:
+def run_adapter(raw: bytes) -> subprocess.CompletedProcess:
     return subprocess.run(
         [sys.executable, "-m", "crowwing.simulator_adapter"], input=raw, capture_output=True, timeout=30
     )
 
 
 def test_empty_batches_get_empty_replies_until_the_input_ends() -> None:
-    done = drill(EMPTY + EMPTY)
+    done = run_adapter(EMPTY + EMPTY)
     assert (done.returncode, done.stdout, done.stderr) == (0, bytes(16), b"")
 
 
@@ -46,8 +46,8 @@
         (hello(b'{"family_info": 3, "invariants": {}}'), b"settings"),
     ],
 )
-def test_bad_input_ends_with_one_plain_line(raw: bytes, word: bytes) -> None:
-    done = drill(raw)
+def test_invalid_input_ends_with_one_line_on_standard_error(raw: bytes, word: bytes) -> None:
+    done = run_adapter(raw)
     assert done.returncode != 0 and done.stdout == b""
     assert done.stderr.count(b"\n") == 1 and b"Traceback" not in done.stderr
     assert any(part in done.stderr for part in word.split(b"|"))
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys on the sockets: one run for each piece of work, and its result for every repeat."""
+"""Idempotency keys over sockets: one run for each key, and its result for every repeat."""
 
 import asyncio
 import copy
@@ -20,7 +20,7 @@
 
 
 def keyed(window: float = 20000.0, **family: object) -> dict:
-    """`look` (calls below) and `book` by key, `pay` irreversible."""
+    """`look` (with downstream calls) and `book` are keyed, `pay` is non-idempotent."""
     changed = copy.deepcopy(SETTINGS)
     for lane in changed["lanes"][:2]:
         lane |= {"semantics": "keyed", "dedup_window": window}
@@ -38,7 +38,7 @@
 
 
 async def begun(town: Town, n: int, **changes: object) -> asyncio.Task:
-    """A ticket with a key whose run is on, and stays so until the test ends it."""
+    """A keyed request that runs until the test ends it."""
     town.farm.hold = True
     asked = again(town, n, **changes)
     await running(town, n)
@@ -49,7 +49,7 @@
     return sum(town.farm.begun.values())
 
 
-def test_a_repeat_of_what_runs_waits_for_its_result_and_one_of_what_was_answered_has_it_at_once() -> None:
+def test_a_repeat_of_a_run_waits_for_its_result_and_one_of_an_answered_request_has_it_at_once() -> None:
     async def scene(town: Town) -> None:
         first = await begun(town, 1)
         second = again(town, 2)
@@ -58,14 +58,14 @@
         result = town.farm.result(ident(1))
         assert [(await asked)[::2] for asked in (first, second)] == [(200, result)] * 2
         assert (await again(town, 3))[::2] == (200, result)
-        assert (await again(town, 1))[::2] == (200, result)  # the very same try, after a crossed close
+        assert (await again(town, 1))[::2] == (200, result)  # resent over a new connection
         assert town.farm.begun == {ident(1): 1}
         town.check()
 
     play_in(Town(keyed()), scene)
 
 
-def test_a_repeat_of_what_waits_for_a_call_makes_none_of_its_own() -> None:
+def test_a_repeat_of_a_request_that_waits_for_a_call_makes_none_of_its_own() -> None:
     async def scene(town: Town) -> None:
         held: list[bytes] = []
         town.below.usual = lambda head, body: held.append(body) or "hang"
@@ -82,7 +82,7 @@
     play_in(Town(keyed()), scene)
 
 
-def test_a_repeat_takes_the_place_of_a_first_try_that_still_waits_to_run() -> None:
+def test_a_repeat_replaces_a_first_attempt_that_is_still_queued() -> None:
     async def scene(town: Town) -> None:
         town.farm.hold = True
         town.backend.dispatcher.manager.limit = 0.0
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize(("after", "begun"), [(-20, 1), (0, 1), (1, 2)])
-def test_the_window_counts_from_the_arrival_of_the_try_that_ran(after: int, begun: int) -> None:
+def test_the_window_counts_from_the_arrival_of_the_attempt_that_ran(after: int, begun: int) -> None:
     async def scene(town: Town) -> None:
         stamp = town.backend.dispatcher.now() // MS - 300
         assert (await again(town, 1, X_Ingress_Time=str(stamp)))[0] == 200
@@ -115,7 +115,7 @@
     play_in(Town(keyed(600.0)), scene)
 
 
-def test_a_stamp_ahead_of_our_clock_takes_no_repeat_out_of_its_window() -> None:
+def test_a_time_stamp_ahead_of_the_clock_takes_no_repeat_out_of_its_window() -> None:
     async def scene(town: Town) -> None:
         assert (await again(town, 1))[0] == 200
         ahead = str(town.backend.dispatcher.now() // MS + 60_000)
@@ -125,7 +125,7 @@
     play_in(Town(keyed()), scene)
 
 
-def test_a_window_that_ends_while_the_run_is_on_starts_no_second_run_beside_it() -> None:
+def test_a_window_that_ends_during_the_run_starts_no_second_run() -> None:
     async def scene(town: Town) -> None:
         first = await begun(town, 1)
         over = town.backend.dispatcher.repeats.ids[ident(1)].until
@@ -144,7 +144,7 @@
     play_in(Town(keyed(50.0)), scene)
 
 
-def test_a_run_that_failed_is_not_run_again_and_one_that_never_was_may_be() -> None:
+def test_a_failed_run_is_not_repeated_and_a_request_that_never_ran_may_run() -> None:
     async def scene(town: Town) -> None:
         first = await begun(town, 1)
         second = again(town, 2)
@@ -164,7 +164,7 @@
     play_in(Town(keyed()), scene)
 
 
-def test_a_repeat_whose_own_time_is_up_is_answered_while_the_run_goes_on() -> None:
+def test_a_repeat_past_its_deadline_is_answered_while_the_run_continues() -> None:
     async def scene(town: Town) -> None:
         first = await begun(town, 1)
         assert (await again(town, 2, left=200))[0] == 500
@@ -175,7 +175,7 @@
     play_in(Town(keyed()), scene)
 
 
-def test_no_result_reaches_another_customer_type_or_body() -> None:
+def test_no_result_reaches_another_customer_class_or_body() -> None:
     async def scene(town: Town) -> None:
         assert (await again(town, 1))[0] == 200
         east = await again(town, 2, X_Merchant="acme-east")
@@ -185,7 +185,7 @@
         assert (await again(town, 4, body=b"fished"))[0] == 400  # its key, another body
         assert (await again(town, 1, body=b"fished"))[0] == 400  # its id and key, another body
         assert (await again(town, 1, X_Merchant="acme-east"))[0] == 400  # its id, another customer
-        for n in (5, 6):  # no key: each stands for itself
+        for n in (5, 6):  # without a key each runs on its own
             assert (await ask_one(town, n))[2] == town.farm.result(ident(n))
         assert (await again(town, 7, key="x" * 256))[0] == 400
         town.farm.hold = True
@@ -199,7 +199,7 @@
 
 
 @pytest.mark.parametrize("kind", ["book", "pay"])
-def test_an_ended_irreversible_or_keyed_try_under_another_customer_is_never_launched_again(kind: str) -> None:
+def test_an_ended_non_idempotent_or_keyed_request_never_runs_again_under_another_customer(kind: str) -> None:
     async def scene(town: Town) -> None:
         assert (await again(town, 1, kind=kind))[0] == 200
         assert (await again(town, 1, key="k9", kind=kind, X_Merchant="acme-east"))[0] == 400
@@ -209,11 +209,11 @@
     play_in(Town(keyed()), scene)
 
 
-def test_a_launch_by_key_is_not_sent_again_over_a_new_link() -> None:
-    """Sent again it could cross the end of the run that it began, and run a second time."""
+def test_the_launch_of_a_keyed_request_is_not_resent_over_a_new_connection() -> None:
+    """The resent command could arrive after the end of the run that it began, and start a second one."""
 
     async def scene(town: Town) -> None:
-        town.farm.mute = town.farm.hold = True  # nothing proves that a command arrived
+        town.farm.mute = town.farm.hold = True  # commands are not acknowledged
         first = again(town, 1)
         await running(town, 1)
         assert town.backend.dispatcher.send.unproven
@@ -226,7 +226,7 @@
 
 
 @pytest.mark.parametrize("kind", ["book", "pay"])
-def test_a_run_stopped_though_nobody_asked_does_not_run_a_second_time(kind: str) -> None:
+def test_a_run_that_stopped_without_a_halt_does_not_run_a_second_time(kind: str) -> None:
     async def scene(town: Town) -> None:
         town.farm.hold = True
         first = again(town, 1, kind=kind)
@@ -238,7 +238,7 @@
     play_in(Town(keyed()), scene)
 
 
-def test_a_caller_that_goes_while_its_repeat_waits_leaves_the_first_alone() -> None:
+def test_a_caller_that_leaves_while_its_repeat_waits_does_not_affect_the_first() -> None:
     async def scene(town: Town) -> None:
         first = await begun(town, 1)
         side = await Sidecar(town).open()
@@ -255,10 +255,10 @@
     play_in(Town(keyed()), scene)
 
 
-# The table by itself
+# The retry table by itself
 
 
-def slip_of(n: int, window: int = 1000, outer: int = 5000, arrived: int = 0) -> OpenRequest:
+def keyed_request(n: int, window: int = 1000, outer: int = 5000, arrived: int = 0) -> OpenRequest:
     arrival = SimpleNamespace(
         id=ident(n), type="book", body=b"b", customer="", sidecar=1, kb=1.0, rank=0.5, key=f"k{n}"
     )
@@ -278,10 +278,10 @@
         return super().get(*given)
 
 
-def test_entries_go_as_their_time_ends_at_constant_work_for_each() -> None:
+def test_entries_expire_at_constant_cost_for_each() -> None:
     table = RetryTable(lambda request, result: None)
     for n in range(3000):
-        request = slip_of(n, arrived=n)
+        request = keyed_request(n, arrived=n)
         table.began(request, n)
         table.ended(request, True, True, b"r" * 100)
         table.closed(request)
@@ -295,23 +295,23 @@
     assert not table.entries and not table.ids and not table.ends
 
 
-def test_an_entry_whose_ticket_is_open_outlives_its_window_and_goes_with_it() -> None:
-    table, first = RetryTable(lambda request, result: None), slip_of(1)
+def test_the_entry_of_an_open_request_outlives_its_window_and_goes_with_it() -> None:
+    table, first = RetryTable(lambda request, result: None), keyed_request(1)
     table.keep(first, 1000)
     table.began(first, 0)
     for now in range(0, 30_000_000, 500_000):
         table.expire(now)
-    assert table.first(slip_of(1), 29_000_000) == first.id
+    assert table.first(keyed_request(1), 29_000_000) == first.id
     table.closed(first)
     table.expire(60_000_000)
     assert not table.entries and not table.ids and not table.ends
 
 
-def test_forgetting_and_keeping_again_leaves_one_entry_that_ends() -> None:
+def test_removing_and_adding_again_leaves_one_entry_that_expires() -> None:
     told: list = []
     table = RetryTable(lambda request, result: told.append((request.id, result)))
     for n in range(50):
-        request = slip_of(1, arrived=n)
+        request = keyed_request(1, arrived=n)
         request.id = ident(n)
         table.keep(request, 1000)
         table.forget(request)
@@ -321,21 +321,21 @@
     assert not table.ends and not told
 
 
-def test_two_bodies_under_one_key_in_one_moment_are_told_apart() -> None:
-    table, one, two = RetryTable(lambda request, result: None), slip_of(1), slip_of(1)
+def test_two_bodies_under_one_key_at_one_time_are_distinguished() -> None:
+    table, one, two = RetryTable(lambda request, result: None), keyed_request(1), keyed_request(1)
     two.content = hash(b"other")
     assert table.first(one, 0) == ""
     with pytest.raises(InvalidRequestError):
         table.first(two, 0)
     table.expire(0)
-    assert table.first(two, 0) == ""  # the other was of another moment, and nothing of it is kept
+    assert table.first(two, 0) == ""  # the other came at another time, and nothing of it is kept
 
 
-# As `run` starts it, with every effect that settings can name
+# As `run` starts the process, with every effect that settings can name
 
 
 @pytest.mark.parametrize("halt", ["none", "discard", "freeze"])
-def test_every_effect_starts_and_is_served(tmp_path: Path, halt: str) -> None:
+def test_the_process_serves_with_every_halt_setting(tmp_path: Path, halt: str) -> None:
     async def scene(street: Street) -> None:
         await street.event("ready")
         side: Callable = Sidecar(street).open
@@ -344,7 +344,7 @@
             assert one[0] == 200 and one[2] == street.farm.result(ident(n))
         again = await (await side()).ask(Sidecar.ticket(ident(11), "book", X_Txn_Key="key book"))
         assert again[2] == street.farm.result(ident(1)) and ident(11) not in street.farm.begun
-        # A call that fails for good: an answer without it would be worth something, but no command says so.
+        # A call that fails for good: an answer without it would have a value, but no command asks for one.
         street.below.usual = lambda head, body: reply(500)
         failed = await (await side()).ask(Sidecar.ticket(ident(12), "look", X_Txn_Key="other"))
         assert failed[0] == 500
@@ -355,7 +355,7 @@
     live_in(Street(tmp_path, settings, stop=1000), scene)
 
 
-def test_names_that_are_not_plain_words_or_begin_one_another_are_told_apart() -> None:
+def test_names_with_special_characters_or_common_prefixes_are_distinguished() -> None:
     names = ["dock", "dock-east", "pilot & tow", "ümlaut-line"]
     changed = copy.deepcopy(SETTINGS) | {"realms": [{"name": name, "quota_per_s": 9.0} for name in names]}
     changed["lanes"][1]["name"] = "réserve 1"
--- a/tests/test_module_at_size.py
+++ b/tests/test_module_at_size.py
@@ -1,5 +1,5 @@
-"""What one ticket costs the module stays the same among many customers and many traffic types, and what is
-decided stays what the plain rules say."""
+"""A request costs the decision module the same for any number of customers and request classes, and its
+incremental results equal those of the plain algorithms."""
 
 import random
 from collections import deque
@@ -26,32 +26,32 @@
 
 
 def share(world: World, team: int) -> float:
-    """What a ticket of this customer can expect, come now."""
+    """The part of its value that a request of this customer can expect now."""
     return world.manager.expected_value(world.tickets[world.arrive(0, 0.5, team=team)], world.now)
 
 
-def test_a_ticket_touches_its_own_customer_alone() -> None:
+def test_a_request_touches_the_state_of_its_own_customer_only() -> None:
     world = World(1, quotas=(0.01,) * TENANTS)
     for team in range(10):
         share(world, team * 1000)
-    assert len(world.manager.rates) == 10, "nothing is kept for customers that did not come"
+    assert len(world.manager.rates) == 10, "customers without requests have no entry"
 
 
-def test_customers_that_stay_away_are_forgotten() -> None:
+def test_idle_customers_are_removed() -> None:
     world = World(1, quotas=(0.01,) * 1000)
     for team in range(1000):
         share(world, team)
-    for _ in range(1000):  # another one goes on, a ticket in 200 ms
+    for _ in range(1000):  # another one continues with a request in 200 ms
         world.now += 200 * MS
         share(world, 7)
     assert set(world.manager.rates) == {7}
     world.now += QUOTA_WINDOW
     share(world, 9)
-    assert set(world.manager.rates) == {9}, "a span without a ticket empties it at once"
+    assert set(world.manager.rates) == {9}, "a window without any request removes all others"
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_what_a_customer_can_expect_is_what_fading_every_count_says(seed: int) -> None:
+def test_the_expected_value_is_as_if_every_count_decayed(seed: int) -> None:
     chance = random.Random(seed)
     world = World(1, quotas=(5.0, 0.5, 80.0, 1.0))
     flow, at = [0.0] * 4, world.now
@@ -72,18 +72,18 @@
 
 
 def ended(manager: LoadManager, world: World, kind: int, took: int) -> None:
-    """A run of this type ended by itself."""
+    """A run of this class ended by itself."""
     t = world.tickets[world.arrive(0, 0.5)]
     t.class_id = kind
     manager.record_run(t, took, good=True)
 
 
-def test_the_end_of_a_run_compares_as_little_among_many_traffic_types() -> None:
+def test_the_end_of_a_run_takes_as_few_comparisons_with_many_classes() -> None:
     most = {}
     for count in (8, 40):
         manager, world, chance = of_types(count), World(1), random.Random(2)
         for kind in range(count):
-            for _ in range(MIN_SAMPLES - 1):  # all of them go by the runs of all
+            for _ in range(MIN_SAMPLES - 1):  # all of them use the runs of all
                 ended(manager, world, kind, Counted(chance.randrange(500 * MS)))
         Counted.compared = 0
         ended(manager, world, 3, Counted(chance.randrange(500 * MS)))
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_what_is_learned_of_runs_is_what_sorting_all_of_them_says(seed: int) -> None:
+def test_time_outs_and_medians_are_those_of_sorting_all_runs(seed: int) -> None:
     chance, world, count = random.Random(seed), World(1), 6
     manager = of_types(count)
     runs = [deque(maxlen=SAMPLES) for _ in range(count)]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Seeded random runs of the module; World checks the four rules after every step."""
+"""Random runs of the decision module by seed; World checks its invariants after every step."""
 
 import random
 
@@ -20,7 +20,7 @@
         max_retry_after=chance.choice([0, 1000 * MS]),
         quotas=chance.choice([(), (30.0, 10.0)]),
     )
-    load = chance.choice([0.5, 3.0])  # tickets a step of 10 ms are a tenth of this
+    load = chance.choice([0.5, 3.0])  # a tenth of this many requests arrive in each step of 10 ms
     drain_at = chance.choice([0, 600])
     for step in range(1500):
         if step == drain_at > 0:
@@ -29,16 +29,16 @@
         for _ in range(3 if chance.random() < load / 30 else int(chance.random() < load / 10)):
             earlier = chance.randrange(1, 40) if chance.random() < 0.5 else 0
             kind = earlier % 3 if earlier else chance.randrange(3)
-            if kind == 2 or world.now // MS % 7 == 0:  # an irreversible ticket does not come again
+            if kind == 2 or world.now // MS % 7 == 0:  # a non-idempotent request is not retried
                 earlier = 0
             work = 1000 * kind + earlier if earlier else 0
             left = chance.choice([0, 0, 400 * MS, 3000 * MS])
             world.arrive(kind, chance.random(), work, chance.randrange(300 * MS), left, chance.randrange(2))
         for op_id, state in list(world.state.items()):
-            ticket, luck = world.tickets[op_id], chance.random()
+            request, luck = world.tickets[op_id], chance.random()
             over = op_id in world.answers or op_id in world.gone
             if state == "running" and luck < 0.05:
-                if luck < 0.02 and ticket.cls.makes_calls and not over:
+                if luck < 0.02 and request.cls.makes_calls and not over:
                     world.needs_call(op_id)
                 else:
                     world.end(op_id, Outcome.FAILED if luck < 0.025 else Outcome.GOOD)
@@ -52,30 +52,30 @@
                 world.state[op_id] = "running" if outcome is Outcome.GOOD else "asking"
                 if outcome is not Outcome.UNSURE:
                     del world.calls[op_id]
-                world.apply(ticket.call_ended(world.now, 50 * MS, outcome))
+                world.apply(request.call_ended(world.now, 50 * MS, outcome))
             elif state == "sharing" and luck < 0.05:
                 world.end(op_id, Outcome.GOOD)
             elif luck > 0.998 and not over:
                 world.gone.add(op_id)
                 if state in ("held", "paused", "sharing"):
                     del world.state[op_id]
-                world.apply(ticket.caller_gone(world.now))
+                world.apply(request.caller_gone(world.now))
         world.turn()
         if world.stop and world.now >= world.stop - 20 * MS:
             break
         world.advance(10)
     if world.stop:
         assert all(op_id in world.answers or op_id in world.gone for op_id in world.tickets), (
-            "all are answered"
+            "every request is answered"
         )
     return world
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_rules_hold(seed: int) -> None:
+def test_invariants_hold(seed: int) -> None:
     world = play(seed)
     assert len(world.answers) > 50
 
 
-def test_the_same_news_give_the_same_steps() -> None:
+def test_the_same_events_give_the_same_steps() -> None:
     assert play(3).log == play(3).log
