--- a/crowwing/logic/admission.py
+++ b/crowwing/logic/admission.py
@@ -4,7 +4,7 @@
 from crowwing.logic.backend_state import MAX_ERROR_RATE, PROBE_RATE, TIMER_INTERVAL, USABLE, BackendState
 from crowwing.logic.request import NEW, QUEUED, SHARING, Request
 
-TOLERANCE, MAX_TIMEOUTS = 20_000, 8  # caller time-outs so close count as one; time-outs kept a class
+TOLERANCE, MAX_TIMEOUTS = 20_000, 8  # caller time-outs so close count as one; number kept for each class
 
 QUOTA_WINDOW = 5_000_000  # the time over which a customer's requests are compared with its quota
 MAX_RATE_UNIT = 1e9  # the unit is reset to 1 from here on, and customers that have decayed away are removed
@@ -44,7 +44,7 @@
 
     def request_age(self, class_id: int, max_age: int, remaining: int) -> int:
         """How old a request was when this attempt arrived. Callers use the same time-out for most attempts; a
-        rare one is what is left of the request's deadline. Retries whose answers are late get no work so.
+        rare one is what is left of the request's deadline. Saves work for retries whose answers are late.
         Wrong for callers with a time-out of their own that send under a 20th: they come last."""
         timeouts = {timeout: 0.99 * weight for timeout, weight in self.caller_timeouts[class_id].items()}
         similar = next((known for known in timeouts if abs(known - remaining) < TOLERANCE), remaining)
--- a/crowwing/logic/feedback.py
+++ b/crowwing/logic/feedback.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-GAIN, RISE, FALL, IDLE_FALL = 0.4, 0.3, 0.15, 0.5  # the threshold's gains: proportional, and three a second
+GAIN, RISE, FALL, IDLE_FALL = 0.4, 0.3, 0.15, 0.5  # threshold: proportional gain, three a second
 TARGET_WAIT = 0.6  # the longest wait, in queue time-outs, that the threshold is steered to
 MAX_CLIMB_DT = 0.1  # seconds; a limit climbs no further in a longer step
 SAMPLES, MIN_SAMPLES = 64, 8  # latencies a class keeps, and those it needs for a P90 of its own
--- a/crowwing/logic/scheduling.py
+++ b/crowwing/logic/scheduling.py
@@ -31,8 +31,8 @@
         """Until when a request may be queued: its queue time-out, while an answer still has its value."""
         if r.has_run and r.cls.idempotency is not Idempotency.IDEMPOTENT:
             return r.deadline
-        # Few cores with long runs: no rejection for a chance wait just before a core is free, while few are
-        # rejected and finally. Too long where run times vary so much that half of the last starts are late.
+        # Extends the time-out for chance waits (few cores, long runs) while few are rejected, none retried.
+        # Too long where run times vary so much that half of the requests started at its end answer late.
         extension = max(0.0, 1 - self.shed / MAX_REJECTION_RATE) if self.rejection_is_final() else 0.0
         extra = max(0, self.budgets[r.class_id] - self.medians[r.class_id] - self.timeouts[r.class_id])
         return min(r.arrived + self.timeouts[r.class_id] + round(extension * extra),
@@ -44,7 +44,7 @@
         return not self.waits_for_call(r) and self.used_memory() + extra <= USABLE * self.facts.memory_kb
 
     def check_deadlines(self, now: int, out: list[Result]) -> None:
-        """Answers requests at their deadlines, repeats halts without effect, and drops expired entries."""
+        """Answers requests at their deadlines, repeats halts without effect, and removes expired records."""
         self.next_check = now + TIMER_INTERVAL // 2
         early = max(0, 2 * TIMER_INTERVAL - self.facts.answer_slack)
         last = self.stop_at - 3 * TIMER_INTERVAL if self.drain_since else now + 1
