--- a/benchmarks/windows.py
+++ b/benchmarks/windows.py
@@ -14,7 +14,7 @@
 
 from probables import BloomFilter, CountMinSketch, CuckooFilter
 
-from crowwing.storm.windows import BloomWindow, CountWindow, CuckooWindow, DictWindow
+from crowwing.storm.fingerprint_windows import BloomWindow, CountWindow, CuckooWindow, DictWindow
 
 S = 1_000_000
 SPAN, MOST, SECONDS = 10 * S, 4000, 60
@@ -41,7 +41,7 @@
         return bool(self.now.check(str(print_)) or self.before.check(str(print_)))
 
     @property
-    def held_bytes(self) -> int:
+    def size_bytes(self) -> int:
         return self.size(self.now) + self.size(self.before)
 
 
@@ -94,7 +94,7 @@
             firsts, wrong = firsts + 1, wrong + seen
             window.add(at, key)
     took = time.perf_counter() - began
-    return wrong / firsts, missed / repeats, took / len(come) * 1e6, window.held_bytes
+    return wrong / firsts, missed / repeats, took / len(come) * 1e6, window.size_bytes
 
 
 def main() -> None:
--- a/crowwing/program/backend.py
+++ b/crowwing/program/backend.py
@@ -100,7 +100,7 @@
     def _make_storm_monitor(self, storm: "SimpleNamespace") -> "StormMonitor":
         # Its libraries are loaded only where it is switched on.
         from crowwing.routing.storm_monitor import StormMonitor
-        from crowwing.storm.returns import Returns
+        from crowwing.storm.retry_scheduler import RetryScheduler
 
         facts, span = self.configuration.facts, round(storm.window_s * 1e6)
         now, types, most = self.dispatcher.now, len(facts.classes), storm.prints_most
@@ -109,7 +109,7 @@
         )
         if storm.paces_returns:
             chance = random.Random(f"{self.configuration.seed}/returns")
-            storm_monitor.returns = Returns(now(), facts.max_retry_after, chance)
+            storm_monitor.retry_scheduler = RetryScheduler(now(), facts.max_retry_after, chance)
         self.front.retry_after = storm.retry_after
         return storm_monitor
 
@@ -293,10 +293,10 @@
                 "call_usual_ms": round(manager.usual_call / 1000, 1),
             }  # fmt: skip
         if self.dispatcher.storm_monitor is not None:
-            view = self.dispatcher.storm_monitor.look()
+            estimate = self.dispatcher.storm_monitor.update()
             running |= {
-                "repeats": round(view.repeats, 3), "tries": round(view.tries, 2), "storm": view.storm,
-                "sure": round(view.sure, 2),
+                "repeats": round(estimate.retry_share, 3), "tries": round(estimate.attempts, 2),
+                "storm": estimate.storm, "sure": round(estimate.confidence, 2),
             }  # fmt: skip
         if self.together is not None:
             running |= self.together.figures()
--- a/crowwing/program/together.py
+++ b/crowwing/program/together.py
@@ -57,7 +57,7 @@
         self.turned: Turned | None = None
         if fleet.shares_prints and dispatcher.storm_monitor is not None:
             self.turned = Turned(self.member.me, random.Random(f"{life}/turned"))
-            dispatcher.storm_monitor.tells = self.turned.add
+            dispatcher.storm_monitor.share_rejection = self.turned.add
         if self.shares:
             dispatcher.came = Counter()  # by customer's place; emptied by each window
 
@@ -113,7 +113,7 @@
         if (told := turned.tell()) is not None:
             self._put(self.link.wall(), *told, TURNED_LIFE)
         if prints := turned.heard(self.member.copies.under("turned/")):
-            self.dispatcher.storm_monitor.elsewhere(prints)
+            self.dispatcher.storm_monitor.record_remote_rejections(prints)
             self.recorder.count("prints_heard", len(prints))
 
     def _teach(self, manager: LoadManager) -> None:
--- a/crowwing/routing/dispatcher.py
+++ b/crowwing/routing/dispatcher.py
@@ -176,7 +176,9 @@
         if self.storm_monitor is not None:
             try:
                 brings = self.manager.caller_weights.get(request.by, 1.0)
-                return self.storm_monitor.away(request.by, brings, round(away), request.handle.deadline)
+                return self.storm_monitor.retry_after(
+                    request.by, brings, round(away), request.handle.deadline
+                )
             except Exception:
                 self._blind("returns", request)
         return away
@@ -185,7 +187,7 @@
         """A final answer went out."""
         if self.storm_monitor is not None:
             try:
-                self.storm_monitor.ended(request.likeness, good)
+                self.storm_monitor.record_outcome(request.likeness, good)
             except Exception:
                 self._blind("lookout", request)
 
@@ -286,7 +288,7 @@
         if self.storm_monitor is not None:
             request.by = arrival.sidecar
             try:
-                request.likeness, again = self.storm_monitor.arrived(arrival, kind)
+                request.likeness, again = self.storm_monitor.record_arrival(arrival, kind)
             except Exception:
                 self._blind("lookout", request)
         admit(self.manager, now, request, arrival, kind, team, repeats, again)
--- a/crowwing/routing/storm_monitor.py
+++ b/crowwing/routing/storm_monitor.py
@@ -8,11 +8,11 @@
 from crowwing.protocol.arrival import Arrival
 from crowwing.routing.event_recorder import EventRecorder
 from crowwing.storm import fingerprint
-from crowwing.storm.returns import Returns
-from crowwing.storm.sight import Sight, View
+from crowwing.storm.detector import StormDetector, StormEstimate
+from crowwing.storm.retry_scheduler import RetryScheduler
 
-EVERY = 100_000  # microseconds between looks at the rates, at the most by the module's wakes
-LIKELY = 0.5  # from which an arrival counts as a repeat
+UPDATE_INTERVAL = 100_000  # microseconds between looks at the rates, at the most by the module's wakes
+RETRY_LIKELIHOOD = 0.5  # from which an arrival counts as a repeat
 
 
 class StormMonitor:
@@ -22,60 +22,67 @@
         self,
         now: Callable[[], int],
         recorder: EventRecorder,
-        types: int,
+        classes: int,
         fields: Sequence[str],
         span: int,
-        most: int,
-        lowers: bool,
+        capacity: int,
+        reports_retries: bool,
     ) -> None:
         """`span` in microseconds and `most` prints: of the sight's windows; `lowers`: the module is told."""
-        self.now, self.recorder, self.fields, self.lowers = now, recorder, fields, lowers
-        self.sight = Sight(now(), types, span, most)
-        self.returns: Returns | None = None  # where returns are paced
-        self.last = now()
-        self.tells: Callable[[int], None] | None = None  # of what was turned away, where a fleet shares it
+        self.now, self.recorder, self.fields, self.reports_retries = now, recorder, fields, reports_retries
+        self.detector = StormDetector(now(), classes, span, capacity)
+        self.retry_scheduler: RetryScheduler | None = None  # where returns are paced
+        self.updated_at = now()
+        self.share_rejection: Callable[[int], None] | None = (
+            None  # of what was turned away, where a fleet shares it
+        )
 
-    def arrived(self, arrival: Arrival, kind: int) -> tuple[int, bool]:
+    def record_arrival(self, arrival: Arrival, request_class: int) -> tuple[int, bool]:
         """The print, and whether the module is to take it for a repeat: only in a storm, and if told to."""
-        now, print_ = self.now(), fingerprint.of(arrival, self.fields)
-        left = arrival.due - arrival.arrived if arrival.due else 0
-        likely = self.sight.arrived(now, kind, print_, left) >= LIKELY
-        if likely:
+        now, digest = self.now(), fingerprint.of(arrival, self.fields)
+        remaining = arrival.due - arrival.arrived if arrival.due else 0
+        likely_retry = self.detector.record_arrival(now, request_class, digest, remaining) >= RETRY_LIKELIHOOD
+        if likely_retry:
             self.recorder.count("likely_repeats")
-        view = self.look()
-        return print_, likely and view.storm and self.lowers
+        estimate = self.update()
+        return digest, likely_retry and estimate.storm and self.reports_retries
 
-    def ended(self, print_: int, good: bool) -> None:
+    def record_outcome(self, digest: int, good: bool) -> None:
         """A final answer went out for a request with this print."""
-        self.sight.ended(self.now(), print_, good)
-        if self.tells is not None and not good:
-            self.tells(print_)
+        self.detector.record_outcome(self.now(), digest, good)
+        if self.share_rejection is not None and not good:
+            self.share_rejection(digest)
 
-    def elsewhere(self, prints: list[int]) -> None:
+    def record_remote_rejections(self, fingerprints: list[int]) -> None:
         """What others of the fleet turned away."""
-        self.sight.elsewhere(self.now(), prints)
+        self.detector.record_remote_rejections(self.now(), fingerprints)
 
-    def away(self, by: int, brings: float, least: int, due: int) -> int:
+    def retry_after(self, caller: int, caller_rate: float, min_delay: int, due: int) -> int:
         """For how long a caller that is dismissed is to stay away, where the module asks for `least`.
 
         In a storm it gets a place of its own to come back, no later than its ticket's due time. What is
         settled now is taken for the room that there is for all who return.
         """
-        if self.returns is None or not least or not self.sight.view.storm:
-            return least
+        if self.retry_scheduler is None or not min_delay or not self.detector.estimate.storm:
+            return min_delay
         now = self.now()
-        return self.returns.advise(now, by, brings, least, due - now, self.sight.good_rate)
+        return self.retry_scheduler.advise(
+            now, caller, caller_rate, min_delay, due - now, self.detector.success_rate
+        )
 
-    def look(self) -> View:
+    def update(self) -> StormEstimate:
         """What is seen now; a storm's begin and end are events."""
-        now, before = self.now(), self.sight.view
-        if now - self.last < EVERY:
+        now, before = self.now(), self.detector.estimate
+        if now - self.updated_at < UPDATE_INTERVAL:
             return before
-        self.last = now
-        view = self.sight.step(now)
-        if view.storm != before.storm:
-            what = "storm" if view.storm else "storm_over"
+        self.updated_at = now
+        estimate = self.detector.update(now)
+        if estimate.storm != before.storm:
+            event = "storm" if estimate.storm else "storm_over"
             self.recorder.event(
-                what, tries=round(view.tries, 2), repeats=round(view.repeats, 3), sure=round(view.sure, 2)
+                event,
+                tries=round(estimate.attempts, 2),
+                repeats=round(estimate.retry_share, 3),
+                sure=round(estimate.confidence, 2),
             )
-        return view
+        return estimate
--- a/tests/test_storm_returns.py
+++ b/tests/test_retry_scheduler.py
@@ -8,66 +8,69 @@
 import pytest
 
 from crowwing.settings.operator import Operator, Storm
-from crowwing.storm.returns import SLOT, Returns
-from crowwing.storm.sight import View
+from crowwing.storm.detector import StormEstimate
+from crowwing.storm.retry_scheduler import SLOT_US, RetryScheduler
 from tests.rig import Sidecar, Town, play_in
 
 S = 1_000_000
 
 
-def wheel(seed: int = 1, longest: int = 2 * S) -> Returns:
-    return Returns(0, longest, random.Random(seed))
+def make_scheduler(seed: int = 1, max_delay: int = 2 * S) -> RetryScheduler:
+    return RetryScheduler(0, max_delay, random.Random(seed))
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_callers_sent_away_at_once_do_not_come_back_at_once(seed: int) -> None:
-    returns = wheel(seed)
-    back = [returns.advise(0, by, 2.0, 200_000, 10 * S, 80.0) for by in range(40)]
-    assert all(200_000 <= one <= 2 * S for one in back)
-    by_tenth = Counter(one // 100_000 for one in back)
+    scheduler = make_scheduler(seed)
+    delays = [scheduler.advise(0, by, 2.0, 200_000, 10 * S, 80.0) for by in range(40)]
+    assert all(200_000 <= delay <= 2 * S for delay in delays)
+    by_tenth = Counter(delay // 100_000 for delay in delays)
     assert max(by_tenth.values()) <= 8, "2 slots, each at most twice its even share"
-    assert max(back) - min(back) > 0.4 * S
-    assert back != [wheel(seed + 9).advise(0, by, 2.0, 200_000, 10 * S, 80.0) for by in range(40)]
+    assert max(delays) - min(delays) > 0.4 * S
+    assert delays != [make_scheduler(seed + 9).advise(0, by, 2.0, 200_000, 10 * S, 80.0) for by in range(40)]
 
 
 def test_advice_is_no_longer_than_the_ticket_is_of_use_nor_than_the_longest() -> None:
-    returns = wheel()
-    assert returns.advise(0, 1, 1.0, 100_000, 150_000, 0.0) == 150_000
-    assert returns.advise(0, 2, 1.0, 100_000, 60_000, 50.0) == 60_000
-    assert returns.advise(0, 3, 1.0, 0, -5, 50.0) == 0
-    assert returns.advise(0, 4, 1.0, 0, 99 * S, 0.0) == 2 * S, "without room the longest"
-    assert Returns(0, 0, random.Random(1)).advise(0, 1, 1.0, 0, S, 9.0) == 0, "no advice is passed on"
+    scheduler = make_scheduler()
+    assert scheduler.advise(0, 1, 1.0, 100_000, 150_000, 0.0) == 150_000
+    assert scheduler.advise(0, 2, 1.0, 100_000, 60_000, 50.0) == 60_000
+    assert scheduler.advise(0, 3, 1.0, 0, -5, 50.0) == 0
+    assert scheduler.advise(0, 4, 1.0, 0, 99 * S, 0.0) == 2 * S, "without room the longest"
+    assert RetryScheduler(0, 0, random.Random(1)).advise(0, 1, 1.0, 0, S, 9.0) == 0, "no advice is passed on"
 
 
 def test_a_caller_is_told_its_place_again_and_a_new_one_after_it() -> None:
-    returns = wheel()
-    first = returns.advise(0, 7, 1.0, 500_000, 9 * S, 50.0)
-    assert returns.advise(100_000, 7, 1.0, 100_000, 9 * S, 50.0) == first - 100_000
-    later = returns.advise(3 * S, 7, 1.0, 500_000, 9 * S, 50.0)
-    assert 500_000 <= later <= 600_000 and len(returns.places) == 1
+    scheduler = make_scheduler()
+    first = scheduler.advise(0, 7, 1.0, 500_000, 9 * S, 50.0)
+    assert scheduler.advise(100_000, 7, 1.0, 100_000, 9 * S, 50.0) == first - 100_000
+    later = scheduler.advise(3 * S, 7, 1.0, 500_000, 9 * S, 50.0)
+    assert 500_000 <= later <= 600_000 and len(scheduler.retry_times) == 1
 
 
 def test_the_wheel_holds_no_more_than_its_slots_and_the_callers_ahead() -> None:
-    returns = wheel()
+    scheduler = make_scheduler()
     for n in range(20_000):
-        returns.advise(n * 1000, n, 1.0, 100_000, 9 * S, 50.0)
-    assert len(returns.slots) == 2 * S // SLOT and len(returns.places) <= 2 * S // 1000 + SLOT // 1000
+        scheduler.advise(n * 1000, n, 1.0, 100_000, 9 * S, 50.0)
+    assert (
+        len(scheduler.slot_rates) == 2 * S // SLOT_US
+        and len(scheduler.retry_times) <= 2 * S // 1000 + SLOT_US // 1000
+    )
 
 
 def test_a_clock_that_steps_back_stands_still() -> None:
-    returns = wheel()
-    returns.advise(10 * S, 1, 1.0, 100_000, 9 * S, 50.0)
-    assert 0 <= returns.advise(2 * S, 2, 1.0, 100_000, 9 * S, 50.0) <= 2 * S
+    scheduler = make_scheduler()
+    scheduler.advise(10 * S, 1, 1.0, 100_000, 9 * S, 50.0)
+    assert 0 <= scheduler.advise(2 * S, 2, 1.0, 100_000, 9 * S, 50.0) <= 2 * S
 
 
 # On a backend
 
 
-def storm_seen(town: Town) -> None:
+def force_storm(town: Town) -> None:
     """The sight is made to see a storm, and to go on seeing it."""
-    sight = town.backend.dispatcher.storm_monitor.sight
-    sight.view = View(0.5, 2.0, True, 0.9)
-    sight.step = lambda now: sight.view
+    detector = town.backend.dispatcher.storm_monitor.detector
+    detector.estimate = StormEstimate(0.5, 2.0, True, 0.9)
+    detector.update = lambda now: detector.estimate
 
 
 def test_in_a_storm_callers_get_places_of_their_own_in_both_fields() -> None:
@@ -76,10 +79,10 @@
     async def scene(town: Town) -> None:
         plain = await asked_while_sick(town, 1, 4)
         assert {away for away, _ in plain} == {1000}, "without a storm all are told the same"
-        storm_seen(town)
+        force_storm(town)
         paced = await asked_while_sick(town, 100, 12)
         assert all(0 < away <= 1000 for away, _ in paced) and all(after == 1 for _, after in paced)
-        town.backend.dispatcher.storm_monitor.sight.good_rate = 20.0
+        town.backend.dispatcher.storm_monitor.detector.success_rate = 20.0
         manager = town.backend.dispatcher.manager
         manager.facts = dataclasses.replace(manager.facts, max_retry_after=100_000)
         spread = await asked_while_sick(town, 200, 12)
@@ -107,7 +110,7 @@
     lowers: bool,
 ) -> None:
     async def scene(town: Town) -> None:
-        storm_seen(town)
+        force_storm(town)
         town.farm.hold = True
         dispatcher, taken = town.backend.dispatcher, []
         take = dispatcher.manager.receive
@@ -122,18 +125,18 @@
     play_in(Town(operator=Operator(storm=Storm(lowers_repeats=lowers))), scene)
 
 
-@pytest.mark.parametrize("part", ["arrived", "ended", "away"])
-def test_a_defect_of_the_sight_costs_the_sight_and_no_ticket(part: str) -> None:
+@pytest.mark.parametrize("method", ["record_arrival", "record_outcome", "retry_after"])
+def test_a_defect_of_the_sight_costs_the_sight_and_no_ticket(method: str) -> None:
     async def scene(town: Town) -> None:
         def fails(*_: object) -> None:
             raise ArithmeticError("made to fail")
 
-        setattr(town.backend.dispatcher.storm_monitor, part, fails)
-        if part == "away":
+        setattr(town.backend.dispatcher.storm_monitor, method, fails)
+        if method == "retry_after":
             town.backend.dispatcher.manager.stalled = lambda now: True
         for n in range(3):
             status, _, _ = await (await Sidecar(town).open()).ask(Sidecar.ticket(f"{n:016x}"))
-            assert status == (503 if part == "away" else 200)
+            assert status == (503 if method == "retry_after" else 200)
         assert town.counts["defects"] == 1 and town.backend.dispatcher.storm_monitor is None
         await town.until(lambda: not town.backend.dispatcher.open_requests)
 
--- a/tests/test_storm_sight.py
+++ b/tests/test_storm_detector.py
@@ -9,79 +9,82 @@
 
 from crowwing.protocol.arrival import Arrival
 from crowwing.storm import fingerprint
-from crowwing.storm.sight import Sight, View
-from crowwing.storm.windows import BloomWindow, CountWindow, CuckooWindow, DictWindow
+from crowwing.storm.detector import StormDetector, StormEstimate
+from crowwing.storm.fingerprint_windows import BloomWindow, CountWindow, CuckooWindow, DictWindow
 
 MS, S = 1000, 1_000_000
-PATIENCE = 2500 * MS
+TIME_BUDGET = 2500 * MS
 
 
 class Seen(NamedTuple):
-    views: list[tuple[float, View]]  # second, what was seen
-    found: float  # share of true repeats whose likelihood was over a half
-    taken: float  # share of first tries for which it was
+    estimates: list[tuple[float, StormEstimate]]  # second, what was seen
+    identified: float  # share of true repeats whose likelihood was over a half
+    misidentified: float  # share of first tries for which it was
 
     def storms(self, begin: float, end: float) -> float:
         """Part of the time in which a storm was seen."""
-        part = [view.storm for at, view in self.views if begin <= at < end]
+        part = [estimate.storm for at, estimate in self.estimates if begin <= at < end]
         return sum(part) / len(part)
 
-    def tries(self, begin: float, end: float) -> float:
-        part = [view.tries for at, view in self.views if begin <= at < end]
+    def attempts(self, begin: float, end: float) -> float:
+        part = [estimate.attempts for at, estimate in self.estimates if begin <= at < end]
         return sum(part) / len(part)
 
 
 def play(
     seed: int,
     rate: Callable[[float], float],
-    room: float = 60.0,
-    comes_back: float = 0.9,
-    same: float = 1.0,
-    spent: bool = False,
-    equal: float = 0.0,
+    capacity: float = 60.0,
+    retry_share: float = 0.9,
+    stable_share: float = 1.0,
+    spends_budget: bool = False,
+    equal_share: float = 0.0,
     step_back: float = 0.0,
-    patience: tuple[float, float] = (1.0, 1.0),
-    two: bool = False,
+    budgets: tuple[float, float] = (1.0, 1.0),
+    two_budgets: bool = False,
 ) -> Seen:
     """60 s of one backend in an even fleet. What is over `room` a second is dismissed.
 
     A dismissed ticket comes back `comes_back` of the time, with its old print for a share `same`.
     """
-    chance = random.Random(seed)
-    sight = Sight(0, 1, 10 * S, 4000)
-    news: list[tuple[float, int, bool, int, float]] = []  # when, serial, a repeat, print, patience
-    at, serial = 0.0, 0
+    rng = random.Random(seed)
+    detector = StormDetector(0, 1, 10 * S, 4000)
+    events: list[tuple[float, int, bool, int, float]] = []  # when, serial, a repeat, print, patience
+    at, sequence = 0.0, 0
     while at < 60:
-        at += chance.expovariate(rate(at))
-        key = chance.getrandbits(64)
-        if news and chance.random() < equal:
-            key = chance.choice(news[-50:])[3]
-        serial += 1
-        left = chance.choice(patience) if two else chance.uniform(*patience)
-        news.append((at, serial, False, key, left))
-    heapq.heapify(news)
-    views, hits, repeats, wrong, firsts = [], 0, 0, 0, 0
-    tokens, last, next_step, stepped_back = room / 5, 0.0, 0.1, 0.0
-    while news and news[0][0] < 60:
-        at, _, again, key, left = heapq.heappop(news)
+        at += rng.expovariate(rate(at))
+        print_value = rng.getrandbits(64)
+        if events and rng.random() < equal_share:
+            print_value = rng.choice(events[-50:])[3]
+        sequence += 1
+        left = rng.choice(budgets) if two_budgets else rng.uniform(*budgets)
+        events.append((at, sequence, False, print_value, left))
+    heapq.heapify(events)
+    estimates, true_positives, retries, false_positives, first_attempts = [], 0, 0, 0, 0
+    tokens, last, next_step, stepped_back = capacity / 5, 0.0, 0.1, 0.0
+    while events and events[0][0] < 60:
+        at, _, is_retry, print_value, left = heapq.heappop(events)
         while at >= next_step:
             stepped_back = step_back if next_step >= 30 else 0.0
-            views.append((next_step, sight.step(round((next_step - stepped_back) * S))))
+            estimates.append((next_step, detector.update(round((next_step - stepped_back) * S))))
             next_step += 0.1
         now = round((at - stepped_back) * S)
-        likely = sight.arrived(now, 0, key, round(left * PATIENCE))
-        hits, repeats = hits + (again and likely > 0.5), repeats + again
-        wrong, firsts = wrong + (not again and likely > 0.5), firsts + (not again)
-        tokens, last = min(room / 5, tokens + (at - last) * room), at
+        likelihood = detector.record_arrival(now, 0, print_value, round(left * TIME_BUDGET))
+        true_positives, retries = true_positives + (is_retry and likelihood > 0.5), retries + is_retry
+        false_positives, first_attempts = (
+            false_positives + (not is_retry and likelihood > 0.5),
+            first_attempts + (not is_retry),
+        )
+        tokens, last = min(capacity / 5, tokens + (at - last) * capacity), at
         good = tokens >= 1
         tokens -= good
-        sight.ended(now + 20 * MS, key, good)
-        if not good and chance.random() < comes_back:
-            serial += 1
-            known = key if chance.random() < same else chance.getrandbits(64)
-            later = at + chance.uniform(0.05, 0.4)
-            heapq.heappush(news, (later, serial, True, known, left - 0.05 if spent else left))
-    return Seen(views, hits / max(1, repeats), wrong / max(1, firsts))
+        detector.record_outcome(now + 20 * MS, print_value, good)
+        if not good and rng.random() < retry_share:
+            sequence += 1
+            known = print_value if rng.random() < stable_share else rng.getrandbits(64)
+            later = at + rng.uniform(0.05, 0.4)
+            heapq.heappush(events, (later, sequence, True, known, left - 0.05 if spends_budget else left))
+    return Seen(estimates, true_positives / max(1, retries), false_positives / max(1, first_attempts))
 
 
 def jump(before: float, after: float, at: float = 20.0) -> Callable[[float], float]:
@@ -95,64 +98,66 @@
 def test_a_storm_is_seen_by_prints_that_stay_and_ends_with_it(seed: int) -> None:
     seen = play(seed, lambda second: 85 if 20 <= second < 40 else 45)
     assert seen.storms(24, 40) > 0.9 and seen.storms(5, 20) == 0 and seen.storms(46, 60) < 0.2
-    assert seen.found > 0.8 and seen.taken < 0.02
+    assert seen.identified > 0.8 and seen.misidentified < 0.02
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_storm_without_any_stable_print_shows_in_what_follows_our_dismissals(seed: int) -> None:
-    seen = play(seed, lambda second: 80 if 20 <= second < 45 else 45, same=0.0)
+    seen = play(seed, lambda second: 80 if 20 <= second < 45 else 45, stable_share=0.0)
     assert seen.storms(28, 45) > 0.8 and seen.storms(5, 20) == 0
-    assert seen.tries(30, 45) > 1.3 and seen.found < 0.05
+    assert seen.attempts(30, 45) > 1.3 and seen.identified < 0.05
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_storm_of_sidecars_that_go_on_shows_in_patience_spent(seed: int) -> None:
-    seen = play(seed, jump(45, 80), same=0.0, spent=True)
-    assert seen.storms(28, 60) > 0.8 and seen.found > 0.9 and seen.taken < 0.02
+    seen = play(seed, jump(45, 80), stable_share=0.0, spends_budget=True)
+    assert seen.storms(28, 60) > 0.8 and seen.identified > 0.9 and seen.misidentified < 0.02
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_honest_traffic_that_doubles_is_no_storm(seed: int) -> None:
-    seen = play(seed, jump(45, 90), comes_back=0.0)
-    assert seen.storms(0, 60) == 0 and seen.taken < 0.01
+    seen = play(seed, jump(45, 90), retry_share=0.0)
+    assert seen.storms(0, 60) == 0 and seen.misidentified < 0.01
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_neighbours_death_without_retries_is_no_storm(seed: int) -> None:
-    seen = play(seed, jump(55, 69), comes_back=0.0)
+    seen = play(seed, jump(55, 69), retry_share=0.0)
     assert seen.storms(0, 60) == 0
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_equal_honest_tickets_do_not_pass_for_repeats(seed: int) -> None:
-    for comes_back in (0.0, 0.9):
-        seen = play(seed, jump(45, 85), equal=0.3, comes_back=comes_back)
-        assert seen.taken < 0.05
-    assert play(seed, jump(45, 85), equal=0.3, comes_back=0.0).storms(0, 60) == 0
+    for retry_share in (0.0, 0.9):
+        seen = play(seed, jump(45, 85), equal_share=0.3, retry_share=retry_share)
+        assert seen.misidentified < 0.05
+    assert play(seed, jump(45, 85), equal_share=0.3, retry_share=0.0).storms(0, 60) == 0
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_patience_that_differs_honestly_flags_nobody(seed: int) -> None:
-    assert play(seed, jump(45, 60), patience=(0.3, 1.0), comes_back=0.0).taken < 0.02
+    assert play(seed, jump(45, 60), budgets=(0.3, 1.0), retry_share=0.0).misidentified < 0.02
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_callers_of_two_patiences_are_known_from_calm(seed: int) -> None:
     """Half of the sidecars wait half as long: what looks worn while all is calm is not worn later."""
-    seen = play(seed, jump(45, 90), comes_back=0.0, patience=(0.5, 1.0), two=True)
-    assert seen.taken < 0.1 and seen.storms(0, 60) < 0.1
+    seen = play(seed, jump(45, 90), retry_share=0.0, budgets=(0.5, 1.0), two_budgets=True)
+    assert seen.misidentified < 0.1 and seen.storms(0, 60) < 0.1
 
 
 def test_a_clock_that_steps_back_neither_breaks_it_nor_makes_a_storm() -> None:
     seen = play(1, jump(40, 41), step_back=8.0)
-    assert seen.storms(0, 60) == 0 and all(1 <= view.tries < 1.3 for at, view in seen.views if at > 45)
+    assert seen.storms(0, 60) == 0 and all(
+        1 <= estimate.attempts < 1.3 for at, estimate in seen.estimates if at > 45
+    )
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_tries_are_near_the_truth(seed: int) -> None:
     """Room for 60, 62 first tries, 0.8 of the dismissed come back: x dismissed with 62 + 0.8 x - 60 = x."""
-    seen = play(seed, jump(45, 62), comes_back=0.8)
-    assert seen.tries(40, 60) == pytest.approx((62 + 0.8 * 10) / 62, abs=0.12)
+    seen = play(seed, jump(45, 62), retry_share=0.8)
+    assert seen.attempts(40, 60) == pytest.approx((62 + 0.8 * 10) / 62, abs=0.12)
 
 
 # Windows
@@ -160,19 +165,19 @@
 
 @pytest.mark.parametrize("kind", [DictWindow, BloomWindow, CuckooWindow, CountWindow])
 def test_a_window_remembers_for_its_span_and_forgets_after(kind: type) -> None:
-    chance = random.Random(1)
+    rng = random.Random(1)
     window = kind(8 * S, 4000)
-    prints = [chance.getrandbits(64) for _ in range(2000)]
+    prints = [rng.getrandbits(64) for _ in range(2000)]
     for n, one in enumerate(prints):
         window.add(n * MS, one)
-    before = window.held_bytes
-    strangers = sum(window.take(2 * S, chance.getrandbits(64)) for _ in range(4000))
-    assert strangers < 4000 * 0.02
+    before = window.size_bytes
+    false_matches = sum(window.take(2 * S, rng.getrandbits(64)) for _ in range(4000))
+    assert false_matches < 4000 * 0.02
     late = sum(window.take(6 * S, one) for one in prints[1000:])
     assert late >= (800 if kind is CountWindow else 995), "the sketch fades, so shared places fade early"
     assert sum(window.take(16 * S, one) for one in prints[:1000]) <= 20, "forgotten"
     if kind is not DictWindow:
-        assert window.held_bytes == before
+        assert window.size_bytes == before
 
 
 @pytest.mark.parametrize("kind", [DictWindow, CuckooWindow, CountWindow])
@@ -183,13 +188,13 @@
 
 
 def test_a_full_cuckoo_forgets_the_oldest_and_stays_its_size() -> None:
-    chance = random.Random(2)
+    rng = random.Random(2)
     window = CuckooWindow(10 * S, 100)
-    size = window.held_bytes
-    prints = [chance.getrandbits(64) for _ in range(5000)]
+    size = window.size_bytes
+    prints = [rng.getrandbits(64) for _ in range(5000)]
     for n, one in enumerate(prints):
         window.add(n * MS, one)
-    assert window.held_bytes == size
+    assert window.size_bytes == size
     assert sum(window.take(5 * S, one) for one in prints[-50:]) >= 40
     assert sum(window.take(5 * S, one) for one in prints[:4000]) < 20
 
@@ -207,31 +212,31 @@
 
 @pytest.mark.parametrize("busy", [False, True])
 def test_a_cuckoo_does_not_remember_again_when_its_ages_come_round(busy: bool) -> None:
-    chance = random.Random(4)
+    rng = random.Random(4)
     window = CuckooWindow(10 * S, 1000)
-    prints = [chance.getrandbits(64) for _ in range(200)]
+    prints = [rng.getrandbits(64) for _ in range(200)]
     for one in prints:
         window.add(0, one)
     for now in range(0, 42 * S, S // 4):
         if busy:
-            window.add(now, chance.getrandbits(64))
+            window.add(now, rng.getrandbits(64))
     assert not any(window.take(42 * S, one) for one in prints)
 
 
 def test_a_repeat_of_what_another_backend_turned_away_is_known_where_the_fleet_tells() -> None:
-    def likely(told: bool) -> float:
-        sight, chance = Sight(0, 1, 10_000_000, 4000), random.Random(1)
-        here, there = ([chance.getrandbits(64) for _ in range(2000)] for _ in range(2))
-        now, found = 0, []
+    def likelihood(shared: bool) -> float:
+        detector, rng = StormDetector(0, 1, 10_000_000, 4000), random.Random(1)
+        local, remote = ([rng.getrandbits(64) for _ in range(2000)] for _ in range(2))
+        now, identified = 0, []
         for n in range(2000):
             now += 10_000
-            sight.arrived(now, 0, here[n], 0)
-            sight.ended(now, here[n], n % 2 == 0)
-            if told:
-                sight.elsewhere(now, [there[n]])
+            detector.record_arrival(now, 0, local[n], 0)
+            detector.record_outcome(now, local[n], n % 2 == 0)
+            if shared:
+                detector.record_remote_rejections(now, [remote[n]])
             if n >= 1000:  # repeats of what was turned away elsewhere, a second ago
-                found.append(sight.arrived(now, 0, there[n - 100], 0))
-            sight.step(now)
-        return sum(found) / len(found)
+                identified.append(detector.record_arrival(now, 0, remote[n - 100], 0))
+            detector.update(now)
+        return sum(identified) / len(identified)
 
-    assert likely(False) == 0 and likely(True) > 0.8
+    assert likelihood(False) == 0 and likelihood(True) > 0.8
