--- a/crowwing/fleet/wires/disk.py
+++ b/crowwing/fleet/wires/disk.py
@@ -23,7 +23,7 @@
         """What was kept when this member last wrote; nothing, and one line, where that cannot be used."""
         try:
             found = snapshot.read(self.folder, self.me)
-        except snapshot.Unusable as wrong:
+        except snapshot.UnusableSnapshotError as wrong:
             self.event("snapshot_unused", why=str(wrong))
             return []
         return [] if found is None else found.rows
--- a/crowwing/fleet/wires/settings.py
+++ b/crowwing/fleet/wires/settings.py
@@ -136,7 +136,7 @@
 
     place = Path(fleet.snapshot_folder)
     try:
-        snapshot.check(place)
+        snapshot.check_writable(place)
     except OSError as wrong:
         raise BadFleet(f"$.fleet.snapshot_folder: {place}: {wrong.strerror}") from None
     return place
--- a/crowwing/memory/snapshot.py
+++ b/crowwing/memory/snapshot.py
@@ -14,12 +14,12 @@
 import msgspec
 import xxhash
 
-MAGIC, FORM = b"CROW", 1
-HEAD = struct.Struct("<4sIQQ")  # magic, form, length, checksum
-SIZE_MOST = 64 << 20  # bytes; guards against reading a file that is no snapshot into memory
+MAGIC, FORMAT_VERSION = b"CROW", 1
+HEADER = struct.Struct("<4sIQQ")  # magic, form, length, checksum
+MAX_SIZE = 64 << 20  # bytes; guards against reading a file that is no snapshot into memory
 
 
-class Unusable(ValueError):
+class UnusableSnapshotError(ValueError):
     """One line that names the file and why it is not used."""
 
 
@@ -33,11 +33,11 @@
 
 def path_of(folder: Path, who: str) -> Path:
     """Of one member; a name that is no file's name is told apart by its hash."""
-    plain = "".join(letter if letter.isalnum() or letter in "-_." else "_" for letter in who)
+    plain = "".join(character if character.isalnum() or character in "-_." else "_" for character in who)
     return folder / f"{plain}-{xxhash.xxh32_hexdigest(who.encode())}.snapshot"
 
 
-def check(folder: Path) -> None:
+def check_writable(folder: Path) -> None:
     """OSError where a snapshot could not be written there."""
     probe = folder / f".probe-{os.getpid()}"
     with probe.open("wb"):
@@ -47,50 +47,52 @@
 
 def pack(snapshot: Snapshot) -> bytes:
     body = msgspec.msgpack.encode(snapshot)
-    return HEAD.pack(MAGIC, FORM, len(body), xxhash.xxh64_intdigest(body)) + body
+    return HEADER.pack(MAGIC, FORMAT_VERSION, len(body), xxhash.xxh64_intdigest(body)) + body
 
 
 def write(folder: Path, data: bytes, who: str) -> None:
     """OSError where it cannot be written; what stood there before then still stands."""
     path = path_of(folder, who)
-    passing = path.with_suffix(".writing")  # one writer a member: the next writing replaces what a kill left
-    with passing.open("wb") as file:
+    temporary = path.with_suffix(
+        ".writing"
+    )  # one writer a member: the next writing replaces what a kill left
+    with temporary.open("wb") as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
-    passing.rename(path)
-    place = os.open(folder, os.O_RDONLY)
+    temporary.rename(path)
+    directory = os.open(folder, os.O_RDONLY)
     try:
-        os.fsync(place)
+        os.fsync(directory)
     finally:
-        os.close(place)
+        os.close(directory)
 
 
 def read(folder: Path, who: str) -> Snapshot | None:
     """None where there is none; Unusable for anything that is not this member's whole snapshot."""
     path = path_of(folder, who)
     try:
-        if path.stat().st_size > SIZE_MOST:
-            raise Unusable(f"{path}: over {SIZE_MOST >> 20} MB")
+        if path.stat().st_size > MAX_SIZE:
+            raise UnusableSnapshotError(f"{path}: over {MAX_SIZE >> 20} MB")
         data = path.read_bytes()
     except FileNotFoundError:
         return None
-    except OSError as wrong:
-        raise Unusable(f"{path}: {wrong.strerror}") from None
-    if len(data) < HEAD.size:
-        raise Unusable(f"{path}: cut short")
-    magic, form, length, checksum = HEAD.unpack_from(data)
-    body = data[HEAD.size :]
+    except OSError as error:
+        raise UnusableSnapshotError(f"{path}: {error.strerror}") from None
+    if len(data) < HEADER.size:
+        raise UnusableSnapshotError(f"{path}: cut short")
+    magic, version, length, checksum = HEADER.unpack_from(data)
+    body = data[HEADER.size :]
     if magic != MAGIC:
-        raise Unusable(f"{path}: no snapshot of ours")
-    if form != FORM:
-        raise Unusable(f"{path}: of form {form}, not {FORM}")
+        raise UnusableSnapshotError(f"{path}: no snapshot of ours")
+    if version != FORMAT_VERSION:
+        raise UnusableSnapshotError(f"{path}: of form {version}, not {FORMAT_VERSION}")
     if length != len(body) or xxhash.xxh64_intdigest(body) != checksum:
-        raise Unusable(f"{path}: cut short or spoilt")
+        raise UnusableSnapshotError(f"{path}: cut short or spoilt")
     try:
         snapshot = msgspec.msgpack.decode(body, type=Snapshot)
-    except msgspec.MsgspecError as wrong:
-        raise Unusable(f"{path}: {wrong}") from None
+    except msgspec.MsgspecError as error:
+        raise UnusableSnapshotError(f"{path}: {error}") from None
     if snapshot.who != who:
-        raise Unusable(f"{path}: is {snapshot.who}'s")
+        raise UnusableSnapshotError(f"{path}: is {snapshot.who}'s")
     return snapshot
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -53,12 +53,12 @@
     path = snapshot.path_of(tmp_path, "m1")
     for place in range(len(data)):
         path.write_bytes(data[:place])
-        with pytest.raises(snapshot.Unusable, match=path.name):
+        with pytest.raises(snapshot.UnusableSnapshotError, match=path.name):
             snapshot.read(tmp_path, "m1")
         spoilt = bytearray(data)
         spoilt[place] ^= 1 << chance.randrange(8)
         path.write_bytes(spoilt)
-        with pytest.raises(snapshot.Unusable):
+        with pytest.raises(snapshot.UnusableSnapshotError):
             snapshot.read(tmp_path, "m1")
 
 
@@ -66,13 +66,13 @@
     data = written(tmp_path)
     path = snapshot.path_of(tmp_path, "m2")
     path.write_bytes(data)
-    with pytest.raises(snapshot.Unusable, match="is m1's"):
+    with pytest.raises(snapshot.UnusableSnapshotError, match="is m1's"):
         snapshot.read(tmp_path, "m2")
     path.write_bytes(data[:4] + (9).to_bytes(4, "little") + data[8:])
-    with pytest.raises(snapshot.Unusable, match="form 9"):
+    with pytest.raises(snapshot.UnusableSnapshotError, match="form 9"):
         snapshot.read(tmp_path, "m2")
     path.write_bytes(b"something else that happens to be long enough")
-    with pytest.raises(snapshot.Unusable, match="no snapshot of ours"):
+    with pytest.raises(snapshot.UnusableSnapshotError, match="no snapshot of ours"):
         snapshot.read(tmp_path, "m2")
     path.unlink()
     assert snapshot.read(tmp_path, "m2") is None
