--- a/crowwing/program/backend.py
+++ b/crowwing/program/backend.py
@@ -151,7 +151,7 @@
         if self.fleet is not None:
             await self.fleet.open()
         self.reload()  # a SIGHUP that came before went unheard
-        duties = (self.listener.accept, self.dispatcher.send.link.run, self.reporter.run, self._beat)
+        duties = (self.listener.accept, self.dispatcher.commands.link.run, self.reporter.run, self._beat)
         if self.together is not None:
             duties = (*duties, self.together.run)
         self.duties += [self.loop.create_task(self._keep(duty)) for duty in duties]
@@ -216,7 +216,7 @@
         self.configuration = configuration
         if changed or fixed:
             self.log.write("reloaded", changed=changed, cannot_change=fixed)
-        self.dispatcher.move(self.configuration.agent, self.configuration.below)
+        self.dispatcher.change_addresses(self.configuration.agent, self.configuration.below)
         self.reporter.move(self.configuration.control)
 
     def leave(self) -> None:
@@ -229,7 +229,7 @@
             self.loop.create_task(self._drain(self.loop.time(), self.configuration.stop / 1e6))
         )
         self._tried(lambda: self.log.write("leaving", open=len(self.dispatcher.open_requests)))
-        self._tried(lambda: self.dispatcher.leave(self.dispatcher.now() + self.configuration.stop))
+        self._tried(lambda: self.dispatcher.drain(self.dispatcher.now() + self.configuration.stop))
         self._tried(self.listener.close_idle)
         if self.fleet is not None:
             self._tried(self.fleet.leave)
@@ -259,7 +259,7 @@
         self.front.ending = True
         for _ in range(2):  # what the readers have taken is handed on, and answered at once
             await asyncio.sleep(0)
-        self._tried(self.dispatcher.end)
+        self._tried(self.dispatcher.shut_down)
         for connection in list(self.listener.connections):
             self._tried(connection.end)
         self.over.set()
@@ -279,8 +279,8 @@
         manager, counts = self.dispatcher.manager, self.recorder.counts
         running = {
             "open": len(self.dispatcher.open_requests), "connections": len(self.listener.connections),
-            "buffers": self.pool.lent, "unproven": len(self.dispatcher.send.unproven),
-            "calls": self.dispatcher.call.exchanges.open, "waits_to_accept": self.listener.waits,
+            "buffers": self.pool.lent, "unproven": len(self.dispatcher.commands.unacknowledged),
+            "calls": self.dispatcher.calls.exchanges.open, "waits_to_accept": self.listener.waits,
             "lag_ms": round(self.lag * 1000, 1),
         }  # fmt: skip
         if manager is not None:
--- a/crowwing/program/front.py
+++ b/crowwing/program/front.py
@@ -57,7 +57,7 @@
             self.reader.dead = self.connection.deaf = self.last = True
             self.waiting.clear()
             if self.request is None and self.connection.busy:
-                self.forfeited()
+                self.failed()
             self.connection.close()
 
     def _received(self, view: memoryview) -> None:
@@ -79,7 +79,7 @@
     def ended(self, broken: bool) -> None:
         """The far side's end, or ours behind what is there."""
         if broken and self.request is not None:
-            self.front.dispatcher.gone(self.request, self)
+            self.front.dispatcher.caller_gone(self.request, self)
             self._free()
         elif not broken and self.connection.began and not (self.connection.busy or self.reader.dead):
             self.connection.busy = self.reader.dead = self.connection.deaf = True
@@ -89,7 +89,7 @@
     def _next(self) -> None:
         while self.waiting and not self.connection.busy:
             asked = self.waiting.popleft()
-            self.front.recorder.holds(self.request is None, "one ticket a connection")
+            self.front.recorder.verify(self.request is None, "one ticket a connection")
             self.connection.busy = True
             self.last = self.reader.dead and not self.waiting
             if isinstance(asked, Arrival):
@@ -106,7 +106,7 @@
     def _arrive(self, arrival: Arrival) -> None:
         if self.front.ending:  # read with the last bytes of all: it never runs
             self.front.recorder.count("dismissed_at_the_end")
-            self.dismissed(0, False)
+            self.rejected(0, False)
             return
         try:
             self.request = self.front.dispatcher.arrive(arrival, self)
@@ -115,18 +115,18 @@
             self._turn_down(sidecar.Bad(400, str(wrong)))
 
     async def _exercise(self) -> None:
-        self._checked(await self.front.dispatcher.check.exercise(self.front.bound))
+        self._checked(await self.front.dispatcher.health_probe.exercise(self.front.bound))
 
     # Answers
 
-    def settled(self, result: bytes) -> None:
+    def completed(self, result: bytes) -> None:
         self._send(sidecar.settled(result, self.front.free_value, self._closes()))
 
-    def dismissed(self, away: int, nowhere_else: bool) -> None:
+    def rejected(self, away: int, nowhere_else: bool) -> None:
         standard = self.front.retry_after
         self._send(sidecar.dismissed(away, nowhere_else, self.front.free_value, self._closes(), standard))
 
-    def forfeited(self) -> None:
+    def failed(self) -> None:
         self._send(sidecar.forfeited(self.front.free_value, self._closes()))
 
     def _checked(self, good: bool) -> None:
--- a/crowwing/program/together.py
+++ b/crowwing/program/together.py
@@ -59,7 +59,7 @@
             self.turned = Turned(self.member.me, random.Random(f"{life}/turned"))
             dispatcher.storm_monitor.share_rejection = self.turned.add
         if self.shares:
-            dispatcher.came = Counter()  # by customer's place; emptied by each window
+            dispatcher.arrivals_by_customer = Counter()  # by customer's place; emptied by each window
 
     async def run(self) -> None:
         while True:
@@ -95,7 +95,7 @@
         wall = self.link.wall()
         window = quota.window_of(wall, self.window)
         if window > self.counted_to:
-            came, self.dispatcher.came = self.dispatcher.came, Counter()
+            came, self.dispatcher.arrivals_by_customer = self.dispatcher.arrivals_by_customer, Counter()
             for team, count in came.items():
                 key = quota.key(self.names.customers[team], self.counted_to, self.member.me, self.life)
                 self._put(wall, key, count, (quota.WINDOWS + 2) * self.window)
--- a/crowwing/routing/backend_calls.py
+++ b/crowwing/routing/backend_calls.py
@@ -11,7 +11,7 @@
 from crowwing.transport.exchange import Broken, Exchanges, NeverSent, Spoilt
 from crowwing.transport.pool import BufferPool
 
-IDLE = 0.8 * below.IDLE_CLOSED  # seconds: ours are dropped before the back end drops them
+IDLE_TIMEOUT = 0.8 * below.IDLE_CLOSED  # seconds: ours are dropped before the back end drops them
 
 
 class BackendCalls:
@@ -22,34 +22,34 @@
         loop: asyncio.AbstractEventLoop,
         address: tuple[str, int] | None,
         pool: BufferPool,
-        most: int,
+        max_calls: int,
         recorder: EventRecorder,
-        hear: Callable[[OpenRequest, int, Outcome, bytes], None],
+        on_reply: Callable[[OpenRequest, int, Outcome, bytes], None],
     ) -> None:
         """Calls `address`, at most `most` at once; `hear` gets how long each took and how it ended."""
-        self.loop, self.recorder, self.hear = loop, recorder, hear
-        self.exchanges = Exchanges(loop, address, pool, ReplyReader, IDLE, most)
+        self.loop, self.recorder, self.on_reply = loop, recorder, on_reply
+        self.exchanges = Exchanges(loop, address, pool, ReplyReader, IDLE_TIMEOUT, max_calls)
 
-    def begin(self, request: OpenRequest, span: float) -> None:
+    def begin(self, request: OpenRequest, time_limit: float) -> None:
         """Sends the call that a run waits for; `span` microseconds is its time limit."""
-        self.recorder.holds(
+        self.recorder.verify(
             request.wanted is not None and request.call is None, "a call that no run waits for"
         )
-        self.give_up(request)
-        request.call = self.loop.create_task(self._call(request, round(span)))
+        self.cancel(request)
+        request.call = self.loop.create_task(self._call(request, round(time_limit)))
 
     @staticmethod
-    def give_up(request: OpenRequest) -> None:
+    def cancel(request: OpenRequest) -> None:
         """Closes the connection of the call that is out, if one is."""
         if request.call is not None:
             request.call.cancel()
             request.call = None
 
-    async def _call(self, request: OpenRequest, span: int) -> None:
-        began, body = self.loop.time(), b""
+    async def _call(self, request: OpenRequest, time_limit: int) -> None:
+        started, body = self.loop.time(), b""
         try:
-            data = below.call(request.id, span, self.exchanges.host, request.wanted or b"")
-            reply = await self.exchanges.ask(data, span / 1e6)
+            data = below.call(request.id, time_limit, self.exchanges.host, request.wanted or b"")
+            reply = await self.exchanges.ask(data, time_limit / 1e6)
             outcome, body = below.outcome(reply), reply.body
         except NeverSent:
             outcome = Outcome.NEVER_RAN
@@ -59,4 +59,4 @@
             outcome = Outcome.UNSURE
         request.call = None
         self.recorder.count(f"call_{outcome.name.lower()}")
-        self.hear(request, round((self.loop.time() - began) * 1e6), outcome, body)
+        self.on_reply(request, round((self.loop.time() - started) * 1e6), outcome, body)
--- a/crowwing/routing/event_recorder.py
+++ b/crowwing/routing/event_recorder.py
@@ -13,23 +13,23 @@
         self.write = write
         self.counts: Counter[str] = Counter()
 
-    def count(self, what: str, by: int = 1) -> None:
+    def count(self, name: str, amount: int = 1) -> None:
         """Counts something without a line in the log."""
-        self.counts[what] += by
+        self.counts[name] += amount
 
-    def event(self, what: str, **facts: object) -> None:
+    def event(self, event_name: str, **fields: object) -> None:
         """Counts something and writes it."""
-        self.counts[what] += 1
-        self.write(what, **facts)
+        self.counts[event_name] += 1
+        self.write(event_name, **fields)
 
-    def defect(self, where: str, ident: str | None) -> None:
+    def defect(self, where: str, request_id: str | None) -> None:
         """Within an except clause."""
         self.counts["defects"] += 1
-        self.write("defect", where=where, id=ident, trace=traceback.format_exc(limit=-8))
+        self.write("defect", where=where, id=request_id, trace=traceback.format_exc(limit=-8))
 
-    def holds(self, what: bool, name: str) -> bool:
+    def verify(self, condition: bool, name: str) -> bool:
         """Asserted in debug builds, counted in release builds."""
-        assert what, name
-        if not what:
+        assert condition, name
+        if not condition:
             self.counts[f"broken: {name}"] += 1
-        return what
+        return condition
--- a/crowwing/routing/health_probe.py
+++ b/crowwing/routing/health_probe.py
@@ -8,29 +8,29 @@
 class HealthProbe:
     """The probes that are under way. Owned by `Dispatcher`."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, send: WorkerCommands) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, commands: WorkerCommands) -> None:
         """No probe is under way."""
-        self.loop, self.send = loop, send
-        self.tag = 0
-        self.out: dict[str, asyncio.Future[bool]] = {}  # emptied by answers and bounds
+        self.loop, self.commands = loop, commands
+        self.last_tag = 0
+        self.pending: dict[str, asyncio.Future[bool]] = {}  # emptied by answers and bounds
 
-    async def exercise(self, bound: float) -> bool:
+    async def exercise(self, time_limit: float) -> bool:
         """Whether it does, within `bound` seconds."""
-        self.tag += 1
-        tag = f"c{self.tag}"
-        self.out[tag] = self.loop.create_future()
+        self.last_tag += 1
+        tag = f"c{self.last_tag}"
+        self.pending[tag] = self.loop.create_future()
         try:
-            if not self.send.exercise(tag):
+            if not self.commands.exercise(tag):
                 return False
-            async with asyncio.timeout(bound):
-                return await self.out[tag]
+            async with asyncio.timeout(time_limit):
+                return await self.pending[tag]
         except TimeoutError:
             return False
         finally:
-            del self.out[tag]
+            del self.pending[tag]
 
-    def answered(self, tag: str, good: bool) -> None:
+    def on_answer(self, tag: str, good: bool) -> None:
         """The worker agent has answered a probe."""
-        future = self.out.get(tag)
+        future = self.pending.get(tag)
         if future is not None and not future.done():
             future.set_result(good)
--- a/crowwing/routing/open_request.py
+++ b/crowwing/routing/open_request.py
@@ -10,15 +10,15 @@
 class Caller(Protocol):
     """The way back to whoever waits for a ticket."""
 
-    def settled(self, result: bytes) -> None:
+    def completed(self, result: bytes) -> None:
         """It has run: its result."""
         ...
 
-    def dismissed(self, away: int, nowhere_else: bool) -> None:
+    def rejected(self, retry_after: int, everywhere: bool) -> None:
         """It was rejected: for how many microseconds to stay away, and whether from all backends."""
         ...
 
-    def forfeited(self) -> None:
+    def failed(self) -> None:
         """It has failed."""
         ...
 
--- a/crowwing/routing/request_admission.py
+++ b/crowwing/routing/request_admission.py
@@ -11,9 +11,9 @@
     request: OpenRequest,
     arrival: Arrival,
     kind: int,
-    team: int,
-    repeats: str,
-    again: bool,
+    customer: int,
+    earlier_id: str,
+    likely_retry: bool,
 ) -> None:
     """Makes the module take a request, and keeps its handle."""
     # A stamp ahead of our clock counts as now: the machine's clock may have stepped between the two readings.
@@ -22,14 +22,14 @@
         now,
         request.id,
         kind,
-        team,
+        customer,
         arrival.rank,
         arrival.kb,
         arrived,
         arrival.due,
         arrival.sidecar,
-        repeats or 0,
+        earlier_id or 0,
         0,
         False,
-        again,
+        likely_retry,
     )
--- a/crowwing/routing/response_relay.py
+++ b/crowwing/routing/response_relay.py
@@ -10,38 +10,38 @@
 class ResponseRelay:
     """Sends final answers. Owned by `Dispatcher`."""
 
-    def __init__(self, recorder: EventRecorder, answered: Callable[[OpenRequest, bool], None]) -> None:
+    def __init__(self, recorder: EventRecorder, on_answer: Callable[[OpenRequest, bool], None]) -> None:
         """`answered` hears of each answer, and whether it is a result."""
-        self.recorder, self.answered = recorder, answered
+        self.recorder, self.on_answer = recorder, on_answer
 
-    def settle(self, request: OpenRequest, result: bytes) -> None:
+    def complete(self, request: OpenRequest, result: bytes) -> None:
         """The result of its run."""
-        self._tell(request, "settled", lambda caller: caller.settled(result))
+        self._answer(request, "settled", lambda caller: caller.completed(result))
 
-    def dismiss(self, request: OpenRequest, away: float) -> None:
+    def reject(self, request: OpenRequest, retry_after: float) -> None:
         """Rejected here; another backend may be tried."""
-        self._tell(request, "dismissed", lambda caller: caller.dismissed(round(away), False))
+        self._answer(request, "dismissed", lambda caller: caller.rejected(round(retry_after), False))
 
-    def dismiss_all(self, request: OpenRequest, away: float) -> None:
+    def reject_all(self, request: OpenRequest, retry_after: float) -> None:
         """Rejected, and no other backend should be tried."""
-        self._tell(request, "dismissed", lambda caller: caller.dismissed(round(away), True))
+        self._answer(request, "dismissed", lambda caller: caller.rejected(round(retry_after), True))
 
-    def forfeit(self, request: OpenRequest, _: float = 0) -> None:
+    def fail(self, request: OpenRequest, _: float = 0) -> None:
         """Failed: it may have run."""
-        self._tell(request, "forfeited", lambda caller: caller.forfeited())
+        self._answer(request, "forfeited", lambda caller: caller.failed())
 
-    def _tell(self, request: OpenRequest, answer: str, say: Callable[[Caller], None]) -> None:
+    def _answer(self, request: OpenRequest, answer: str, send: Callable[[Caller], None]) -> None:
         """Once only; the body is let go with the answer."""
-        if not self.recorder.holds(not request.answered, f"{answer} after an answer"):
+        if not self.recorder.verify(not request.answered, f"{answer} after an answer"):
             return
         request.answered, request.body = True, b""
         self.recorder.count(answer)
         callers, request.callers = request.callers, []
         for caller in callers:
             try:
-                say(caller)
+                send(caller)
             except Exception:
                 self.recorder.defect(answer, request.id)
                 with suppress(Exception):
-                    caller.forfeited()
-        self.answered(request, answer == "settled")  # only now: nothing comes before the callers' answer
+                    caller.failed()
+        self.on_answer(request, answer == "settled")  # only now: nothing comes before the callers' answer
--- a/crowwing/routing/retry_table.py
+++ b/crowwing/routing/retry_table.py
@@ -13,14 +13,14 @@
 from crowwing.routing.open_request import OpenRequest
 from crowwing.routing.request_resolver import InvalidRequestError
 
-OPEN_AGAIN = 1_000_000  # microseconds until an entry whose ticket is still open is looked at again
+OPEN_RECHECK = 1_000_000  # microseconds until an entry whose ticket is still open is looked at again
 
 Work = tuple[int, int, str]
 
 
-def work_of(arrival: Arrival, kind: int, team: int) -> Work:
+def work_of(arrival: Arrival, kind: int, customer: int) -> Work:
     """What a request asks for: the same in its retries."""
-    return kind, team, arrival.key or "\0" + arrival.id  # no header holds a 0: it stands for itself alone
+    return kind, customer, arrival.key or "\0" + arrival.id  # no header holds a 0: it stands for itself alone
 
 
 class Entry:
@@ -42,16 +42,18 @@
 class RetryTable:
     """`tell` takes each ticket that shared a run, with its result or None where the run failed."""
 
-    def __init__(self, tell: Callable[[OpenRequest, bytes | None], None]) -> None:
+    def __init__(self, notify: Callable[[OpenRequest, bytes | None], None]) -> None:
         """Nothing is known; see the class for `tell`."""
-        self.tell = tell
+        self.notify = notify
         self.entries: dict[Work, Entry] = {}  # emptied in the order of their ends by expire()
-        self.ids: dict[str, Entry] = {}  # those that ran, by the id of their try; emptied with them
-        self.ends: list[tuple[int, int, Entry]] = []  # a heap, one item an entry
-        self.numbers = count()
-        self.batch: dict[Work, OpenRequest] = {}  # the last try read before this turn, whose end empties it
-
-    def first(self, request: OpenRequest, arrived: int) -> str:
+        self.by_request_id: dict[str, Entry] = {}  # those that ran, by the id of their try; emptied with them
+        self.expirations: list[tuple[int, int, Entry]] = []  # a heap, one item an entry
+        self.sequence_numbers = count()
+        self.current_turn: dict[
+            Work, OpenRequest
+        ] = {}  # the last try read before this turn, whose end empties it
+
+    def find_earlier(self, request: OpenRequest, arrived: int) -> str:
         """The attempt that this one repeats, or ''.
 
         One that came while an entry stood repeats it, however late it is read; so does one that finds the
@@ -62,18 +64,18 @@
         entry = self.entries.get(request.work)
         if entry is not None and entry.request is None and arrived > entry.until:
             entry = None
-        first = self.batch.get(request.work, entry)
-        if first is not None and first.content != request.content:
+        earlier = self.current_turn.get(request.work, entry)
+        if earlier is not None and earlier.content != request.content:
             raise InvalidRequestError("the key of another request")
-        self.batch[request.work] = request
-        return first.id if first is not None else ""
+        self.current_turn[request.work] = request
+        return earlier.id if earlier is not None else ""
 
-    def again(self, arrival: Arrival, work: Work) -> Entry | None:
+    def find_finished(self, arrival: Arrival, work: Work) -> Entry | None:
         """The entry of the very same try, where it has run and ended: it crossed a close and came again.
 
         Raises InvalidRequestError for anything else under its id: the worker agent would take it for this.
         """
-        entry = self.ids.get(arrival.id)
+        entry = self.by_request_id.get(arrival.id)
         if entry is None or entry.request is not None:
             return None
         if entry.work != work or entry.content != hash(arrival.body):
@@ -87,24 +89,24 @@
             entry.until = max(entry.until, until)
             return
         entry = self.entries[request.work] = Entry(request, until)
-        heapq.heappush(self.ends, (until + entry.lag, next(self.numbers), entry))
+        heapq.heappush(self.expirations, (until + entry.lag, next(self.sequence_numbers), entry))
 
-    def forget(self, request: OpenRequest) -> None:
+    def drop(self, request: OpenRequest) -> None:
         """Drops the entry of a request that did not run."""
         entry = self.entries.get(request.work)
         if entry is not None and entry.id == request.id and not entry.ran:
             del self.entries[request.work]
-            self._over(entry, None)
+            self._notify_followers(entry, None)
 
-    def began(self, request: OpenRequest, now: int) -> None:
+    def run_started(self, request: OpenRequest, now: int) -> None:
         """It runs: from now on it is known, also where the module had no entry to keep it by."""
         kind = request.handle.cls
         if kind.idempotency is Idempotency.IDEMPOTENT:
             return
-        labelled = kind.idempotency is Idempotency.KEYED
-        self.keep(request, request.handle.arrived + kind.dedup_window if labelled else now + kind.deadline)
-        self.ids[request.id] = self.entries[request.work]
-        self.ids[request.id].ran = True
+        keyed = kind.idempotency is Idempotency.KEYED
+        self.keep(request, request.handle.arrived + kind.dedup_window if keyed else now + kind.deadline)
+        self.by_request_id[request.id] = self.entries[request.work]
+        self.by_request_id[request.id].ran = True
 
     def share(self, request: OpenRequest) -> None:
         """A request waits for the run of an earlier one, or gets its result."""
@@ -112,51 +114,56 @@
         if entry is not None and entry.request is not None and entry.result is None:
             entry.followers.append(request)
         else:
-            self.tell(request, entry.result if entry is not None else None)
+            self.notify(request, entry.result if entry is not None else None)
 
-    def ended(self, request: OpenRequest, good: bool, ran: bool, result: bytes) -> None:
+    def run_ended(self, request: OpenRequest, good: bool, ran: bool, result: bytes) -> None:
         """The run is over; `ran` is False where nothing was started."""
-        entry = self.ids.get(request.id)
+        entry = self.by_request_id.get(request.id)
         if entry is None:
             return
         if not ran:
             if self.entries.get(request.work) is entry:
                 del self.entries[request.work]
-            del self.ids[request.id]
-            self._over(entry, None)
+            del self.by_request_id[request.id]
+            self._notify_followers(entry, None)
         elif good and request.handle.cls.idempotency is Idempotency.KEYED:
             entry.result = result
-            self._over(entry, result)
+            self._notify_followers(entry, result)
 
-    def closed(self, request: OpenRequest) -> None:
+    def request_closed(self, request: OpenRequest) -> None:
         """The module has closed a request."""
-        entry = self.ids.get(request.id) or self.entries.get(request.work)
+        entry = self.by_request_id.get(request.id) or self.entries.get(request.work)
         if entry is None or entry.request is not request:
             return
         entry.request = None
         if not entry.ran:
             del self.entries[request.work]
         if entry.result is None:
-            self._over(entry, None)
+            self._notify_followers(entry, None)
 
-    def _over(self, entry: Entry, result: bytes | None) -> None:
+    def _notify_followers(self, entry: Entry, result: bytes | None) -> None:
         followers, entry.followers = entry.followers, []
         for request in followers:
-            self.tell(request, result)
+            self.notify(request, result)
 
     def expire(self, now: int) -> None:
         """Once a turn: what has run out goes, at constant work for each."""
-        self.batch.clear()
-        while self.ends and self.ends[0][0] <= now:
-            _, number, entry = heapq.heappop(self.ends)
-            stands, ran = self.entries.get(entry.work) is entry, self.ids.get(entry.id) is entry
-            if not stands and not ran:
+        self.current_turn.clear()
+        while self.expirations and self.expirations[0][0] <= now:
+            _, number, entry = heapq.heappop(self.expirations)
+            has_entry, has_run = (
+                self.entries.get(entry.work) is entry,
+                self.by_request_id.get(entry.id) is entry,
+            )
+            if not has_entry and not has_run:
                 continue
             if entry.request is not None or entry.until + entry.lag > now:
-                later = max(entry.until + entry.lag, now + OPEN_AGAIN if entry.request is not None else now)
-                heapq.heappush(self.ends, (later, number, entry))
+                recheck_at = max(
+                    entry.until + entry.lag, now + OPEN_RECHECK if entry.request is not None else now
+                )
+                heapq.heappush(self.expirations, (recheck_at, number, entry))
                 continue
-            if stands:
+            if has_entry:
                 del self.entries[entry.work]
-            if ran:
-                del self.ids[entry.id]
+            if has_run:
+                del self.by_request_id[entry.id]
--- a/crowwing/routing/step_router.py
+++ b/crowwing/routing/step_router.py
@@ -13,13 +13,13 @@
     def __init__(
         self,
         open_requests: dict[str, OpenRequest],
-        by_ticket: dict[Step, Callable[[OpenRequest, float], None]],
-        outward: dict[Step, Callable[[float], None]],
+        request_steps: dict[Step, Callable[[OpenRequest, float], None]],
+        server_steps: dict[Step, Callable[[float], None]],
         recorder: EventRecorder,
         abandon: Callable[[OpenRequest], None],
     ) -> None:
         """Steps of requests go to `by_ticket`, others to `outward`; `abandon` ends a request on a defect."""
-        self.open_requests, self.by_ticket, self.outward = open_requests, by_ticket, outward
+        self.open_requests, self.request_steps, self.server_steps = open_requests, request_steps, server_steps
         self.recorder, self.abandon = recorder, abandon
 
     def carry_out(self, results: list[Result]) -> None:
@@ -28,9 +28,9 @@
             request = self.open_requests.get(handle.id) if handle is not None else None
             try:
                 if handle is None:
-                    self.outward[step](figure)
+                    self.server_steps[step](figure)
                 elif request is not None and request.handle is handle:
-                    self.by_ticket[step](request, figure)
+                    self.request_steps[step](request, figure)
             except Exception:
                 self.recorder.defect(step.name.lower(), request.id if request else None)
                 if request is not None:
--- a/crowwing/routing/wake_timer.py
+++ b/crowwing/routing/wake_timer.py
@@ -6,7 +6,7 @@
 from crowwing.routing.event_recorder import EventRecorder
 from crowwing.routing.worker_commands import WorkerCommands
 
-TIMER = 0.001  # seconds that the loop's timers round to
+TIMER_RESOLUTION = 0.001  # seconds that the loop's timers round to
 
 
 class WakeTimer:
@@ -16,41 +16,47 @@
         self,
         loop: asyncio.AbstractEventLoop,
         now: Callable[[], int],
-        send: WorkerCommands,
+        commands: WorkerCommands,
         recorder: EventRecorder,
-        turn: Callable[[], None],
+        run_turn: Callable[[], None],
     ) -> None:
         """Nothing was asked for."""
-        self.loop, self.now, self.send, self.recorder, self.turn = loop, now, send, recorder, turn
-        self.sampled_at = 0  # the last sample that came back
-
-    def ask(self, span: float) -> None:
+        self.loop, self.now, self.commands, self.recorder, self.run_turn = (
+            loop,
+            now,
+            commands,
+            recorder,
+            run_turn,
+        )
+        self.last_sample = 0  # the last sample that came back
+
+    def schedule(self, delay: float) -> None:
         """Wakes the module in `span` microseconds."""
-        self._at(self.now() + round(span), span / 1e6)
+        self._call_at(self.now() + round(delay), delay / 1e6)
 
-    def sampled(self, tag: str) -> bool:
+    def on_sample(self, tag: str) -> bool:
         """Whether these are the gauges asked for last."""
-        asked = self.send.tag
-        if not self.send.sampled(tag) or tag != f"s{asked}":
+        requested = self.commands.last_sample
+        if not self.commands.on_sample(tag) or tag != f"s{requested}":
             return False
-        self.sampled_at = asked
+        self.last_sample = requested
         return True
 
-    def _at(self, due: int, span: float) -> None:
-        self.loop.call_later(max(0, due - self.now()) / 1e6 + TIMER, self._due, due, span)
+    def _call_at(self, due: int, delay: float) -> None:
+        self.loop.call_later(max(0, due - self.now()) / 1e6 + TIMER_RESOLUTION, self._expired, due, delay)
 
-    def _due(self, due: int, span: float) -> None:
+    def _expired(self, due: int, delay: float) -> None:
         # Guards against the loop's timers, which round to milliseconds and fire early: the module would hold
         # its timer to be still out and ask for no other, and outer limits would pass unseen until other news.
         if self.now() < due:
             self.recorder.count("woken_early")
-            self._at(due, span)
-        elif self.send.sample():
-            self.loop.call_later(span / 2, self._unsampled, self.send.tag)
+            self._call_at(due, delay)
+        elif self.commands.sample():
+            self.loop.call_later(delay / 2, self._on_sample_timeout, self.commands.last_sample)
         else:
-            self.turn()
+            self.run_turn()
 
-    def _unsampled(self, asked: int) -> None:
-        if self.sampled_at < asked:
+    def _on_sample_timeout(self, requested: int) -> None:
+        if self.last_sample < requested:
             self.recorder.count("samples_late")
-            self.turn()
+            self.run_turn()
--- a/crowwing/routing/worker_commands.py
+++ b/crowwing/routing/worker_commands.py
@@ -18,7 +18,9 @@
 from crowwing.transport.link import Link
 from crowwing.transport.pool import BufferPool
 
-GREETING = 5.0  # seconds at least that a later link waits for its greeting; the first one waits for good
+GREETING_TIMEOUT = (
+    5.0  # seconds at least that a later link waits for its greeting; the first one waits for good
+)
 
 
 class Command(NamedTuple):
@@ -26,8 +28,8 @@
 
     number: int
     data: bytes
-    still: Callable[[], bool]  # whether it has a point
-    once: OpenRequest | None  # the ticket, where it launches one that must not run twice
+    is_needed: Callable[[], bool]  # whether it has a point
+    non_idempotent: OpenRequest | None  # the ticket, where it launches one that must not run twice
     sent: bool  # it went out, on whatever link
 
 
@@ -40,37 +42,39 @@
         address: tuple[str, int],
         pool: BufferPool,
         recorder: EventRecorder,
-        hear: Callable[[agent.Notice], None],
-        patience: float,
+        on_notice: Callable[[agent.Notice], None],
+        timeout: float,
     ) -> None:
         """Connects to `address`; `hear` gets each notice, and `patience` is in seconds."""
-        self.loop, self.recorder, self.hear, self.patience = loop, recorder, hear, patience
-        self.link = Link(loop, address, pool, self._opened, self._received, self._closed)
+        self.loop, self.recorder, self.on_notice, self.timeout = loop, recorder, on_notice, timeout
+        self.link = Link(loop, address, pool, self._on_open, self._on_data, self._on_close)
         self.reader = agent.AgentReader()
-        self.last = 0  # the last notice read
-        self.greeted = self.fenced = False  # on this link
-        self.issued = self.tag = 0
-        self.asked = 0.0  # when the sample that is out was asked for, or the greeting
-        self.unproven: deque[Command] = deque()  # emptied by samples
+        self.last_notice = 0  # the last notice read
+        self.greeted = self.synchronized = False  # on this link
+        self.last_command = self.last_sample = 0
+        self.requested_at = 0.0  # when the sample that is out was asked for, or the greeting
+        self.unacknowledged: deque[Command] = deque()  # emptied by samples
         # Sample out -> the last command before it; emptied by answers and breaks.
-        self.tags: dict[str, int] = {}
+        self.pending_samples: dict[str, int] = {}
 
     # Commands
 
     def launch(self, request: OpenRequest, _: float = 0) -> None:
         """Starts a run."""
-        self.recorder.holds(not request.launched, "launched while its run is on")
+        self.recorder.verify(not request.launched, "launched while its run is on")
         request.launched = True
         request.runs += 1
-        once = request if request.handle.cls.idempotency is not Idempotency.IDEMPOTENT else None
-        self._issue(agent.launch(request.id, request.type, request.body), self._still_runs(request), once)
+        non_idempotent = request if request.handle.cls.idempotency is not Idempotency.IDEMPOTENT else None
+        self._issue(
+            agent.launch(request.id, request.type, request.body), self._runs_still(request), non_idempotent
+        )
 
     def freeze(self, request: OpenRequest, _: float = 0) -> None:
         """Stops a run."""
         # Asked again and again, it waits for the link but once.
-        if self.fenced or request.frozen != request.runs:
+        if self.synchronized or request.frozen != request.runs:
             request.frozen = request.runs
-            self._issue(agent.freeze(request.id), self._still_runs(request))
+            self._issue(agent.freeze(request.id), self._runs_still(request))
 
     def deliver(self, request: OpenRequest, reply: bytes) -> None:
         """Gives a run the response that it waits for."""
@@ -80,92 +84,98 @@
     def sample(self) -> bool:
         """Asks for the gauges; whether it could. One is out at a time."""
         ungreeted = self.link.up and not self.greeted
-        patience = max(self.patience, GREETING) if ungreeted else self.patience
-        if (self.tags or ungreeted) and self.loop.time() - self.asked > patience:
+        timeout = max(self.timeout, GREETING_TIMEOUT) if ungreeted else self.timeout
+        if (self.pending_samples or ungreeted) and self.loop.time() - self.requested_at > timeout:
             # Guards against a far side that is gone without a word; one that only paused loses nothing by it.
-            self.tags.clear()
-            self.asked = self.loop.time()
-            self.recorder.event("agent_silent", seconds=patience)
+            self.pending_samples.clear()
+            self.requested_at = self.loop.time()
+            self.recorder.event("agent_silent", seconds=timeout)
             self.link.drop()
-        if not self.fenced or self.tags:
+        if not self.synchronized or self.pending_samples:
             return False
         self._sample()
         return True
 
     def exercise(self, tag: str) -> bool:
         """Asks for some work to be done; whether it could."""
-        if self.fenced:
+        if self.synchronized:
             self.link.send(agent.exercise(tag))
-        return self.fenced
+        return self.synchronized
 
     @staticmethod
-    def _still_runs(request: OpenRequest) -> Callable[[], bool]:
+    def _runs_still(request: OpenRequest) -> Callable[[], bool]:
         runs = request.runs
         return lambda: request.launched and request.runs == runs
 
-    def _issue(self, data: bytes, still: Callable[[], bool], once: OpenRequest | None = None) -> None:
-        self.issued += 1
-        self.unproven.append(Command(self.issued, data, still, once, self.fenced))
-        if self.fenced:
+    def _issue(
+        self, data: bytes, is_needed: Callable[[], bool], non_idempotent: OpenRequest | None = None
+    ) -> None:
+        self.last_command += 1
+        self.unacknowledged.append(
+            Command(self.last_command, data, is_needed, non_idempotent, self.synchronized)
+        )
+        if self.synchronized:
             self.link.send(data)
 
     def _sample(self) -> None:
-        self.tag += 1
-        self.asked = self.loop.time()
-        self.tags[f"s{self.tag}"] = self.issued if self.fenced else 0
-        self.link.send(agent.sample(f"s{self.tag}"))
+        self.last_sample += 1
+        self.requested_at = self.loop.time()
+        self.pending_samples[f"s{self.last_sample}"] = self.last_command if self.synchronized else 0
+        self.link.send(agent.sample(f"s{self.last_sample}"))
 
     # The link
 
-    def _opened(self) -> None:
+    def _on_open(self) -> None:
         self.reader = agent.AgentReader()
-        self.asked = self.loop.time()
-        self.link.send(agent.subscribe(self.last))
+        self.requested_at = self.loop.time()
+        self.link.send(agent.subscribe(self.last_notice))
 
-    def _closed(self, why: str) -> None:
-        self.greeted = self.fenced = False
-        self.tags.clear()
-        self.recorder.event("agent_lost", why=why, last=self.last)
+    def _on_close(self, why: str) -> None:
+        self.greeted = self.synchronized = False
+        self.pending_samples.clear()
+        self.recorder.event("agent_lost", why=why, last=self.last_notice)
 
-    def _received(self, view: memoryview) -> None:
+    def _on_data(self, view: memoryview) -> None:
         for notice in self.reader.feed(view):
             number = getattr(notice, "number", None)
             if number is not None:
-                if number <= self.last:
+                if number <= self.last_notice:
                     continue  # it was read on an earlier link
-                if number > self.last + 1:
-                    self.recorder.count("notices_missed", number - self.last - 1)
-                self.last = number
-            self.hear(notice)
+                if number > self.last_notice + 1:
+                    self.recorder.count("notices_missed", number - self.last_notice - 1)
+                self.last_notice = number
+            self.on_notice(notice)
 
-    def greeting(self) -> None:
+    def on_greeting(self) -> None:
         """The worker agent has greeted on this link."""
         self.greeted = True
         self._sample()  # the fence
 
-    def sampled(self, tag: str) -> bool:
+    def on_sample(self, tag: str) -> bool:
         """Whether it brings gauges that were asked for."""
-        if tag not in self.tags:
+        if tag not in self.pending_samples:
             return False
-        proven = self.tags.pop(tag)
-        while self.unproven and self.unproven[0].number <= proven:
-            self.unproven.popleft()
-        if not self.fenced:
-            self.fenced = True
-            self._send_again()
+        acknowledged = self.pending_samples.pop(tag)
+        while self.unacknowledged and self.unacknowledged[0].number <= acknowledged:
+            self.unacknowledged.popleft()
+        if not self.synchronized:
+            self.synchronized = True
+            self._resend()
         return True
 
-    def _send_again(self) -> None:
-        commands, self.unproven = self.unproven, deque()
+    def _resend(self) -> None:
+        commands, self.unacknowledged = self.unacknowledged, deque()
         for command in commands:
-            if not command.still():
+            if not command.is_needed():
                 continue
-            if command.once and command.sent:
-                self.hear(agent.Ended(0, command.once.id, "ERROR", 0, b""))
+            if command.non_idempotent and command.sent:
+                self.on_notice(agent.Ended(0, command.non_idempotent.id, "ERROR", 0, b""))
                 continue
-            self.unproven.append(command._replace(sent=True))
+            self.unacknowledged.append(command._replace(sent=True))
             self.link.send(command.data)
         if commands:
             self.recorder.event(
-                "agent_resent", commands=len(self.unproven), pointless=len(commands) - len(self.unproven)
+                "agent_resent",
+                commands=len(self.unacknowledged),
+                pointless=len(commands) - len(self.unacknowledged),
             )
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -281,7 +281,7 @@
             self.operator,
         )
         self.life = loop.create_task(self.backend.run())
-        await self.until(lambda: self.backend.dispatcher.send.fenced or not self.farm.greet)
+        await self.until(lambda: self.backend.dispatcher.commands.synchronized or not self.farm.greet)
         await self.until(lambda: self.backend.listener.sock is not None)
         self.address = self.backend.listener.sock.getsockname()
         return self
--- a/tests/test_broken_replies.py
+++ b/tests/test_broken_replies.py
@@ -57,7 +57,8 @@
             town.farm.mute = False
             assert (await asked)[0] == 200
         assert (
-            town.backend.dispatcher.send.last == len(town.farm.notices) and not town.counts["notices_missed"]
+            town.backend.dispatcher.commands.last_notice == len(town.farm.notices)
+            and not town.counts["notices_missed"]
         )
         town.check()
 
@@ -70,11 +71,11 @@
         notice = outcome(town, 1)
         town.farm.writer.write(notice)
         await town.farm.writer.drain()
-        town.backend.dispatcher.send.link.drop()
-        await town.until(lambda: town.farm.links == 2 and town.backend.dispatcher.send.fenced)
+        town.backend.dispatcher.commands.link.drop()
+        await town.until(lambda: town.farm.links == 2 and town.backend.dispatcher.commands.synchronized)
         town.farm.writer.write(notice)
         assert (await asked)[0] == 200
-        assert town.backend.dispatcher.send.last == 1 and town.counts["settled"] == 1
+        assert town.backend.dispatcher.commands.last_notice == 1 and town.counts["settled"] == 1
         town.check()
 
     play_in(Town(), scene)
@@ -144,13 +145,13 @@
         assert (await ask_one(town, 1, "look"))[0] == 200
         (writer,) = town.below.open
         writer.write(reply(200, b"of nobody"))  # lies on the spare one
-        spare = next(iter(town.backend.dispatcher.call.exchanges.spare))
+        spare = next(iter(town.backend.dispatcher.calls.exchanges.spare))
         await town.until(lambda: readable(spare))
         assert (await ask_one(town, 2, "look"))[0] == 200
         assert town.farm.replies[ident(2)] == b"the reply of the back end" and town.below.links == 2
         for other in list(town.below.open):
             other.transport.abort()  # a reset that lies there
-        spare = next(iter(town.backend.dispatcher.call.exchanges.spare))
+        spare = next(iter(town.backend.dispatcher.calls.exchanges.spare))
         await town.until(lambda: readable(spare))
         assert (await ask_one(town, 3, "look"))[0] == 200
         assert town.below.links == 3 and not town.counts["call_unsure"]
@@ -169,7 +170,7 @@
     """Nothing tells that reset from one that came after the call had run."""
 
     async def scene(town: Town) -> None:
-        exchanges = town.backend.dispatcher.call.exchanges
+        exchanges = town.backend.dispatcher.calls.exchanges
         assert (await ask_one(town, 1, "look"))[0] == 200
         take = exchanges._take
 
@@ -213,7 +214,7 @@
 @pytest.mark.parametrize("moved", ["connecting", "calling"])
 def test_an_address_that_moves_in_the_midst_of_a_call_leaves_it_whole(moved: str) -> None:
     async def scene(town: Town) -> None:
-        exchanges = town.backend.dispatcher.call.exchanges
+        exchanges = town.backend.dispatcher.calls.exchanges
         town.below.usual = lambda head, body: "hang"
         old = exchanges.address
         if moved == "connecting":
@@ -241,7 +242,7 @@
 
 def test_an_agent_that_moves_while_its_link_connects_hears_nothing_at_the_old_address() -> None:
     async def scene(town: Town) -> None:
-        link, loop = town.backend.dispatcher.send.link, town.backend.loop
+        link, loop = town.backend.dispatcher.commands.link, town.backend.loop
         moved: list[tuple] = []
 
         class Moving:
@@ -261,10 +262,10 @@
         link.loop = Moving()
         asked = await held(town, 1)
         link.move(other.sockets[0].getsockname())
-        await town.until(lambda: town.farm.links == 2 and town.backend.dispatcher.send.fenced)
+        await town.until(lambda: town.farm.links == 2 and town.backend.dispatcher.commands.synchronized)
         assert moved == [other.sockets[0].getsockname()] and silent.writer is None
         # Sent again and proven, before its run can end: a redoable launch may cross the end of its run.
-        await town.until(lambda: not town.backend.dispatcher.send.unproven)
+        await town.until(lambda: not town.backend.dispatcher.commands.unacknowledged)
         town.farm.go_on(ident(1))
         assert (await asked)[0] == 200 and town.farm.begun == {ident(1): 1}
         other.close()
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -105,7 +105,7 @@
     async def scene(town: Town) -> None:
         stamp = town.backend.dispatcher.now() // MS - 300
         assert (await again(town, 1, X_Ingress_Time=str(stamp)))[0] == 200
-        entry = town.backend.dispatcher.repeats.ids[ident(1)]
+        entry = town.backend.dispatcher.retry_table.by_request_id[ident(1)]
         end = max(stamp + 600, -(-entry.until // MS)) + after if after > 0 else stamp + 600 + after
         await town.until(lambda: town.backend.dispatcher.now() // MS > end)
         assert (await again(town, 2, X_Ingress_Time=str(end)))[0] == 200
@@ -128,7 +128,7 @@
 def test_a_window_that_ends_while_the_run_is_on_starts_no_second_run_beside_it() -> None:
     async def scene(town: Town) -> None:
         first = await begun(town, 1)
-        over = town.backend.dispatcher.repeats.ids[ident(1)].until
+        over = town.backend.dispatcher.retry_table.by_request_id[ident(1)].until
         await town.until(
             lambda: (
                 town.backend.dispatcher.now() > over + 100 * MS
@@ -216,7 +216,7 @@
         town.farm.mute = town.farm.hold = True  # nothing proves that a command arrived
         first = again(town, 1)
         await running(town, 1)
-        assert town.backend.dispatcher.send.unproven
+        assert town.backend.dispatcher.commands.unacknowledged
         town.farm.cut()
         town.farm.mute = False
         assert (await first)[0] == 500 and town.farm.begun == {ident(1): 1}
@@ -258,7 +258,7 @@
 # The table by itself
 
 
-def slip_of(n: int, window: int = 1000, outer: int = 5000, arrived: int = 0) -> OpenRequest:
+def request_of(n: int, window: int = 1000, outer: int = 5000, arrived: int = 0) -> OpenRequest:
     arrival = SimpleNamespace(
         id=ident(n), type="book", body=b"b", customer="", sidecar=1, kb=1.0, rank=0.5, key=f"k{n}"
     )
@@ -281,54 +281,54 @@
 def test_entries_go_as_their_time_ends_at_constant_work_for_each() -> None:
     table = RetryTable(lambda request, result: None)
     for n in range(3000):
-        request = slip_of(n, arrived=n)
-        table.began(request, n)
-        table.ended(request, True, True, b"r" * 100)
-        table.closed(request)
+        request = request_of(n, arrived=n)
+        table.run_started(request, n)
+        table.run_ended(request, True, True, b"r" * 100)
+        table.request_closed(request)
     table.entries, Counted.looked = Counted(table.entries), 0
     for now in range(1000, 6000):
         table.expire(now)
-    assert len(table.entries) == len(table.ids) == 3000 and Counted.looked == 0
+    assert len(table.entries) == len(table.by_request_id) == 3000 and Counted.looked == 0
     table.expire(7000)
-    assert len(table.entries) == len(table.ids) == 1999 and Counted.looked == 1001
+    assert len(table.entries) == len(table.by_request_id) == 1999 and Counted.looked == 1001
     table.expire(9000)
-    assert not table.entries and not table.ids and not table.ends
+    assert not table.entries and not table.by_request_id and not table.expirations
 
 
 def test_an_entry_whose_ticket_is_open_outlives_its_window_and_goes_with_it() -> None:
-    table, first = RetryTable(lambda request, result: None), slip_of(1)
+    table, first = RetryTable(lambda request, result: None), request_of(1)
     table.keep(first, 1000)
-    table.began(first, 0)
+    table.run_started(first, 0)
     for now in range(0, 30_000_000, 500_000):
         table.expire(now)
-    assert table.first(slip_of(1), 29_000_000) == first.id
-    table.closed(first)
+    assert table.find_earlier(request_of(1), 29_000_000) == first.id
+    table.request_closed(first)
     table.expire(60_000_000)
-    assert not table.entries and not table.ids and not table.ends
+    assert not table.entries and not table.by_request_id and not table.expirations
 
 
 def test_forgetting_and_keeping_again_leaves_one_entry_that_ends() -> None:
     told: list = []
     table = RetryTable(lambda request, result: told.append((request.id, result)))
     for n in range(50):
-        request = slip_of(1, arrived=n)
+        request = request_of(1, arrived=n)
         request.id = ident(n)
         table.keep(request, 1000)
-        table.forget(request)
-        table.closed(request)
+        table.drop(request)
+        table.request_closed(request)
     assert not table.entries
     table.expire(7000)
-    assert not table.ends and not told
+    assert not table.expirations and not told
 
 
 def test_two_bodies_under_one_key_in_one_moment_are_told_apart() -> None:
-    table, one, two = RetryTable(lambda request, result: None), slip_of(1), slip_of(1)
+    table, one, two = RetryTable(lambda request, result: None), request_of(1), request_of(1)
     two.content = hash(b"other")
-    assert table.first(one, 0) == ""
+    assert table.find_earlier(one, 0) == ""
     with pytest.raises(InvalidRequestError):
-        table.first(two, 0)
+        table.find_earlier(two, 0)
     table.expire(0)
-    assert table.first(two, 0) == ""  # the other was of another moment, and nothing of it is kept
+    assert table.find_earlier(two, 0) == ""  # the other was of another moment, and nothing of it is kept
 
 
 # As `run` starts it, with every effect that settings can name
--- a/tests/test_process_lifecycle.py
+++ b/tests/test_process_lifecycle.py
@@ -217,10 +217,10 @@
     "broken",
     [
         lambda b: setattr(b.listener, "close_idle", failing),
-        lambda b: setattr(b.dispatcher, "leave", failing),
+        lambda b: setattr(b.dispatcher, "drain", failing),
         lambda b: setattr(b.listener, "close", failing),
         lambda b: setattr(b.listener, "finish", failing),
-        lambda b: setattr(b.dispatcher, "end", failing),
+        lambda b: setattr(b.dispatcher, "shut_down", failing),
         lambda b: setattr(b, "figures", failing),
         lambda b: setattr(b.log, "write", failing),
     ],
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -76,7 +76,8 @@
         town.check()
         assert town.counts["had"] == 200
         assert (
-            town.backend.dispatcher.send.last == len(town.farm.notices) and not town.counts["notices_missed"]
+            town.backend.dispatcher.commands.last_notice == len(town.farm.notices)
+            and not town.counts["notices_missed"]
         )
 
     play_in(Town(), scene)
@@ -95,7 +96,7 @@
         town.farm.go_on(ident(2))
         assert (await second)[0] == 200
         assert town.farm.begun == {ident(1): 1, ident(2): 1}
-        await town.until(lambda: not town.backend.dispatcher.send.unproven)  # emptied by a sample
+        await town.until(lambda: not town.backend.dispatcher.commands.unacknowledged)  # emptied by a sample
         town.check()
 
     play_in(Town(), scene)
@@ -122,7 +123,7 @@
         dispatcher, turns = town.backend.dispatcher, []
         turn = dispatcher.manager.decide
         dispatcher.manager.decide = lambda now: turns.append(now) or turn(now)
-        dispatcher.send.sample = lambda: False
+        dispatcher.commands.sample = lambda: False
         town.farm.hold = True
         asked = asyncio.create_task(ask_one(town, 1, left=2500))
         assert (await asked)[0] == 500 and len(turns) > 10
@@ -156,7 +157,7 @@
         await town.until(lambda: town.backend.front.good)
         manager = town.backend.dispatcher.manager
         assert manager.facts.cold and 900_000 < town.backend.dispatcher.now() - manager.started < 30_000_000
-        await town.until(lambda: town.backend.dispatcher.send.fenced)
+        await town.until(lambda: town.backend.dispatcher.commands.synchronized)
         assert (await ask_one(town, 2))[0] == 200
 
     town = Town()
@@ -213,7 +214,7 @@
         town.below.answers += ["break"]  # after the request was read: it proves nothing
         assert (await ask_one(town, 4, "look"))[0] == 200 and town.counts["call_unsure"] == 1
         town.servers[1].close()
-        town.backend.dispatcher.call.exchanges.close()
+        town.backend.dispatcher.calls.exchanges.close()
         assert (await ask_one(town, 5, "look", left=900))[0] == 500
         assert town.counts["call_never_ran"] > 1 and town.counts["call_unsure"] == 1
 
@@ -227,7 +228,7 @@
         await town.until(lambda: len(town.below.heard) == 1)
         town.farm.end(ident(1), "ERROR")
         assert (await asked)[0] == 500
-        await town.until(lambda: town.backend.dispatcher.call.exchanges.open == 0)
+        await town.until(lambda: town.backend.dispatcher.calls.exchanges.open == 0)
         town.check()
 
     play_in(Town(), scene)
--- a/tests/test_program_life.py
+++ b/tests/test_program_life.py
@@ -19,14 +19,14 @@
 
 def test_a_defect_in_one_ticket_costs_no_other() -> None:
     async def scene(town: Town) -> None:
-        launch = town.backend.dispatcher.send.launch
+        launch = town.backend.dispatcher.commands.launch
 
         def failing(request: object, figure: float = 0) -> None:
             if request.id == ident(1):
                 raise RuntimeError("made up")
             launch(request, figure)
 
-        town.backend.dispatcher.route.by_ticket[Step.RUN] = failing
+        town.backend.dispatcher.router.request_steps[Step.RUN] = failing
         answers = await asyncio.gather(*(ask_one(town, n) for n in range(4)))
         assert [status for status, _, _ in answers] == [200, 500, 200, 200]
         assert town.counts["defects"] == 1 and not town.backend.dispatcher.manager.requests
@@ -154,7 +154,7 @@
         assert (await asked)[0] == 200 and town.farm.begun == {ident(1): 1}
         line = next(line for line in town.lines if line["event"] == "reloaded")
         assert set(line["changed"]) == {"agent", "below", "control"} and not line["cannot_change"]
-        assert town.backend.dispatcher.call.exchanges.address not in old
+        assert town.backend.dispatcher.calls.exchanges.address not in old
         town.check()
 
     play_in(Town(), scene)
