--- a/crowwing/memory/__init__.py
+++ b/crowwing/memory/__init__.py
@@ -1,1 +1,1 @@
-"""Snapshots on disk: what the fleet keeps, across restarts (docs/replication.md)."""
+"""Snapshots on disk, which preserve the fleet's replicated state across restarts (docs/replication.md)."""
--- a/crowwing/memory/snapshot.py
+++ b/crowwing/memory/snapshot.py
@@ -1,10 +1,11 @@
-"""One snapshot file a member: never half written, and read only if it is whole and this member's own.
+"""Reads and writes a member's snapshot file. Writing is atomic; reading checks the file and its owner.
 
-    CROW 1 | format | length | xxh64 of what follows | msgpack: Snapshot
+    CROW | format version | length | xxh64 of the body | body (msgpack: Snapshot)
 
-Written to a temporary file in the same folder, synced, renamed over the old one, and the folder synced: a
-kill or a power cut at any moment leaves the old file or the new one. What else lies there under the name
-(cut, spoilt, another member's, a later form's) is named in one line and not used.
+A snapshot is written to a temporary file in the same folder, synced and renamed over the old one, and then
+the folder is synced: a kill or a power failure at any moment leaves either the old or the new file. A file
+that is truncated, corrupted, of another member or of another format version is reported in one line and not
+used.
 """
 
 import os
@@ -15,30 +16,30 @@
 import xxhash
 
 MAGIC, FORMAT_VERSION = b"CROW", 1
-HEADER = struct.Struct("<4sIQQ")  # magic, form, length, checksum
-MAX_SIZE = 64 << 20  # bytes; guards against reading a file that is no snapshot into memory
+HEADER = struct.Struct("<4sIQQ")  # magic, format version, length, checksum
+MAX_SIZE = 64 << 20  # bytes; keeps a file that is no snapshot from being read into memory
 
 
 class UnusableSnapshotError(ValueError):
-    """One line that names the file and why it is not used."""
+    """The snapshot file can't be used. The message is one line with its path and the reason."""
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """What one member kept when it was written."""
+    """A member's replicated state at the time of writing."""
 
     who: str
-    at: int  # µs, Unix
-    rows: list  # of the fleet's state, as Copies gives them
+    at: int  # Unix time in microseconds
+    rows: list  # of the replicated state
 
 
 def path_of(folder: Path, who: str) -> Path:
-    """Of one member; a name that is no file's name is told apart by its hash."""
+    """The path of a member's snapshot; the hash keeps apart names that differ only in replaced characters."""
     plain = "".join(character if character.isalnum() or character in "-_." else "_" for character in who)
     return folder / f"{plain}-{xxhash.xxh32_hexdigest(who.encode())}.snapshot"
 
 
 def check_writable(folder: Path) -> None:
-    """OSError where a snapshot could not be written there."""
+    """Raises OSError if a snapshot can't be written to this folder."""
     probe = folder / f".probe-{os.getpid()}"
     with probe.open("wb"):
         pass
@@ -51,11 +52,10 @@
 
 
 def write(folder: Path, data: bytes, who: str) -> None:
-    """OSError where it cannot be written; what stood there before then still stands."""
+    """Raises OSError if it can't be written; the previous snapshot is then still there."""
     path = path_of(folder, who)
-    temporary = path.with_suffix(
-        ".writing"
-    )  # one writer a member: the next writing replaces what a kill left
+    # Each member has one writer, so the next write replaces a temporary file left by a kill.
+    temporary = path.with_suffix(".writing")
     with temporary.open("wb") as file:
         file.write(data)
         file.flush()
@@ -69,30 +69,33 @@
 
 
 def read(folder: Path, who: str) -> Snapshot | None:
-    """None where there is none; Unusable for anything that is not this member's whole snapshot."""
+    """Returns None if there is no file.
+
+    Raises UnusableSnapshotError for anything but a complete snapshot of this member.
+    """
     path = path_of(folder, who)
     try:
         if path.stat().st_size > MAX_SIZE:
-            raise UnusableSnapshotError(f"{path}: over {MAX_SIZE >> 20} MB")
+            raise UnusableSnapshotError(f"{path}: larger than {MAX_SIZE >> 20} MB")
         data = path.read_bytes()
     except FileNotFoundError:
         return None
     except OSError as error:
         raise UnusableSnapshotError(f"{path}: {error.strerror}") from None
     if len(data) < HEADER.size:
-        raise UnusableSnapshotError(f"{path}: cut short")
+        raise UnusableSnapshotError(f"{path}: truncated")
     magic, version, length, checksum = HEADER.unpack_from(data)
     body = data[HEADER.size :]
     if magic != MAGIC:
-        raise UnusableSnapshotError(f"{path}: no snapshot of ours")
+        raise UnusableSnapshotError(f"{path}: not a snapshot file")
     if version != FORMAT_VERSION:
-        raise UnusableSnapshotError(f"{path}: of form {version}, not {FORMAT_VERSION}")
+        raise UnusableSnapshotError(f"{path}: format version {version}, expected {FORMAT_VERSION}")
     if length != len(body) or xxhash.xxh64_intdigest(body) != checksum:
-        raise UnusableSnapshotError(f"{path}: cut short or spoilt")
+        raise UnusableSnapshotError(f"{path}: truncated or corrupted")
     try:
         snapshot = msgspec.msgpack.decode(body, type=Snapshot)
     except msgspec.MsgspecError as error:
         raise UnusableSnapshotError(f"{path}: {error}") from None
     if snapshot.who != who:
-        raise UnusableSnapshotError(f"{path}: is {snapshot.who}'s")
+        raise UnusableSnapshotError(f"{path}: belongs to {snapshot.who}, not to this member")
     return snapshot
--- a/crowwing/records/__init__.py
+++ b/crowwing/records/__init__.py
@@ -1,1 +1,1 @@
-"""What the program writes down of itself."""
+"""The table of logged events."""
--- a/crowwing/storm/__init__.py
+++ b/crowwing/storm/__init__.py
@@ -1,1 +1,1 @@
-"""Retry storms as one backend can see them, from what reaches it alone."""
+"""Detects retry storms at one backend from the requests that reach it, and spreads out the retries."""
--- a/crowwing/storm/detector.py
+++ b/crowwing/storm/detector.py
@@ -1,17 +1,20 @@
-"""Whether a retry storm is on, and which tickets are likely repeats, from what reaches one backend. Pure.
-
-Three kinds of evidence, none of which needs a mark:
-
-- `again`: the print of an arrival is that of a ticket that was turned away here of late. Honest equal
-tickets   match too; how often, is learned from prints of *settled* tickets, which nobody repeats. A turned-
-away print is   taken out by its first match, since each bad ending begets one repeat at most. - `worn`: an
-arrival's caller has less patience left than tickets of its type come with while all is calm. A   sidecar
-that goes on to another backend has spent some of it. - the excess: arrivals over the level at which they
-stood when bad endings began, and no more than the bad endings   a moment before. Honest growth and a
-neighbour's death come before any bad ending and move that level; what   repeats bring comes after. This
-needs nothing in a ticket to stay the same.
-
-No table grows with tickets: the windows are of fixed size, all else is one figure or one a traffic type.
+"""Detects retry storms and likely retries from the requests that reach one backend.
+
+Three kinds of evidence are used; none needs an attempt number or another marker in the request:
+
+- Fingerprints: an arrival whose fingerprint equals that of a request rejected or failed here recently.
+  Distinct requests can be equal too; how often is learned from fingerprints of completed requests, which
+  nobody retries. The first match removes a rejected fingerprint, because each unsuccessful answer causes one
+  retry at most.
+- Time budgets: an arrival with less time left than requests of its class have in normal operation. A sidecar
+  that goes on to another backend has spent some of the budget.
+- Excess arrivals: arrivals above the baseline, the rate at which first attempts came when unsuccessful
+  answers began, counted up to the number of unsuccessful answers a moment before. Organic growth and the loss
+  of another backend come before any unsuccessful answer and raise the baseline; retries come after. This
+  works even if no field of a request stays the same in its retries.
+
+Memory does not grow with the number of requests: the fingerprint windows have a fixed size, and everything
+else is one number, or one for each request class. The code is deterministic and does no I/O.
 """
 
 from collections import deque
@@ -21,34 +24,29 @@
 
 from crowwing.storm.fingerprint_windows import CuckooWindow
 
-MATCH_SAMPLES = 400  # arrivals that the rates of matches are means of
-CALM_FAILURES = 0.02  # bad endings an arrival under which all is calm
-BASELINE_FAILURES = 0.05  # bad endings an arrival under which the base follows arrivals
-RATE_SECONDS, FOLLOW_SECONDS, JUMP_SECONDS, DRIFT_SECONDS = (
-    1.0,
-    4.0,
-    0.5,
-    6.0,
-)  # seconds: of the rates; of the base calm, after a jump, in trouble
-RECENT_STEPS, ONSET_STEPS = (
-    5,
-    3,
-)  # steps that the level at an onset is the mean of, and for which it may still rise
-RETRY_LAG = 0.5  # seconds by which repeats are taken to follow bad endings
-STORM_ATTEMPTS, CLEAR_ATTEMPTS = 1.35, 1.15  # tries a ticket from which a storm is on, under which it is over
-STORM_FAILURES, CLEAR_FAILURES = 0.1, 0.05  # bad endings an arrival, likewise
-STORM_AFTER, CLEAR_AFTER = 1_000_000, 2_000_000  # microseconds for which that has to hold
-MAXIMUM_DECAY, NEAR_MAXIMUM, SPENT_BELOW = (
-    0.99999,
-    0.996,
-    0.99,
-)  # of the most patience: a ticket; what is there; what is worn
-MIN_SHARE_AT_MAXIMUM = 0.1  # part of arrivals at the most from which patience is a matter of the type
-SPENT_BASELINE = 0.01  # part of arrivals that look worn while all is calm, before it is learned
+MATCH_SAMPLES = 400  # arrivals that the match rates are averaged over
+# Unsuccessful answers per arrival, below which operation counts as normal, and below which the baseline
+# follows the arrival rate.
+CALM_FAILURES = 0.02
+BASELINE_FAILURES = 0.05
+# Time constants in seconds: of the rates, and of the baseline in normal operation, after a jump and in
+# overload.
+RATE_SECONDS, FOLLOW_SECONDS, JUMP_SECONDS, DRIFT_SECONDS = 1.0, 4.0, 0.5, 6.0
+# Update steps that the baseline at an onset is averaged over, and for which it may still rise.
+RECENT_STEPS, ONSET_STEPS = 5, 3
+RETRY_LAG = 0.5  # seconds by which retries are assumed to follow unsuccessful answers
+# Attempts per request, and unsuccessful answers per arrival, at which a storm begins and below which it ends.
+STORM_ATTEMPTS, CLEAR_ATTEMPTS = 1.35, 1.15
+STORM_FAILURES, CLEAR_FAILURES = 0.1, 0.05
+STORM_AFTER, CLEAR_AFTER = 1_000_000, 2_000_000  # microseconds for which these conditions have to hold
+# Factors of the maximum budget: decay per request, minimum of a full budget, maximum of a spent one.
+MAXIMUM_DECAY, NEAR_MAXIMUM, SPENT_BELOW = 0.99999, 0.996, 0.99
+MIN_SHARE_AT_MAXIMUM = 0.1  # share of arrivals with a full budget, above which the class fixes the budget
+SPENT_BASELINE = 0.01  # share of arrivals that look spent in normal operation, until it is learned
 
 
 class StormEstimate(NamedTuple):
-    """What is seen now. `repeats`: share of arrivals; `tries`: of one ticket; `sure`: 0 to 1."""
+    """The latest estimate: retries as a share of arrivals, attempts per request, confidence from 0 to 1."""
 
     retry_share: float
     attempts: float
@@ -58,14 +56,15 @@
 
 @dataclass(slots=True)
 class TimeBudget:
-    """What arrivals of one type bring of their caller's patience.
+    """The time that arrivals of one request class have left.
 
-    First tries come with the most there is. Where a good part of arrivals stands right at that most, patience
-    is a matter of the type, and what has less has spent some; where honest patience is spread, none is worn.
+    First attempts have the full budget. Where many arrivals have exactly the maximum, the class fixes the
+    budget, and an arrival with less has spent some of it. Where callers choose different budgets, none counts
+    as spent.
     """
 
     maximum: float = 0.0
-    share_at_maximum: float = 0.0  # part of arrivals that stand there
+    share_at_maximum: float = 0.0  # share of arrivals that have the maximum
     samples: int = 0
 
     def is_spent(self, remaining: float) -> bool:
@@ -82,28 +81,27 @@
 
 
 class StormDetector:
-    """Of one backend. Clocks that step back count as standing still."""
+    """Detects retry storms at one backend. A clock that steps back is treated as stopped."""
 
     def __init__(self, now: int, classes: int, span: int, capacity: int) -> None:
-        """`span` in microseconds and `most` prints: what the windows hold."""
+        """The fingerprint windows hold `capacity` fingerprints for `span` microseconds."""
         self.rejected, self.completed = CuckooWindow(span, capacity), CuckooWindow(span, capacity)
         self.span = span
         self.time_budgets = [TimeBudget() for _ in range(classes)]
         self.now = self.updated_at = now
-        self.collision_chance = 1e-6  # chance that an arrival equals one given print in the settled window
-        self.match_rate = self.spent_rate = 0.0  # part of arrivals of late
+        self.collision_chance = 1e-6  # probability that an arrival equals a given completed fingerprint
+        self.match_rate = self.spent_rate = 0.0  # shares of recent arrivals
         self.spent_baseline = SPENT_BASELINE
-        self.arrivals = self.failures = self.successes = self.remote_rejections = 0  # since the last step
-        self.arrival_rate = self.failure_rate = self.lagged_failure_rate = self.success_rate = (
-            self.baseline
-        ) = 0.0  # a second
-        self.remote_rejection_rate = 0.0  # prints turned away elsewhere that this member was told
-        self.elapsed = 0.0  # seconds of steps so far
-        self.recent: deque[tuple[float, int, int]] = deque(
-            maxlen=RECENT_STEPS
-        )  # span, came, ended badly by step
-        self.onset_steps: int | None = None  # steps for which the base may still rise; None: few end badly
-        self.storm, self.unmet_at = False, now  # and since when all spoke the same way
+        self.arrivals = self.failures = self.successes = self.remote_rejections = 0  # since the last update
+        # All per second.
+        self.arrival_rate = self.failure_rate = self.lagged_failures = self.success_rate = self.baseline = 0.0
+        self.remote_rejection_rate = 0.0  # per second: rejections reported by other members
+        self.elapsed = 0.0  # seconds covered by updates so far
+        # Seconds, arrivals and unsuccessful answers of each recent step.
+        self.recent: deque[tuple[float, int, int]] = deque(maxlen=RECENT_STEPS)
+        # Steps for which the baseline may still rise; None while there are few unsuccessful answers.
+        self.onset_steps: int | None = None
+        self.storm, self.unmet_at = False, now  # when the condition for a change was last not met
         self.estimate = StormEstimate(0.0, 1.0, False, 0.0)
 
     def _advance_clock(self, now: int) -> int:
@@ -111,7 +109,10 @@
         return self.now
 
     def record_arrival(self, now: int, request_class: int, fingerprint: int, remaining: int) -> float:
-        """How likely it is a repeat, 0 to 1. `left`: its caller's patience, 0 where none is told."""
+        """The probability that an arrival is a retry.
+
+        `remaining` is the caller's time left in microseconds, 0 if unknown.
+        """
         now = self._advance_clock(now)
         self.arrivals += 1
         matches_completed = self.completed.take(now, fingerprint)
@@ -138,7 +139,7 @@
         return likely
 
     def record_outcome(self, now: int, fingerprint: int, good: bool) -> None:
-        """Our final answer to a ticket has gone out; a bad one may bring its caller back."""
+        """Records a final answer; after one that is not `good`, the caller may retry."""
         now = self._advance_clock(now)
         if good:
             self.successes += 1
@@ -148,15 +149,15 @@
             self.rejected.add(now, fingerprint)
 
     def record_remote_rejections(self, now: int, fingerprints: list[int]) -> None:
-        """Others of the fleet turned these away. They count among the prints that a repeat may match, and
-        that an equal ticket may match by chance; our own rates are not theirs."""
+        """Records rejections by other members. A retry may match them, and so may an equal request by chance;
+        they don't count in this backend's own rates."""
         now = self._advance_clock(now)
         for fingerprint in fingerprints:
             self.rejected.add(now, fingerprint)
         self.remote_rejections += len(fingerprints)
 
     def update(self, now: int) -> StormEstimate:
-        """Every tenth of a second or so: the rates, and whether a storm is on."""
+        """Updates the rates and the storm state; to be called about every 100 ms."""
         now = self._advance_clock(now)
         span = (now - self.updated_at) / 1e6
         if span < 0.02:
@@ -168,14 +169,12 @@
         self.failure_rate += weight * (self.failures / span - self.failure_rate)
         self.success_rate += weight * (self.successes / span - self.success_rate)
         self.remote_rejection_rate += weight * (self.remote_rejections / span - self.remote_rejection_rate)
-        self.lagged_failure_rate += min(1.0, span / RETRY_LAG) * (
-            self.failure_rate - self.lagged_failure_rate
-        )
+        self.lagged_failures += min(1.0, span / RETRY_LAG) * (self.failure_rate - self.lagged_failures)
         self.recent.append((span, self.arrivals, self.failures))
         self.arrivals = self.failures = self.successes = self.remote_rejections = 0
         noise = sqrt(max(1.0, self.arrival_rate) / (2 * RATE_SECONDS))
         self._update_baseline(span, noise)
-        excess = min(max(0.0, self.arrival_rate - self.baseline), self.lagged_failure_rate)
+        excess = min(max(0.0, self.arrival_rate - self.baseline), self.lagged_failures)
         confidence = excess / (excess + 2 * noise)
         identified = min(0.9, self.match_rate + max(0.0, self.spent_rate - self.spent_baseline))
         inferred = excess / max(1.0, self.arrival_rate)
@@ -188,11 +187,13 @@
         return self.estimate
 
     def _update_baseline(self, span: float, noise: float) -> None:
-        """The level of first tries. While few end badly it follows arrivals, at once after a jump.
+        """Updates the baseline, the rate of first attempts.
 
-        At the onset of bad endings it is taken from the last half second itself: the smoothed rate is still
-        on its way, and what it has yet to rise would pass for repeats. From then on it stays, since repeats
-        can be no more than the bad endings before: that bounds it from below, and arrivals from above.
+        While there are few unsuccessful answers it follows the arrival rate, faster after a jump. At the
+        onset of unsuccessful answers it is the plain mean of the last half second: the smoothed rate is still
+        rising, and the rest of that rise would be taken for retries. Afterwards it only drifts between two
+        bounds: the arrival rate above, and below it the arrival rate less the preceding unsuccessful answers,
+        since there can be no more retries than those.
         """
         steps = list(self.recent)[-3:]
         failures, arrivals = sum(step[2] for step in steps), sum(step[1] for step in steps)
@@ -213,7 +214,7 @@
                 self.baseline, sum(step[1] for step in self.recent) / sum(step[0] for step in self.recent)
             )
         else:
-            target = min(max(self.baseline, self.arrival_rate - self.lagged_failure_rate), self.arrival_rate)
+            target = min(max(self.baseline, self.arrival_rate - self.lagged_failures), self.arrival_rate)
             self.baseline += min(1.0, span / DRIFT_SECONDS) * (target - self.baseline)
 
     def _update_state(self, now: int, attempts: float, failure_share: float) -> None:
--- a/crowwing/storm/fingerprint.py
+++ b/crowwing/storm/fingerprint.py
@@ -1,6 +1,6 @@
-"""The print of what a repeat shares with its first try.
+"""Fingerprints of the request fields that a retry has in common with its first attempt.
 
-Which fields stay the same is the operator's to say.
+The operator file says which fields these are.
 """
 
 from collections.abc import Sequence
@@ -13,7 +13,7 @@
 
 
 def of(arrival: Arrival, fields: Sequence[str] = FIELDS) -> int:
-    """64 bits; fields are set apart by their lengths, so that none runs into the next."""
+    """A 64-bit fingerprint. Each field is hashed with its length to keep adjacent fields apart."""
     state = xxhash.xxh3_64()
     for name in fields:
         value = getattr(arrival, name)
--- a/crowwing/storm/fingerprint_windows.py
+++ b/crowwing/storm/fingerprint_windows.py
@@ -1,7 +1,8 @@
-"""Sets of 64-bit prints that forget after a span, in fixed memory. Pure; the clock is handed in.
+"""Sets of 64-bit fingerprints whose entries expire after a span, in fixed memory.
 
-All have add(now, print), take(now, print) (whether it is there; where the structure can, it is taken out,
-since one turning away begets one repeat) and `held_bytes`. docs/storm.md weighs them against each other.
+All have add(now, fingerprint), take(now, fingerprint) and `size_bytes`. take() says whether the fingerprint
+is in the set and removes it if the structure supports that, since one rejection causes one retry at most.
+Times are in microseconds and passed in. docs/storm.md compares the structures.
 """
 
 from array import array
@@ -12,11 +13,11 @@
 
 
 class DictWindow:
-    """The plain one: exact, in memory that follows the traffic up to `most` entries."""
+    """An exact set; its memory grows with the traffic up to `capacity` entries."""
 
     def __init__(self, span: int, capacity: int) -> None:
         self.span, self.capacity = span, capacity
-        self.expires_at: OrderedDict[int, int] = OrderedDict()  # emptied by age, take() and the bound
+        self.expires_at: OrderedDict[int, int] = OrderedDict()  # bounded by age, take() and the capacity
 
     def add(self, now: int, fingerprint: int) -> None:
         self.expires_at.pop(fingerprint, None)
@@ -29,11 +30,12 @@
 
     @property
     def size_bytes(self) -> int:
-        return self.expires_at.__sizeof__() + 64 * len(self.expires_at)  # the boxed print and time of each
+        # 64 bytes for the boxed fingerprint and time of each entry.
+        return self.expires_at.__sizeof__() + 64 * len(self.expires_at)
 
 
 class BloomWindow:
-    """Rotating Bloom filters, each print in one 64-bit word of its generation; nothing can be taken out."""
+    """Rotating Bloom filters with one 64-bit word per fingerprint; take() removes nothing."""
 
     GENERATIONS, BITS = 4, 4
 
@@ -44,7 +46,7 @@
         self.rotated_at = 0
 
     def _rotate(self, now: int) -> None:
-        """The oldest generation is emptied once a part of the span has passed."""
+        """Replaces the oldest generation after each `rotation_span`."""
         if now - self.rotated_at >= self.rotation_span:
             steps = min(self.GENERATIONS, (now - self.rotated_at) // self.rotation_span)
             for _ in range(steps):
@@ -73,11 +75,11 @@
 
 
 class CuckooWindow:
-    """A cuckoo filter whose slots carry the part of the span they were written in.
+    """A cuckoo filter whose slots store the epoch in which they were written.
 
-    A slot is 32 bits: 24 of the print, 8 of its time. One that is too old counts as free. Since 8 bits of
-    time come round again, a part of the table is swept with each part of the span that passes. Where both
-    buckets of a print are full, the oldest of them makes room: it is forgotten early.
+    The span has 64 epochs. A slot has 32 bits: 24 of the fingerprint and 8 of its epoch; an expired one
+    counts as free. Since the 8 bits wrap around, a part of the table is swept of expired slots in each epoch.
+    If both buckets of a fingerprint are full, it replaces their oldest entry, which is lost before its time.
     """
 
     BUCKET_SIZE, EPOCHS = 4, 64
@@ -88,15 +90,13 @@
         while buckets * self.BUCKET_SIZE * 0.9 < capacity:
             buckets *= 2
         self.mask = buckets - 1
-        self.slots = array("I", bytes(4 * self.BUCKET_SIZE * buckets))  # 0: free
-        self.epoch = self.sweep_position = (
-            0  # the part of the span that now is in, and up to where the table is swept
-        )
+        self.slots = array("I", bytes(4 * self.BUCKET_SIZE * buckets))  # 0 is a free slot
+        self.epoch = self.sweep_position = 0  # the table is swept up to this slot
 
     def _advance(self, now: int) -> int:
-        """The time of now, as slots carry it. Within one span the whole table is swept of what is too old.
+        """Returns the current epoch as slots store it, and sweeps the whole table once per span.
 
-        Guards against slots that, left alone, would count as young again each time 8 bits have come round.
+        Without the sweep, an expired slot would count as new again each time its 8 bits wrap around.
         """
         epoch = now // self.epoch_span
         elapsed, size = epoch - self.epoch, len(self.slots)
@@ -116,7 +116,7 @@
         return tag, first, first ^ (tag * 0x5BD1E995 & self.mask)
 
     def _age(self, stamp: int, slot: int) -> int:
-        """In parts of the span; more than PARTS is too old."""
+        """The age of a slot in epochs; it has expired if that is over EPOCHS."""
         return (stamp - (slot & 0xFF)) % 256 if slot else 256
 
     def add(self, now: int, fingerprint: int) -> None:
@@ -150,18 +150,22 @@
 
 
 class CountWindow:
-    """A count-min sketch whose counts fade: a print is there while its least count is over a half."""
+    """A count-min sketch with decaying counts; a fingerprint is in it while its minimum count is over 0.5."""
 
     ROWS, THRESHOLD = 3, 0.5
 
     def __init__(self, span: int, capacity: int) -> None:
-        self.decay = 0.7 / span  # a count of one falls under a half after the span
+        self.decay = 0.7 / span  # a count of 1 falls below 0.5 after the span
         self.width = max(64, 2 * capacity)
         self.rows = [array("f", bytes(4 * self.width)) for _ in range(self.ROWS)]
         self.reference = 0
 
     def _scale(self, now: int) -> float:
-        """Counts are kept as of `base`, so that fading costs nothing; it is moved before they overflow."""
+        """The weight of a count added now, relative to one added at `reference`.
+
+        Weighting new counts instead of decaying the old ones costs nothing per entry; `reference` is moved
+        before the counts overflow.
+        """
         if (now - self.reference) * self.decay > 30:
             factor = exp(-min(600.0, (now - self.reference) * self.decay))
             for row in self.rows:
--- a/crowwing/storm/retry_scheduler.py
+++ b/crowwing/storm/retry_scheduler.py
@@ -1,38 +1,36 @@
-"""Paced returns: when a caller that is sent away is to come back, so that callers do not return in step.
+"""Schedules when rejected callers are to retry, so that they don't retry in step.
 
-Pure.
-
-A wheel of slots covers the longest advice there is. Each caller gets one place on it: the first slot, not
-before what the module asks for, that has room for what the caller brings, and within it a moment by chance.
-A caller that is sent away again before its place comes is told the same place. Where no slot has room, it
-is told the longest. The wheel turns with time, which empties slots and places.
+A ring of time slots covers the longest permitted delay. Each caller gets one retry time: a random moment in
+the first slot that is not before the delay the decision module asks for and has capacity for the caller's
+rate. A caller that is rejected again before its retry time gets the same time. If no slot has capacity, it
+gets the longest delay. Slots and retry times that have passed are cleared. The code does no I/O; the random
+source is passed in.
 """
 
 from array import array
 from random import Random
 
-SLOT_US = 50_000  # microseconds
-FULL_SHARE = 2.0  # a slot takes so many times the mean share of a slot before it is full
+SLOT_US = 50_000
+FULL_SHARE = 2.0  # a slot is full at this multiple of its even share of the capacity
 
 
 class RetryScheduler:
     def __init__(self, now: int, max_delay: int, rng: Random) -> None:
-        """`longest` in microseconds: the longest advice that may be given."""
+        """`max_delay` in microseconds: the longest delay that may be advised."""
         self.max_delay, self.random = max_delay, rng.random
-        self.slot_rates = array(
-            "f", bytes(4 * max(1, max_delay // SLOT_US))
-        )  # tickets a second that return in each
-        self.current_slot = now // SLOT_US  # the slot of now, counted from the clock's start
-        self.retry_times: dict[int, int] = {}  # caller -> when it returns; emptied by that time
+        # Retries expected in each slot, in requests per second.
+        self.slot_rates = array("f", bytes(4 * max(1, max_delay // SLOT_US)))
+        self.current_slot = now // SLOT_US  # counted from the clock's zero
+        self.retry_times: dict[int, int] = {}  # by caller; removed once they have passed
 
     def advise(
         self, now: int, caller: int, caller_rate: float, min_delay: int, remaining: int, capacity: float
     ) -> int:
-        """For how long the caller is to stay away, in microseconds.
+        """The delay in microseconds until the caller is to retry.
 
-        `brings` and `room` in tickets a second: what the caller sends of late, and what can be taken from all
-        that return. `least`: what the module asks for; `left`: for how long an answer is still of use to the
-        caller, which no advice outlasts.
+        `caller_rate` and `capacity` are in requests per second: the caller's recent rate, and the rate that
+        can be served of all retries. `min_delay` is what the decision module asks for; `remaining` is the
+        time left until the caller's deadline, which the delay never exceeds.
         """
         now = self._advance(now)
         max_allowed = min(self.max_delay, remaining)
@@ -59,7 +57,7 @@
         return now + self.max_delay
 
     def _advance(self, now: int) -> int:
-        """Empties what has passed. A clock that steps back stands still."""
+        """Clears slots and retry times that have passed. A clock that steps back is treated as stopped."""
         slot, size = now // SLOT_US, len(self.slot_rates)
         if slot > self.current_slot:
             for offset in range(min(size, slot - self.current_slot)):
