--- a/crowwing/routing/backend_calls.py
+++ b/crowwing/routing/backend_calls.py
@@ -1,4 +1,4 @@
-"""One call to the service below for a run that waits for it, and what its ending proves."""
+"""Calls to the downstream service for runs that wait for them, and what the end of a call proves."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,11 +11,11 @@
 from crowwing.transport.exchange import Broken, Exchanges, NeverSent, Spoilt
 from crowwing.transport.pool import BufferPool
 
-IDLE_TIMEOUT = 0.8 * below.IDLE_CLOSED  # seconds: ours are dropped before the back end drops them
+IDLE_TIMEOUT = 0.8 * below.IDLE_CLOSED  # seconds; closes idle connections before the downstream service does
 
 
 class BackendCalls:
-    """The calls that are out. Owned by `Dispatcher`."""
+    """The calls in progress. Owned by `Dispatcher`."""
 
     def __init__(
         self,
@@ -26,12 +26,12 @@
         recorder: EventRecorder,
         on_reply: Callable[[OpenRequest, int, Outcome, bytes], None],
     ) -> None:
-        """Calls `address`, at most `most` at once; `hear` gets how long each took and how it ended."""
+        """Calls `address`, at most `max_calls` at once; `on_reply` gets durations in microseconds."""
         self.loop, self.recorder, self.on_reply = loop, recorder, on_reply
         self.exchanges = Exchanges(loop, address, pool, ReplyReader, IDLE_TIMEOUT, max_calls)
 
     def begin(self, request: OpenRequest, time_limit: float) -> None:
-        """Sends the call that a run waits for; `span` microseconds is its time limit."""
+        """Sends the call that a run waits for; `time_limit` is in microseconds."""
         self.recorder.verify(
             request.wanted is not None and request.call is None, "a call that no run waits for"
         )
@@ -40,7 +40,7 @@
 
     @staticmethod
     def cancel(request: OpenRequest) -> None:
-        """Closes the connection of the call that is out, if one is."""
+        """Cancels the call in progress, if any, and closes its connection."""
         if request.call is not None:
             request.call.cancel()
             request.call = None
@@ -54,7 +54,7 @@
         except NeverSent:
             outcome = Outcome.NEVER_RAN
         except Spoilt:
-            outcome = Outcome.FAILED  # it has run and is over; nothing of it lingers
+            outcome = Outcome.FAILED  # it ran and has ended; nothing of it is still running
         except Broken:
             outcome = Outcome.UNSURE
         request.call = None
--- a/crowwing/routing/dispatcher.py
+++ b/crowwing/routing/dispatcher.py
@@ -1,7 +1,8 @@
-"""Owns the manager, the clock and the open requests, and lets the module decide once a loop turn.
+"""Owns the decision module, the clock and the open requests, and runs the module once per event loop turn.
 
-News is kept as it comes and handed in together at the loop's next pass, at one reading of the clock, followed
-by one turn() of the module, whose steps are carried out in order. Nothing else calls the module.
+Updates are queued as they come and handed to the module together in the next pass of the event loop, with one
+reading of the clock. One turn() of the module follows, whose steps are carried out in order. Nothing else
+calls the module.
 """
 
 import asyncio
@@ -33,7 +34,7 @@
 if TYPE_CHECKING:
     from crowwing.routing.storm_monitor import StormMonitor
 
-TURN_RETRY = 0.02  # seconds to the next turn after one that failed
+TURN_RETRY = 0.02  # seconds until the next turn after one that raised an exception
 OUTCOMES = {
     "OK": Outcome.GOOD,
     "ERROR": Outcome.FAILED,
@@ -43,23 +44,23 @@
 
 
 class ServerControl(Protocol):
-    """What the module sets beyond single tickets."""
+    """The settings of the server that the decision module changes."""
 
     def ready(self, good: bool) -> None:
-        """Health checks are answered good or bad from now on."""
+        """Sets whether health checks are answered good or bad."""
         ...
 
     def free_value(self, value: float) -> None:
-        """What callers are told of the spare capacity."""
+        """Sets the spare capacity that is reported to callers."""
         ...
 
     def idle(self, span: float) -> None:
-        """Connections that carry nothing are closed after `span` microseconds."""
+        """Sets the time in microseconds after which idle connections are closed."""
         ...
 
 
 class Dispatcher:
-    """Owner of the open requests and of the decision module. Made by the program; its front calls it."""
+    """Owns the open requests and the decision module. The program creates it; its HTTP front end calls it."""
 
     def __init__(
         self,
@@ -74,22 +75,20 @@
         recorder: EventRecorder,
         server_control: ServerControl,
     ) -> None:
-        """Nothing is open; the module is made once the worker agent greets."""
+        """Starts without requests; the decision module is created at the worker agent's greeting."""
         self.loop, self.facts, self.names, self.seed, self.recorder = loop, facts, names, seed, recorder
-        self.manager: LoadManager | None = None  # from the farm agent's greeting on
-        self.open_requests: dict[
-            str, OpenRequest
-        ] = {}  # open tickets by id; emptied as the module closes them
-        self.pending_updates: list[tuple[Callable, OpenRequest | None, tuple]] = []  # emptied by each turn
+        self.manager: LoadManager | None = None  # set at the worker agent's greeting
+        # By id; removed as the module closes them.
+        self.open_requests: dict[str, OpenRequest] = {}
+        self.pending_updates: list[tuple[Callable, OpenRequest | None, tuple]] = []  # cleared in each turn
         self.retry_table = RetryTable(
             lambda request, result: self._enqueue(self._run_shared, request, result)
         )
-        self.storm_monitor: StormMonitor | None = None  # where the operator wants storms seen
-        self.arrivals_by_customer: Counter[int] | None = (
-            None  # tickets by customer, where a fleet shares its quotas
-        )
+        self.storm_monitor: StormMonitor | None = None  # set if the operator file enables it
+        # Set if the fleet shares quotas.
+        self.arrivals_by_customer: Counter[int] | None = None
         self.clock = 0
-        self.turn_scheduled = False  # a turn is on its way
+        self.turn_scheduled = False
         self.resolver, self.relay = RequestResolver(names, facts), ResponseRelay(recorder, self._on_answer)
         agent_timeout = min(kind.latency_target for kind in facts.classes) / 1e6
         self.commands = WorkerCommands(loop, agent_address, pool, recorder, self._on_notice, agent_timeout)
@@ -123,20 +122,23 @@
         self.router = StepRouter(self.open_requests, request_steps, server_steps, recorder, self._abandon)
 
     def now(self) -> int:
-        """The system's clock; for the module it never runs backward."""
+        """The system clock in microseconds; never goes back."""
         self.clock = max(self.clock, time.time_ns() // 1000)
         return self.clock
 
-    # What comes in
+    # Input
 
     def arrive(self, arrival: Arrival, caller: Caller) -> OpenRequest | None:
-        """Raises NoTicket for what is none; None where it was answered on the spot."""
+        """Takes in a request; returns None if it was answered at once.
+
+        Raises InvalidRequestError for a request that can't be served here.
+        """
         kind, customer = self.resolver.resolve(arrival, self.now())
         open_request, work = self.open_requests.get(arrival.id), work_of(arrival, kind, customer)
         if self.manager is None:
-            caller.rejected(0, False)  # nothing can run before the farm agent is up
+            caller.rejected(0, False)  # nothing can run before the worker agent is up
         elif open_request is None and (finished := self.retry_table.find_finished(arrival, work)) is not None:
-            self.recorder.count("answered_again")  # it ran, and must not twice
+            self.recorder.count("answered_again")  # it has run and must not run twice
             caller.failed() if finished.result is None else caller.completed(finished.result)
         elif open_request is None:
             keyed = self.facts.classes[kind].idempotency is Idempotency.KEYED
@@ -149,11 +151,11 @@
             self._enqueue(self._admit, request, arrival, kind, customer, earlier_id)
             return request
         elif not open_request.same(arrival):
-            # Guards against one that makes itself party to the ticket of another. Harms nobody: a sidecar
-            # that sends a try again after a crossed close sends the same.
+            # Keeps a caller from joining the request of another under its id. A sidecar that sends an attempt
+            # again, because the connection was closed while it was sent, sends the same content.
             raise InvalidRequestError("the id of another open ticket")
         elif open_request.answered:
-            caller.failed()  # its run is still on
+            caller.failed()  # its run has not ended yet
         else:
             self.recorder.count("joined")
             open_request.callers.append(caller)
@@ -161,23 +163,26 @@
         return None
 
     def caller_gone(self, request: OpenRequest, caller: Caller) -> None:
-        """The caller's connection was reset: no answer can reach it."""
+        """The caller's connection was reset, so no answer can reach it."""
         self._enqueue(self._caller_gone, request, caller)
 
     def change_addresses(
         self, agent_address: tuple[str, int], downstream_address: tuple[str, int] | None
     ) -> None:
-        """The farm agent and what lies below have new addresses; runs and calls go on."""
+        """Sets new addresses of the worker agent and the downstream service; runs and calls continue."""
         self.commands.link.move(agent_address)
         self.calls.exchanges.move(downstream_address)
 
     def drain(self, stop: int) -> None:
-        """The notice to leave; `stop` is when the process is ended."""
+        """Starts to drain; `stop` is the time in microseconds at which the process will be stopped."""
         if self.manager is not None:
             self._enqueue(lambda now, request: self.manager.drain(now, stop), None)
 
     def shut_down(self) -> None:
-        """The process ends now. Guards against a loop held up for so long that the module had no turn."""
+        """Fails the requests that are still open when the process ends.
+
+        There are some if the event loop was blocked for so long that the module had no turn.
+        """
         for request in [request for request in self.open_requests.values() if not request.answered]:
             self.recorder.count("forfeited_at_the_end")
             self._abandon(request)
@@ -189,7 +194,7 @@
         self._enqueue(self._call_ended, request, took, outcome, body)
 
     def _retry_after(self, request: OpenRequest, retry_after: float) -> float:
-        """What a dismissal tells its caller, which a storm may pace."""
+        """The retry-after time of a rejected request in microseconds, spread out in a retry storm."""
         if self.storm_monitor is not None:
             try:
                 caller_rate = self.manager.caller_weights.get(request.by, 1.0)
@@ -201,7 +206,7 @@
         return retry_after
 
     def _on_answer(self, request: OpenRequest, good: bool) -> None:
-        """A final answer went out."""
+        """Reports a final answer to the storm monitor."""
         if self.storm_monitor is not None:
             try:
                 self.storm_monitor.record_outcome(request.likeness, good)
@@ -209,7 +214,7 @@
                 self._disable_storm_monitor("lookout", request)
 
     def _disable_storm_monitor(self, where: str, request: OpenRequest) -> None:
-        """Guards tickets against a defect of the sight: it is given up, and they go on without."""
+        """Switches off the storm monitor after an exception in it, so that it can't affect requests."""
         self.recorder.defect(where, request.id)
         self.storm_monitor = None
 
@@ -248,7 +253,11 @@
         self.retry_table.expire(now)
 
     def _decide(self, now: int) -> None:
-        """Guards against a ticket that the module or a stage fails on: it is given up, the others go on."""
+        """Runs one turn of the module.
+
+        If that fails, abandons the new and the overdue requests, of which one may be the cause; the others
+        continue.
+        """
         try:
             self.router.carry_out(self.manager.decide(now))
             return
@@ -265,7 +274,7 @@
         self.loop.call_later(TURN_RETRY, self._enqueue, self._no_update, None)
 
     def _abandon(self, request: OpenRequest) -> None:
-        """Forfeits a ticket whose handling failed, and makes the module and the farm agent let go of it."""
+        """Fails a request after an exception; removes it from the module and stops its run."""
         if not request.answered:
             self.relay.fail(request)
         self.calls.cancel(request)
@@ -291,10 +300,10 @@
             del self.open_requests[request.id]
         self.retry_table.request_closed(request)
 
-    # News, each handed in at the turn's reading of the clock
+    # Updates, each with the turn's reading of the clock
 
     def _no_update(self, now: int, _: None) -> None:
-        """No news, but a turn."""
+        """Does nothing; queued to cause a turn."""
 
     def _admit(
         self, now: int, request: OpenRequest, arrival: Arrival, kind: int, customer: int, earlier_id: str
@@ -315,9 +324,9 @@
         self.commands.launch(request)
 
     def _run_shared(self, now: int, request: OpenRequest, result: bytes | None) -> list | None:
-        """The run that this ticket shares is over."""
+        """The run that this request shares has ended."""
         if request.answered or self.open_requests.get(request.id) is not request:
-            return None  # its own time was up before
+            return None  # already answered at its own deadline
         if result is not None:
             self.relay.complete(request, result)
         else:
@@ -362,14 +371,14 @@
                 self.recorder.event("agent_refusal", command=notice.command, id=notice.id)
                 request = self.open_requests.get(notice.id)
                 if notice.command == "launch" and request is not None and request.launched:
-                    # It never ran, whatever was wrong with it: that says nothing of errors here.
+                    # It never ran, whatever the reason, so it does not count as an error of this backend.
                     return self._for_request(self._run_ended, now, agent.Ended(0, request.id, "MOOT", 0, b""))
         return None
 
     def _for_request(self, handler: Callable, now: int, notice: agent.Ended | agent.Wants) -> list | None:
         request = self.open_requests.get(notice.id)
         if request is None or not request.launched:
-            return None  # news of a ticket that is over
+            return None  # the request has already ended
         try:
             return handler(now, request, notice)
         except Exception:
@@ -394,7 +403,7 @@
             and not request.answered
             and request.handle.cls.idempotency is not Idempotency.IDEMPOTENT
         ):
-            # Guards against a run that was stopped though nobody asked: held again, it would run twice.
+            # A run that stopped without a request to stop counts as failed: queued again, it would run twice.
             end = "ERROR"
         self.retry_table.run_ended(request, end == "OK", end != "MOOT", notice.result)
         self.calls.cancel(request)
--- a/crowwing/routing/health_probe.py
+++ b/crowwing/routing/health_probe.py
@@ -1,4 +1,4 @@
-"""Deep health checks, which ask the worker agent whether work gets done."""
+"""Deep health checks, which have the worker agent do a piece of work."""
 
 import asyncio
 
@@ -6,16 +6,16 @@
 
 
 class HealthProbe:
-    """The probes that are under way. Owned by `Dispatcher`."""
+    """The probes in progress. Owned by `Dispatcher`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, commands: WorkerCommands) -> None:
-        """No probe is under way."""
+        """Starts without probes."""
         self.loop, self.commands = loop, commands
         self.last_tag = 0
-        self.pending: dict[str, asyncio.Future[bool]] = {}  # emptied by answers and bounds
+        self.pending: dict[str, asyncio.Future[bool]] = {}  # removed on an answer or at the time limit
 
     async def exercise(self, time_limit: float) -> bool:
-        """Whether it does, within `bound` seconds."""
+        """Returns whether the work was done within `time_limit` seconds."""
         self.last_tag += 1
         tag = f"c{self.last_tag}"
         self.pending[tag] = self.loop.create_future()
--- a/crowwing/routing/open_request.py
+++ b/crowwing/routing/open_request.py
@@ -1,4 +1,4 @@
-"""What the dispatcher knows of an open request, beside the module's handle."""
+"""The dispatcher's state of an open request, beside the decision module's handle."""
 
 import asyncio
 from typing import Protocol
@@ -8,28 +8,31 @@
 
 
 class Caller(Protocol):
-    """The way back to whoever waits for a ticket."""
+    """Receives the answer to a request."""
 
     def completed(self, result: bytes) -> None:
-        """It has run: its result."""
+        """The request has run, with this result."""
         ...
 
     def rejected(self, retry_after: int, everywhere: bool) -> None:
-        """It was rejected: for how many microseconds to stay away, and whether from all backends."""
+        """The request was rejected.
+
+        `retry_after` is in microseconds; `everywhere` says whether all backends should be avoided.
+        """
         ...
 
     def failed(self) -> None:
-        """It has failed."""
+        """The request failed; it may have run."""
         ...
 
 
 def print_of(arrival: Arrival) -> int:
-    """What tells a request from others without its body."""
+    """A hash that identifies a request's content without keeping its body."""
     return hash((arrival.type, arrival.customer, arrival.sidecar, arrival.kb, arrival.rank, arrival.body))
 
 
 class OpenRequest:
-    """One open ticket: who waits for it, what the farm agent was told, and the call that is out."""
+    """One open request: its callers, the state of its run, and the call in progress."""
 
     __slots__ = (
         "answered",
@@ -52,20 +55,20 @@
     )
 
     def __init__(self, arrival: Arrival, caller: Caller, work: tuple[int, int, str]) -> None:
-        """A request that `caller` waits for."""
+        """`work` is the key of its piece of work; see `retry_table.work_of`."""
         self.id, self.type, self.body = arrival.id, arrival.type, arrival.body
-        self.print = print_of(arrival)  # tells its like without its body
-        self.callers = [caller]  # more than one where the same try came again over another connection
+        self.print = print_of(arrival)  # to recognize the same attempt once the body is dropped
+        self.callers = [caller]  # several if the same attempt came over another connection
         self.handle: Request | None = None
         self.answered = False
-        self.launched = False  # from the launch until the run's end is known
-        self.runs = self.frozen = self.asks = 0  # launches so far, the last told to stop, and calls wanted
-        self.wanted: bytes | None = None  # the body of the call the run waits for
+        self.launched = False  # from the launch until the end of the run is known
+        self.runs = self.frozen = self.asks = 0  # launches; the last launch told to stop; calls requested
+        self.wanted: bytes | None = None  # body of the call that the run waits for
         self.call: asyncio.Task | None = None
-        self.work = work  # what it asks for, the same in its repeats
-        self.content = hash(arrival.body)  # the same in them too
-        self.likeness = self.by = 0  # what a repeat would share, and who sent it: for the lookout
+        self.work = work  # the same in its retries
+        self.content = hash(arrival.body)  # the same in its retries
+        self.likeness = self.by = 0  # fingerprint and sending sidecar, for the storm monitor
 
     def same(self, arrival: Arrival) -> bool:
-        """Whether the same try has come again."""
+        """Whether `arrival` is the same attempt again."""
         return self.print == print_of(arrival)
--- a/crowwing/routing/request_admission.py
+++ b/crowwing/routing/request_admission.py
@@ -1,4 +1,4 @@
-"""Hands a request to the decision module, whose handle takes its news from then on."""
+"""Hands a request to the decision module, whose handle takes its updates from then on."""
 
 from crowwing.logic.load_manager import LoadManager
 from crowwing.protocol.arrival import Arrival
@@ -15,8 +15,8 @@
     earlier_id: str,
     likely_retry: bool,
 ) -> None:
-    """Makes the module take a request, and keeps its handle."""
-    # A stamp ahead of our clock counts as now: the machine's clock may have stepped between the two readings.
+    """Passes a request to the module and keeps its handle."""
+    # A time stamp ahead of the clock counts as now: the clock may have been set between the two readings.
     arrived = min(now, arrival.arrived)
     request.handle = manager.receive(
         now,
--- a/crowwing/routing/response_relay.py
+++ b/crowwing/routing/response_relay.py
@@ -1,4 +1,4 @@
-"""The one final answer of a request, to everyone who waits for it."""
+"""Sends the one final answer of a request to all its callers."""
 
 from collections.abc import Callable
 from contextlib import suppress
@@ -11,27 +11,27 @@
     """Sends final answers. Owned by `Dispatcher`."""
 
     def __init__(self, recorder: EventRecorder, on_answer: Callable[[OpenRequest, bool], None]) -> None:
-        """`answered` hears of each answer, and whether it is a result."""
+        """`on_answer` is called for each answer, with whether it is a result."""
         self.recorder, self.on_answer = recorder, on_answer
 
     def complete(self, request: OpenRequest, result: bytes) -> None:
-        """The result of its run."""
+        """Answers with the result of the run."""
         self._answer(request, "settled", lambda caller: caller.completed(result))
 
     def reject(self, request: OpenRequest, retry_after: float) -> None:
-        """Rejected here; another backend may be tried."""
+        """Rejects the request here; another backend may be tried."""
         self._answer(request, "dismissed", lambda caller: caller.rejected(round(retry_after), False))
 
     def reject_all(self, request: OpenRequest, retry_after: float) -> None:
-        """Rejected, and no other backend should be tried."""
+        """Rejects the request; no other backend should be tried."""
         self._answer(request, "dismissed", lambda caller: caller.rejected(round(retry_after), True))
 
     def fail(self, request: OpenRequest, _: float = 0) -> None:
-        """Failed: it may have run."""
+        """Reports a failure: the request may have run."""
         self._answer(request, "forfeited", lambda caller: caller.failed())
 
     def _answer(self, request: OpenRequest, answer: str, send: Callable[[Caller], None]) -> None:
-        """Once only; the body is let go with the answer."""
+        """Answers once only and drops the body."""
         if not self.recorder.verify(not request.answered, f"{answer} after an answer"):
             return
         request.answered, request.body = True, b""
@@ -44,4 +44,4 @@
                 self.recorder.defect(answer, request.id)
                 with suppress(Exception):
                     caller.failed()
-        self.on_answer(request, answer == "settled")  # only now: nothing comes before the callers' answer
+        self.on_answer(request, answer == "settled")  # last, so that it can't delay the callers
--- a/crowwing/routing/retry_table.py
+++ b/crowwing/routing/retry_table.py
@@ -1,7 +1,8 @@
-"""Which requests, open or ended, ask for the same piece of work, and the result that its repeats get.
+"""Finds requests that ask for the same piece of work, and keeps its result for retries.
 
-A piece of work is known by its traffic type, its customer and its idempotency key, so no customer's result
-reaches another; a ticket without a key stands for itself. What a repeat gets is the module's to decide.
+A piece of work is identified by request class, customer and idempotency key, so that no customer gets the
+result of another. A request without a key is a piece of work of its own. What a retry gets, the decision
+module decides.
 """
 
 import heapq
@@ -13,53 +14,52 @@
 from crowwing.routing.open_request import OpenRequest
 from crowwing.routing.request_resolver import InvalidRequestError
 
-OPEN_RECHECK = 1_000_000  # microseconds until an entry whose ticket is still open is looked at again
+OPEN_RECHECK = 1_000_000  # microseconds until an entry whose request is still open is checked again
 
 Work = tuple[int, int, str]
 
 
 def work_of(arrival: Arrival, kind: int, customer: int) -> Work:
-    """What a request asks for: the same in its retries."""
-    return kind, customer, arrival.key or "\0" + arrival.id  # no header holds a 0: it stands for itself alone
+    """The key of the piece of work that a request asks for; the same in its retries."""
+    return kind, customer, arrival.key or "\0" + arrival.id  # unique, since no header contains a NUL
 
 
 class Entry:
-    """One piece of work that may be running, or has run."""
+    """A piece of work that may be running or has run."""
 
     __slots__ = ("content", "followers", "id", "lag", "ran", "request", "result", "until", "work")
 
     def __init__(self, request: OpenRequest, until: int) -> None:
-        """The work of a request, kept until `until` microseconds."""
+        """`until` is in microseconds."""
         self.work, self.id, self.content = request.work, request.id, request.content
         self.until = until
-        self.lag = request.handle.cls.deadline  # what came in time may be read so late
-        self.request: OpenRequest | None = request  # until its ticket is closed
+        self.lag = request.handle.cls.deadline  # how late a retry may be read that came in time
+        self.request: OpenRequest | None = request  # None once it is closed
         self.ran = False
-        self.result: bytes | None = None  # of the run that ended well
-        self.followers: list[OpenRequest] = []  # wait for its end, which empties them
+        self.result: bytes | None = None  # of a successful run
+        self.followers: list[OpenRequest] = []  # wait for the end of the run
 
 
 class RetryTable:
-    """`tell` takes each ticket that shared a run, with its result or None where the run failed."""
+    """The pieces of work that are open or still kept. Owned by `Dispatcher`."""
 
     def __init__(self, notify: Callable[[OpenRequest, bytes | None], None]) -> None:
-        """Nothing is known; see the class for `tell`."""
+        """`notify` gets each request that shared a run, and its result, or None if the run failed."""
         self.notify = notify
-        self.entries: dict[Work, Entry] = {}  # emptied in the order of their ends by expire()
-        self.by_request_id: dict[str, Entry] = {}  # those that ran, by the id of their try; emptied with them
-        self.expirations: list[tuple[int, int, Entry]] = []  # a heap, one item an entry
+        self.entries: dict[Work, Entry] = {}  # removed by expire() in the order of their ends
+        self.by_request_id: dict[str, Entry] = {}  # those that ran; removed with `entries`
+        self.expirations: list[tuple[int, int, Entry]] = []  # a heap with one item per entry
         self.sequence_numbers = count()
-        self.current_turn: dict[
-            Work, OpenRequest
-        ] = {}  # the last try read before this turn, whose end empties it
+        # The latest request for each piece of work since the last turn; cleared at the end of each turn.
+        self.current_turn: dict[Work, OpenRequest] = {}
 
     def find_earlier(self, request: OpenRequest, arrived: int) -> str:
-        """The attempt that this one repeats, or ''.
+        """Returns the id of the attempt that this one repeats, or ''.
 
-        One that came while an entry stood repeats it, however late it is read; so does one that finds the
-        first still open, though the window may be over.
+        A request that arrived while an entry was valid repeats it, however late it is read. So does one whose
+        first attempt is still open, even if the window is over.
 
-        Raises InvalidRequestError for another body under the same key: it would get another's result.
+        Raises InvalidRequestError for another body under the same key: it would get the result of other work.
         """
         entry = self.entries.get(request.work)
         if entry is not None and entry.request is None and arrived > entry.until:
@@ -71,9 +71,10 @@
         return earlier.id if earlier is not None else ""
 
     def find_finished(self, arrival: Arrival, work: Work) -> Entry | None:
-        """The entry of the very same try, where it has run and ended: it crossed a close and came again.
+        """Returns the entry of the same attempt if it has run and ended.
 
-        Raises InvalidRequestError for anything else under its id: the worker agent would take it for this.
+        A sidecar sends an attempt again if the connection was closed while it was sent. Raises
+        InvalidRequestError for any other request under this id: the worker agent could not tell them apart.
         """
         entry = self.by_request_id.get(arrival.id)
         if entry is None or entry.request is not None:
@@ -99,7 +100,7 @@
             self._notify_followers(entry, None)
 
     def run_started(self, request: OpenRequest, now: int) -> None:
-        """It runs: from now on it is known, also where the module had no entry to keep it by."""
+        """Records that a request runs; creates its entry if the module did not ask for one."""
         kind = request.handle.cls
         if kind.idempotency is Idempotency.IDEMPOTENT:
             return
@@ -109,7 +110,7 @@
         self.by_request_id[request.id].ran = True
 
     def share(self, request: OpenRequest) -> None:
-        """A request waits for the run of an earlier one, or gets its result."""
+        """Makes a request wait for the run of an earlier one, or gives it the result at once."""
         entry = self.entries.get(request.work)
         if entry is not None and entry.request is not None and entry.result is None:
             entry.followers.append(request)
@@ -117,7 +118,7 @@
             self.notify(request, entry.result if entry is not None else None)
 
     def run_ended(self, request: OpenRequest, good: bool, ran: bool, result: bytes) -> None:
-        """The run is over; `ran` is False where nothing was started."""
+        """Records the end of a run; `ran` is False if nothing was started."""
         entry = self.by_request_id.get(request.id)
         if entry is None:
             return
@@ -131,7 +132,7 @@
             self._notify_followers(entry, result)
 
     def request_closed(self, request: OpenRequest) -> None:
-        """The module has closed a request."""
+        """Records that the module has closed a request."""
         entry = self.by_request_id.get(request.id) or self.entries.get(request.work)
         if entry is None or entry.request is not request:
             return
@@ -147,7 +148,7 @@
             self.notify(request, result)
 
     def expire(self, now: int) -> None:
-        """Once a turn: what has run out goes, at constant work for each."""
+        """Removes expired entries, at constant cost for each; called once per turn."""
         self.current_turn.clear()
         while self.expirations and self.expirations[0][0] <= now:
             _, number, entry = heapq.heappop(self.expirations)
--- a/crowwing/routing/step_router.py
+++ b/crowwing/routing/step_router.py
@@ -1,4 +1,4 @@
-"""Gives each step that the decision module asks for to the stage that carries it out."""
+"""Routes the steps that the decision module asks for to the components that carry them out."""
 
 from collections.abc import Callable
 
@@ -8,7 +8,7 @@
 
 
 class StepRouter:
-    """Carries out the steps of the module. Owned by `Dispatcher`."""
+    """Carries out the steps of the decision module. Owned by `Dispatcher`."""
 
     def __init__(
         self,
@@ -18,12 +18,12 @@
         recorder: EventRecorder,
         abandon: Callable[[OpenRequest], None],
     ) -> None:
-        """Steps of requests go to `by_ticket`, others to `outward`; `abandon` ends a request on a defect."""
+        """`abandon` ends a request whose step raised an exception."""
         self.open_requests, self.request_steps, self.server_steps = open_requests, request_steps, server_steps
         self.recorder, self.abandon = recorder, abandon
 
     def carry_out(self, results: list[Result]) -> None:
-        """In order; a step that fails costs its own ticket and no other."""
+        """Carries out steps in order; a step that raises an exception affects its own request only."""
         for step, handle, figure in results:
             request = self.open_requests.get(handle.id) if handle is not None else None
             try:
--- a/crowwing/routing/storm_monitor.py
+++ b/crowwing/routing/storm_monitor.py
@@ -1,6 +1,6 @@
-"""Shows the storm detector what comes and goes, and tells the decision module what follows from it.
+"""Feeds the storm detector with arrivals and answers, and applies its estimates to requests.
 
-Only where the operator file has a `storm` section; without one nothing here is loaded.
+Loaded only if the operator file has a `storm` section.
 """
 
 from collections.abc import Callable, Sequence
@@ -11,12 +11,12 @@
 from crowwing.storm.detector import StormDetector, StormEstimate
 from crowwing.storm.retry_scheduler import RetryScheduler
 
-UPDATE_INTERVAL = 100_000  # microseconds between looks at the rates, at the most by the module's wakes
-RETRY_LIKELIHOOD = 0.5  # from which an arrival counts as a repeat
+UPDATE_INTERVAL = 100_000  # minimum microseconds between updates of the rates
+RETRY_LIKELIHOOD = 0.5  # probability from which an arrival counts as a retry
 
 
 class StormMonitor:
-    """Feeds the storm detector. Owned by `Dispatcher`, where the operator wants storms seen."""
+    """Feeds the storm detector. Owned by `Dispatcher` if the operator file enables it."""
 
     def __init__(
         self,
@@ -28,17 +28,22 @@
         capacity: int,
         reports_retries: bool,
     ) -> None:
-        """`span` in microseconds and `most` prints: of the sight's windows; `lowers`: the module is told."""
+        """The detector's windows hold `capacity` fingerprints for `span` microseconds.
+
+        `reports_retries` says whether the decision module is told of likely retries.
+        """
         self.now, self.recorder, self.fields, self.reports_retries = now, recorder, fields, reports_retries
         self.detector = StormDetector(now(), classes, span, capacity)
-        self.retry_scheduler: RetryScheduler | None = None  # where returns are paced
+        self.retry_scheduler: RetryScheduler | None = None  # set if retries are spread out
         self.updated_at = now()
-        self.share_rejection: Callable[[int], None] | None = (
-            None  # of what was turned away, where a fleet shares it
-        )
+        # Set if the fleet shares fingerprints of rejected requests.
+        self.share_rejection: Callable[[int], None] | None = None
 
     def record_arrival(self, arrival: Arrival, request_class: int) -> tuple[int, bool]:
-        """The print, and whether the module is to take it for a repeat: only in a storm, and if told to."""
+        """Returns the fingerprint, and whether the module is to take the request for a retry.
+
+        The latter is true only in a storm and if `reports_retries` is set.
+        """
         now, digest = self.now(), fingerprint.of(arrival, self.fields)
         remaining = arrival.due - arrival.arrived if arrival.due else 0
         likely_retry = self.detector.record_arrival(now, request_class, digest, remaining) >= RETRY_LIKELIHOOD
@@ -48,20 +53,20 @@
         return digest, likely_retry and estimate.storm and self.reports_retries
 
     def record_outcome(self, digest: int, good: bool) -> None:
-        """A final answer went out for a request with this print."""
+        """Records the final answer to a request with this fingerprint."""
         self.detector.record_outcome(self.now(), digest, good)
         if self.share_rejection is not None and not good:
             self.share_rejection(digest)
 
     def record_remote_rejections(self, fingerprints: list[int]) -> None:
-        """What others of the fleet turned away."""
+        """Records rejections by other members of the fleet."""
         self.detector.record_remote_rejections(self.now(), fingerprints)
 
     def retry_after(self, caller: int, caller_rate: float, min_delay: int, due: int) -> int:
-        """For how long a caller that is dismissed is to stay away, where the module asks for `least`.
+        """Returns the retry-after time in microseconds, where the module asks for `min_delay`.
 
-        In a storm it gets a place of its own to come back, no later than its ticket's due time. What is
-        settled now is taken for the room that there is for all who return.
+        In a storm, the caller gets a time of its own, not after the request's deadline `due`. The current
+        rate of completed requests is taken as the capacity for all retries.
         """
         if self.retry_scheduler is None or not min_delay or not self.detector.estimate.storm:
             return min_delay
@@ -71,7 +76,7 @@
         )
 
     def update(self) -> StormEstimate:
-        """What is seen now; a storm's begin and end are events."""
+        """Returns the current estimate; logs the begin and the end of a storm."""
         now, before = self.now(), self.detector.estimate
         if now - self.updated_at < UPDATE_INTERVAL:
             return before
--- a/crowwing/routing/wake_timer.py
+++ b/crowwing/routing/wake_timer.py
@@ -1,4 +1,4 @@
-"""The decision module's timer. It wants gauges, but the watch over deadlines goes on without them."""
+"""The decision module's timer. It asks for gauges first, but deadlines are checked even without them."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,11 +6,11 @@
 from crowwing.routing.event_recorder import EventRecorder
 from crowwing.routing.worker_commands import WorkerCommands
 
-TIMER_RESOLUTION = 0.001  # seconds that the loop's timers round to
+TIMER_RESOLUTION = 0.001  # seconds; resolution of the event loop's timers
 
 
 class WakeTimer:
-    """`turn` has the module take a turn without news."""
+    """Wakes the decision module. Owned by `Dispatcher`."""
 
     def __init__(
         self,
@@ -20,7 +20,7 @@
         recorder: EventRecorder,
         run_turn: Callable[[], None],
     ) -> None:
-        """Nothing was asked for."""
+        """`run_turn` makes the module take a turn without gauges."""
         self.loop, self.now, self.commands, self.recorder, self.run_turn = (
             loop,
             now,
@@ -28,14 +28,14 @@
             recorder,
             run_turn,
         )
-        self.last_sample = 0  # the last sample that came back
+        self.last_sample = 0  # number of the last sample received
 
     def schedule(self, delay: float) -> None:
         """Wakes the module in `span` microseconds."""
         self._call_at(self.now() + round(delay), delay / 1e6)
 
     def on_sample(self, tag: str) -> bool:
-        """Whether these are the gauges asked for last."""
+        """Returns whether these are the gauges requested last."""
         requested = self.commands.last_sample
         if not self.commands.on_sample(tag) or tag != f"s{requested}":
             return False
@@ -46,8 +46,8 @@
         self.loop.call_later(max(0, due - self.now()) / 1e6 + TIMER_RESOLUTION, self._expired, due, delay)
 
     def _expired(self, due: int, delay: float) -> None:
-        # Guards against the loop's timers, which round to milliseconds and fire early: the module would hold
-        # its timer to be still out and ask for no other, and outer limits would pass unseen until other news.
+        # The event loop's timers round to milliseconds and may fire early. The module would consider its
+        # timer still pending and ask for no other, and deadlines would pass unnoticed until another update.
         if self.now() < due:
             self.recorder.count("woken_early")
             self._call_at(due, delay)
--- a/crowwing/routing/worker_commands.py
+++ b/crowwing/routing/worker_commands.py
@@ -1,9 +1,10 @@
-"""Commands to the worker agent. They survive a broken link, and none is done twice by it.
+"""Commands to the worker agent, which survive a broken connection without being carried out twice.
 
-A command is unproven until a sample asked for after it has come back. A new link first reads back all notices
-since the last one known; the fence, a sample, says when they are all in. Only then are those unproven
-commands sent again that the notices have not made pointless. A launch sent again could cross the end of the
-run it began, so that of a ticket which must not run twice is not: its run counts as failed.
+A command is unacknowledged until a sample requested after it has come back. A new connection first reads all
+notices after the last one known; a sample as a barrier shows when they are complete. Only then are the
+unacknowledged commands sent again that are still needed after these notices. A repeated launch could cross
+the end of the run it started. So a request that must not run twice is not launched again: its run counts as
+failed.
 """
 
 import asyncio
@@ -18,23 +19,21 @@
 from crowwing.transport.link import Link
 from crowwing.transport.pool import BufferPool
 
-GREETING_TIMEOUT = (
-    5.0  # seconds at least that a later link waits for its greeting; the first one waits for good
-)
+GREETING_TIMEOUT = 5.0  # seconds; minimum for a later connection, the first one waits without limit
 
 
 class Command(NamedTuple):
-    """One command, until a sample proves that it arrived."""
+    """A command that no sample has acknowledged yet."""
 
     number: int
     data: bytes
-    is_needed: Callable[[], bool]  # whether it has a point
-    non_idempotent: OpenRequest | None  # the ticket, where it launches one that must not run twice
-    sent: bool  # it went out, on whatever link
+    is_needed: Callable[[], bool]  # whether it still has an effect
+    non_idempotent: OpenRequest | None  # the request, if it must not run twice
+    sent: bool  # sent on this or an earlier connection
 
 
 class WorkerCommands:
-    """The link to the worker agent, and the commands that are under way. Owned by `Dispatcher`."""
+    """The connection to the worker agent and the unacknowledged commands. Owned by `Dispatcher`."""
 
     def __init__(
         self,
@@ -45,16 +44,16 @@
         on_notice: Callable[[agent.Notice], None],
         timeout: float,
     ) -> None:
-        """Connects to `address`; `hear` gets each notice, and `patience` is in seconds."""
+        """Connects to `address`; `on_notice` gets each notice, and `timeout` is in seconds."""
         self.loop, self.recorder, self.on_notice, self.timeout = loop, recorder, on_notice, timeout
         self.link = Link(loop, address, pool, self._on_open, self._on_data, self._on_close)
         self.reader = agent.AgentReader()
-        self.last_notice = 0  # the last notice read
-        self.greeted = self.synchronized = False  # on this link
+        self.last_notice = 0  # number of the last notice read
+        self.greeted = self.synchronized = False  # on this connection
         self.last_command = self.last_sample = 0
-        self.requested_at = 0.0  # when the sample that is out was asked for, or the greeting
-        self.unacknowledged: deque[Command] = deque()  # emptied by samples
-        # Sample out -> the last command before it; emptied by answers and breaks.
+        self.requested_at = 0.0  # when the pending sample or greeting was requested
+        self.unacknowledged: deque[Command] = deque()  # removed by samples
+        # Pending sample -> the last command before it; removed when it comes back or the connection breaks.
         self.pending_samples: dict[str, int] = {}
 
     # Commands
@@ -71,7 +70,7 @@
 
     def freeze(self, request: OpenRequest, _: float = 0) -> None:
         """Stops a run."""
-        # Asked again and again, it waits for the link but once.
+        # If the connection is down, a repeated stop is queued only once.
         if self.synchronized or request.frozen != request.runs:
             request.frozen = request.runs
             self._issue(agent.freeze(request.id), self._runs_still(request))
@@ -82,11 +81,12 @@
         self._issue(agent.deliver(request.id, reply), lambda: request.launched and request.asks == asks)
 
     def sample(self) -> bool:
-        """Asks for the gauges; whether it could. One is out at a time."""
+        """Requests the gauges, unless a sample is pending; returns whether it was sent."""
         ungreeted = self.link.up and not self.greeted
         timeout = max(self.timeout, GREETING_TIMEOUT) if ungreeted else self.timeout
         if (self.pending_samples or ungreeted) and self.loop.time() - self.requested_at > timeout:
-            # Guards against a far side that is gone without a word; one that only paused loses nothing by it.
+            # The agent may be gone without closing the connection. One that only paused loses nothing by
+            # this.
             self.pending_samples.clear()
             self.requested_at = self.loop.time()
             self.recorder.event("agent_silent", seconds=timeout)
@@ -97,7 +97,7 @@
         return True
 
     def exercise(self, tag: str) -> bool:
-        """Asks for some work to be done; whether it could."""
+        """Requests a piece of work as a health probe; returns whether it was sent."""
         if self.synchronized:
             self.link.send(agent.exercise(tag))
         return self.synchronized
@@ -123,7 +123,7 @@
         self.pending_samples[f"s{self.last_sample}"] = self.last_command if self.synchronized else 0
         self.link.send(agent.sample(f"s{self.last_sample}"))
 
-    # The link
+    # The connection
 
     def _on_open(self) -> None:
         self.reader = agent.AgentReader()
@@ -140,19 +140,19 @@
             number = getattr(notice, "number", None)
             if number is not None:
                 if number <= self.last_notice:
-                    continue  # it was read on an earlier link
+                    continue  # read on an earlier connection
                 if number > self.last_notice + 1:
                     self.recorder.count("notices_missed", number - self.last_notice - 1)
                 self.last_notice = number
             self.on_notice(notice)
 
     def on_greeting(self) -> None:
-        """The worker agent has greeted on this link."""
+        """Handles the worker agent's greeting on this connection."""
         self.greeted = True
-        self._sample()  # the fence
+        self._sample()  # the barrier
 
     def on_sample(self, tag: str) -> bool:
-        """Whether it brings gauges that were asked for."""
+        """Handles a sample; returns whether it was requested on this connection."""
         if tag not in self.pending_samples:
             return False
         acknowledged = self.pending_samples.pop(tag)
