--- a/tests/test_process_lifecycle.py
+++ b/tests/test_process_lifecycle.py
@@ -1,4 +1,4 @@
-"""The real command at rare moments: signals from `exec` on, defects in its own duties, its start and end."""
+"""The process in rare states: signals from `exec` on, exceptions in its own tasks, its start and its end."""
 
 import asyncio
 import json
@@ -17,21 +17,21 @@
 TERM, INT, HUP = signal.SIGTERM, signal.SIGINT, signal.SIGHUP
 
 
-class Held(Street):
-    """Its configuration is a pipe: it stands in the reading of it until the test writes."""
+class BlockedConfiguration(Street):
+    """Reads its configuration from a pipe, and so blocks until the test writes it."""
 
     async def exec(self) -> None:
-        self.whole = self.path.read_bytes()
+        self.full_configuration = self.path.read_bytes()
         self.path.unlink()
         os.mkfifo(self.path)
         await super().exec()
-        # Returns once the process has opened it, so its own code is running and nothing is listening yet.
+        # Returns once the process has opened the pipe: its own code runs, and nothing is listening yet.
         self.pipe = await asyncio.to_thread(os.open, self.path, os.O_WRONLY)
 
-    def go_on(self) -> None:
+    def unblock(self) -> None:
         self.path.unlink()
-        self.path.write_bytes(self.whole)  # for the reading that follows the start
-        os.write(self.pipe, self.whole)
+        self.path.write_bytes(self.full_configuration)  # for the reload after the start
+        os.write(self.pipe, self.full_configuration)
         os.close(self.pipe)
 
 
@@ -39,39 +39,40 @@
 def test_a_notice_before_the_loop_hears_signals_ends_it_in_order(
     tmp_path: Path, signals: list[signal.Signals]
 ) -> None:
-    async def scene(street: Held) -> None:
+    async def scene(street: BlockedConfiguration) -> None:
         for number in signals:
             street.signal(number)
-        street.go_on()
+        street.unblock()
         await street.ended()
         assert [line["event"] for line in street.lines][-1] == "stopped"
 
-    live_in(Held(tmp_path), scene)
+    live_in(BlockedConfiguration(tmp_path), scene)
 
 
-@pytest.mark.parametrize("run", [RUN, RUN.partition("; ")[2]])  # as `make run` starts it, no shell ignores it
+# The second as in `make run`: no shell ignores SIGHUP.
+@pytest.mark.parametrize("run", [RUN, RUN.partition("; ")[2]])
 def test_a_sighup_before_the_loop_hears_signals_is_made_good_for(tmp_path: Path, run: str) -> None:
-    async def scene(street: Held) -> None:
+    async def scene(street: BlockedConfiguration) -> None:
         street.signal(HUP)
-        street.go_on()
+        street.unblock()
         await street.event("ready")
         assert (await ask_one(street, 1))[0] == 200
         street.signal()
         await street.ended()
 
-    street = Held(tmp_path)
+    street = BlockedConfiguration(tmp_path)
     street.run = run
     live_in(street, scene)
 
 
 def test_a_sighup_before_a_line_of_ours_has_run_does_not_end_it(tmp_path: Path) -> None:
-    """It stands in the interpreter's own start, held there by a module that Python reads first."""
+    """The interpreter is blocked in its own start by a module that Python imports first."""
     hook, pipe = tmp_path / "hook", tmp_path / "pipe"
     hook.mkdir()
     os.mkfifo(pipe)
     (hook / "sitecustomize.py").write_text(f"open({str(pipe)!r}).read()")
 
-    class Early(Street):
+    class BlockedInterpreter(Street):
         async def exec(self) -> None:
             os.environ["PYTHONPATH"] = str(hook)
             try:
@@ -79,16 +80,16 @@
             finally:
                 del os.environ["PYTHONPATH"]
 
-    async def scene(street: Early) -> None:
-        held = await asyncio.to_thread(os.open, pipe, os.O_WRONLY)
+    async def scene(street: BlockedInterpreter) -> None:
+        writer = await asyncio.to_thread(os.open, pipe, os.O_WRONLY)
         street.signal(HUP)
-        os.close(held)
+        os.close(writer)
         await street.event("ready")
         assert (await ask_one(street, 1))[0] == 200
         street.signal()
         await street.ended()
 
-    live_in(Early(tmp_path), scene)
+    live_in(BlockedInterpreter(tmp_path), scene)
 
 
 @pytest.mark.parametrize("agent", ["silent", "down", "greets"])
@@ -113,25 +114,25 @@
 def test_the_file_of_another_backend_changes_nothing_and_ours_is_taken_up_again(tmp_path: Path) -> None:
     async def scene(street: Street) -> None:
         await street.event("ready")
-        links, ours = street.farm.links, street.told
-        other = ours | {"name": "n2", "agent": "127.0.0.1:9", "control": "127.0.0.1:9", "stop_ms": 1}
-        for wrong in (
-            json.dumps(other),
-            json.dumps(ours)[:-20],
+        links, own = street.farm.links, street.told
+        foreign = own | {"name": "n2", "agent": "127.0.0.1:9", "control": "127.0.0.1:9", "stop_ms": 1}
+        for invalid in (
+            json.dumps(foreign),
+            json.dumps(own)[:-20],
             "",
             "[]",
-            json.dumps(ours | {"settings": 1}),
+            json.dumps(own | {"settings": 1}),
         ):
             count = sum(line["event"] == "not_reloaded" for line in street.lines)
-            street.path.write_text(wrong)
+            street.path.write_text(invalid)
             street.signal(HUP)
             await street.event("not_reloaded", count + 1)
             assert (await ask_one(street, count + 1))[0] == 200 and street.farm.links == links
-        more = json.loads(json.dumps(ours))
-        more["settings"]["lanes"][0]["promise"] = 1.0
+        changed = json.loads(json.dumps(own))
+        changed["settings"]["lanes"][0]["promise"] = 1.0
         old, street.servers = street.servers, []
         await street.open_parties()
-        moved = json.loads(json.dumps(more)) | {
+        moved = json.loads(json.dumps(changed)) | {
             "agent": written(street.servers[0].sockets[0].getsockname()),
             "control": written(street.servers[2].sockets[0].getsockname()),
         }
@@ -142,7 +143,7 @@
         await street.until(lambda: street.farm.links > links)
         assert (await ask_one(street, 99))[0] == 200
         street.signal()
-        street.path.write_text(json.dumps(other))
+        street.path.write_text(json.dumps(foreign))
         street.signal(HUP)  # during the drain
         await street.ended()
         for server in old:
@@ -151,19 +152,19 @@
     live_in(Street(tmp_path, stop=1500), scene)
 
 
-# One life of a name and the next
+# Successive incarnations of a backend
 
 
 def test_an_address_still_held_by_the_last_life_is_waited_for(tmp_path: Path) -> None:
     async def scene(street: Street) -> None:
         await street.event("address_taken")
-        street.held.close()
+        street.blocker.close()
         await street.event("ready")
         assert (await ask_one(street, 1))[0] == 200
         street.signal()
         await street.ended()
 
-    live_in(Taken(tmp_path, stop=900), scene)
+    live_in(AddressInUse(tmp_path, stop=900), scene)
 
 
 def test_a_notice_ends_the_waiting_for_an_address(tmp_path: Path) -> None:
@@ -172,14 +173,14 @@
         street.signal()
         await street.ended()
         assert not any(line["event"] == "started" for line in street.lines)
-        street.held.close()
+        street.blocker.close()
 
-    live_in(Taken(tmp_path), scene)
+    live_in(AddressInUse(tmp_path), scene)
 
 
-class Taken(Street):
+class AddressInUse(Street):
     async def exec(self) -> None:
-        self.held = socket.create_server(self.address)
+        self.blocker = socket.create_server(self.address)
         await super().exec()
 
 
@@ -187,9 +188,9 @@
     async def scene(street: Street) -> None:
         await street.event("ready")
         assert (await ask_one(street, 1, X_Txn_Key="k"))[0] == 200
-        sides = [await Sidecar(street).open() for _ in range(5)]
-        for side in sides:
-            assert (await side.ask(b"GET /ping HTTP/1.1\r\n\r\n"))[0] == 200
+        sidecars = [await Sidecar(street).open() for _ in range(5)]
+        for sidecar in sidecars:
+            assert (await sidecar.ask(b"GET /ping HTTP/1.1\r\n\r\n"))[0] == 200
         street.signal()
         await street.ended()
         assert street.control.heard[-1][1] == b'{"condition":"NotReady"}'
@@ -206,15 +207,15 @@
     live_in(Street(tmp_path, stop=900), scene)
 
 
-# Defects in what the process stands on: made up at a seam, and it goes on or ends all the same
+# Exceptions injected into the process's own parts: it goes on, or ends as usual
 
 
 def failing(*_: object) -> None:
-    raise RuntimeError("made up")
+    raise RuntimeError("injected")
 
 
 @pytest.mark.parametrize(
-    "broken",
+    "break_part",
     [
         lambda b: setattr(b.listener, "close_idle", failing),
         lambda b: setattr(b.dispatcher, "drain", failing),
@@ -225,12 +226,12 @@
         lambda b: setattr(b.log, "write", failing),
     ],
 )
-def test_it_ends_by_itself_whatever_fails_in_its_drain(broken: Callable) -> None:
+def test_it_ends_by_itself_whatever_fails_in_its_drain(break_part: Callable) -> None:
     async def scene(town: Town) -> None:
         assert (await ask_one(town, 1))[0] == 200
-        side = await Sidecar(town).open()
-        assert (await side.ask(b"GET /ping HTTP/1.1\r\n\r\n"))[0] == 200
-        broken(town.backend)
+        sidecar = await Sidecar(town).open()
+        assert (await sidecar.ask(b"GET /ping HTTP/1.1\r\n\r\n"))[0] == 200
+        break_part(town.backend)
         town.backend.leave()
         async with asyncio.timeout(WAIT):
             await asyncio.wait([town.life])
@@ -240,7 +241,7 @@
 
 def test_a_duty_that_does_not_let_go_holds_up_no_end() -> None:
     async def scene(town: Town) -> None:
-        async def clinging() -> None:
+        async def ignores_cancellation() -> None:
             while True:
                 try:
                     await asyncio.sleep(3600)
@@ -248,7 +249,7 @@
                     if town.life.done():
                         raise
 
-        town.backend.duties.append(asyncio.create_task(clinging()))
+        town.backend.duties.append(asyncio.create_task(ignores_cancellation()))
         await asyncio.sleep(0)
         town.backend.leave()
         async with asyncio.timeout(WAIT):
@@ -264,8 +265,8 @@
         ask, exchanges.ask = exchanges.ask, failing
         await town.until(lambda: town.counts["defects"] >= 1)
         exchanges.ask = ask
-        said = len(town.control.heard)
-        await town.until(lambda: len(town.control.heard) >= said + 2)
+        reports = len(town.control.heard)
+        await town.until(lambda: len(town.control.heard) >= reports + 2)
         assert town.control.heard[-1][1] == b'{"condition":"Ready"}'
 
     play_in(Town(), scene)
@@ -273,56 +274,58 @@
 
 def test_a_defect_in_the_look_at_idle_connections_is_followed_by_looks() -> None:
     async def scene(town: Town) -> None:
-        side = await Sidecar(town).open()
-        assert (await side.ask(b"GET /ping HTTP/1.1\r\n\r\n"))[0] == 200
+        sidecar = await Sidecar(town).open()
+        assert (await sidecar.ask(b"GET /ping HTTP/1.1\r\n\r\n"))[0] == 200
         (connection,) = town.backend.listener.connections
         town.backend.idle(10_000)
-        tries = []
+        attempts = []
 
         class Failing(type(connection)):
             __slots__ = ()
 
             def close(self) -> None:
-                tries.append(1)
-                if len(tries) == 1:
-                    raise RuntimeError("made up")
+                attempts.append(1)
+                if len(attempts) == 1:
+                    raise RuntimeError("injected")
                 super().close()
 
         connection.__class__ = Failing
-        assert await side.reader.read() == b"" and len(tries) > 1
+        assert await sidecar.reader.read() == b"" and len(attempts) > 1
 
     play_in(Town(), scene)
 
 
-# Ready
+# Readiness
 
 
 @pytest.mark.parametrize("late", ["agent", "control", "below", "all"])
 def test_it_is_ready_soon_after_the_last_party_that_it_needs_is_up(tmp_path: Path, late: str) -> None:
-    """Held to the page's 10 s from the moment that the party is there: a machine ten times slower passes."""
+    """Ready within the required 10 s after the party is up; a machine ten times slower would pass."""
 
-    class Late(Street):
+    class LateParty(Street):
         async def open_parties(self) -> None:
             await super().open_parties()
-            self.places = [server.sockets[0].getsockname() for server in self.servers]
-            self.away = [n for n, name in enumerate(("agent", "below", "control")) if late in (name, "all")]
-            self.written = self.told
-            for n in self.away:
+            self.addresses = [server.sockets[0].getsockname() for server in self.servers]
+            self.missing = [
+                n for n, name in enumerate(("agent", "below", "control")) if late in (name, "all")
+            ]
+            self.full_configuration = self.told
+            for n in self.missing:
                 self.servers[n].close()
                 await self.servers[n].wait_closed()
 
         @property
         def told(self) -> dict:
-            return self.__dict__.get("written") or super().told
+            return self.__dict__.get("full_configuration") or super().told
 
-    async def scene(street: Late) -> None:
+    async def scene(street: LateParty) -> None:
         await street.event("started")
         if late in ("control", "below"):
             await street.event("ready")
             assert (await ask_one(street, 1))[0] == 200
         parties = (street.farm, street.below, street.control)
-        for n in street.away:
-            street.servers[n] = await asyncio.start_server(parties[n].serve, *street.places[n])
+        for n in street.missing:
+            street.servers[n] = await asyncio.start_server(parties[n].serve, *street.addresses[n])
         async with asyncio.timeout(10):
             await street.until(lambda: street.control.heard)
         assert street.control.heard[0][1] == b'{"condition":"Ready"}'
@@ -330,7 +333,7 @@
         street.signal()
         await street.ended()
 
-    live_in(Late(tmp_path, stop=900), scene)
+    live_in(LateParty(tmp_path, stop=900), scene)
 
 
 def test_twenty_that_start_together_are_ready_within_the_page_s_time(tmp_path: Path) -> None:
@@ -349,8 +352,8 @@
                 await street.until(lambda: street.control.heard)
                 return loop.time() - began
 
-            took = sorted(await asyncio.gather(*map(ready, streets)))
-            assert took[17] < 10 and took[-1] < 30, took
+            durations = sorted(await asyncio.gather(*map(ready, streets)))
+            assert durations[17] < 10 and durations[-1] < 30, durations
             for street in streets:
                 street.signal()
             await asyncio.gather(*(street.ended() for street in streets))
@@ -360,35 +363,35 @@
     asyncio.run(asyncio.wait_for(live(), 90))
 
 
-# The table of descriptors full of idle callers
+# Idle connections that use up the file descriptors
 
 
 def test_idle_callers_that_fill_the_table_while_discovery_is_down_keep_nobody_out(tmp_path: Path) -> None:
     async def scene(street: Street) -> None:
         await street.event("ready")
-        place = street.servers[2].sockets[0].getsockname()
+        control_address = street.servers[2].sockets[0].getsockname()
         street.servers[2].close()
         street.control.cut()
-        sides = []
-        for _ in range(150):  # more than it may hold; each has carried something and rests
-            side = await Sidecar(street).open()
-            assert (await side.ask(b"GET /ping HTTP/1.1\r\n\r\n"))[0] == 200
-            sides.append(side)
-        held = len(os.listdir(f"/proc/{street.process.pid}/fd"))
-        assert held <= 96
+        sidecars = []
+        for _ in range(150):  # more than the limit; each has carried a request and is idle
+            sidecar = await Sidecar(street).open()
+            assert (await sidecar.ask(b"GET /ping HTTP/1.1\r\n\r\n"))[0] == 200
+            sidecars.append(sidecar)
+        descriptors = len(os.listdir(f"/proc/{street.process.pid}/fd"))
+        assert descriptors <= 96
         links = street.farm.links
         street.farm.cut()
         await street.until(lambda: street.farm.links > links)
         for n in range(5):
             assert (await ask_one(street, n, "look"))[
                 0
-            ] == 200  # a new caller, the farm agent and a call below
+            ] == 200  # a new connection, the worker agent and a downstream call
             assert (await (await Sidecar(street).open()).ask(b"GET /ping HTTP/1.1\r\n\r\n"))[0] == 200
-        said = len(street.control.heard)
-        street.servers[2] = await asyncio.start_server(street.control.serve, *place)
-        await street.until(lambda: len(street.control.heard) > said)
-        for side in sides:
-            side.writer.transport.abort()
+        reports = len(street.control.heard)
+        street.servers[2] = await asyncio.start_server(street.control.serve, *control_address)
+        await street.until(lambda: len(street.control.heard) > reports)
+        for sidecar in sidecars:
+            sidecar.writer.transport.abort()
         await street.until(lambda: len(os.listdir(f"/proc/{street.process.pid}/fd")) < 40)
         street.signal()
         await street.ended()
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -32,13 +32,13 @@
     return data
 
 
-def test_a_kill_at_any_moment_of_a_write_leaves_a_whole_snapshot(tmp_path: Path) -> None:
-    chance, last = random.Random(3), 0
+def test_a_kill_at_any_moment_of_a_write_leaves_a_complete_snapshot(tmp_path: Path) -> None:
+    rng, last = random.Random(3), 0
     for _ in range(25):
         command = [sys.executable, "-c", WRITER, str(tmp_path)]
         with subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE) as writer:
             assert writer.stdout.readline()
-            time.sleep(0.005 + chance.random() * 0.03)
+            time.sleep(0.005 + rng.random() * 0.03)
             os.kill(writer.pid, signal.SIGKILL)
         found = snapshot.read(tmp_path, "m1")
         if found is not None:
@@ -48,21 +48,21 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_what_is_cut_or_spoilt_anywhere_is_named_and_not_used(tmp_path: Path, seed: int) -> None:
-    data, chance = written(tmp_path), random.Random(seed)
+def test_a_truncated_or_corrupted_file_is_reported_and_not_used(tmp_path: Path, seed: int) -> None:
+    data, rng = written(tmp_path), random.Random(seed)
     path = snapshot.path_of(tmp_path, "m1")
-    for place in range(len(data)):
-        path.write_bytes(data[:place])
+    for offset in range(len(data)):
+        path.write_bytes(data[:offset])
         with pytest.raises(snapshot.UnusableSnapshotError, match=path.name):
             snapshot.read(tmp_path, "m1")
-        spoilt = bytearray(data)
-        spoilt[place] ^= 1 << chance.randrange(8)
-        path.write_bytes(spoilt)
+        corrupted = bytearray(data)
+        corrupted[offset] ^= 1 << rng.randrange(8)
+        path.write_bytes(corrupted)
         with pytest.raises(snapshot.UnusableSnapshotError):
             snapshot.read(tmp_path, "m1")
 
 
-def test_another_members_a_later_form_and_a_strange_file_are_not_used(tmp_path: Path) -> None:
+def test_a_file_of_another_member_version_or_kind_is_not_used(tmp_path: Path) -> None:
     data = written(tmp_path)
     path = snapshot.path_of(tmp_path, "m2")
     path.write_bytes(data)
@@ -78,18 +78,18 @@
     assert snapshot.read(tmp_path, "m2") is None
 
 
-def test_names_that_are_no_files_names_stay_in_the_folder_and_apart(tmp_path: Path) -> None:
+def test_member_names_that_are_no_file_names_stay_in_the_folder_and_apart(tmp_path: Path) -> None:
     paths = {snapshot.path_of(tmp_path, name) for name in ("a/b", "a_b", "../a", "a")}
     assert len(paths) == 4 and all(path.parent == tmp_path for path in paths)
 
 
-def test_a_writing_that_fails_leaves_what_was_there(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failed_write_leaves_the_previous_snapshot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     written(tmp_path, 1)
 
-    def full(_: int) -> None:
+    def disk_full(_: int) -> None:
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(os, "fsync", full)
+    monkeypatch.setattr(os, "fsync", disk_full)
     with pytest.raises(OSError, match="No space"):
         written(tmp_path, 2)
     assert snapshot.read(tmp_path, "m1").at == 1
--- a/tests/test_storm_detector.py
+++ b/tests/test_storm_detector.py
@@ -1,4 +1,4 @@
-"""The sight of repeats and storms, in a small scripted world whose truth is known. Seeded, no sockets."""
+"""The storm detector against simulated traffic in which it is known which arrivals are retries."""
 
 import heapq
 import random
@@ -17,12 +17,12 @@
 
 
 class Seen(NamedTuple):
-    estimates: list[tuple[float, StormEstimate]]  # second, what was seen
-    identified: float  # share of true repeats whose likelihood was over a half
-    misidentified: float  # share of first tries for which it was
+    estimates: list[tuple[float, StormEstimate]]  # second, estimate
+    identified: float  # share of retries recognized, with a probability over 0.5
+    misidentified: float  # share of first attempts taken for retries
 
     def storms(self, begin: float, end: float) -> float:
-        """Part of the time in which a storm was seen."""
+        """Share of the time in which a storm was reported."""
         part = [estimate.storm for at, estimate in self.estimates if begin <= at < end]
         return sum(part) / len(part)
 
@@ -43,13 +43,15 @@
     budgets: tuple[float, float] = (1.0, 1.0),
     two_budgets: bool = False,
 ) -> Seen:
-    """60 s of one backend in an even fleet. What is over `room` a second is dismissed.
+    """Simulates 60 s of one backend, which rejects what exceeds `capacity` requests per second.
 
-    A dismissed ticket comes back `comes_back` of the time, with its old print for a share `same`.
+    A share `retry_share` of rejected requests is retried, a share `stable_share` of these with the same
+    fingerprint.
     """
     rng = random.Random(seed)
     detector = StormDetector(0, 1, 10 * S, 4000)
-    events: list[tuple[float, int, bool, int, float]] = []  # when, serial, a repeat, print, patience
+    # Time, sequence number, whether it is a retry, fingerprint, share of the time budget left.
+    events: list[tuple[float, int, bool, int, float]] = []
     at, sequence = 0.0, 0
     while at < 60:
         at += rng.expovariate(rate(at))
@@ -95,39 +97,39 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_storm_is_seen_by_prints_that_stay_and_ends_with_it(seed: int) -> None:
+def test_stable_fingerprints_reveal_a_storm_and_its_end(seed: int) -> None:
     seen = play(seed, lambda second: 85 if 20 <= second < 40 else 45)
     assert seen.storms(24, 40) > 0.9 and seen.storms(5, 20) == 0 and seen.storms(46, 60) < 0.2
     assert seen.identified > 0.8 and seen.misidentified < 0.02
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_storm_without_any_stable_print_shows_in_what_follows_our_dismissals(seed: int) -> None:
+def test_a_storm_without_stable_fingerprints_is_inferred_from_arrivals_after_rejections(seed: int) -> None:
     seen = play(seed, lambda second: 80 if 20 <= second < 45 else 45, stable_share=0.0)
     assert seen.storms(28, 45) > 0.8 and seen.storms(5, 20) == 0
     assert seen.attempts(30, 45) > 1.3 and seen.identified < 0.05
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_storm_of_sidecars_that_go_on_shows_in_patience_spent(seed: int) -> None:
+def test_a_storm_of_sidecars_that_try_other_backends_shows_in_spent_time_budgets(seed: int) -> None:
     seen = play(seed, jump(45, 80), stable_share=0.0, spends_budget=True)
     assert seen.storms(28, 60) > 0.8 and seen.identified > 0.9 and seen.misidentified < 0.02
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_honest_traffic_that_doubles_is_no_storm(seed: int) -> None:
+def test_doubled_organic_traffic_is_no_storm(seed: int) -> None:
     seen = play(seed, jump(45, 90), retry_share=0.0)
     assert seen.storms(0, 60) == 0 and seen.misidentified < 0.01
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_neighbours_death_without_retries_is_no_storm(seed: int) -> None:
+def test_the_loss_of_another_backend_without_retries_is_no_storm(seed: int) -> None:
     seen = play(seed, jump(55, 69), retry_share=0.0)
     assert seen.storms(0, 60) == 0
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_equal_honest_tickets_do_not_pass_for_repeats(seed: int) -> None:
+def test_equal_requests_are_not_taken_for_retries(seed: int) -> None:
     for retry_share in (0.0, 0.9):
         seen = play(seed, jump(45, 85), equal_share=0.3, retry_share=retry_share)
         assert seen.misidentified < 0.05
@@ -135,13 +137,13 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_patience_that_differs_honestly_flags_nobody(seed: int) -> None:
+def test_differing_time_budgets_flag_no_request(seed: int) -> None:
     assert play(seed, jump(45, 60), budgets=(0.3, 1.0), retry_share=0.0).misidentified < 0.02
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_callers_of_two_patiences_are_known_from_calm(seed: int) -> None:
-    """Half of the sidecars wait half as long: what looks worn while all is calm is not worn later."""
+def test_two_time_budgets_are_learned_in_normal_operation(seed: int) -> None:
+    """Half of the sidecars have half the budget: what looks spent in normal operation must not count."""
     seen = play(seed, jump(45, 90), retry_share=0.0, budgets=(0.5, 1.0), two_budgets=True)
     assert seen.misidentified < 0.1 and seen.storms(0, 60) < 0.1
 
@@ -154,8 +156,8 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_tries_are_near_the_truth(seed: int) -> None:
-    """Room for 60, 62 first tries, 0.8 of the dismissed come back: x dismissed with 62 + 0.8 x - 60 = x."""
+def test_attempts_per_request_are_estimated_closely(seed: int) -> None:
+    """Capacity 60, 62 first attempts, 0.8 of the rejected retry: x rejected, where 62 + 0.8 x - 60 = x."""
     seen = play(seed, jump(45, 62), retry_share=0.8)
     assert seen.attempts(40, 60) == pytest.approx((62 + 0.8 * 10) / 62, abs=0.12)
 
@@ -164,7 +166,7 @@
 
 
 @pytest.mark.parametrize("kind", [DictWindow, BloomWindow, CuckooWindow, CountWindow])
-def test_a_window_remembers_for_its_span_and_forgets_after(kind: type) -> None:
+def test_a_window_keeps_fingerprints_for_its_span_only(kind: type) -> None:
     rng = random.Random(1)
     window = kind(8 * S, 4000)
     prints = [rng.getrandbits(64) for _ in range(2000)]
@@ -174,20 +176,20 @@
     false_matches = sum(window.take(2 * S, rng.getrandbits(64)) for _ in range(4000))
     assert false_matches < 4000 * 0.02
     late = sum(window.take(6 * S, one) for one in prints[1000:])
-    assert late >= (800 if kind is CountWindow else 995), "the sketch fades, so shared places fade early"
-    assert sum(window.take(16 * S, one) for one in prints[:1000]) <= 20, "forgotten"
+    assert late >= (800 if kind is CountWindow else 995), "counts decay, so shared cells expire early"
+    assert sum(window.take(16 * S, one) for one in prints[:1000]) <= 20, "expired"
     if kind is not DictWindow:
         assert window.size_bytes == before
 
 
 @pytest.mark.parametrize("kind", [DictWindow, CuckooWindow, CountWindow])
-def test_one_turning_away_matches_once(kind: type) -> None:
+def test_one_rejection_matches_once(kind: type) -> None:
     window = kind(8 * S, 1000)
     window.add(0, 77 << 40 | 5)
     assert window.take(S, 77 << 40 | 5) and not window.take(S, 77 << 40 | 5)
 
 
-def test_a_full_cuckoo_forgets_the_oldest_and_stays_its_size() -> None:
+def test_a_full_cuckoo_filter_evicts_the_oldest_and_does_not_grow() -> None:
     rng = random.Random(2)
     window = CuckooWindow(10 * S, 100)
     size = window.size_bytes
@@ -199,7 +201,7 @@
     assert sum(window.take(5 * S, one) for one in prints[:4000]) < 20
 
 
-def test_a_print_takes_in_the_fields_that_stay_and_only_those() -> None:
+def test_a_fingerprint_covers_the_stable_fields_only() -> None:
     arrival = Arrival("a" * 16, "look", "acme", 1, 2, 3, 24.5, 0.5, "", "", b"body")
     later = arrival._replace(id="b" * 16, arrived=5, due=9, sidecar=7, row="x")
     assert fingerprint.of(arrival) == fingerprint.of(later)
@@ -211,7 +213,7 @@
 
 
 @pytest.mark.parametrize("busy", [False, True])
-def test_a_cuckoo_does_not_remember_again_when_its_ages_come_round(busy: bool) -> None:
+def test_expired_entries_of_a_cuckoo_filter_stay_expired_when_epochs_wrap(busy: bool) -> None:
     rng = random.Random(4)
     window = CuckooWindow(10 * S, 1000)
     prints = [rng.getrandbits(64) for _ in range(200)]
@@ -223,7 +225,7 @@
     assert not any(window.take(42 * S, one) for one in prints)
 
 
-def test_a_repeat_of_what_another_backend_turned_away_is_known_where_the_fleet_tells() -> None:
+def test_a_retry_of_a_remote_rejection_is_recognized_if_the_fleet_shares_it() -> None:
     def likelihood(shared: bool) -> float:
         detector, rng = StormDetector(0, 1, 10_000_000, 4000), random.Random(1)
         local, remote = ([rng.getrandbits(64) for _ in range(2000)] for _ in range(2))
@@ -234,7 +236,7 @@
             detector.record_outcome(now, local[n], n % 2 == 0)
             if shared:
                 detector.record_remote_rejections(now, [remote[n]])
-            if n >= 1000:  # repeats of what was turned away elsewhere, a second ago
+            if n >= 1000:  # retries of requests that others rejected a second ago
                 identified.append(detector.record_arrival(now, 0, remote[n - 100], 0))
             detector.update(now)
         return sum(identified) / len(identified)
