--- a/crowwing/routing/retry_table.py
+++ b/crowwing/routing/retry_table.py
@@ -1,7 +1,8 @@
-"""Which requests, open or ended, ask for the same piece of work, and the result that its repeats get.
+"""Finds requests that ask for the same piece of work, and keeps its result for retries.
 
-A piece of work is known by its traffic type, its customer and its idempotency key, so no customer's result
-reaches another; a ticket without a key stands for itself. What a repeat gets is the module's to decide.
+A piece of work is identified by request class, customer and idempotency key, so that no customer gets the
+result of another. A request without a key is a piece of work of its own. What a retry gets, the decision
+module decides.
 """
 
 import heapq
@@ -13,67 +14,69 @@
 from crowwing.routing.open_request import OpenRequest
 from crowwing.routing.request_resolver import InvalidRequestError
 
-OPEN_AGAIN = 1_000_000  # microseconds until an entry whose ticket is still open is looked at again
+OPEN_RECHECK = 1_000_000  # microseconds until an entry whose request is still open is checked again
 
 Work = tuple[int, int, str]
 
 
-def work_of(arrival: Arrival, kind: int, team: int) -> Work:
-    """What a request asks for: the same in its retries."""
-    return kind, team, arrival.key or "\0" + arrival.id  # no header holds a 0: it stands for itself alone
+def work_of(arrival: Arrival, kind: int, customer: int) -> Work:
+    """The key of the piece of work that a request asks for; the same in its retries."""
+    return kind, customer, arrival.key or "\0" + arrival.id  # unique, since no header contains a NUL
 
 
 class Entry:
-    """One piece of work that may be running, or has run."""
+    """A piece of work that may be running or has run."""
 
     __slots__ = ("content", "followers", "id", "lag", "ran", "request", "result", "until", "work")
 
     def __init__(self, request: OpenRequest, until: int) -> None:
-        """The work of a request, kept until `until` microseconds."""
+        """`until` is in microseconds."""
         self.work, self.id, self.content = request.work, request.id, request.content
         self.until = until
-        self.lag = request.handle.cls.deadline  # what came in time may be read so late
-        self.request: OpenRequest | None = request  # until its ticket is closed
+        self.lag = request.handle.cls.deadline  # how late a retry may be read that came in time
+        self.request: OpenRequest | None = request  # None once it is closed
         self.ran = False
-        self.result: bytes | None = None  # of the run that ended well
-        self.followers: list[OpenRequest] = []  # wait for its end, which empties them
+        self.result: bytes | None = None  # of a successful run
+        self.followers: list[OpenRequest] = []  # wait for the end of the run
 
 
 class RetryTable:
-    """`tell` takes each ticket that shared a run, with its result or None where the run failed."""
+    """The pieces of work that are open or still kept. Owned by `Dispatcher`."""
 
-    def __init__(self, tell: Callable[[OpenRequest, bytes | None], None]) -> None:
-        """Nothing is known; see the class for `tell`."""
-        self.tell = tell
-        self.entries: dict[Work, Entry] = {}  # emptied in the order of their ends by expire()
-        self.ids: dict[str, Entry] = {}  # those that ran, by the id of their try; emptied with them
-        self.ends: list[tuple[int, int, Entry]] = []  # a heap, one item an entry
-        self.numbers = count()
-        self.batch: dict[Work, OpenRequest] = {}  # the last try read before this turn, whose end empties it
+    def __init__(self, notify: Callable[[OpenRequest, bytes | None], None]) -> None:
+        """`notify` gets each request that shared a run, and its result, or None if the run failed."""
+        self.notify = notify
+        self.entries: dict[Work, Entry] = {}  # removed by expire() in the order of their ends
+        self.by_request_id: dict[str, Entry] = {}  # those that ran; removed with `entries`
+        self.expirations: list[tuple[int, int, Entry]] = []  # a heap with one item per entry
+        self.sequence_numbers = count()
+        # The latest request for each piece of work since the last turn; cleared at the end of each turn.
+        self.current_turn: dict[Work, OpenRequest] = {}
 
-    def first(self, request: OpenRequest, arrived: int) -> str:
-        """The attempt that this one repeats, or ''.
+    def find_earlier(self, request: OpenRequest, arrived: int) -> str:
+        """Returns the id of the attempt that this one repeats, or ''.
 
-        One that came while an entry stood repeats it, however late it is read; so does one that finds the
-        first still open, though the window may be over.
+        A request that arrived while an entry was valid repeats it, however late it is read. So does one whose
+        first attempt is still open, even if the window is over.
 
-        Raises InvalidRequestError for another body under the same key: it would get another's result.
+        Raises InvalidRequestError for another body under the same key: it would get the result of other work.
         """
         entry = self.entries.get(request.work)
         if entry is not None and entry.request is None and arrived > entry.until:
             entry = None
-        first = self.batch.get(request.work, entry)
-        if first is not None and first.content != request.content:
+        earlier = self.current_turn.get(request.work, entry)
+        if earlier is not None and earlier.content != request.content:
             raise InvalidRequestError("the key of another request")
-        self.batch[request.work] = request
-        return first.id if first is not None else ""
+        self.current_turn[request.work] = request
+        return earlier.id if earlier is not None else ""
 
-    def again(self, arrival: Arrival, work: Work) -> Entry | None:
-        """The entry of the very same try, where it has run and ended: it crossed a close and came again.
+    def find_finished(self, arrival: Arrival, work: Work) -> Entry | None:
+        """Returns the entry of the same attempt if it has run and ended.
 
-        Raises InvalidRequestError for anything else under its id: the worker agent would take it for this.
+        A sidecar sends an attempt again if the connection was closed while it was sent. Raises
+        InvalidRequestError for any other request under this id: the worker agent could not tell them apart.
         """
-        entry = self.ids.get(arrival.id)
+        entry = self.by_request_id.get(arrival.id)
         if entry is None or entry.request is not None:
             return None
         if entry.work != work or entry.content != hash(arrival.body):
@@ -87,76 +90,81 @@
             entry.until = max(entry.until, until)
             return
         entry = self.entries[request.work] = Entry(request, until)
-        heapq.heappush(self.ends, (until + entry.lag, next(self.numbers), entry))
+        heapq.heappush(self.expirations, (until + entry.lag, next(self.sequence_numbers), entry))
 
-    def forget(self, request: OpenRequest) -> None:
+    def drop(self, request: OpenRequest) -> None:
         """Drops the entry of a request that did not run."""
         entry = self.entries.get(request.work)
         if entry is not None and entry.id == request.id and not entry.ran:
             del self.entries[request.work]
-            self._over(entry, None)
+            self._notify_followers(entry, None)
 
-    def began(self, request: OpenRequest, now: int) -> None:
-        """It runs: from now on it is known, also where the module had no entry to keep it by."""
+    def run_started(self, request: OpenRequest, now: int) -> None:
+        """Records that a request runs; creates its entry if the module did not ask for one."""
         kind = request.handle.cls
         if kind.idempotency is Idempotency.IDEMPOTENT:
             return
-        labelled = kind.idempotency is Idempotency.KEYED
-        self.keep(request, request.handle.arrived + kind.dedup_window if labelled else now + kind.deadline)
-        self.ids[request.id] = self.entries[request.work]
-        self.ids[request.id].ran = True
+        keyed = kind.idempotency is Idempotency.KEYED
+        self.keep(request, request.handle.arrived + kind.dedup_window if keyed else now + kind.deadline)
+        self.by_request_id[request.id] = self.entries[request.work]
+        self.by_request_id[request.id].ran = True
 
     def share(self, request: OpenRequest) -> None:
-        """A request waits for the run of an earlier one, or gets its result."""
+        """Makes a request wait for the run of an earlier one, or gives it the result at once."""
         entry = self.entries.get(request.work)
         if entry is not None and entry.request is not None and entry.result is None:
             entry.followers.append(request)
         else:
-            self.tell(request, entry.result if entry is not None else None)
+            self.notify(request, entry.result if entry is not None else None)
 
-    def ended(self, request: OpenRequest, good: bool, ran: bool, result: bytes) -> None:
-        """The run is over; `ran` is False where nothing was started."""
-        entry = self.ids.get(request.id)
+    def run_ended(self, request: OpenRequest, good: bool, ran: bool, result: bytes) -> None:
+        """Records the end of a run; `ran` is False if nothing was started."""
+        entry = self.by_request_id.get(request.id)
         if entry is None:
             return
         if not ran:
             if self.entries.get(request.work) is entry:
                 del self.entries[request.work]
-            del self.ids[request.id]
-            self._over(entry, None)
+            del self.by_request_id[request.id]
+            self._notify_followers(entry, None)
         elif good and request.handle.cls.idempotency is Idempotency.KEYED:
             entry.result = result
-            self._over(entry, result)
+            self._notify_followers(entry, result)
 
-    def closed(self, request: OpenRequest) -> None:
-        """The module has closed a request."""
-        entry = self.ids.get(request.id) or self.entries.get(request.work)
+    def request_closed(self, request: OpenRequest) -> None:
+        """Records that the module has closed a request."""
+        entry = self.by_request_id.get(request.id) or self.entries.get(request.work)
         if entry is None or entry.request is not request:
             return
         entry.request = None
         if not entry.ran:
             del self.entries[request.work]
         if entry.result is None:
-            self._over(entry, None)
+            self._notify_followers(entry, None)
 
-    def _over(self, entry: Entry, result: bytes | None) -> None:
+    def _notify_followers(self, entry: Entry, result: bytes | None) -> None:
         followers, entry.followers = entry.followers, []
         for request in followers:
-            self.tell(request, result)
+            self.notify(request, result)
 
     def expire(self, now: int) -> None:
-        """Once a turn: what has run out goes, at constant work for each."""
-        self.batch.clear()
-        while self.ends and self.ends[0][0] <= now:
-            _, number, entry = heapq.heappop(self.ends)
-            stands, ran = self.entries.get(entry.work) is entry, self.ids.get(entry.id) is entry
-            if not stands and not ran:
+        """Removes expired entries, at constant cost for each; called once per turn."""
+        self.current_turn.clear()
+        while self.expirations and self.expirations[0][0] <= now:
+            _, number, entry = heapq.heappop(self.expirations)
+            has_entry, has_run = (
+                self.entries.get(entry.work) is entry,
+                self.by_request_id.get(entry.id) is entry,
+            )
+            if not has_entry and not has_run:
                 continue
             if entry.request is not None or entry.until + entry.lag > now:
-                later = max(entry.until + entry.lag, now + OPEN_AGAIN if entry.request is not None else now)
-                heapq.heappush(self.ends, (later, number, entry))
+                recheck_at = max(
+                    entry.until + entry.lag, now + OPEN_RECHECK if entry.request is not None else now
+                )
+                heapq.heappush(self.expirations, (recheck_at, number, entry))
                 continue
-            if stands:
+            if has_entry:
                 del self.entries[entry.work]
-            if ran:
-                del self.ids[entry.id]
+            if has_run:
+                del self.by_request_id[entry.id]
--- a/crowwing/routing/storm_monitor.py
+++ b/crowwing/routing/storm_monitor.py
@@ -1,6 +1,6 @@
-"""Shows the storm detector what comes and goes, and tells the decision module what follows from it.
+"""Feeds the storm detector with arrivals and answers, and applies its estimates to requests.
 
-Only where the operator file has a `storm` section; without one nothing here is loaded.
+Loaded only if the operator file has a `storm` section.
 """
 
 from collections.abc import Callable, Sequence
@@ -8,74 +8,86 @@
 from crowwing.protocol.arrival import Arrival
 from crowwing.routing.event_recorder import EventRecorder
 from crowwing.storm import fingerprint
-from crowwing.storm.returns import Returns
-from crowwing.storm.sight import Sight, View
+from crowwing.storm.detector import StormDetector, StormEstimate
+from crowwing.storm.retry_scheduler import RetryScheduler
 
-EVERY = 100_000  # microseconds between looks at the rates, at the most by the module's wakes
-LIKELY = 0.5  # from which an arrival counts as a repeat
+UPDATE_INTERVAL = 100_000  # minimum microseconds between updates of the rates
+RETRY_LIKELIHOOD = 0.5  # probability from which an arrival counts as a retry
 
 
 class StormMonitor:
-    """Feeds the storm detector. Owned by `Dispatcher`, where the operator wants storms seen."""
+    """Feeds the storm detector. Owned by `Dispatcher` if the operator file enables it."""
 
     def __init__(
         self,
         now: Callable[[], int],
         recorder: EventRecorder,
-        types: int,
+        classes: int,
         fields: Sequence[str],
         span: int,
-        most: int,
-        lowers: bool,
+        capacity: int,
+        reports_retries: bool,
     ) -> None:
-        """`span` in microseconds and `most` prints: of the sight's windows; `lowers`: the module is told."""
-        self.now, self.recorder, self.fields, self.lowers = now, recorder, fields, lowers
-        self.sight = Sight(now(), types, span, most)
-        self.returns: Returns | None = None  # where returns are paced
-        self.last = now()
-        self.tells: Callable[[int], None] | None = None  # of what was turned away, where a fleet shares it
+        """The detector's windows hold `capacity` fingerprints for `span` microseconds.
 
-    def arrived(self, arrival: Arrival, kind: int) -> tuple[int, bool]:
-        """The print, and whether the module is to take it for a repeat: only in a storm, and if told to."""
-        now, print_ = self.now(), fingerprint.of(arrival, self.fields)
-        left = arrival.due - arrival.arrived if arrival.due else 0
-        likely = self.sight.arrived(now, kind, print_, left) >= LIKELY
-        if likely:
+        `reports_retries` says whether the decision module is told of likely retries.
+        """
+        self.now, self.recorder, self.fields, self.reports_retries = now, recorder, fields, reports_retries
+        self.detector = StormDetector(now(), classes, span, capacity)
+        self.retry_scheduler: RetryScheduler | None = None  # set if retries are spread out
+        self.updated_at = now()
+        # Set if the fleet shares fingerprints of rejected requests.
+        self.share_rejection: Callable[[int], None] | None = None
+
+    def record_arrival(self, arrival: Arrival, request_class: int) -> tuple[int, bool]:
+        """Returns the fingerprint, and whether the module is to take the request for a retry.
+
+        The latter is true only in a storm and if `reports_retries` is set.
+        """
+        now, digest = self.now(), fingerprint.of(arrival, self.fields)
+        remaining = arrival.due - arrival.arrived if arrival.due else 0
+        likely_retry = self.detector.record_arrival(now, request_class, digest, remaining) >= RETRY_LIKELIHOOD
+        if likely_retry:
             self.recorder.count("likely_repeats")
-        view = self.look()
-        return print_, likely and view.storm and self.lowers
+        estimate = self.update()
+        return digest, likely_retry and estimate.storm and self.reports_retries
 
-    def ended(self, print_: int, good: bool) -> None:
-        """A final answer went out for a request with this print."""
-        self.sight.ended(self.now(), print_, good)
-        if self.tells is not None and not good:
-            self.tells(print_)
+    def record_outcome(self, digest: int, good: bool) -> None:
+        """Records the final answer to a request with this fingerprint."""
+        self.detector.record_outcome(self.now(), digest, good)
+        if self.share_rejection is not None and not good:
+            self.share_rejection(digest)
 
-    def elsewhere(self, prints: list[int]) -> None:
-        """What others of the fleet turned away."""
-        self.sight.elsewhere(self.now(), prints)
+    def record_remote_rejections(self, fingerprints: list[int]) -> None:
+        """Records rejections by other members of the fleet."""
+        self.detector.record_remote_rejections(self.now(), fingerprints)
 
-    def away(self, by: int, brings: float, least: int, due: int) -> int:
-        """For how long a caller that is dismissed is to stay away, where the module asks for `least`.
+    def retry_after(self, caller: int, caller_rate: float, min_delay: int, due: int) -> int:
+        """Returns the retry-after time in microseconds, where the module asks for `min_delay`.
 
-        In a storm it gets a place of its own to come back, no later than its ticket's due time. What is
-        settled now is taken for the room that there is for all who return.
+        In a storm, the caller gets a time of its own, not after the request's deadline `due`. The current
+        rate of completed requests is taken as the capacity for all retries.
         """
-        if self.returns is None or not least or not self.sight.view.storm:
-            return least
+        if self.retry_scheduler is None or not min_delay or not self.detector.estimate.storm:
+            return min_delay
         now = self.now()
-        return self.returns.advise(now, by, brings, least, due - now, self.sight.good_rate)
+        return self.retry_scheduler.advise(
+            now, caller, caller_rate, min_delay, due - now, self.detector.success_rate
+        )
 
-    def look(self) -> View:
-        """What is seen now; a storm's begin and end are events."""
-        now, before = self.now(), self.sight.view
-        if now - self.last < EVERY:
+    def update(self) -> StormEstimate:
+        """Returns the current estimate; logs the begin and the end of a storm."""
+        now, before = self.now(), self.detector.estimate
+        if now - self.updated_at < UPDATE_INTERVAL:
             return before
-        self.last = now
-        view = self.sight.step(now)
-        if view.storm != before.storm:
-            what = "storm" if view.storm else "storm_over"
+        self.updated_at = now
+        estimate = self.detector.update(now)
+        if estimate.storm != before.storm:
+            event = "storm" if estimate.storm else "storm_over"
             self.recorder.event(
-                what, tries=round(view.tries, 2), repeats=round(view.repeats, 3), sure=round(view.sure, 2)
+                event,
+                tries=round(estimate.attempts, 2),
+                repeats=round(estimate.retry_share, 3),
+                sure=round(estimate.confidence, 2),
             )
-        return view
+        return estimate
--- a/crowwing/routing/worker_commands.py
+++ b/crowwing/routing/worker_commands.py
@@ -1,9 +1,10 @@
-"""Commands to the worker agent. They survive a broken link, and none is done twice by it.
+"""Commands to the worker agent, which survive a broken connection without being carried out twice.
 
-A command is unproven until a sample asked for after it has come back. A new link first reads back all notices
-since the last one known; the fence, a sample, says when they are all in. Only then are those unproven
-commands sent again that the notices have not made pointless. A launch sent again could cross the end of the
-run it began, so that of a ticket which must not run twice is not: its run counts as failed.
+A command is unacknowledged until a sample requested after it has come back. A new connection first reads all
+notices after the last one known; a sample as a barrier shows when they are complete. Only then are the
+unacknowledged commands sent again that are still needed after these notices. A repeated launch could cross
+the end of the run it started. So a request that must not run twice is not launched again: its run counts as
+failed.
 """
 
 import asyncio
@@ -18,21 +19,21 @@
 from crowwing.transport.link import Link
 from crowwing.transport.pool import BufferPool
 
-GREETING = 5.0  # seconds at least that a later link waits for its greeting; the first one waits for good
+GREETING_TIMEOUT = 5.0  # seconds; minimum for a later connection, the first one waits without limit
 
 
 class Command(NamedTuple):
-    """One command, until a sample proves that it arrived."""
+    """A command that no sample has acknowledged yet."""
 
     number: int
     data: bytes
-    still: Callable[[], bool]  # whether it has a point
-    once: OpenRequest | None  # the ticket, where it launches one that must not run twice
-    sent: bool  # it went out, on whatever link
+    is_needed: Callable[[], bool]  # whether it still has an effect
+    non_idempotent: OpenRequest | None  # the request, if it must not run twice
+    sent: bool  # sent on this or an earlier connection
 
 
 class WorkerCommands:
-    """The link to the worker agent, and the commands that are under way. Owned by `Dispatcher`."""
+    """The connection to the worker agent and the unacknowledged commands. Owned by `Dispatcher`."""
 
     def __init__(
         self,
@@ -40,37 +41,39 @@
         address: tuple[str, int],
         pool: BufferPool,
         recorder: EventRecorder,
-        hear: Callable[[agent.Notice], None],
-        patience: float,
+        on_notice: Callable[[agent.Notice], None],
+        timeout: float,
     ) -> None:
-        """Connects to `address`; `hear` gets each notice, and `patience` is in seconds."""
-        self.loop, self.recorder, self.hear, self.patience = loop, recorder, hear, patience
-        self.link = Link(loop, address, pool, self._opened, self._received, self._closed)
+        """Connects to `address`; `on_notice` gets each notice, and `timeout` is in seconds."""
+        self.loop, self.recorder, self.on_notice, self.timeout = loop, recorder, on_notice, timeout
+        self.link = Link(loop, address, pool, self._on_open, self._on_data, self._on_close)
         self.reader = agent.AgentReader()
-        self.last = 0  # the last notice read
-        self.greeted = self.fenced = False  # on this link
-        self.issued = self.tag = 0
-        self.asked = 0.0  # when the sample that is out was asked for, or the greeting
-        self.unproven: deque[Command] = deque()  # emptied by samples
-        # Sample out -> the last command before it; emptied by answers and breaks.
-        self.tags: dict[str, int] = {}
+        self.last_notice = 0  # number of the last notice read
+        self.greeted = self.synchronized = False  # on this connection
+        self.last_command = self.last_sample = 0
+        self.requested_at = 0.0  # when the pending sample or greeting was requested
+        self.unacknowledged: deque[Command] = deque()  # removed by samples
+        # Pending sample -> the last command before it; removed when it comes back or the connection breaks.
+        self.pending_samples: dict[str, int] = {}
 
     # Commands
 
     def launch(self, request: OpenRequest, _: float = 0) -> None:
         """Starts a run."""
-        self.recorder.holds(not request.launched, "launched while its run is on")
+        self.recorder.verify(not request.launched, "launched while its run is on")
         request.launched = True
         request.runs += 1
-        once = request if request.handle.cls.idempotency is not Idempotency.IDEMPOTENT else None
-        self._issue(agent.launch(request.id, request.type, request.body), self._still_runs(request), once)
+        non_idempotent = request if request.handle.cls.idempotency is not Idempotency.IDEMPOTENT else None
+        self._issue(
+            agent.launch(request.id, request.type, request.body), self._runs_still(request), non_idempotent
+        )
 
     def freeze(self, request: OpenRequest, _: float = 0) -> None:
         """Stops a run."""
-        # Asked again and again, it waits for the link but once.
-        if self.fenced or request.frozen != request.runs:
+        # If the connection is down, a repeated stop is queued only once.
+        if self.synchronized or request.frozen != request.runs:
             request.frozen = request.runs
-            self._issue(agent.freeze(request.id), self._still_runs(request))
+            self._issue(agent.freeze(request.id), self._runs_still(request))
 
     def deliver(self, request: OpenRequest, reply: bytes) -> None:
         """Gives a run the response that it waits for."""
@@ -78,94 +81,101 @@
         self._issue(agent.deliver(request.id, reply), lambda: request.launched and request.asks == asks)
 
     def sample(self) -> bool:
-        """Asks for the gauges; whether it could. One is out at a time."""
+        """Requests the gauges, unless a sample is pending; returns whether it was sent."""
         ungreeted = self.link.up and not self.greeted
-        patience = max(self.patience, GREETING) if ungreeted else self.patience
-        if (self.tags or ungreeted) and self.loop.time() - self.asked > patience:
-            # Guards against a far side that is gone without a word; one that only paused loses nothing by it.
-            self.tags.clear()
-            self.asked = self.loop.time()
-            self.recorder.event("agent_silent", seconds=patience)
+        timeout = max(self.timeout, GREETING_TIMEOUT) if ungreeted else self.timeout
+        if (self.pending_samples or ungreeted) and self.loop.time() - self.requested_at > timeout:
+            # The agent may be gone without closing the connection. One that only paused loses nothing by
+            # this.
+            self.pending_samples.clear()
+            self.requested_at = self.loop.time()
+            self.recorder.event("agent_silent", seconds=timeout)
             self.link.drop()
-        if not self.fenced or self.tags:
+        if not self.synchronized or self.pending_samples:
             return False
         self._sample()
         return True
 
     def exercise(self, tag: str) -> bool:
-        """Asks for some work to be done; whether it could."""
-        if self.fenced:
+        """Requests a piece of work as a health probe; returns whether it was sent."""
+        if self.synchronized:
             self.link.send(agent.exercise(tag))
-        return self.fenced
+        return self.synchronized
 
     @staticmethod
-    def _still_runs(request: OpenRequest) -> Callable[[], bool]:
+    def _runs_still(request: OpenRequest) -> Callable[[], bool]:
         runs = request.runs
         return lambda: request.launched and request.runs == runs
 
-    def _issue(self, data: bytes, still: Callable[[], bool], once: OpenRequest | None = None) -> None:
-        self.issued += 1
-        self.unproven.append(Command(self.issued, data, still, once, self.fenced))
-        if self.fenced:
+    def _issue(
+        self, data: bytes, is_needed: Callable[[], bool], non_idempotent: OpenRequest | None = None
+    ) -> None:
+        self.last_command += 1
+        self.unacknowledged.append(
+            Command(self.last_command, data, is_needed, non_idempotent, self.synchronized)
+        )
+        if self.synchronized:
             self.link.send(data)
 
     def _sample(self) -> None:
-        self.tag += 1
-        self.asked = self.loop.time()
-        self.tags[f"s{self.tag}"] = self.issued if self.fenced else 0
-        self.link.send(agent.sample(f"s{self.tag}"))
+        self.last_sample += 1
+        self.requested_at = self.loop.time()
+        self.pending_samples[f"s{self.last_sample}"] = self.last_command if self.synchronized else 0
+        self.link.send(agent.sample(f"s{self.last_sample}"))
 
-    # The link
+    # The connection
 
-    def _opened(self) -> None:
+    def _on_open(self) -> None:
         self.reader = agent.AgentReader()
-        self.asked = self.loop.time()
-        self.link.send(agent.subscribe(self.last))
+        self.requested_at = self.loop.time()
+        self.link.send(agent.subscribe(self.last_notice))
 
-    def _closed(self, why: str) -> None:
-        self.greeted = self.fenced = False
-        self.tags.clear()
-        self.recorder.event("agent_lost", why=why, last=self.last)
+    def _on_close(self, why: str) -> None:
+        self.greeted = self.synchronized = False
+        self.pending_samples.clear()
+        self.recorder.event("agent_lost", why=why, last=self.last_notice)
 
-    def _received(self, view: memoryview) -> None:
+    def _on_data(self, view: memoryview) -> None:
         for notice in self.reader.feed(view):
             number = getattr(notice, "number", None)
             if number is not None:
-                if number <= self.last:
-                    continue  # it was read on an earlier link
-                if number > self.last + 1:
-                    self.recorder.count("notices_missed", number - self.last - 1)
-                self.last = number
-            self.hear(notice)
-
-    def greeting(self) -> None:
-        """The worker agent has greeted on this link."""
+                if number <= self.last_notice:
+                    continue  # read on an earlier connection
+                if number > self.last_notice + 1:
+                    self.recorder.count("notices_missed", number - self.last_notice - 1)
+                self.last_notice = number
+            self.on_notice(notice)
+
+    def on_greeting(self) -> None:
+        """Handles the worker agent's greeting on this connection."""
         self.greeted = True
-        self._sample()  # the fence
+        self._sample()  # the barrier
 
-    def sampled(self, tag: str) -> bool:
-        """Whether it brings gauges that were asked for."""
-        if tag not in self.tags:
+    def on_sample(self, tag: str) -> bool:
+        """Handles a sample; returns whether it was requested on this connection."""
+        if tag not in self.pending_samples:
             return False
-        proven = self.tags.pop(tag)
-        while self.unproven and self.unproven[0].number <= proven:
-            self.unproven.popleft()
-        if not self.fenced:
-            self.fenced = True
-            self._send_again()
+        acknowledged = self.pending_samples.pop(tag)
+        while self.unacknowledged and self.unacknowledged[0].number <= acknowledged:
+            self.unacknowledged.popleft()
+        if not self.synchronized:
+            self.synchronized = True
+            self._resend()
         return True
 
-    def _send_again(self) -> None:
-        commands, self.unproven = self.unproven, deque()
+    def _resend(self) -> None:
+        commands, self.unacknowledged = self.unacknowledged, deque()
         for command in commands:
-            if not command.still():
+            if not command.is_needed():
                 continue
-            if command.once and command.sent:
-                self.hear(agent.Ended(0, command.once.id, "ERROR", 0, b""))
+            if command.non_idempotent and command.sent:
+                self.on_notice(agent.Ended(0, command.non_idempotent.id, "ERROR", 0, b""))
                 continue
-            self.unproven.append(command._replace(sent=True))
+            self.unacknowledged.append(command._replace(sent=True))
             self.link.send(command.data)
         if commands:
             self.recorder.event(
-                "agent_resent", commands=len(self.unproven), pointless=len(commands) - len(self.unproven)
+                "agent_resent",
+                commands=len(self.unacknowledged),
+                pointless=len(commands) - len(self.unacknowledged),
             )
