--- a/crowwing/logic/request.py
+++ b/crowwing/logic/request.py
@@ -8,7 +8,7 @@
     from crowwing.logic.load_manager import LoadManager
 
 MAX_CALL_ATTEMPTS = 3  # for one call
-NEW, QUEUED, RUNNING, CALL_PENDING, CALLING, PAUSED, SHARING, CLOSED = range(8)
+NEW, QUEUED, RUNNING, CALL_PENDING, CALLING, PAUSED, SHARING, CLOSED = range(8)  # the states of a request
 
 
 class Request:
@@ -16,9 +16,9 @@
 
     def __init__(self, manager: "LoadManager", request_id: Id, class_id: int, size_kb: float) -> None:
         self.manager, self.id, self.class_id, self.size_kb = manager, request_id, class_id, size_kb
-        self.cls = manager.facts.classes[class_id]
-        self.state, self.memory_kb, self.concurrency = CLOSED, 0.0, 0.0
-        self.answered = self.closed = self.has_run = False
+        self.cls = manager.facts.classes[class_id]  # its RequestClass
+        self.state, self.memory_kb, self.concurrency = CLOSED, 0.0, 0.0  # concurrency: runs at its start
+        self.answered = self.closed = self.has_run = False  # has_run: started, or shares another's run
         self.call_since = self.call_time = self.attempts = self.retry_at = self.halted = self.call_end = 0
 
     def run_ended(self, now: int, took: int, outcome: Outcome) -> list[Result]:
