--- a/crowwing/routing/dispatcher.py
+++ b/crowwing/routing/dispatcher.py
@@ -90,7 +90,7 @@
         self.clock = 0
         self.turn_scheduled = False
         self.resolver, self.relay = RequestResolver(names, facts), ResponseRelay(recorder, self._on_answer)
-        agent_timeout = min(kind.latency_target for kind in facts.classes) / 1e6
+        agent_timeout = min(cls.latency_target for cls in facts.classes) / 1e6
         self.commands = WorkerCommands(loop, agent_address, pool, recorder, self._on_notice, agent_timeout)
         self.calls = BackendCalls(loop, downstream_address, pool, max_calls, recorder, self._on_reply)
         self.wake_timer = WakeTimer(
@@ -133,22 +133,22 @@
 
         Raises InvalidRequestError for a request that can't be served here.
         """
-        kind, customer = self.resolver.resolve(arrival, self.now())
-        open_request, work = self.open_requests.get(arrival.id), work_of(arrival, kind, customer)
+        class_id, customer = self.resolver.resolve(arrival, self.now())
+        open_request, work = self.open_requests.get(arrival.id), work_of(arrival, class_id, customer)
         if self.manager is None:
             caller.rejected(0, False)  # nothing can run before the worker agent is up
         elif open_request is None and (finished := self.retry_table.find_finished(arrival, work)) is not None:
             self.recorder.count("answered_again")  # it has run and must not run twice
             caller.failed() if finished.result is None else caller.completed(finished.result)
         elif open_request is None:
-            keyed = self.facts.classes[kind].idempotency is Idempotency.KEYED
+            keyed = self.facts.classes[class_id].idempotency is Idempotency.KEYED
             request = OpenRequest(arrival, caller, work)
             earlier_id = (
                 self.retry_table.find_earlier(request, min(self.now(), arrival.arrived)) if keyed else ""
             )
             self.recorder.count("had")
             self.open_requests[arrival.id] = request
-            self._enqueue(self._admit, request, arrival, kind, customer, earlier_id)
+            self._enqueue(self._admit, request, arrival, class_id, customer, earlier_id)
             return request
         elif not open_request.same(arrival):
             # Keeps a caller from joining the request of another under its id. A sidecar that sends an attempt
@@ -306,7 +306,7 @@
         """Does nothing; queued to cause a turn."""
 
     def _admit(
-        self, now: int, request: OpenRequest, arrival: Arrival, kind: int, customer: int, earlier_id: str
+        self, now: int, request: OpenRequest, arrival: Arrival, class_id: int, customer: int, earlier_id: str
     ) -> None:
         likely_retry = False
         if self.arrivals_by_customer is not None:
@@ -314,10 +314,10 @@
         if self.storm_monitor is not None:
             request.by = arrival.sidecar
             try:
-                request.likeness, likely_retry = self.storm_monitor.record_arrival(arrival, kind)
+                request.likeness, likely_retry = self.storm_monitor.record_arrival(arrival, class_id)
             except Exception:
                 self._disable_storm_monitor("lookout", request)
-        admit(self.manager, now, request, arrival, kind, customer, earlier_id, likely_retry)
+        admit(self.manager, now, request, arrival, class_id, customer, earlier_id, likely_retry)
 
     def _run(self, request: OpenRequest, _: float = 0) -> None:
         self.retry_table.run_started(request, self.clock)
--- a/crowwing/routing/request_admission.py
+++ b/crowwing/routing/request_admission.py
@@ -10,7 +10,7 @@
     now: int,
     request: OpenRequest,
     arrival: Arrival,
-    kind: int,
+    class_id: int,
     customer: int,
     earlier_id: str,
     likely_retry: bool,
@@ -21,7 +21,7 @@
     request.handle = manager.receive(
         now,
         request.id,
-        kind,
+        class_id,
         customer,
         arrival.rank,
         arrival.kb,
--- a/crowwing/routing/retry_table.py
+++ b/crowwing/routing/retry_table.py
@@ -19,9 +19,9 @@
 Work = tuple[int, int, str]
 
 
-def work_of(arrival: Arrival, kind: int, customer: int) -> Work:
+def work_of(arrival: Arrival, class_id: int, customer: int) -> Work:
     """The key of the piece of work that a request asks for; the same in its retries."""
-    return kind, customer, arrival.key or "\0" + arrival.id  # unique, since no header contains a NUL
+    return class_id, customer, arrival.key or "\0" + arrival.id  # unique, since no header contains a NUL
 
 
 class Entry:
@@ -101,11 +101,11 @@
 
     def run_started(self, request: OpenRequest, now: int) -> None:
         """Records that a request runs; creates its entry if the module did not ask for one."""
-        kind = request.handle.cls
-        if kind.idempotency is Idempotency.IDEMPOTENT:
+        cls = request.handle.cls
+        if cls.idempotency is Idempotency.IDEMPOTENT:
             return
-        keyed = kind.idempotency is Idempotency.KEYED
-        self.keep(request, request.handle.arrived + kind.dedup_window if keyed else now + kind.deadline)
+        keyed = cls.idempotency is Idempotency.KEYED
+        self.keep(request, request.handle.arrived + cls.dedup_window if keyed else now + cls.deadline)
         self.by_request_id[request.id] = self.entries[request.work]
         self.by_request_id[request.id].ran = True
 
--- a/crowwing/routing/storm_monitor.py
+++ b/crowwing/routing/storm_monitor.py
@@ -39,14 +39,14 @@
         # Set if the fleet shares fingerprints of rejected requests.
         self.share_rejection: Callable[[int], None] | None = None
 
-    def record_arrival(self, arrival: Arrival, request_class: int) -> tuple[int, bool]:
+    def record_arrival(self, arrival: Arrival, class_id: int) -> tuple[int, bool]:
         """Returns the fingerprint, and whether the module is to take the request for a retry.
 
         The latter is true only in a storm and if `reports_retries` is set.
         """
         now, digest = self.now(), fingerprint.of(arrival, self.fields)
         remaining = arrival.due - arrival.arrived if arrival.due else 0
-        likely_retry = self.detector.record_arrival(now, request_class, digest, remaining) >= RETRY_LIKELIHOOD
+        likely_retry = self.detector.record_arrival(now, class_id, digest, remaining) >= RETRY_LIKELIHOOD
         if likely_retry:
             self.recorder.count("likely_repeats")
         estimate = self.update()
--- a/crowwing/storm/detector.py
+++ b/crowwing/storm/detector.py
@@ -108,7 +108,7 @@
         self.now = max(self.now, now)
         return self.now
 
-    def record_arrival(self, now: int, request_class: int, fingerprint: int, remaining: int) -> float:
+    def record_arrival(self, now: int, class_id: int, fingerprint: int, remaining: int) -> float:
         """The probability that an arrival is a retry.
 
         `remaining` is the caller's time left in microseconds, 0 if unknown.
@@ -122,7 +122,7 @@
         completed_count = max(1.0, min(self.success_rate * self.span / 1e6, self.completed.mask * 3.0))
         self.collision_chance += (matches_completed / completed_count - self.collision_chance) / MATCH_SAMPLES
         self.match_rate += (matches_rejected - self.match_rate) / MATCH_SAMPLES
-        spent = remaining > 0 and self.time_budgets[request_class].is_spent(remaining)
+        spent = remaining > 0 and self.time_budgets[class_id].is_spent(remaining)
         if self.failure_rate < CALM_FAILURES * self.arrival_rate:
             self.spent_baseline += (spent - self.spent_baseline) / MATCH_SAMPLES
         self.spent_rate += (spent - self.spent_rate) / MATCH_SAMPLES
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -134,7 +134,7 @@
     assert [facts.quotas[resolver.customers[names[n]]] for n in order] == [shares[n] for n in order]
     assert len(facts.quotas) == len(order) == len(resolver.customers)
     for n, lane in enumerate(SETTINGS["lanes"]):
-        assert facts.classes[resolver.types[lane["name"]]].latency_target == 1000 * MS * (n + 1)
+        assert facts.classes[resolver.classes[lane["name"]]].latency_target == 1000 * MS * (n + 1)
 
 
 def test_settings_read_twice_share_nothing_that_can_change() -> None:
