--- a/crowwing/tier/front/admission.py
+++ b/crowwing/tier/front/admission.py
@@ -26,7 +26,7 @@
 MIN_QUEUE_TIMEOUT_S = 0.03
 PRESSURE_WINDOW_S = 1.0  # after a rejection, in which admission counts as under pressure
 MAX_STEP_S = 0.2  # of the control loops, whatever the time since the last step
-MAX_SPREAD = 0.999  # within a band
+MAX_BAND_POSITION = 0.999  # within a band
 
 
 @dataclass
@@ -89,15 +89,15 @@
     batch: int
 
 
-def rank_of(priority: int, spread: float) -> float:
+def rank_of(priority: int, band_position: float) -> float:
     """The rank of a request.
 
     Args:
         priority: That of its route, which gives the band; 0 is the most important.
-        spread: From 0 to 1, where within the band.
+        band_position: From 0 to 1, where within the band.
     """
     bounded = min(max(priority, 0), RANK_BANDS - 1)
-    return (RANK_BANDS - 1 - bounded + min(max(spread, 0.0), MAX_SPREAD)) / RANK_BANDS
+    return (RANK_BANDS - 1 - bounded + min(max(band_position, 0.0), MAX_BAND_POSITION)) / RANK_BANDS
 
 
 def compute_min_limit(share: float) -> float:
--- a/crowwing/tier/front/attempts.py
+++ b/crowwing/tier/front/attempts.py
@@ -48,9 +48,9 @@
         now = state.last_byte_at = time.monotonic()
         state.record_success()
         if started.status >= MIN_ERROR_STATUS:
-            state.record.failed(now)
+            state.failure_rate.record_failure(now)
         else:
-            state.record.answered(now)
+            state.failure_rate.record_success(now)
         self._record_load_header(state, started.header(b"server-load"))
         if (started.header(b"connection") or b"").lower() == b"close" and not state.entry.ready:
             state.leaving = True
--- a/crowwing/tier/front/batch_api.py
+++ b/crowwing/tier/front/batch_api.py
@@ -12,7 +12,7 @@
 
 log = logging.getLogger("crowwing.batch")
 
-SUBMIT_LIMIT_S, READ_LIMIT_S = 2.5, 1.3
+SUBMIT_TIMEOUT_S, READ_TIMEOUT_S = 2.5, 1.3
 BATCH_JOBS_PATH, ITEMS = "/lots/", "/items/"
 MAX_WAIT_MS = 1000
 RETRY_AFTER_S = 0.2
@@ -41,7 +41,7 @@
             await respond_json(send, 400, {"error": str(error)})
             return
         outcome = await self._store.call(
-            commands.SubmitBatchJob(job, request.host, request.path, items), SUBMIT_LIMIT_S
+            commands.SubmitBatchJob(job, request.host, request.path, items), SUBMIT_TIMEOUT_S
         )
         await self._respond(outcome, send, 202)
 
@@ -51,7 +51,7 @@
             job = unquote(request.path[len(BATCH_JOBS_PATH) :])
             if request.method == "DELETE":
                 await self._respond(
-                    await self._store.call(commands.EndBatchJob(job), SUBMIT_LIMIT_S), send, 200
+                    await self._store.call(commands.EndBatchJob(job), SUBMIT_TIMEOUT_S), send, 200
                 )
             else:
                 await self._read(job, request, send)
@@ -59,7 +59,7 @@
         if request.path.startswith(ITEMS) and request.method == "GET":
             wanted = first_value(request.query, "id")
             command = commands.ReadItemBody(unquote(request.path[len(ITEMS) :]), wanted or "")
-            await self._respond(await self._store.call(command, READ_LIMIT_S), send, 200)
+            await self._respond(await self._store.call(command, READ_TIMEOUT_S), send, 200)
             return True
         return False
 
@@ -71,8 +71,8 @@
             return
         wait_ms = min(longest_wait_ms, MAX_WAIT_MS)
         command = commands.ReadBatchJob(job_id, start, wait_ms)
-        limit_s = wait_ms / 1000 + READ_LIMIT_S
-        outcome = await self._store.call(command, limit_s, confirm_s=wait_ms / 1000 + 0.6)
+        timeout_s = wait_ms / 1000 + READ_TIMEOUT_S
+        outcome = await self._store.call(command, timeout_s, confirm_s=wait_ms / 1000 + 0.6)
         if isinstance(outcome, outcomes.BatchJobPage):
             results = [{"id": x.item, "state": x.state, "text": x.text} for x in outcome.results]
             page = {"total": outcome.total, "nextToken": start + len(results), "results": results}
--- a/crowwing/tier/front/batch_job_runner.py
+++ b/crowwing/tier/front/batch_job_runner.py
@@ -103,7 +103,7 @@
     def _count_free_slots(self) -> int:
         """How many more items could start now at the service that has most free slots for them."""
         table = self._pool.table
-        if table is None or not self._pool.listed:
+        if table is None or not self._pool.has_endpoint_list:
             return 0
         services = {
             share.service
--- a/crowwing/tier/front/client_connection.py
+++ b/crowwing/tier/front/client_connection.py
@@ -10,7 +10,7 @@
 
 log = logging.getLogger("crowwing.clients")
 
-UNREAD_LIMIT_MS = 20_000  # for which a client may leave bytes of a response unacknowledged or unread
+TCP_USER_TIMEOUT_MS = 20_000  # for which a client may leave bytes of a response unacknowledged or unread
 HEADER_EXTRA_BYTES = 4  # of each header line beside its name and value
 
 
@@ -46,7 +46,7 @@
         super().connection_made(transport)
         raw = transport.get_extra_info("socket")
         if raw is not None:
-            raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNREAD_LIMIT_MS)
+            raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
         self.timeout_keep_alive_task = self.loop.call_later(
             self.timeout_keep_alive, self.timeout_keep_alive_handler
         )
--- a/crowwing/tier/front/track_record.py
+++ b/crowwing/tier/front/failure_rate.py
@@ -13,7 +13,7 @@
 
 
 @dataclass
-class TrackRecord:
+class FailureRate:
     """The share of requests that failed.
 
     How long answers took is left out on purpose: it tells more of what all fronts sent there than of the
@@ -27,12 +27,12 @@
         self.failure_share = self._decayed_share(now)
         self._at = now
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """A request ended in an error, broke off, or was not answered."""
         self._decay(now)
         self.failure_share += OUTCOME_WEIGHT * (1 - self.failure_share)
 
-    def answered(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """A request began to be answered."""
         self._decay(now)
         self.failure_share -= OUTCOME_WEIGHT * self.failure_share
--- a/crowwing/tier/front/main.py
+++ b/crowwing/tier/front/main.py
@@ -32,11 +32,11 @@
 log = logging.getLogger("crowwing.front")
 
 DEREGISTRATION_S = 2.4  # from SIGTERM until the platform sends no client here any more
-END_MARGIN_S = 0.7  # before the platform kills the process
+KILL_MARGIN_S = 0.7  # before the platform kills the process
 LIST_READ_AFTER_S = 1.2  # without the root, after which a front reads the endpoint list by itself
 LIST_READ_INTERVAL_S = 0.9
 FIRST_LIST_READ_S = 0.3  # after a start, drawn evenly up to it
-IDLE_DEFAULT_S = 75.0
+DEFAULT_IDLE_TIMEOUT_S = 75.0
 FRONT_COUNT_INTERVAL_S = 1.0
 
 
@@ -60,7 +60,7 @@
         self.runner = BatchJobRunner(settings.node, self.pool, self.store)
         self.client_limits = ClientLimits()
         self.documents.add_listener(self.apply_document)
-        self.relay.tracker.on_root_changed.append(self.store.moved)
+        self.relay.tracker.on_root_changed.append(self.store.primary_moved)
 
     async def handle(self, connection: Connection, body: object) -> object:
         """Responds to other backends; None where the message is not for a front."""
@@ -91,20 +91,20 @@
                 log.error("configuration_unreadable field=%s reason=%s", parsed.location, parsed.reason)
         elif document.kind == SIDECARS:
             listed = decode(document.body)
-            self._count_fronts()
+            self._update_front_count()
             self.pool.apply_endpoint_list(listed)
 
-    def _count_fronts(self) -> None:
+    def _update_front_count(self) -> None:
         """As the root counts them, or at least those that shuffles have shown."""
         shown = 1 + len(self.relay.view.peers("front"))
         self.pool.sidecars.fronts = max(shown, self.relay.tracker.front_count)
         self.pool.sidecars.fronts_counted = self.relay.tracker.front_count > 0
 
-    async def run_count(self) -> None:
+    async def run_front_count(self) -> None:
         """Keeps the number of fronts up to date; never returns."""
         while True:
             await asyncio.sleep(FRONT_COUNT_INTERVAL_S)
-            self._count_fronts()
+            self._update_front_count()
 
     def _apply_limits(self, configuration: Configuration) -> None:
         limits = configuration.limits
@@ -114,17 +114,20 @@
 
     async def report_readiness(self, send: Send) -> None:
         """Responds to the platform's health check: whether clients may come."""
-        is_ready = self.pool.table is not None and self.pool.listed and not self.proxy.draining
+        is_ready = self.pool.table is not None and self.pool.has_endpoint_list and not self.proxy.draining
         status = 200 if is_ready else 503
         await respond(send, status, b"")
 
-    async def run_own_reader(self) -> None:
+    async def run_list_reader(self) -> None:
         """Reads the platform's endpoint list where the root does not send it; never returns."""
         assert self.settings.cloud is not None
         await asyncio.sleep(FIRST_LIST_READ_S * self.random.random())  # the root mostly sends it meanwhile
         read_list = make_list_reader(self.settings.cloud.address)
         while True:
-            if self.relay.tracker.seconds_since_heartbeat >= LIST_READ_AFTER_S or not self.pool.listed:
+            if (
+                self.relay.tracker.seconds_since_heartbeat >= LIST_READ_AFTER_S
+                or not self.pool.has_endpoint_list
+            ):
                 listed = await read_list()
                 if isinstance(listed, SidecarList):
                     self.pool.apply_endpoint_list(listed)
@@ -140,11 +143,11 @@
         internal = await serve(self.settings.ip, self.settings.internal_port, self.handle)
         for work in (
             self.relay.parent.run(), self.relay.shuffler.run(), self.pool.run_loops(), self.runner.run(),
-            self.run_count(), watch_settings(settings_changed, self.apply_settings),
+            self.run_front_count(), watch_settings(settings_changed, self.apply_settings),
         ):  # fmt: skip
             tasks.start(work)
         if self.settings.cloud is not None:
-            tasks.start(self.run_own_reader())
+            tasks.start(self.run_list_reader())
 
         serving = self._start_servers(tasks, end)
         await stop.wait()
@@ -169,7 +172,9 @@
             (settings.listen.ready, ready, None),
         ):
             if address:
-                server = make_server(app, address, settings.bounds.grace_s, IDLE_DEFAULT_S, connection)
+                server = make_server(
+                    app, address, settings.bounds.grace_s, DEFAULT_IDLE_TIMEOUT_S, connection
+                )
                 serving.append(tasks.start(serve_until(server, end)))
                 log.info("listening address=%s", address)
         return serving
@@ -177,7 +182,7 @@
     async def _drain(self, end: asyncio.Event, serving: list[asyncio.Task[None]]) -> None:
         """Graceful shutdown: not ready at once, and open requests and items end within the grace period."""
         log.info("drain_started open_requests=%d", self.proxy.open)
-        deadline = time.monotonic() + self.settings.bounds.grace_s - END_MARGIN_S
+        deadline = time.monotonic() + self.settings.bounds.grace_s - KILL_MARGIN_S
         self.proxy.draining = self.runner.draining = True
         await asyncio.sleep(DEREGISTRATION_S)
         end.set()
--- a/crowwing/tier/front/primary_finder.py
+++ b/crowwing/tier/front/primary_finder.py
@@ -12,7 +12,7 @@
 from crowwing.tier.wire.errors import CallError
 
 STATUS_TIMEOUT_S = 0.3  # of one question
-MAX_ASKED = 2  # store machines drawn for one round of questions, besides those that answers name
+MAX_QUERIED = 2  # store machines drawn for one round of questions, besides those that answers name
 MIN_ROUND_PAUSE_S, MAX_ROUND_PAUSE_S = 0.08, 1.28  # after a round that finds none, doubled with each in a row
 MIN_CONFIRM_INTERVAL_S = 0.5  # between questions whether the primary that gives no response still is it
 MIN_PAUSE_SHARE = 0.5  # of such a pause; the rest is drawn, so that fronts do not ask in step
@@ -35,7 +35,7 @@
         self._clock = clock
         self._primary: str | None = None
         self._highest_term: Term = NO_TERM  # under which a machine has said that it is the primary
-        self._suggested: str | None = None  # a machine that another one takes for the primary
+        self._primary_hint: str | None = None  # a machine that another one takes for the primary
         self._changed = asyncio.Event()  # replaced at each change of the primary
         self._search: asyncio.Task[None] | None = None
         self._confirmation: asyncio.Task[None] | None = None
@@ -51,22 +51,22 @@
         """Set at the next change of the primary."""
         return self._changed
 
-    def moved(self, host: str) -> None:
+    def primary_moved(self, host: str) -> None:
         """The primary is at this host now."""
         self._primary = host
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
-    def forget(self, host: str, leader: str | None = None) -> None:
+    def invalidate(self, host: str, leader: str | None = None) -> None:
         """This host is not the primary; `leader` is, where it knows."""
         if self._primary == host:
             self._primary = None
         if leader is not None and leader != host:
-            self._suggested = leader
+            self._primary_hint = leader
 
-    async def wait(self, limit_s: float) -> str | None:
+    async def wait(self, timeout_s: float) -> str | None:
         """The primary; None where none is found in time."""
-        deadline = self._clock.monotonic() + limit_s
+        deadline = self._clock.monotonic() + timeout_s
         while self._primary is None and (left_s := deadline - self._clock.monotonic()) > 0:
             if self._search is None or self._search.done():
                 self._search = asyncio.ensure_future(self._run_search())
@@ -90,40 +90,40 @@
         return self._primary in (None, host)
 
     async def _run_confirmation(self, host: str) -> None:
-        found = await self._ask_some(excluded=host)
+        found = await self._query_some(excluded=host)
         if found is not None and self._primary in (None, host):
-            self.moved(found)
+            self.primary_moved(found)
 
     async def _run_search(self) -> None:
         pause_s = MIN_ROUND_PAUSE_S
         while self._primary is None:
-            found = await self._ask_some()
+            found = await self._query_some()
             if self._primary is not None:
                 return
             if found is not None:
-                self.moved(found)
+                self.primary_moved(found)
                 return
-            drawn_s = pause_s * (MIN_PAUSE_SHARE + (1 - MIN_PAUSE_SHARE) * self._random.random())
-            await _wait_for(self._changed, drawn_s)
+            jittered_s = pause_s * (MIN_PAUSE_SHARE + (1 - MIN_PAUSE_SHARE) * self._random.random())
+            await _wait_for(self._changed, jittered_s)
             pause_s = min(MAX_ROUND_PAUSE_S, 2 * pause_s)
 
-    async def _ask_some(self, excluded: str | None = None) -> str | None:
+    async def _query_some(self, excluded: str | None = None) -> str | None:
         """One round of questions, to some machines and to those that they take for the primary."""
-        suggested, self._suggested = self._suggested, None
-        drawn = [host for host in self._hosts() if host != excluded][:MAX_ASKED]
-        asked = {host for host in (suggested, *drawn) if host is not None and host != excluded}
-        found, proposers = await self._ask_all(sorted(asked))
+        hint, self._primary_hint = self._primary_hint, None
+        drawn = [host for host in self._hosts() if host != excluded][:MAX_QUERIED]
+        queried = {host for host in (hint, *drawn) if host is not None and host != excluded}
+        found, proposers = await self._query_all(sorted(queried))
         if found is None:
-            found, _ = await self._ask_all(sorted(proposers - asked - {excluded}))
+            found, _ = await self._query_all(sorted(proposers - queried - {excluded}))
         return found
 
-    async def _ask_all(self, hosts: Sequence[str]) -> tuple[str | None, set[str]]:
+    async def _query_all(self, hosts: Sequence[str]) -> tuple[str | None, set[str]]:
         """Asks some machines at once; the first that is the primary, and who proposed the others' terms."""
         proposers: set[str] = set()
-        questions = [asyncio.ensure_future(self._status_of(host)) for host in hosts]
+        queries = [asyncio.ensure_future(self._status_of(host)) for host in hosts]
         try:
-            for question in asyncio.as_completed(questions):
-                host, status = await question
+            for query in asyncio.as_completed(queries):
+                host, status = await query
                 if status is None:
                     continue
                 if status.role == Role.PRIMARY.value and status.term >= self._highest_term:
@@ -132,8 +132,8 @@
                 if status.term > FIRST_TERM:
                     proposers.add(status.term[1])
         finally:
-            for question in questions:
-                question.cancel()
+            for query in queries:
+                query.cancel()
         return None, proposers
 
     async def _status_of(self, host: str) -> tuple[str, outcomes.StoreStatus | None]:
@@ -146,10 +146,10 @@
         return host, status if isinstance(status, outcomes.StoreStatus) else None
 
 
-async def _wait_for(event: asyncio.Event, limit_s: float) -> None:
+async def _wait_for(event: asyncio.Event, timeout_s: float) -> None:
     """Returns when the event is set, or after the limit."""
     try:
-        async with asyncio.timeout(limit_s):
+        async with asyncio.timeout(timeout_s):
             await event.wait()
     except TimeoutError:
         pass
--- a/crowwing/tier/front/proxy.py
+++ b/crowwing/tier/front/proxy.py
@@ -53,10 +53,10 @@
 START_RETRY_AFTER_S = 0.3  # of a backend without a configuration
 MIN_RETRY_AFTER_S = 0.05
 RETRY_THRESHOLD_FACTOR = 4.0  # later with the priority threshold, in latency targets
-RETRY_SPREAD_S = 0.3  # not all at once
+RETRY_JITTER_S = 0.3  # not all at once
 MAX_BODY_BYTES_UNCONFIGURED = 64 * 1024 * 1024
 RESPONSE_MARGIN_S = 0.2  # beyond the deadline, after which a response is broken off
-WITHOUT_CONFIGURATION = RequestLimits.model_validate({"maxBodyBytes": MAX_BODY_BYTES_UNCONFIGURED})
+UNCONFIGURED_LIMITS = RequestLimits.model_validate({"maxBodyBytes": MAX_BODY_BYTES_UNCONFIGURED})
 OPTIONAL_WHITESPACE = b" \t"  # around the value of a header, and no part of it (RFC 9110, 5.5)
 CLOSE_CONNECTION = [(b"connection", b"close")]
 
@@ -133,7 +133,7 @@
     async def _serve(self, scope: Scope, receive: Receive, send: Send) -> None:
         arrived = time.monotonic()
         table = await self._pool.wait_until_known(START_WAIT_S)
-        limits = table.configuration.limits if table is not None else WITHOUT_CONFIGURATION
+        limits = table.configuration.limits if table is not None else UNCONFIGURED_LIMITS
         request = await _read_request(scope, receive, send, limits)
         if request is None:
             return
@@ -169,7 +169,7 @@
             raise ClientDisconnectedError from error
 
     async def _run(self, routed: RoutedRequest, send: Send) -> None:
-        rank = rank_of(routed.route.priority, spread(routed.request_id))
+        rank = rank_of(routed.route.priority, hash_fraction(routed.request_id))
         admission_request = AdmissionRequest(
             routed.route.name, rank, routed.arrived, routed.deadline, is_batch_item=False
         )
@@ -185,7 +185,7 @@
         """When a rejected request may come back."""
         threshold = self._pool.admission(routed.service).priority_threshold
         base_s = max(MIN_RETRY_AFTER_S, routed.latency_target_s)
-        return base_s * (1 + RETRY_THRESHOLD_FACTOR * threshold) + RETRY_SPREAD_S * random.random()
+        return base_s * (1 + RETRY_THRESHOLD_FACTOR * threshold) + RETRY_JITTER_S * random.random()
 
     async def _run_admitted(self, routed: RoutedRequest, send: Send) -> None:
         sidecar_request = _make_sidecar_request(routed)
@@ -298,7 +298,7 @@
     return [(name, value) for name, value in headers if name.lower() not in dropped]
 
 
-def spread(request_id: bytes) -> float:
+def hash_fraction(request_id: bytes) -> float:
     """A number from 0 to 1 drawn by a request's id, so that all sizes of a class are rejected alike."""
     return int.from_bytes(hashlib.blake2b(request_id, digest_size=4).digest(), "big") / 2**32
 
--- a/crowwing/tier/front/routing.py
+++ b/crowwing/tier/front/routing.py
@@ -20,7 +20,7 @@
 CONNECTING_COST_MS = 30.0  # a new connection takes round trips and processor time, and has a price
 PREFILL_TOKENS_PER_MS = 128.0
 MIN_SHARED_BLOCK_TOKENS = 1000  # from which fronts agree on a home for a shared block
-SAMPLED = 12  # sidecars at random that are weighed where there are more than MAX_FULL_SCAN
+SAMPLE_SIZE = 12  # sidecars at random that are scored where there are more than MAX_FULL_SCAN
 SAMPLED_HOLDERS = 3  # more of those that have the shared block cached
 SAMPLED_RECENT = 16  # more of those that answered lately, as far as a connection to them is idle
 MAX_HOMES = 4000  # shared blocks whose home and holders are remembered
@@ -69,13 +69,13 @@
         """
         shared = next((block.id for block in blocks[:-1] if block.tokens >= MIN_SHARED_BLOCK_TOKENS), None)
         states = self._sidecars.of_service(service)
-        weighed = states if len(states) <= MAX_FULL_SCAN else self._sample(states, shared)
-        candidates = _first_candidates(states, weighed, now, tried)
+        scored = states if len(states) <= MAX_FULL_SCAN else self._sample(states, shared)
+        candidates = _first_candidates(states, scored, now, tried)
         if not candidates:
             return None
         home = None
         if shared is not None:
-            home = home_of(shared, candidates) if weighed is states else self._home(shared, states).entry.id
+            home = home_of(shared, candidates) if scored is states else self._home(shared, states).entry.id
         average = self._sidecars.average_inflight(service, now)
         return min(candidates, key=lambda state: self._cost_ms(state, blocks, home, average, now))
 
@@ -97,7 +97,7 @@
     def _sample(self, states: list[SidecarState], shared: str | None) -> list[SidecarState]:
         """Some at random, those with idle connections, and the home and some holders of a shared block."""
         is_listed = self._sidecars.is_listed
-        chosen = self._random.sample(states, SAMPLED)
+        chosen = self._random.sample(states, SAMPLE_SIZE)
         recent = self._recent.get(states[0].entry.service, ())
         chosen += [state for state in recent if state.connections.idle and is_listed(state)]
         if shared is not None:
@@ -130,7 +130,7 @@
     ) -> float:
         fill = (state.estimate(now, average) + 1) / max(1, state.entry.slots)
         cost = LOAD_COST_MS * fill + OVERFULL_COST_MS * max(0.0, fill - 1)
-        cost += state.record.cost_ms(now)
+        cost += state.failure_rate.cost_ms(now)
         uncached = state.prefix_cache.uncached_tokens(blocks)
         if home == state.entry.id and uncached:
             uncached = int(uncached * (1 - HOME_DISCOUNT))
@@ -142,11 +142,11 @@
 
 
 def _first_candidates(
-    states: list[SidecarState], weighed: list[SidecarState], now: float, tried: frozenset[str]
+    states: list[SidecarState], scored: list[SidecarState], now: float, tried: frozenset[str]
 ) -> list[SidecarState]:
     """The best group of sidecars that is not empty: reachable, usable, or listed as ready."""
-    candidates = [state for state in weighed if state.is_reachable(now) and state.entry.id not in tried]
-    if not candidates and weighed is not states:
+    candidates = [state for state in scored if state.is_reachable(now) and state.entry.id not in tried]
+    if not candidates and scored is not states:
         candidates = [state for state in states if state.is_reachable(now) and state.entry.id not in tried]
     if not candidates:
         candidates = [state for state in states if state.is_usable(now) and state.entry.id not in tried]
--- a/crowwing/tier/front/service_pool.py
+++ b/crowwing/tier/front/service_pool.py
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         """Neither routes nor sidecars are known."""
-        self.listed = False  # whether an endpoint list has come
+        self.has_endpoint_list = False  # whether an endpoint list has come
         self.sidecars = SidecarTable()
         self.router = Router(self.sidecars)
         self.clients = SidecarClients(self.sidecars)
@@ -51,18 +51,18 @@
 
     def apply_endpoint_list(self, listed: SidecarList) -> None:
         """Takes the platform's list in."""
-        self.listed = True
+        self.has_endpoint_list = True
         for gone in self.sidecars.update(listed.sidecars):
             self.clients.remove(gone)
         for service, admission in self._admissions.items():
             self._start(service, admission)
 
-    async def wait_until_known(self, limit_s: float) -> RoutingTable | None:
+    async def wait_until_known(self, timeout_s: float) -> RoutingTable | None:
         """The routes, once these and the sidecars are known; None where that takes too long."""
-        deadline = time.monotonic() + limit_s
-        while (self.table is None or not self.listed) and time.monotonic() < deadline:
+        deadline = time.monotonic() + timeout_s
+        while (self.table is None or not self.has_endpoint_list) and time.monotonic() < deadline:
             await asyncio.sleep(STARTUP_POLL_S)
-        return self.table if self.listed else None
+        return self.table if self.has_endpoint_list else None
 
     def admission(self, service: str) -> Admission:
         """The admission before a service, made when first asked for."""
--- a/crowwing/tier/front/sidecar_connections.py
+++ b/crowwing/tier/front/sidecar_connections.py
@@ -20,11 +20,11 @@
 IDLE_SHARE = 0.45  # of them, which all fronts together may keep idle
 MIN_OPEN_CONNECTIONS = 2  # connections to one sidecar that a front may have open whatever its share is
 MIN_IDLE_CONNECTIONS = 2  # connections that a front may keep idle, over all sidecars of a service
-MIN_FULL_PAUSE_S, MAX_FULL_PAUSE_S = (
+MIN_FULL_BACKOFF_S, MAX_FULL_BACKOFF_S = (
     0.1,
     1.6,
 )  # without new connections after a reset of a new one, doubled each time
-MIN_CONNECT_REST_S, MAX_CONNECT_REST_S = 0.002, 0.01  # bounds of the rest before the first request
+MIN_CONNECT_DELAY_S, MAX_CONNECT_DELAY_S = 0.002, 0.01  # bounds of the rest before the first request
 
 
 @dataclass
@@ -43,7 +43,7 @@
 
     def record_reset(self, now: float) -> None:
         """A new connection was reset before anything was sent on it."""
-        self.full_until = now + min(MAX_FULL_PAUSE_S, MIN_FULL_PAUSE_S * 2**self.resets)
+        self.full_until = now + min(MAX_FULL_BACKOFF_S, MIN_FULL_BACKOFF_S * 2**self.resets)
         self.resets += 1
 
     def record_accepted(self) -> None:
@@ -102,15 +102,15 @@
     """The connections to one sidecar. Owned by its `SidecarClient`."""
 
     def __init__(
-        self, address: str, state: ConnectionState, idle: IdleConnections, keep_idle_s: float,
-        connect_limit_s: float,
+        self, address: str, state: ConnectionState, idle: IdleConnections, idle_timeout_s: float,
+        connect_timeout_s: float,
     ) -> None:  # fmt: skip
-        """Connects to `address`, HOST:PORT; an idle connection stays open for `keep_idle_s`."""
+        """Connects to `address`, HOST:PORT; an idle connection stays open for `idle_timeout_s`."""
         host, port = address.rsplit(":", 1)
         self._host, self._port = host, int(port)
         self.origin = httpcore.Origin(b"http", host.encode(), self._port)
         self.state, self._all_idle = state, idle
-        self._keep_idle_s, self._connect_limit_s = keep_idle_s, connect_limit_s
+        self._idle_timeout_s, self._connect_timeout_s = idle_timeout_s, connect_timeout_s
         self._network = SidecarNetwork()
         self._open: set[httpcore.AsyncHTTP11Connection] = set()
 
@@ -122,7 +122,7 @@
         while self.state.idle:
             connection = self.state.idle[-1]
             if not connection.has_expired():
-                self._forget_idle(connection)
+                self._remove_idle(connection)
                 return connection
             await self.discard(connection)
         return await self._connect(options)
@@ -137,7 +137,7 @@
         except BaseException:
             self.state.open_count -= 1
             raise
-        connection = httpcore.AsyncHTTP11Connection(self.origin, stream, self._keep_idle_s)
+        connection = httpcore.AsyncHTTP11Connection(self.origin, stream, self._idle_timeout_s)
         self._open.add(connection)
         return connection
 
@@ -145,11 +145,11 @@
         """A new stream that has outlived the moment in which one too many would be reset."""
         began = time.monotonic()
         stream = await self._network.connect_tcp(
-            self._host, self._port, self._connect_limit_s, socket_options=options
+            self._host, self._port, self._connect_timeout_s, socket_options=options
         )
         took = time.monotonic() - began
         try:
-            await asyncio.sleep(min(MAX_CONNECT_REST_S, max(MIN_CONNECT_REST_S, took)))
+            await asyncio.sleep(min(MAX_CONNECT_DELAY_S, max(MIN_CONNECT_DELAY_S, took)))
         except BaseException:
             await stream.aclose()
             raise
@@ -172,14 +172,14 @@
         else:
             await self.discard(connection)
 
-    def _forget_idle(self, connection: httpcore.AsyncHTTP11Connection) -> None:
+    def _remove_idle(self, connection: httpcore.AsyncHTTP11Connection) -> None:
         if connection in self.state.idle:
             self.state.idle.remove(connection)
         self._all_idle.remove(connection)
 
     async def discard(self, connection: httpcore.AsyncHTTP11Connection) -> None:
         """Ends a connection."""
-        self._forget_idle(connection)
+        self._remove_idle(connection)
         if connection in self._open:
             self._open.remove(connection)
             self.state.open_count -= 1
--- a/crowwing/tier/front/sidecar_state.py
+++ b/crowwing/tier/front/sidecar_state.py
@@ -2,10 +2,10 @@
 
 from dataclasses import dataclass, field
 
+from crowwing.tier.front.failure_rate import FailureRate
 from crowwing.tier.front.load_reports import AverageInflight, LoadReport
 from crowwing.tier.front.prefix_cache import PrefixCache
 from crowwing.tier.front.sidecar_connections import ConnectionState
-from crowwing.tier.front.track_record import TrackRecord
 from crowwing.tier.platform_list import Sidecar
 
 LOAD_FRESH_S = 0.3  # for how long a load report counts in full
@@ -39,7 +39,7 @@
     unresponsive: bool = False  # nothing comes from it although something should
     leaving: bool = False  # its responses say so, before the list does
     prefix_cache: PrefixCache = field(default_factory=PrefixCache)
-    record: TrackRecord = field(default_factory=TrackRecord)
+    failure_rate: FailureRate = field(default_factory=FailureRate)
     connections: ConnectionState = field(default_factory=ConnectionState)
 
     def estimate(self, now: float, average: AverageInflight) -> float:
@@ -95,7 +95,7 @@
     def record_failure(self, now: float) -> None:
         """It could not be reached, broke off or timed out: it gets nothing for a growing backoff."""
         self.failures += 1
-        self.record.failed(now)
+        self.failure_rate.record_failure(now)
         backoff_s = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2 ** (self.failures - 1))
         self.avoid_until = now + backoff_s
 
--- a/crowwing/tier/front/sidecar_table.py
+++ b/crowwing/tier/front/sidecar_table.py
@@ -16,7 +16,7 @@
 MAX_REPORT_REQUESTS = 4  # sidecars that a front asks for a report in one step
 MAX_FULL_SCAN = 16  # sidecars of a service that are all looked at for each request
 FREE_SLOTS_FRESH_S = 0.02  # for which counts are carried on instead of made anew, beyond MAX_FULL_SCAN
-SAFE_START = 4.0  # slots that a front takes for its share before the fronts have been counted
+UNCOUNTED_SHARE_SLOTS = 4.0  # slots that a front takes for its share before the fronts have been counted
 
 
 class SidecarTable:
@@ -81,12 +81,12 @@
         """How many fronts to share a service's sidecars with.
 
         Until they have been counted there may be many, all started at the same moment: so many that the share
-        of each is SAFE_START slots.
+        of each is UNCOUNTED_SHARE_SLOTS slots.
         """
         if self.fronts_counted:
             return max(1, self.fronts)
         slots = sum(state.entry.slots for state in self.of_service(service))
-        return max(1, self.fronts, int(slots / SAFE_START))
+        return max(1, self.fronts, int(slots / UNCOUNTED_SHARE_SLOTS))
 
     def _mean_inflight(self, service: str, now: float) -> float:
         """This front's requests at a sidecar on average; of many sidecars as counted a moment ago."""
@@ -146,7 +146,7 @@
         for state in self.of_service(service):
             if state.is_usable(now):
                 estimate = state.estimate(now, average)
-                slots = state.entry.slots * (1 - state.record.excess_failure_share(now))
+                slots = state.entry.slots * (1 - state.failure_rate.excess_failure_share(now))
                 live += max(0, math.ceil(LIVE_FILL * slots - estimate))
                 batch += max(0, math.ceil(BATCH_FILL * slots - estimate))
         return FreeSlots(live, batch)
--- a/crowwing/tier/front/store_client.py
+++ b/crowwing/tier/front/store_client.py
@@ -17,7 +17,7 @@
 MIN_PAUSE_SHARE = 0.5  # of such a pause; the rest is drawn, so that fronts do not retry in step
 OVERLOAD_PAUSE_S = 0.5  # after which a primary that had no capacity is asked again
 PRIMARY_MOVED = "the primary has moved"
-TIME_IS_UP = "no response in time"
+TIMED_OUT = "no response in time"
 
 FrontCommand = (
     commands.SubmitBatchJob
@@ -67,25 +67,25 @@
         self._clock = clock
         self._finder = PrimaryFinder(connections, hosts, random, clock)
 
-    def moved(self, host: str) -> None:
+    def primary_moved(self, host: str) -> None:
         """The primary is at this host now; calls to a former one are made again there."""
-        self._finder.moved(host)
+        self._finder.primary_moved(host)
 
     async def call(
-        self, command: FrontCommand, limit_s: float, confirm_s: float = CONFIRM_INTERVAL_S
+        self, command: FrontCommand, timeout_s: float, confirm_s: float = CONFIRM_INTERVAL_S
     ) -> FrontOutcome:
         """Sends a command to the primary.
 
         Args:
             command: What is asked.
-            limit_s: The time for all attempts.
+            timeout_s: The time for all attempts.
             confirm_s: The time without a response after which to look whether there is another primary.
 
         Returns:
             The primary's outcome; Indeterminate where the command may have been carried out, NotPrimary
             where it certainly was not.
         """
-        deadline = self._clock.monotonic() + limit_s
+        deadline = self._clock.monotonic() + timeout_s
         indeterminate = False
         pause_s = MIN_RETRY_PAUSE_S
         while (left_s := deadline - self._clock.monotonic()) > 0:
@@ -105,7 +105,7 @@
                     return outcome
                 indeterminate = indeterminate or isinstance(outcome, outcomes.Indeterminate)
                 leader = outcome.leader if isinstance(outcome, outcomes.NotPrimary) else None
-            self._finder.forget(host, leader)
+            self._finder.invalidate(host, leader)
             await self._pause(pause_s, deadline)
             pause_s = min(MAX_RETRY_PAUSE_S, 2 * pause_s)
         return (
@@ -113,8 +113,8 @@
         )
 
     async def _pause(self, pause_s: float, deadline: float) -> None:
-        drawn_s = pause_s * (MIN_PAUSE_SHARE + (1 - MIN_PAUSE_SHARE) * self._random.random())
-        await asyncio.sleep(max(0.0, min(drawn_s, deadline - self._clock.monotonic())))
+        jittered_s = pause_s * (MIN_PAUSE_SHARE + (1 - MIN_PAUSE_SHARE) * self._random.random())
+        await asyncio.sleep(max(0.0, min(jittered_s, deadline - self._clock.monotonic())))
 
     async def _attempt(
         self, host: str, command: FrontCommand, deadline: float, confirm_s: float
@@ -127,7 +127,7 @@
         try:
             while not await self._is_done(call, min(confirm_s, deadline - self._clock.monotonic())):
                 if self._clock.monotonic() >= deadline:
-                    raise CallError(TIME_IS_UP, sent=True)
+                    raise CallError(TIMED_OUT, sent=True)
                 if await self._has_moved(host, call, deadline):
                     raise CallError(PRIMARY_MOVED, sent=True)
             outcome: FrontOutcome = await call
@@ -145,12 +145,12 @@
         finally:
             confirmation.cancel()
 
-    async def _is_done(self, call: "asyncio.Task[Decoded]", limit_s: float) -> bool:
+    async def _is_done(self, call: "asyncio.Task[Decoded]", timeout_s: float) -> bool:
         """Waits for a response, a change of the primary, or the limit; whether the response is there."""
         changed = asyncio.ensure_future(self._finder.changed.wait())
         try:
             await asyncio.wait(
-                {call, changed}, timeout=max(0.0, limit_s), return_when=asyncio.FIRST_COMPLETED
+                {call, changed}, timeout=max(0.0, timeout_s), return_when=asyncio.FIRST_COMPLETED
             )
         finally:
             changed.cancel()
--- a/crowwing/tier/front/upstream.py
+++ b/crowwing/tier/front/upstream.py
@@ -31,18 +31,18 @@
 RELEASE = "crowwing.release"  # among the extensions of a response: what is done once it has been closed
 DRAIN_TIMEOUT_S = 0.2
 NEXT_HEAD = b"HTTP/1."  # how a head begins; in the midst of one it is the next one's
-KEEP_IDLE_S = 4.0
-UNACKNOWLEDGED_MS = 1500
+IDLE_TIMEOUT_S = 4.0
+TCP_USER_TIMEOUT_MS = 1500
 HOP_BY_HOP = frozenset(
     (b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade")
 )
 NEVER_DROPPED = frozenset((b"model", b"token-usage", b"prompt-prefix", b"request-id", b"host"))
 SOCKET_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS),
 )
 
-NOTHING_SENT = (httpcore.ConnectError, httpcore.ConnectTimeout)
+NOT_SENT_ERRORS = (httpcore.ConnectError, httpcore.ConnectTimeout)
 HTTP_ERRORS = (
     httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError, httpcore.UnsupportedProtocol,
 )  # fmt: skip
@@ -100,7 +100,7 @@
         self._address = address
         state = state if state is not None else ConnectionState()
         idle = idle if idle is not None else IdleConnections()
-        self._connections = SidecarConnections(address, state, idle, KEEP_IDLE_S, CONNECT_TIMEOUT_S)
+        self._connections = SidecarConnections(address, state, idle, IDLE_TIMEOUT_S, CONNECT_TIMEOUT_S)
 
     async def close(self) -> None:
         """Closes all connections; open responses break."""
@@ -140,7 +140,7 @@
             response = await self._request(method, target, headers, body)
         except NoConnectionError as error:
             return NotExecuted(None, str(error), no_connection=True)
-        except NOTHING_SENT as error:
+        except NOT_SENT_ERRORS as error:
             return NotExecuted(None, f"{type(error).__name__}: {error}")
         except HTTP_ERRORS as error:
             return ResponseLost(f"{type(error).__name__}: {error}")
--- a/tests/tier/simulation/machines.py
+++ b/tests/tier/simulation/machines.py
@@ -222,7 +222,7 @@
             return hosts
 
         store = self.store = StoreClient(connections, stores, random, self.clock())
-        relay.tracker.on_root_changed.append(store.moved)
+        relay.tracker.on_root_changed.append(store.primary_moved)
         await serve(self.host, PORT, self._handle, network)
         for work in (relay.parent.run(), relay.shuffler.run(), self._run_items(store, random)):
             self.spawn(work)
--- a/tests/tier/simulation/saturation.py
+++ b/tests/tier/simulation/saturation.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Protocol
 
-from crowwing.tier.front.batch_api import SUBMIT_LIMIT_S
+from crowwing.tier.front.batch_api import SUBMIT_TIMEOUT_S
 from crowwing.tier.state.events import BatchItem
 from crowwing.tier.store import commands, outcomes
 from tests.tier.simulation.clients import Operator, call_machine
@@ -207,9 +207,9 @@
         async def work() -> outcomes.Outcome:
             if front.store is None:
                 raise ConnectionRefusedError
-            return await front.store.call(command, SUBMIT_LIMIT_S)
+            return await front.store.call(command, SUBMIT_TIMEOUT_S)
 
-        outcome = await call_machine(self.world, self._random, front, work, SUBMIT_LIMIT_S + 1.0)
+        outcome = await call_machine(self.world, self._random, front, work, SUBMIT_TIMEOUT_S + 1.0)
         if isinstance(outcome, outcomes.Done):
             self._acknowledged_jobs.append(job_id)
             self.findings.job_acks.append(self.world.now)
--- a/tests/tier/test_sidecar_connections.py
+++ b/tests/tier/test_sidecar_connections.py
@@ -11,8 +11,8 @@
 from crowwing.tier.front import sidecar_connections
 from crowwing.tier.front.sidecar_connections import (
     IDLE_SHARE,
-    MAX_FULL_PAUSE_S,
-    MIN_FULL_PAUSE_S,
+    MAX_FULL_BACKOFF_S,
+    MIN_FULL_BACKOFF_S,
     MIN_OPEN_CONNECTIONS,
     ConnectionState,
     IdleConnections,
@@ -83,8 +83,10 @@
 def test_a_new_connection_that_is_reset_before_its_request_says_that_nothing_ran(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(sidecar_connections, "MIN_CONNECT_REST_S", 0.05)  # this sidecar shares a busy machine
-    monkeypatch.setattr(sidecar_connections, "MAX_CONNECT_REST_S", 0.05)
+    monkeypatch.setattr(
+        sidecar_connections, "MIN_CONNECT_DELAY_S", 0.05
+    )  # this sidecar shares a busy machine
+    monkeypatch.setattr(sidecar_connections, "MAX_CONNECT_DELAY_S", 0.05)
 
     async def play() -> None:
         sidecar = CappedSidecar(1)
@@ -135,10 +137,10 @@
         now = state.full_until
         assert state.is_available(now)
     assert pauses == pytest.approx([0.1, 0.2, 0.4, 0.8, 1.6, 1.6, 1.6, 1.6])
-    assert (MIN_FULL_PAUSE_S, MAX_FULL_PAUSE_S) == (0.1, 1.6)
+    assert (MIN_FULL_BACKOFF_S, MAX_FULL_BACKOFF_S) == (0.1, 1.6)
     state.record_accepted()
     state.record_reset(now)
-    assert state.full_until - now == pytest.approx(MIN_FULL_PAUSE_S)
+    assert state.full_until - now == pytest.approx(MIN_FULL_BACKOFF_S)
 
 
 @pytest.mark.parametrize("fronts", [3, 72, 3000])
--- a/tests/tier/test_sidecars.py
+++ b/tests/tier/test_sidecars.py
@@ -8,9 +8,9 @@
 
 from crowwing.tier.front.load_reports import AverageInflight, LoadReport
 from crowwing.tier.front.prefix_cache import PromptBlock, parse_prompt_prefix
-from crowwing.tier.front.routing import SAMPLED, SAMPLED_HOLDERS, SAMPLED_RECENT, Router, home_of
+from crowwing.tier.front.routing import SAMPLE_SIZE, SAMPLED_HOLDERS, SAMPLED_RECENT, Router, home_of
 from crowwing.tier.front.sidecar_state import SidecarState
-from crowwing.tier.front.sidecar_table import BATCH_FILL, SAFE_START, SidecarTable
+from crowwing.tier.front.sidecar_table import BATCH_FILL, UNCOUNTED_SHARE_SLOTS, SidecarTable
 from crowwing.tier.platform_list import Sidecar
 
 CONNECTION = AsyncHTTP11Connection(Origin(b"http", b"a", 1), AsyncMockStream([]))
@@ -127,20 +127,20 @@
     router = router_of(sidecars)
     first, second = sidecars.of_service("advisor")
     for place in range(12):
-        (first.record.failed if place % 2 else first.record.answered)(0.1 * place)
-        second.record.answered(0.1 * place)
+        (first.failure_rate.record_failure if place % 2 else first.failure_rate.record_success)(0.1 * place)
+        second.failure_rate.record_success(0.1 * place)
     second.record_load(1.2, LoadReport(40, 0, 48))
     assert router.choose("advisor", (), 1.2).entry.id == "b", "even where the other one is busier"
     assert sidecars.free_slots("advisor", 1.2).live < 48 + 8, "the failing one counts for less"
     assert router.choose("advisor", (), 30.0).entry.id in "ab"
-    assert first.record.excess_failure_share(30.0) < 0.01, "it is tried again"
+    assert first.failure_rate.excess_failure_share(30.0) < 0.01, "it is tried again"
 
 
 def test_one_failure_is_no_reason_to_avoid_a_sidecar() -> None:
     sidecars = table("a", "b")
     router = router_of(sidecars)
     first, second = sidecars.of_service("advisor")
-    first.record.failed(0.0)
+    first.failure_rate.record_failure(0.0)
     second.record_load(0.0, LoadReport(8, 0, 48))
     assert router.choose("advisor", (), 0.1) is first
 
@@ -150,7 +150,7 @@
     router = router_of(sidecars)
     for state in sidecars.of_service("advisor"):
         for place in range(20):
-            state.record.failed(0.1 * place)
+            state.failure_rate.record_failure(0.1 * place)
     assert router.choose("advisor", (), 2.0) is not None
 
 
@@ -173,7 +173,7 @@
 
         monkeypatch.setattr(router, "_cost_ms", counted)
         router.choose("advisor", (PromptBlock("shared", 13_300), PromptBlock("own", 10)), 0.0)
-        assert len(weighed) <= SAMPLED + SAMPLED_HOLDERS + SAMPLED_RECENT + 1, f"of {count}"
+        assert len(weighed) <= SAMPLE_SIZE + SAMPLED_HOLDERS + SAMPLED_RECENT + 1, f"of {count}"
 
 
 def test_of_many_sidecars_the_home_of_a_shared_part_or_a_holder_is_chosen() -> None:
@@ -284,7 +284,7 @@
 def test_before_the_fronts_are_counted_each_takes_a_small_part_as_if_there_were_many() -> None:
     sidecars = table(*(f"s{number}" for number in range(36)))
     slots = 36 * 48
-    assert slots / sidecars.assumed_front_count("advisor") == pytest.approx(SAFE_START, rel=0.01)
+    assert slots / sidecars.assumed_front_count("advisor") == pytest.approx(UNCOUNTED_SHARE_SLOTS, rel=0.01)
     sidecars.fronts, sidecars.fronts_counted = 9, True
     assert sidecars.assumed_front_count("advisor") == 9
 
--- a/tests/tier/test_without_a_primary.py
+++ b/tests/tier/test_without_a_primary.py
@@ -173,7 +173,7 @@
         connections = UnsureConnections(response_s)
         clock = Clock(loop.time, lambda: 0)
         client = StoreClient(connections, lambda: ["p", "x", "y"], Random(1), clock)  # type: ignore[arg-type]
-        client.moved("p")
+        client.primary_moved("p")
         began = loop.time()
         await client.call(commands.EndBatchJob("j"), limit_s)
         return loop.time() - began
