--- a/crowwing/tier/front/admission.py
+++ b/crowwing/tier/front/admission.py
@@ -1,10 +1,11 @@
-"""Admission before the sidecars of one service: what a front queues, starts and rejects. Pure.
+"""Admission control for the sidecars of one service: which requests a front queues, starts and rejects.
 
-Arrivals whose rank lies under a priority threshold are rejected at once, queued requests start highest rank
-first within a limit on requests in flight, a queued request is rejected past its class' queue timeout, and
-control loops move the threshold and the limit. The threshold's step, the limit's loop and the queue timeout
-are the backend's own (crowwing/logic/feedback.py). Figures: docs/deciding.md. Times are seconds of the steady
-clock.
+A request whose rank is below the priority threshold is rejected on arrival. Queued requests start in order of
+rank, highest first, up to a limit on requests in flight; one that stays queued beyond the queue timeout of
+its class is rejected. Control loops adjust the threshold and the limit; their steps and the queue timeout are
+shared with the backend (crowwing/logic/feedback.py). Constants are listed in docs/deciding.md.
+
+No I/O. Times are seconds of the monotonic clock.
 """
 
 from asyncio import Future
@@ -13,42 +14,40 @@
 from crowwing.logic.feedback import MIN_SAMPLES, SAMPLES, LimitController, queue_timeout, step_threshold
 from crowwing.ranked_window import RankedWindow
 
-RANK_BANDS = 6  # priorities 0 to 5, 0 the most important
-MAX_PRIORITY_THRESHOLD = 1 - 1 / (4 * RANK_BANDS)  # a quarter of the highest band is never rejected by it
-MAX_LIMIT_FLOOR, MIN_LIMIT_FLOOR = 4.0, 1.0  # bounds of the lowest limit, in requests
-LIMIT_FLOOR_SHARE = 0.25  # of a front's even share of the slots, which the limit never falls under
-LIMIT_GAINS = 20.0, 0.05, 0.5, 0.0  # climb in idle slots, proportional, integral and derivative in limits
-WAITING_SHARE_TARGET = 0.1  # of the slots, the requests that may wait at sidecars before the limit falls
-SATURATED_SHARE = 0.9  # of the slots, from which sidecars count as full
-QUEUE_TIMEOUT_TARGET_SHARE = (
-    0.23  # of the latency target, for a live request: a rejection leaves time to retry
-)
+RANK_BANDS = 6  # one band for each priority from 0 (most important) to 5
+MAX_PRIORITY_THRESHOLD = 1 - 1 / (4 * RANK_BANDS)  # a quarter of the highest band always stays above it
+MAX_LIMIT_FLOOR, MIN_LIMIT_FLOOR = 4.0, 1.0  # bounds of the minimum limit, in requests
+LIMIT_FLOOR_SHARE = 0.25  # minimum limit, as a share of the front's even share of the slots
+LIMIT_GAINS = 20.0, 0.05, 0.5, 0.0  # climb (in idle slots), then P, I and D (relative to the limit)
+WAITING_SHARE_TARGET = 0.1  # requests waiting at sidecars, as a share of the slots; beyond it the limit falls
+SATURATED_SHARE = 0.9  # share of the slots in use from which sidecars count as saturated
+QUEUE_TIMEOUT_TARGET_SHARE = 0.23  # maximum, as a share of the latency target: leaves time for a retry
 MIN_QUEUE_TIMEOUT_S = 0.03
-PRESSURE_WINDOW_S = 1.0  # after a rejection, in which admission counts as under pressure
-MAX_STEP_S = 0.2  # of the control loops, whatever the time since the last step
-MAX_BAND_POSITION = 0.999  # within a band
+PRESSURE_WINDOW_S = 1.0  # how long after a rejection admission counts as under pressure
+MAX_STEP_S = 0.2  # longest time step of the control loops, however long ago the last step was
+MAX_BAND_POSITION = 0.999  # keeps a rank below the next band
 
 
 @dataclass
 class AdmissionRequest:
-    """A live request or a batch item that asks to be started.
+    """A live request or batch item that asks for admission.
 
-    Made by the proxy or a run of an item; admission changes its states.
+    Created by the proxy or by a run of a batch item; `Admission` updates its state.
     """
 
-    class_name: str  # the name of its route
-    rank: float  # 0 to 1, higher starts first
+    class_name: str  # request class: the name of the route
+    rank: float  # from 0 to 1; higher ranks start first
     arrived: float
-    queue_deadline: float  # the latest moment at which it is of use to start it
-    is_batch_item: bool  # batch items wait for a slot, and neither threshold nor timeout rejects them
-    decision: Future[bool] | None = None  # set by the pool, which waits for it
+    queue_deadline: float  # when it is too late to start it
+    is_batch_item: bool  # exempt from the priority threshold and from the queue timeout
+    decision: Future[bool] | None = None  # set and awaited by the pool
     is_started: bool = False
     is_rejected: bool = False
 
 
 @dataclass
 class ClassQueue:
-    """What is queued of one request class, and the latencies that its timeout follows.
+    """The queue of one request class, and the latencies that its queue timeout is derived from.
 
     Owned by `Admission`; the proxy records latencies.
     """
@@ -59,11 +58,11 @@
     timeout_s: float = 0.0
 
     def __post_init__(self) -> None:
-        """Starts with the longest timeout, while no latency is known."""
+        """Starts with the maximum timeout, until enough latencies are known."""
         self.timeout_s = QUEUE_TIMEOUT_TARGET_SHARE * self.latency_target_s
 
     def record_latency(self, latency_s: float) -> None:
-        """Takes in the time to the first event of one run."""
+        """Records the time to the first event of one request."""
         self.latencies.add(latency_s)
         if len(self.latencies) >= MIN_SAMPLES:
             max_timeout_s = QUEUE_TIMEOUT_TARGET_SHARE * self.latency_target_s
@@ -74,7 +73,7 @@
 
 @dataclass(frozen=True)
 class Load:
-    """What is known of a service's sidecars at one moment: requests running and waiting there, and slots."""
+    """Estimated load of a service's sidecars: requests running and waiting there, and the number of slots."""
 
     running: float
     waiting: float
@@ -83,49 +82,50 @@
 
 @dataclass(frozen=True)
 class FreeSlots:
-    """How many more requests the sidecars can take: live ones, and batch items, which leave some free."""
+    """How many more live requests and batch items the sidecars can take; items leave some slots free."""
 
     live: int
     batch: int
 
 
 def rank_of(priority: int, band_position: float) -> float:
-    """The rank of a request.
+    """Returns the rank of a request, from 0 to 1.
 
     Args:
-        priority: That of its route, which gives the band; 0 is the most important.
-        band_position: From 0 to 1, where within the band.
+        priority: The priority of its route, which selects the band; 0 is the most important.
+        band_position: Position within the band, from 0 to 1.
     """
     bounded = min(max(priority, 0), RANK_BANDS - 1)
     return (RANK_BANDS - 1 - bounded + min(max(band_position, 0.0), MAX_BAND_POSITION)) / RANK_BANDS
 
 
 def compute_min_limit(share: float) -> float:
-    """The lowest limit of a front whose even share of the slots is `share`.
+    """Returns the minimum inflight limit of a front whose even share of the slots is `share`.
 
-    What all fronts may send at least is a share of what there is, so that their loops can reject work.
+    It scales with the share, so that the minima of all fronts together leave the control loops able to reject
+    work.
     """
     return min(MAX_LIMIT_FLOOR, max(MIN_LIMIT_FLOOR, LIMIT_FLOOR_SHARE * share))
 
 
 class Admission:
-    """Decides what starts at the sidecars of one service.
+    """Decides which requests start at the sidecars of one service.
 
-    Owned by `ServicePool`, one for each service, which calls it on each arrival and each end, and steps its
+    Owned by `ServicePool`, one per service. The pool calls it when a request arrives or ends, and steps its
     control loops.
 
     Attributes:
-        min_limit: The lowest limit at present.
+        min_limit: The current lower bound of `limit`.
         limit: How many requests may be in flight.
-        max_limit: The highest limit at present: what sidecars are known to bear.
-        priority_threshold: The rank under which live requests are rejected at once.
-        inflight: Requests started and not ended.
-        rejected_count: Rejected so far.
-        load: That of the sidecars at the last step.
+        max_limit: The current upper bound of `limit`: what the sidecars are known to handle.
+        priority_threshold: Live requests of a lower rank are rejected on arrival.
+        inflight: Requests that have started and not ended.
+        rejected_count: Total number of rejections.
+        load: The load of the sidecars at the last step.
     """
 
     def __init__(self, now: float, share: float) -> None:
-        """Starts with a limit of `share`, this front's even share of the slots."""
+        """Starts with `share`, this front's even share of the slots, as the limit."""
         self.min_limit = compute_min_limit(share)
         self.limit = max(self.min_limit, share)
         self._limit_loop = LimitController(*LIMIT_GAINS)
@@ -139,7 +139,7 @@
         self._max_wait_ratio = 0.0
 
     def class_queue(self, name: str, latency_target_s: float) -> ClassQueue:
-        """The queue of a request class, made when first asked for."""
+        """Returns the queue of a request class, and creates it on first use."""
         queue = self._classes.get(name)
         if queue is None or queue.latency_target_s != latency_target_s:
             queued = queue.requests if queue is not None else []
@@ -148,28 +148,28 @@
 
     @property
     def queued_count(self) -> int:
-        """How many requests and items are queued."""
+        """Number of queued live requests and batch items."""
         return sum(len(queue.requests) for queue in self._classes.values())
 
     @property
     def queued_live_count(self) -> int:
-        """How many live requests are queued."""
+        """Number of queued live requests."""
         return sum(
             1 for queue in self._classes.values() for request in queue.requests if not request.is_batch_item
         )
 
     @property
     def free_capacity(self) -> int:
-        """How many more requests could start now."""
+        """How many more requests could start now within the limit."""
         return max(0, int(self.limit) - self.inflight - self.queued_count)
 
     @property
     def is_saturated(self) -> bool:
-        """Whether the sidecars' slots are full."""
+        """Whether nearly all slots of the sidecars are in use."""
         return self.load.running + self.load.waiting >= SATURATED_SHARE * self.load.slots
 
     def is_under_pressure(self, now: float) -> bool:
-        """Whether work is queued or was rejected lately, or the priority threshold is up."""
+        """Whether work is queued, was rejected recently, or the priority threshold is above 0."""
         return (
             self.queued_count > 0
             or self.priority_threshold > 0
@@ -177,7 +177,7 @@
         )
 
     def arrive(self, now: float, request: AdmissionRequest, latency_target_s: float) -> bool:
-        """Queues a request; False where it is rejected at once."""
+        """Queues a request; returns False if it is below the priority threshold and therefore rejected."""
         queue = self.class_queue(request.class_name, latency_target_s)
         if not request.is_batch_item and request.rank < self.priority_threshold:
             request.is_rejected = True
@@ -191,13 +191,13 @@
         self.last_rejected_at = now
 
     def remove(self, request: AdmissionRequest) -> None:
-        """The caller of a queued request has gone."""
+        """Removes a queued request whose caller has gone."""
         queue = self._classes.get(request.class_name)
         if queue is not None and request in queue.requests:
             queue.requests.remove(request)
 
     def expire(self, now: float) -> list[AdmissionRequest]:
-        """Takes out the queued requests whose time is up; they are rejected."""
+        """Removes, rejects and returns the queued requests whose queue timeout or deadline has passed."""
         expired: list[AdmissionRequest] = []
         for queue in self._classes.values():
             for request in queue.requests[:]:
@@ -219,7 +219,7 @@
         return min(request.arrived + queue.timeout_s, request.queue_deadline)
 
     def start(self, free_slots: FreeSlots) -> list[AdmissionRequest]:
-        """Takes out the queued requests that start now, highest rank first, as free slots allow."""
+        """Removes and returns the queued requests that start now, highest rank first, as free slots allow."""
         started: list[AdmissionRequest] = []
         waiting = [request for queue in self._classes.values() for request in queue.requests]
         for request in sorted(waiting, key=lambda request: -request.rank):
@@ -233,17 +233,17 @@
         return started
 
     def release(self) -> None:
-        """A started request has ended."""
+        """Records the end of a started request."""
         self.inflight -= 1
 
     def step(self, now: float, load: Load, max_inflight: float, fronts: int = 1) -> None:
-        """One step of the control loops.
+        """Runs one step of the control loops.
 
         Args:
-            now: The time.
-            load: That of the sidecars.
-            max_inflight: The most requests of this front that the sidecars bear.
-            fronts: How many fronts step alike.
+            now: The current time.
+            load: The load of the sidecars.
+            max_inflight: How many requests of this front the sidecars can handle at once.
+            fronts: How many fronts run the same loops; idle slots are divided among them.
         """
         dt = min(MAX_STEP_S, now - self.last_step_at)
         self.last_step_at, self.load = now, load
--- a/crowwing/tier/front/admission_log.py
+++ b/crowwing/tier/front/admission_log.py
@@ -1,4 +1,4 @@
-"""The fronts' log line of rejections and of attempts that failed; benchmarks/worth.py reads it."""
+"""The log line about rejections and failed attempts of a front; benchmarks/worth.py reads it."""
 
 import logging
 from collections import Counter
@@ -13,22 +13,22 @@
 
 
 class AdmissionLog:
-    """Counts how attempts end and logs it with the state of admission.
+    """Counts the outcomes of attempts, and logs them with the state of admission.
 
     Owned by `ServicePool`, whose loop calls `write`; the dispatcher counts each attempt.
     """
 
     def __init__(self) -> None:
-        """Nothing has happened."""
-        self._written: dict[str, tuple[int, float]] = {}  # rejections so far, and when they were logged
+        """Starts with no counts."""
+        self._written: dict[str, tuple[int, float]] = {}  # rejections in the last line, and its time
         self._attempts: dict[str, Counter[str]] = {}  # by service, since the last line
 
     def count(self, service: str, outcome: AttemptOutcome) -> None:
-        """Counts how an attempt ended."""
+        """Counts the outcome of an attempt."""
         self._attempts.setdefault(service, Counter())[describe_outcome(outcome)] += 1
 
     def write(self, service: str, admission: Admission, now: float) -> None:
-        """Writes one line a second while requests are rejected or attempts fail."""
+        """Writes at most one line a second, only if requests were rejected or attempts failed."""
         rejected, written_at = self._written.get(service, (0, 0.0))
         attempts = self._attempts.get(service, Counter())
         if now - written_at < LOG_INTERVAL_S:
--- a/crowwing/tier/front/asgi.py
+++ b/crowwing/tier/front/asgi.py
@@ -1,4 +1,4 @@
-"""ASGI as the front uses it: reading a client's request, writing complete responses."""
+"""ASGI helpers: reading the body of a client request, and sending complete responses."""
 
 import asyncio
 import json
@@ -8,19 +8,19 @@
 
 from crowwing.tier.front.errors import BodyTimeoutError, BodyTooLargeError, ClientDisconnectedError
 
-# As the ASGI specification, 3.0, has them.
+# Types of the ASGI specification, version 3.0.
 Scope: TypeAlias = MutableMapping[str, Any]
 Message: TypeAlias = MutableMapping[str, Any]
 Receive: TypeAlias = Callable[[], Awaitable[Message]]
 Send: TypeAlias = Callable[[Message], Awaitable[None]]
-HTTP_SCOPE = "http"  # the type of a scope that is a request
+HTTP_SCOPE = "http"  # scope type of an HTTP request
 
 Headers = list[tuple[bytes, bytes]]
 
 
 @dataclass(frozen=True)
 class ClientRequest:
-    """A complete request of a client."""
+    """A complete client request."""
 
     method: str
     path: str  # as sent, without the query
@@ -30,11 +30,11 @@
 
     @property
     def target(self) -> bytes:
-        """The path and query as sent."""
+        """The path and query, as sent."""
         return self.path.encode("latin-1") + (b"?" + self.query if self.query else b"")
 
     def header(self, name: bytes) -> bytes | None:
-        """The value of one header, by its name in lower case."""
+        """Returns the value of a header, by its name in lower case, or None."""
         return next((value for key, value in self.headers if key == name), None)
 
     @property
@@ -47,14 +47,14 @@
     """Reads the complete body of a request.
 
     Args:
-        receive: The channel from the client.
-        max_bytes: What the body may have.
-        timeout_s: How long the client may send nothing of it.
+        receive: The ASGI receive channel of the client.
+        max_bytes: The maximum size of the body.
+        timeout_s: The maximum time between two chunks.
 
     Raises:
         ClientDisconnectedError: The client closed its connection.
-        BodyTooLargeError: There are more than `max_bytes`.
-        BodyTimeoutError: Nothing came for `timeout_s`.
+        BodyTooLargeError: The body has more than `max_bytes`.
+        BodyTimeoutError: Nothing was received for `timeout_s`.
     """
     chunks: list[bytes] = []
     size = 0
@@ -82,12 +82,12 @@
 
 
 def response_start(status: int, headers: Headers) -> Message:
-    """The message that begins a response."""
+    """The ASGI message that starts a response."""
     return {"type": "http.response.start", "status": status, "headers": headers}
 
 
 def response_body(body: bytes, more_body: bool = False) -> Message:
-    """The message with a chunk of a response's body, by default the last one."""
+    """The ASGI message with a chunk of the response body, by default the last one."""
     return {"type": "http.response.body", "body": body, "more_body": more_body}
 
 
@@ -99,12 +99,12 @@
 
 
 async def respond_json(send: Send, status: int, value: object, headers: Headers | None = None) -> None:
-    """Sends a complete response in JSON."""
+    """Sends a complete JSON response."""
     typed = [(b"content-type", b"application/json"), *(headers or [])]
     await respond(send, status, json.dumps(value).encode(), typed)
 
 
 async def respond_unavailable(send: Send, reason: str, retry_after_s: float) -> None:
-    """Sends a 503: the request has not run and never will, and the client may come back after a time."""
+    """Sends a 503 with Retry-After: the request was not executed and will not be; the client may retry."""
     headers = [(b"retry-after", f"{retry_after_s:.3f}".encode())]
     await respond_json(send, 503, {"error": reason}, headers)
--- a/crowwing/tier/front/attempts.py
+++ b/crowwing/tier/front/attempts.py
@@ -1,4 +1,4 @@
-"""What the attempts of requests say of sidecars, and how attempts end."""
+"""Updates the state of sidecars from the attempts sent to them, and names the outcomes of attempts."""
 
 import time
 
@@ -7,26 +7,26 @@
 from crowwing.tier.front.sidecar_table import SidecarTable
 from crowwing.tier.front.upstream import AttemptOutcome, NotExecuted, ResponseLost, ResponseStarted
 
-MISDIRECTED_STATUS = 421  # of a sidecar that a request was not meant for
-MIN_ERROR_STATUS = 500  # from which a response counts as a failure of its sidecar
+MISDIRECTED_STATUS = 421  # from a sidecar other than the target, or one with another version of the weights
+MIN_ERROR_STATUS = 500  # lowest status that counts as a failure of the sidecar
 
 
 class AttemptTracker:
-    """Records attempts in the states of their sidecars.
+    """Records attempts in the state of their sidecar.
 
     Owned by `ServicePool`; the dispatcher calls it once at each step of an attempt.
     """
 
     def __init__(self, sidecars: SidecarTable) -> None:
-        """Nothing has been sent."""
+        """Starts with no attempts."""
         self._sidecars = sidecars
         self._attempt_count = 0
 
     def sent(self, state: SidecarState) -> int:
-        """A request goes to a sidecar.
+        """Records that a request is sent to a sidecar.
 
         Returns:
-            The number of this attempt.
+            The number of the attempt.
         """
         state.inflight += 1
         state.sent_since_report += 1
@@ -35,16 +35,16 @@
         return self._attempt_count
 
     def head_ended(self, state: SidecarState, number: int) -> None:
-        """An attempt has the head of its response, or has ended without one."""
+        """Records that an attempt has received its response head, or ended without one."""
         state.unanswered.pop(number, None)
 
     def ended(self, state: SidecarState) -> None:
-        """A request has left a sidecar."""
+        """Records the end of a request at a sidecar."""
         state.inflight -= 1
         state.record_request_end()
 
     def response_started(self, state: SidecarState, started: ResponseStarted) -> None:
-        """A sidecar has begun to answer: it is reachable, and may report its load."""
+        """Records the head of a response: the sidecar is reachable, and may report its load."""
         now = state.last_byte_at = time.monotonic()
         state.record_success()
         if started.status >= MIN_ERROR_STATUS:
@@ -56,9 +56,10 @@
             state.leaving = True
 
     def not_executed(self, state: SidecarState, outcome: NotExecuted, expects_version: bool) -> None:
-        """A sidecar did not run a request, most often since it is full.
+        """Records that a sidecar did not execute a request, usually because it is full.
 
-        421 says that it is another one, or that it has other weights where the request expects some.
+        Status 421 means that another sidecar has this address or, if the request expects a version, that the
+        sidecar has other weights.
         """
         now = state.last_byte_at = time.monotonic()
         if outcome.status == MISDIRECTED_STATUS:
@@ -69,7 +70,7 @@
             self._sidecars.record_load(state, now, LoadReport(slots, slots, slots))
 
     def _record_load_header(self, state: SidecarState, value: bytes | None) -> bool:
-        """Takes a `Server-Load` header in; whether it could be read."""
+        """Records the load in a `Server-Load` header; returns whether the header is valid."""
         report = parse_load_header(value)
         if report is None:
             return False
@@ -78,7 +79,7 @@
 
 
 def describe_outcome(outcome: AttemptOutcome) -> str:
-    """How an attempt ended, as a word for the log."""
+    """Names the outcome of an attempt for the log."""
     match outcome:
         case ResponseStarted(status):
             return "answered" if status < MIN_ERROR_STATUS else f"error_{status}"
--- a/crowwing/tier/front/batch_api.py
+++ b/crowwing/tier/front/batch_api.py
@@ -1,4 +1,4 @@
-"""The batch interface of a front: batch jobs are submitted, read and ended."""
+"""The HTTP API for batch jobs of a front: submit, read and end."""
 
 import logging
 from urllib.parse import parse_qs, unquote
@@ -16,18 +16,18 @@
 BATCH_JOBS_PATH, ITEMS = "/lots/", "/items/"
 MAX_WAIT_MS = 1000
 RETRY_AFTER_S = 0.2
-OVERLOAD_RETRY_AFTER_S = 0.5  # by then the link has carried what waited for it (store/write_capacity.py)
+OVERLOAD_RETRY_AFTER_S = 0.5  # time for the link to send the commit queue (store/write_capacity.py)
 
 
 class BatchApi:
-    """Batch jobs over HTTP. Owned by the front's process; the proxy calls it."""
+    """Serves batch jobs over HTTP. Owned by the front's process; the proxy calls it."""
 
     def __init__(self, store: StoreClient) -> None:
-        """Asks the primary by `store`."""
+        """Sends commands to the primary through `store`."""
         self._store = store
 
     async def serve_route(self, request: ClientRequest, send: Send) -> None:
-        """A request on a route of batch jobs: one is submitted."""
+        """Serves a request on a batch route: submits a batch job."""
         if request.method != "POST":
             await respond_json(send, 405, {"error": "lots are handed in with POST"})
             return
@@ -46,7 +46,7 @@
         await self._respond(outcome, send, 202)
 
     async def serve_without_route(self, request: ClientRequest, send: Send) -> bool:
-        """Reads and ends batch jobs; False where the path is none of these."""
+        """Serves the paths to read and end batch jobs; returns False for any other path or method."""
         if request.path.startswith(BATCH_JOBS_PATH) and request.method in ("GET", "DELETE"):
             job = unquote(request.path[len(BATCH_JOBS_PATH) :])
             if request.method == "DELETE":
@@ -82,7 +82,7 @@
 
     @staticmethod
     async def _respond(outcome: FrontOutcome, send: Send, done_status: int) -> None:
-        """Sends an outcome that has no body of its own."""
+        """Responds with the outcome of a command."""
         match outcome:
             case outcomes.Done():
                 await respond_json(send, done_status, {})
@@ -101,6 +101,6 @@
 
 
 def first_value(query: bytes, name: str) -> str | None:
-    """The first value of a name in a query."""
+    """Returns the first value of a query parameter, or None."""
     values = parse_qs(query.decode("latin-1")).get(name)
     return values[0] if values else None
--- a/crowwing/tier/front/batch_item_run.py
+++ b/crowwing/tier/front/batch_item_run.py
@@ -1,4 +1,4 @@
-"""One batch item: its request to sidecars, its attempts between preemptions, and its final report."""
+"""The run of one batch item: its request to sidecars, its restarts after preemption, and its report."""
 
 import asyncio
 import logging
@@ -18,28 +18,28 @@
 
 log = logging.getLogger("crowwing.lots")
 
-QUEUE_TIMEOUT_S = 2.0  # in the admission queue, after which an item goes back to the primary
-RESUMED_QUEUE_TIMEOUT_S = 10.0  # the same for one that was preempted and keeps what it has
+QUEUE_TIMEOUT_S = 2.0  # in the admission queue, before an item is returned to the primary
+RESUMED_QUEUE_TIMEOUT_S = 10.0  # the same for a preempted item, which keeps the events received so far
 RUN_TIMEOUT_S = 30.0
-FAILED_START_PAUSE_S = 0.15  # after no sidecar took an item, before it goes back
-RUN_ATTEMPTS = 4  # sidecars that one run may go on at
-ATTEMPT_ID_BYTES = 6  # drawn at random, that name an attempt
-DEAD_LETTER_STATUS = 422  # of an item that can never be completed
-FAILED_STATUS = 500  # of an attempt that counts as failed
+FAILED_START_PAUSE_S = 0.15  # before an item that no sidecar accepted is returned to the primary
+RUN_ATTEMPTS = 4  # attempts of one run, including those that resume it
+ATTEMPT_ID_BYTES = 6  # length of the random id of a failed attempt
+DEAD_LETTER_STATUS = 422  # from a sidecar: the item can never be completed
+FAILED_STATUS = 500  # from a sidecar: the attempt counts as failed
 
 ItemReport = commands.ReportItemResult | commands.ReportItemFailure
 
 
 @dataclass
 class ItemRun:
-    """A leased item on its way. Made by `BatchJobRunner`, one for each lease.
+    """The run of a leased item. Created by `BatchJobRunner`, one per lease.
 
     Attributes:
         leased: The item.
         route: Its route.
-        service: Whose sidecars run it.
-        request: What is sent to sidecars; it knows the last event.
-        data: The data of all events so far.
+        service: The service that runs it.
+        request: The request to sidecars; it tracks the last event received.
+        data: The data of all events received so far.
     """
 
     leased: outcomes.LeasedItem
@@ -49,10 +49,10 @@
     data: list[str] = field(default_factory=list)
 
     async def run(self, pool: ServicePool, dispatcher: Dispatcher) -> ItemReport | None:
-        """Runs the item, going on from its last event each time it was preempted by live requests.
+        """Runs the item, and resumes it after its last event whenever live requests have preempted it.
 
         Returns:
-            What the primary is to hear; None where the item goes back without a result.
+            The report for the primary; None if the item is returned without a result.
         """
         latency_target_s = (self.route.completion_slo_ms or self.route.slo_ms) / 1000
         while True:
@@ -72,7 +72,7 @@
                 return work.result()
             self.request.tried.clear()
             if self.request.last_event is None:
-                self.data.clear()  # it can only begin anew
+                self.data.clear()  # nothing to resume from: it restarts from the beginning
 
     def _admission_request(self, latency_target_s: float) -> AdmissionRequest:
         now = time.monotonic()
@@ -113,7 +113,7 @@
 
 
 async def _read_to_end(dispatcher: Dispatcher, response: OpenResponse) -> None:
-    """Reads the body of an error, so that its connection can be used again."""
+    """Reads and discards the body of an error response, so that the connection can be reused."""
     try:
         async for _ in read_body(response.started):
             pass
@@ -124,7 +124,7 @@
 
 
 def make_item_run(leased: outcomes.LeasedItem, route: Route, service: str) -> ItemRun:
-    """A run of an item that was leased now."""
+    """Creates the run of an item that was just leased."""
     item = leased.item
     headers: Headers = [
         (name.encode("latin-1"), value.encode("latin-1"))
--- a/crowwing/tier/front/batch_job_format.py
+++ b/crowwing/tier/front/batch_job_format.py
@@ -1,7 +1,7 @@
-"""The body with which a client submits a batch job: its items, checked before any of them is taken.
+"""Parses and validates the body of a batch job submission.
 
-Each item is sent to a sidecar as a request of its own later on, so what can't stand in a request is rejected
-here: after the 202 nobody could be told.
+Each item is later sent to a sidecar as a request of its own. What is not valid in an HTTP request is rejected
+here, because after the 202 the client could no longer be notified.
 """
 
 import base64
@@ -15,7 +15,7 @@
 from crowwing.tier.state.events import BatchItem
 
 MAX_ITEMS = 200
-# As RFC 9110 (5.1, 5.5) and RFC 9112 (3.2) have them.
+# Syntax of RFC 9110 (5.1, 5.5) and RFC 9112 (3.2).
 _HEADER_NAME = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
 _HEADER_VALUE = re.compile(r"[\t\x20-\x7e\x80-\xff]*")
 _REQUEST_ID = re.compile(r"[\x21-\x7e\x80-\xff]([\t\x20-\x7e\x80-\xff]*[\x21-\x7e\x80-\xff])?")
@@ -23,7 +23,7 @@
 
 
 def parse_batch_job(body: bytes) -> tuple[BatchItem, ...]:
-    """Reads the items of a batch job; raises MalformedBatchJobError."""
+    """Parses the items of a batch job; raises MalformedBatchJobError if one is invalid."""
     try:
         requests = json.loads(body)["requests"]
         items = tuple(parse_item(entry) for entry in requests)
@@ -40,7 +40,7 @@
 
 
 def parse_item(entry: dict[str, Any]) -> BatchItem:
-    """One item; raises KeyError, TypeError, AttributeError or ValueError."""
+    """Parses one item; raises KeyError, TypeError, AttributeError or ValueError if it is invalid."""
     item_id = _match(_REQUEST_ID, str(entry["id"]), "id")
     path = _match(_REQUEST_TARGET, str(entry["path"]), "path")
     headers = tuple(
@@ -55,7 +55,7 @@
 
 
 def _match(pattern: re.Pattern[str], text: str, field: str) -> str:
-    """The text; raises ValueError where it can't stand in a request."""
+    """Returns the text; raises ValueError if it is not valid in an HTTP request."""
     if pattern.fullmatch(text) is None:
         reason = f"{field}: can't stand in a request"
         raise ValueError(reason)
@@ -63,7 +63,7 @@
 
 
 def _parse_tokens(value: object) -> int:
-    """A count of tokens, 0 where it is not given."""
+    """Parses a token count; 0 if it is missing."""
     if not isinstance(value, (int, float, str, type(None))) or not 0 <= float(value or 0) <= MAX_WHOLE_NUMBER:
         reason = "tokens: must be a whole number"
         raise ValueError(reason)
--- a/crowwing/tier/front/batch_job_runner.py
+++ b/crowwing/tier/front/batch_job_runner.py
@@ -1,4 +1,4 @@
-"""Runs items of batch jobs beside live requests: leases them from the primary and reports their results."""
+"""Runs batch items alongside live requests: leases them from the primary and reports their results."""
 
 import asyncio
 import logging
@@ -13,23 +13,26 @@
 
 log = logging.getLogger("crowwing.lots")
 
-LEASE_WAIT_MS = 600  # for which the primary may wait for items
-LEASE_TIMEOUT_S, LEASE_CONFIRM_S = 2.0, 1.2  # of a call for leases, and without a response to it
+LEASE_WAIT_MS = 600  # how long the primary may wait for items (long polling)
+LEASE_TIMEOUT_S, LEASE_CONFIRM_S = (
+    2.0,
+    1.2,
+)  # for a lease call; without a response, before the primary is confirmed
 REPORT_TIMEOUT_S = 4.0
 MAX_REPORT_CALLS = 8
 POLL_INTERVAL_S, MIN_POLL_INTERVAL_S = 0.15, 0.02
-IDLE_CALL_INTERVAL_S = 1.0  # between calls without free slots: the primary counts its callers
-LEASE_RENEWAL_INTERVAL_S = 0.45  # the same while items run, whose leases last 1.8 s
+IDLE_CALL_INTERVAL_S = 1.0  # between calls without free slots: the primary counts the fronts that call
+LEASE_RENEWAL_INTERVAL_S = 0.45  # the same while items run; their leases last 1.8 s
 
-ItemKey = tuple[str, str]  # ids of the job and the item
+ItemKey = tuple[str, str]  # job id and item id
 
 
 def is_call_due(free_slots: int, item_count: int, since_call_s: float) -> bool:
     """Whether a front calls the primary now.
 
     Args:
-        free_slots: Items that it could start.
-        item_count: Items that it has something to report of.
+        free_slots: How many more items it could start.
+        item_count: Items that are running, or that it has given up and not reported yet.
         since_call_s: The time since its last call.
     """
     if free_slots > 0:
@@ -39,32 +42,32 @@
 
 
 def pause_after(item_count: int, waited_s: float) -> float:
-    """Seconds until a front looks again.
+    """Returns the pause in seconds after a lease call.
 
     Args:
-        item_count: Items that the last call brought.
-        waited_s: How long it took; an empty answer that came at once is no reason to ask at once.
+        item_count: Items in the last response.
+        waited_s: How long the call took. After an immediate empty response the front does not call at once.
     """
     return MIN_POLL_INTERVAL_S if item_count else max(MIN_POLL_INTERVAL_S, POLL_INTERVAL_S - waited_s)
 
 
 class BatchJobRunner:
-    """The items that this front runs. Owned by the front's process, which runs `run` and `finish`.
+    """Leases and runs batch items. Owned by the front's process, which runs `run` and `finish`.
 
     Attributes:
-        draining: Whether this front leaves and starts no more items.
+        draining: Whether this front is shutting down and starts no more items.
     """
 
     def __init__(self, name: str, pool: ServicePool, store: StoreClient) -> None:
-        """Leases items as `name` and runs them at the sidecars of a pool."""
+        """Leases items under the name `name`, and runs them at the sidecars of a pool."""
         self._name, self._pool, self._store = name, pool, store
         self._dispatcher = Dispatcher(pool)
         self._running: dict[ItemKey, asyncio.Task[None]] = {}
-        self._given_up: set[ItemKey] = set()  # ended without a result, which the primary has not heard yet
+        self._given_up: set[ItemKey] = set()  # ended without a result, not yet reported to the primary
         self.draining = False
 
     async def run(self) -> None:
-        """Leases items while there are free slots, and calls the primary in any case; never returns."""
+        """Leases items while slots are free, and renews leases in any case; never returns."""
         called_at = -IDLE_CALL_INTERVAL_S
         while True:
             free_slots = 0 if self.draining else self._count_free_slots()
@@ -81,7 +84,7 @@
             await asyncio.sleep(pause_after(len(response.items), time.monotonic() - called_at))
 
     async def _lease(self, free_slots: int) -> outcomes.LeaseItemsResponse | None:
-        """Renews leases and asks for more; None where no primary answers."""
+        """Renews leases and requests more items; None if no primary responds."""
         wait_ms = LEASE_WAIT_MS if free_slots else LEASE_WAIT_MS // 2
         given_up = tuple(self._given_up)
         command = commands.LeaseItemsRequest(self._name, free_slots, tuple(self._running), wait_ms, given_up)
@@ -92,7 +95,7 @@
         return outcome
 
     def _apply(self, response: outcomes.LeaseItemsResponse) -> None:
-        """Cancels the runs whose leases are lost, and starts the items that were leased."""
+        """Cancels the runs whose leases were lost, and starts the newly leased items."""
         for key in response.stop:
             task = self._running.pop(key, None)
             if task is not None:
@@ -101,7 +104,7 @@
             self._start(leased)
 
     def _count_free_slots(self) -> int:
-        """How many more items could start now at the service that has most free slots for them."""
+        """How many more items could start now, at the service with the most free slots for them."""
         table = self._pool.table
         if table is None or not self._pool.has_endpoint_list:
             return 0
@@ -158,7 +161,7 @@
         log.warning("item_report_failed item=%s", report.item)
 
     async def finish(self, timeout_s: float) -> None:
-        """Waits for what runs, up to a time-out."""
+        """Waits for running items, up to a time-out."""
         tasks = list(self._running.values())
         if tasks:
             await asyncio.wait(tasks, timeout=timeout_s)
--- a/crowwing/tier/front/client_connection.py
+++ b/crowwing/tier/front/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: uvicorn's own, with the bounds that the configuration sets for clients."""
+"""The connection of a client: uvicorn's HTTP protocol with the limits of the configuration."""
 
 import asyncio
 import logging
@@ -10,13 +10,13 @@
 
 log = logging.getLogger("crowwing.clients")
 
-TCP_USER_TIMEOUT_MS = 20_000  # for which a client may leave bytes of a response unacknowledged or unread
-HEADER_EXTRA_BYTES = 4  # of each header line beside its name and value
+TCP_USER_TIMEOUT_MS = 20_000  # how long response bytes may stay unacknowledged or unread
+HEADER_EXTRA_BYTES = 4  # of a header line beyond its name and value: colon, space, CR and LF
 
 
 @dataclass
 class ClientLimits:
-    """What a client may send, and how long it may take. Shared by all connections, changed in place."""
+    """Size and time limits for clients. Shared by all connections, and updated in place."""
 
     max_header_bytes: int = 16 * 1024
     header_timeout_s: float = 5.0
@@ -24,16 +24,16 @@
 
 
 class ClientConnection(HttpToolsProtocol):
-    """Rejects heads that are too long or come too slowly, and closes connections that are idle too long.
+    """Rejects request heads that are too large or too slow, and closes idle connections.
 
-    Made by the HTTP server for each connection; uvicorn calls it.
+    Created by the HTTP server for each connection; uvicorn calls it.
     """
 
-    # uvicorn declares whole seconds, and hands them to `call_later`
+    # uvicorn declares an int, but only passes it to `call_later`, which accepts fractions
     timeout_keep_alive: float  # type: ignore[assignment]
 
     def __init__(self, limits: ClientLimits, **arguments: Any) -> None:  # noqa: ANN401  uvicorn's own arguments
-        """`limits` apply to this connection; the rest is uvicorn's."""
+        """Applies `limits` to this connection; the other arguments are uvicorn's."""
         super().__init__(**arguments)
         self._limits = limits
         self.timeout_keep_alive = limits.idle_timeout_s
@@ -42,7 +42,7 @@
         self._rejected = False
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """A connection that never sends anything is idle like one between two requests."""
+        """Starts the idle timer, so that a connection that never sends anything is closed too."""
         super().connection_made(transport)
         raw = transport.get_extra_info("socket")
         if raw is not None:
@@ -52,12 +52,12 @@
         )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Nothing is waited for any more."""
+        """Stops the head timer."""
         self._stop_head_timer()
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Counts what comes of a head."""
+        """Counts the bytes of the head, and rejects one that is too large."""
         if self._rejected:
             return
         self._head_bytes += len(data)
@@ -66,13 +66,13 @@
             self._reject(431, "Request Header Fields Too Large")
 
     def on_message_begin(self) -> None:
-        """The first byte of a head has come."""
+        """Starts the head timer at the first byte of a head."""
         super().on_message_begin()
         self.timeout_keep_alive = self._limits.idle_timeout_s
         self._head_timer = self.loop.call_later(self._limits.header_timeout_s, self._head_too_slow)
 
     def on_headers_complete(self) -> None:
-        """The head is complete; its size counts without what came behind it."""
+        """Checks the size of the complete head, without bytes received after it."""
         self._stop_head_timer()
         self._head_bytes = 0
         header_bytes = sum(len(name) + len(value) + HEADER_EXTRA_BYTES for name, value in self.headers)
@@ -82,12 +82,12 @@
             super().on_headers_complete()
 
     def on_body(self, body: bytes) -> None:
-        """A chunk of a body."""
+        """Passes on a chunk of the body, unless the request was rejected."""
         if not self._rejected:
             super().on_body(body)
 
     def on_message_complete(self) -> None:
-        """The request is complete; what comes next is another head."""
+        """Handles the end of a request; the next bytes belong to another head."""
         self._head_bytes = 0
         if not self._rejected:
             super().on_message_complete()
@@ -101,11 +101,11 @@
         self._reject(408, "Request Timeout")
 
     def _reject(self, status: int, reason: str) -> None:
-        """Responds to what has not run and never will, and closes the connection."""
+        """Responds with an error to a request that was not executed, and closes the connection."""
         self._stop_head_timer()
         self._rejected = True
         if self.cycle is not None and not self.cycle.response_complete:
-            self.transport.close()  # an answer to an earlier request is under way
+            self.transport.close()  # the response to an earlier request is still being sent
             return
         head = f"HTTP/1.1 {status} {reason}\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"
         self.transport.write(head.encode())
--- a/crowwing/tier/front/dispatch.py
+++ b/crowwing/tier/front/dispatch.py
@@ -1,4 +1,4 @@
-"""Runs one admitted request at sidecars: its attempts, and the one stream that comes out of them."""
+"""Dispatch of an admitted request to sidecars: its attempts, and the single response stream they yield."""
 
 import asyncio
 import logging
@@ -26,9 +26,9 @@
 
 log = logging.getLogger("crowwing.dispatch")
 
-MAX_SENDS = 6  # of one request of a client, counting those that did not run
-RESPONSE_TIMEOUT_S = 0.6  # without a byte, after which an idempotent request is retried elsewhere
-EVENT_TIMEOUT_S = 1.0  # between the events of a stream that can go on elsewhere
+MAX_SENDS = 6  # per client request, including attempts that were not executed
+RESPONSE_TIMEOUT_S = 0.6  # without a response head, before an idempotent request is retried elsewhere
+EVENT_TIMEOUT_S = 1.0  # between the events of a stream that can be resumed elsewhere
 OK_STATUS = 200
 BAD_GATEWAY_STATUS = 502
 GATEWAY_TIMEOUT_STATUS = 504
@@ -39,9 +39,9 @@
 
 @dataclass
 class SidecarRequest:
-    """A request as it is sent to sidecars, and how far its attempts have come.
+    """A request as it is sent to sidecars, and the progress of its attempts.
 
-    Made by the proxy or the batch job runner; the dispatcher changes what the attempts change.
+    Created by the proxy or the batch job runner; the dispatcher updates the progress.
     """
 
     method: str
@@ -52,28 +52,28 @@
     route: Route
     service: str
     blocks: tuple[PromptBlock, ...]
-    deadline: float  # on the steady clock
-    attempts_left: int  # of those that may run it
+    deadline: float  # on the monotonic clock
+    attempts_left: int  # attempts that may execute the request
     last_event: int | None = None
-    retries_errors: bool = False  # a response of 5xx is a failed attempt where another is allowed
-    tried: set[str] = field(default_factory=set)  # ids of sidecars
+    retries_errors: bool = False  # whether a 5xx response is retried while attempts are left
+    tried: set[str] = field(default_factory=set)  # ids of sidecars already tried
 
     @property
     def expects_version(self) -> bool:
-        """Whether it is only for sidecars with certain weights."""
+        """Whether it may run only at sidecars with a certain version of the weights."""
         return any(name.lower() == EXPECT_VERSION for name, _ in self.headers)
 
 
 @dataclass(frozen=True)
 class NotServed:
-    """Nothing has run and nothing will."""
+    """No sidecar has executed the request, and none will."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class Failed:
-    """It may have run, and there is no response."""
+    """The request may have been executed, and there is no response."""
 
     status: int  # for the client
     reason: str
@@ -81,7 +81,7 @@
 
 @dataclass
 class OpenResponse:
-    """A sidecar answers; whoever has it calls `Dispatcher.close`, or reads it by `Dispatcher.events`."""
+    """A started response. Its owner calls `Dispatcher.close`, or reads it with `Dispatcher.events`."""
 
     started: ResponseStarted
     state: SidecarState
@@ -93,24 +93,24 @@
 
 @dataclass
 class _Progress:
-    """What the attempts have brought so far."""
+    """The result of the attempts so far."""
 
     reason: str = "no sidecar is there"
     may_have_run: bool = False
 
 
 class Dispatcher:
-    """Sends requests to sidecars. Owned by the proxy and by the batch job runner, one each."""
+    """Sends requests to sidecars. The proxy and the batch job runner own one each."""
 
     def __init__(self, pool: ServicePool) -> None:
-        """Sends to the sidecars of a pool."""
+        """Sends requests to the sidecars of a pool."""
         self._pool = pool
 
     async def open(self, request: SidecarRequest) -> DispatchResult:
-        """Sends a request until a sidecar begins to answer it.
+        """Sends a request to one sidecar after another until one starts to respond.
 
         Returns:
-            The response, which the caller closes, or why there is none.
+            The response, which the caller must close, or the reason why there is none.
         """
         progress = _Progress()
         for _ in range(MAX_SENDS):
@@ -141,7 +141,7 @@
     async def _can_retry(
         self, request: SidecarRequest, state: SidecarState, outcome: AttemptOutcome, progress: _Progress
     ) -> bool:
-        """Records an attempt that brought no response for the client; whether there may be another."""
+        """Records an attempt that gave no usable response; returns whether another one is allowed."""
         match outcome:
             case ResponseStarted(status):
                 await self.close(OpenResponse(outcome, state))
@@ -190,7 +190,7 @@
         return outcome
 
     async def close(self, response: OpenResponse) -> None:
-        """Done with a response; one that has not ended is broken off. A second call does nothing."""
+        """Closes a response and aborts it if it has not ended. Further calls do nothing."""
         if response.is_closed:
             return
         response.is_closed = True
@@ -200,12 +200,12 @@
     async def events(
         self, request: SidecarRequest, response: OpenResponse
     ) -> AsyncGenerator[StreamEvent, None]:
-        """The complete events of a resumable request, gone on with elsewhere where a sidecar breaks off.
+        """Yields the complete events of a resumable request.
 
-        Closes each response that it reads.
+        If the stream of one sidecar breaks, it is resumed at another one. Closes each response that it reads.
 
         Raises:
-            StreamBrokenError: It can't be gone on with.
+            StreamBrokenError: The stream broke and can't be resumed.
         """
         without_id = False
         while True:
@@ -227,7 +227,7 @@
             response = await self._resume(request)
 
     async def _resume(self, request: SidecarRequest) -> OpenResponse:
-        """Goes on behind the last event at another sidecar; raises StreamBrokenError where none does."""
+        """Resumes after the last event at another sidecar; raises StreamBrokenError if none accepts it."""
         resumed = await self.open(request)
         if not isinstance(resumed, OpenResponse):
             raise StreamBrokenError(resumed.reason)
@@ -255,7 +255,12 @@
 
 
 async def _read_events(request: SidecarRequest, response: OpenResponse) -> AsyncGenerator[StreamEvent, None]:
-    """The events of one response; raises StreamBrokenError on a gap, and TimeoutError."""
+    """Yields the events of one response.
+
+    Raises:
+        StreamBrokenError: Event ids are not consecutive, or the response ended early.
+        TimeoutError: No chunk came in time.
+    """
     splitter = EventSplitter()
     after = request.last_event
     async for chunk in with_chunk_timeout(read_body(response.started), request):
@@ -273,7 +278,7 @@
 async def with_chunk_timeout(
     chunks: AsyncGenerator[bytes, None], request: SidecarRequest
 ) -> AsyncGenerator[bytes, None]:
-    """The chunks; raises TimeoutError where none comes for long although another sidecar could go on."""
+    """Yields the chunks; raises TimeoutError at the deadline, or after EVENT_TIMEOUT_S if a retry is left."""
     while True:
         left_s = request.deadline - time.monotonic()
         timeout_s = min(left_s, EVENT_TIMEOUT_S) if request.attempts_left > 1 else left_s
--- a/crowwing/tier/front/errors.py
+++ b/crowwing/tier/front/errors.py
@@ -1,8 +1,8 @@
-"""The errors of the request path. Each layer maps those of the layer below to one of these."""
+"""Errors of the request path. Each layer maps the errors of the layer below to one of these."""
 
 
 class FrontError(Exception):
-    """The family of a front's own errors."""
+    """Base class of the errors of a front."""
 
 
 class ClientDisconnectedError(FrontError):
@@ -10,24 +10,24 @@
 
 
 class BodyTooLargeError(FrontError):
-    """The client sends more than the configuration allows."""
+    """The request body is larger than the configuration allows."""
 
 
 class BodyTimeoutError(FrontError):
-    """The client has sent nothing of its body for too long."""
+    """The client sent nothing of the request body within the time-out."""
 
 
 class MalformedBatchJobError(FrontError):
-    """A batch job that can't be read."""
+    """The body of a batch job submission is invalid."""
 
 
 class NoConnectionError(FrontError):
-    """There is no connection for a request, and nothing of it was sent."""
+    """No connection was available for a request; nothing of it was sent."""
 
 
 class ConnectionsFullError(NoConnectionError):
-    """The sidecar accepts no more connections, or this front may open no more there."""
+    """The sidecar accepts no more connections, or this front has reached its share of them."""
 
 
 class StreamBrokenError(FrontError):
-    """The body of a response ended before its end."""
+    """The body of a response ended early."""
--- a/crowwing/tier/front/events.py
+++ b/crowwing/tier/front/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events: complete events out of the bytes of a stream."""
+"""Server-sent events: splits a byte stream into complete events."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class StreamEvent:
-    """One complete event: its bytes with the empty line behind it, its id if it has one, and its data."""
+    """One complete event: its bytes including the final blank line, its id if it has one, and its data."""
 
     raw: bytes
     id: int | None
@@ -15,19 +15,19 @@
 
 
 class EventSplitter:
-    """Splits the bytes of one response into complete events. Made by the dispatcher for each attempt."""
+    """Splits the bytes of one response into complete events. Created by the dispatcher for each attempt."""
 
     def __init__(self) -> None:
-        """Nothing has come."""
+        """Starts with an empty buffer."""
         self._rest = b""
 
     @property
     def rest(self) -> bytes:
-        """What has come of an event that is not complete yet."""
+        """The bytes of an incomplete event."""
         return self._rest
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """The events that these bytes complete."""
+        """Adds bytes to the buffer; returns the events that are now complete."""
         self._rest += data
         events: list[StreamEvent] = []
         while True:
@@ -40,7 +40,7 @@
 
 
 def _find_end(data: bytes) -> tuple[int, int]:
-    """Where the first event ends (-1: nowhere), and how long the empty line behind it is."""
+    """Returns where the first event ends (-1 if it is incomplete), and the length of its terminator."""
     plain, carriage = data.find(b"\n\n"), data.find(b"\r\n\r\n")
     if carriage >= 0 and (plain < 0 or carriage < plain):
         return carriage, 4
@@ -48,7 +48,7 @@
 
 
 def parse_event(raw: bytes) -> StreamEvent:
-    """Reads the fields of one event."""
+    """Parses the fields of one event."""
     event_id: int | None = None
     data: list[str] = []
     for text in raw.decode("utf-8", "replace").splitlines():
--- a/crowwing/tier/front/failure_rate.py
+++ b/crowwing/tier/front/failure_rate.py
@@ -1,23 +1,24 @@
-"""What a front remembers of how its own requests fared at one sidecar. Pure; times are seconds.
+"""The failure rate of a front's own requests at one sidecar. No I/O; times are seconds.
 
-A sidecar's health check, and what it says of its load, can be wrong; what became of requests can't. Memories
-fade, so that a sidecar that was avoided is tried again.
+The health check and the load report of a sidecar can be wrong; the outcome of requests can't. The rate decays
+with time, so that a sidecar that was avoided is tried again.
 """
 
 from dataclasses import dataclass
 
-HALF_LIFE_S = 3.0  # in which half of a memory fades
-OUTCOME_WEIGHT = 0.15  # of the newest outcome
-TOLERATED_FAILURE_SHARE = 0.2  # share that counts for nothing: one failure now and then befalls all sidecars
-FAILURE_COST_MS = 1500.0  # of a sidecar that fails all of its requests
+HALF_LIFE_S = 3.0  # of the exponential decay
+OUTCOME_WEIGHT = 0.15  # of the newest outcome in the moving average
+TOLERATED_FAILURE_SHARE = 0.2  # without effect, since occasional failures occur at every sidecar
+FAILURE_COST_MS = 1500.0  # at an excess failure share of 1
 
 
 @dataclass
 class FailureRate:
-    """The share of requests that failed.
+    """The share of failed requests, as a decaying moving average.
 
-    How long answers took is left out on purpose: it tells more of what all fronts sent there than of the
-    sidecar, and fronts that go by it crowd one sidecar after another (docs/measurements/tier.md).
+    Response times are deliberately ignored: they reflect the load that all fronts send rather than the
+    sidecar, and routing by them makes the fronts overload one sidecar after another
+    (docs/measurements/tier.md).
     """
 
     failure_share: float = 0.0
@@ -28,12 +29,12 @@
         self._at = now
 
     def record_failure(self, now: float) -> None:
-        """A request ended in an error, broke off, or was not answered."""
+        """Records a request that ended in an error, broke off or got no response."""
         self._decay(now)
         self.failure_share += OUTCOME_WEIGHT * (1 - self.failure_share)
 
     def record_success(self, now: float) -> None:
-        """A request began to be answered."""
+        """Records a request whose response has started."""
         self._decay(now)
         self.failure_share -= OUTCOME_WEIGHT * self.failure_share
 
@@ -42,9 +43,9 @@
         return self.failure_share * decay
 
     def excess_failure_share(self, now: float) -> float:
-        """The share of requests that fail, as far as is remembered and beyond what is tolerated."""
+        """The decayed share of failed requests, beyond what is tolerated."""
         return max(0.0, self._decayed_share(now) - TOLERATED_FAILURE_SHARE)
 
     def cost_ms(self, now: float) -> float:
-        """What sending a request there costs beyond its load."""
+        """The routing cost of the failures, in addition to the cost of load."""
         return FAILURE_COST_MS * self.excess_failure_share(now)
--- a/crowwing/tier/front/load_reports.py
+++ b/crowwing/tier/front/load_reports.py
@@ -1,4 +1,4 @@
-"""Loads as sidecars report them: the `Server-Load` header, the body of a report, and their average."""
+"""Load reports of sidecars: the `Server-Load` header, the body of a report, and their moving average."""
 
 import json
 import math
@@ -6,23 +6,23 @@
 
 from crowwing.tier.front.whole_numbers import parse_whole_number
 
-REPORT_WEIGHT = 0.1  # of the newest report in the average
-REPORT_FRESH_S = 1.0  # for how long the average counts after the last report
-MAX_REPORTED_FILL = 3.0  # in slots, the most that one report counts for
+REPORT_WEIGHT = 0.1  # of the newest report in the moving average
+REPORT_FRESH_S = 1.0  # how long the average is valid after the last report
+MAX_REPORTED_FILL = 3.0  # as a multiple of the slots: bounds the effect of one report
 LOAD_HEADER_FIELDS = 3  # running, waiting, slots
 
 
 @dataclass(slots=True)
 class LoadReport:
-    """What a sidecar says of its load at one moment."""
+    """The load that a sidecar reported at one moment."""
 
     running: float
     waiting: float
-    slots: float | None = None  # None where the report does not say it
+    slots: float | None = None  # None if the report does not include it
 
 
 def parse_load_header(value: bytes | None) -> LoadReport | None:
-    """Reads a `Server-Load` header, `running,waiting,slots`; None where it is missing or can't be read."""
+    """Parses a `Server-Load` header, `running,waiting,slots`; None if it is missing or invalid."""
     fields = value.split(b",") if value is not None else []
     numbers = [parse_whole_number(field.strip()) for field in fields]
     counts = [float(number) for number in numbers if number is not None]
@@ -33,7 +33,7 @@
 
 
 def parse_report(body: bytes) -> LoadReport | None:
-    """Reads the body of `GET /report`; None where it can't be read."""
+    """Parses the body of `GET /report`; None if it is invalid."""
     try:
         fields = json.loads(body)
         running, waiting = float(fields["running"]), float(fields["waiting"])
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class AverageInflight:
-    """Requests at a sidecar of a service on average: this front's own, and those of all other fronts."""
+    """Average number of requests at a sidecar of a service: from this front, and from all other fronts."""
 
     own: float
     others: float
@@ -56,14 +56,14 @@
 class ReportedLoad:
     """The load of a service's sidecars, as a moving average of their reports. Owned by `SidecarTable`.
 
-    Times are seconds of the steady clock.
+    Times are seconds of the monotonic clock.
     """
 
-    fill: float = 0.0  # share of the slots, more than 1 where requests wait
+    fill: float = 0.0  # requests per slot; above 1 if requests are waiting
     updated_at: float = -1e9
 
     def update(self, now: float, fill: float) -> None:
-        """Takes one sidecar's report in; a fill beyond `MAX_REPORTED_FILL` counts as that."""
+        """Adds the report of one sidecar, with its fill capped at `MAX_REPORTED_FILL`."""
         bounded = min(MAX_REPORTED_FILL, max(0.0, fill))
         if now - self.updated_at > REPORT_FRESH_S:
             self.fill = bounded
--- a/crowwing/tier/front/main.py
+++ b/crowwing/tier/front/main.py
@@ -1,4 +1,4 @@
-"""The process of a front."""
+"""The front process."""
 
 import asyncio
 import logging
@@ -31,20 +31,20 @@
 
 log = logging.getLogger("crowwing.front")
 
-DEREGISTRATION_S = 2.4  # from SIGTERM until the platform sends no client here any more
-KILL_MARGIN_S = 0.7  # before the platform kills the process
-LIST_READ_AFTER_S = 1.2  # without the root, after which a front reads the endpoint list by itself
+DEREGISTRATION_S = 2.4  # from SIGTERM until the platform sends no more clients here
+KILL_MARGIN_S = 0.7  # end of the drain, before the platform kills the process
+LIST_READ_AFTER_S = 1.2  # without a heartbeat of the root, before a front reads the endpoint list itself
 LIST_READ_INTERVAL_S = 0.9
-FIRST_LIST_READ_S = 0.3  # after a start, drawn evenly up to it
+FIRST_LIST_READ_S = 0.3  # maximum random delay of the first read after a start
 DEFAULT_IDLE_TIMEOUT_S = 75.0
 FRONT_COUNT_INTERVAL_S = 1.0
 
 
 class FrontProcess:
-    """One front: owns all parts of the request path, and lives as long as its process."""
+    """One front: owns all components of the request path for the lifetime of the process."""
 
     def __init__(self, settings: Settings) -> None:
-        """Nothing runs and nothing is known yet."""
+        """Creates the components; `run` starts them."""
         self.settings = settings
         self.random = Random()
         self.documents = Documents()
@@ -63,24 +63,24 @@
         self.relay.tracker.on_root_changed.append(self.store.primary_moved)
 
     async def handle(self, connection: Connection, body: object) -> object:
-        """Responds to other backends; None where the message is not for a front."""
+        """Handles a message of another backend; returns None for messages that a front does not handle."""
         if isinstance(body, RELAY_MESSAGES):
             return await self.relay.handle(connection, body)
         return None
 
     def apply_settings(self, settings: Settings) -> None:
-        """The settings name other seeds now; the rest applies from the next start on."""
+        """Applies changed seed hosts; other settings take effect at the next start."""
         self.relay.view.seeds = settings.seed_hosts
 
     def store_hosts(self) -> list[str]:
-        """Where the primary may be found, in a random order."""
+        """Hosts that may be the primary, in random order."""
         known = {peer.host for peer in self.relay.view.peers("store")} | set(self.relay.view.seeds)
         hosts = sorted(known)
         self.random.shuffle(hosts)
         return hosts
 
     def apply_document(self, document: Document) -> None:
-        """A newer document has come."""
+        """Applies a newer configuration or endpoint list."""
         if document.kind == CONFIGURATION:
             parsed = parse_configuration(document.body)
             if isinstance(parsed, Configuration):
@@ -95,7 +95,7 @@
             self.pool.apply_endpoint_list(listed)
 
     def _update_front_count(self) -> None:
-        """As the root counts them, or at least those that shuffles have shown."""
+        """Uses the root's count of fronts, or at least the number of peers learned from shuffles."""
         shown = 1 + len(self.relay.view.peers("front"))
         self.pool.sidecars.fronts = max(shown, self.relay.tracker.front_count)
         self.pool.sidecars.fronts_counted = self.relay.tracker.front_count > 0
@@ -113,15 +113,15 @@
         self.client_limits.idle_timeout_s = limits.idle_timeout_ms / 1000
 
     async def report_readiness(self, send: Send) -> None:
-        """Responds to the platform's health check: whether clients may come."""
+        """Responds to the platform's readiness check: whether this front accepts clients."""
         is_ready = self.pool.table is not None and self.pool.has_endpoint_list and not self.proxy.draining
         status = 200 if is_ready else 503
         await respond(send, status, b"")
 
     async def run_list_reader(self) -> None:
-        """Reads the platform's endpoint list where the root does not send it; never returns."""
+        """Reads the platform's endpoint list while the root does not send it; never returns."""
         assert self.settings.cloud is not None
-        await asyncio.sleep(FIRST_LIST_READ_S * self.random.random())  # the root mostly sends it meanwhile
+        await asyncio.sleep(FIRST_LIST_READ_S * self.random.random())  # usually the root sends it first
         read_list = make_list_reader(self.settings.cloud.address)
         while True:
             if (
@@ -159,7 +159,7 @@
         return 1 if tasks.failed else 0
 
     def _start_servers(self, tasks: Tasks, end: asyncio.Event) -> list[asyncio.Task[None]]:
-        """Serves clients and the platform's health checks until `end`, where the settings name an address."""
+        """Serves clients and readiness checks until `end`, at the addresses that the settings name."""
 
         async def ready(_scope: Scope, _receive: Receive, send: Send) -> None:
             await self.report_readiness(send)
@@ -180,7 +180,7 @@
         return serving
 
     async def _drain(self, end: asyncio.Event, serving: list[asyncio.Task[None]]) -> None:
-        """Graceful shutdown: not ready at once, and open requests and items end within the grace period."""
+        """Shuts down gracefully: reports not ready at once, and waits for open requests and items."""
         log.info("drain_started open_requests=%d", self.proxy.open)
         deadline = time.monotonic() + self.settings.bounds.grace_s - KILL_MARGIN_S
         self.proxy.draining = self.runner.draining = True
@@ -191,5 +191,5 @@
 
 
 async def run_front(settings: Settings) -> int:
-    """Runs a front until SIGTERM; gives the exit status."""
+    """Runs a front until SIGTERM; returns the exit status."""
     return await FrontProcess(settings).run()
--- a/crowwing/tier/front/preemption.py
+++ b/crowwing/tier/front/preemption.py
@@ -1,36 +1,36 @@
-"""Preemption: runs of batch items give their slots to live requests."""
+"""Preemption: cancels runs of batch items to free their slots for live requests."""
 
 import asyncio
 
-MAX_PREEMPTED = 3  # runs of a service at a time that were cancelled and have not ended yet
+MAX_PREEMPTED = 3  # cancelled runs of a service that have not ended yet, at a time
 
 ItemTask = asyncio.Task[object]
 
 
 class PreemptibleItems:
-    """The runs of batch items by service. Owned by `ServicePool`; the batch job runner adds and removes.
+    """The running batch items by service. Owned by `ServicePool`; runs of items add and remove themselves.
 
-    A run that is cancelled here goes on later from its last event.
+    A run that is preempted is resumed later after its last event.
     """
 
     def __init__(self) -> None:
-        """No item runs."""
-        self._running: dict[str, list[ItemTask]] = {}  # the newest at the end
-        self._preempted: dict[str, set[ItemTask]] = {}  # cancelled and not ended
+        """Starts without running items."""
+        self._running: dict[str, list[ItemTask]] = {}  # newest last
+        self._preempted: dict[str, set[ItemTask]] = {}  # cancelled, not ended yet
 
     def add(self, service: str, run: ItemTask) -> None:
-        """A run of an item has begun; it may be cancelled from now on."""
+        """Adds a run of an item, which may be cancelled from now on."""
         self._running.setdefault(service, []).append(run)
 
     def remove(self, service: str, run: ItemTask) -> None:
-        """A run of an item has ended."""
+        """Removes a run of an item that has ended."""
         self._preempted.get(service, set()).discard(run)
         runs = self._running.get(service, [])
         if run in runs:
             runs.remove(run)
 
     def preempt(self, service: str, wanted: int) -> None:
-        """Cancels runs, the newest first, for so many live requests that find no free slot."""
+        """Cancels runs, newest first, for `wanted` live requests that are queued without a free slot."""
         runs = self._running.get(service)
         preempted = self._preempted.setdefault(service, set())
         while runs and len(preempted) < min(wanted, MAX_PREEMPTED):
--- a/crowwing/tier/front/primary_finder.py
+++ b/crowwing/tier/front/primary_finder.py
@@ -1,4 +1,4 @@
-"""Which store machine is the primary: found once for all calls of a front."""
+"""Discovery of the primary store machine, shared by all calls of a front."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -11,39 +11,39 @@
 from crowwing.tier.wire.connection_pool import ConnectionPool
 from crowwing.tier.wire.errors import CallError
 
-STATUS_TIMEOUT_S = 0.3  # of one question
-MAX_QUERIED = 2  # store machines drawn for one round of questions, besides those that answers name
-MIN_ROUND_PAUSE_S, MAX_ROUND_PAUSE_S = 0.08, 1.28  # after a round that finds none, doubled with each in a row
-MIN_CONFIRM_INTERVAL_S = 0.5  # between questions whether the primary that gives no response still is it
-MIN_PAUSE_SHARE = 0.5  # of such a pause; the rest is drawn, so that fronts do not ask in step
+STATUS_TIMEOUT_S = 0.3  # of one status query
+MAX_QUERIED = 2  # random store machines queried in one round, besides those that other machines name
+MIN_ROUND_PAUSE_S, MAX_ROUND_PAUSE_S = 0.08, 1.28  # after a failed round; doubled each time
+MIN_CONFIRM_INTERVAL_S = 0.5  # between checks whether an unresponsive primary is still the primary
+MIN_PAUSE_SHARE = 0.5  # fixed share of a pause; the rest is random, so that fronts do not query in step
 
 
 class PrimaryFinder:
-    """Knows the primary, or searches for it while somebody waits. Owned by `StoreClient`.
+    """Tracks the primary, and searches for it while a call waits. Owned by `StoreClient`.
 
-    All calls of a front share one search, and its rounds get rarer while there is no primary: what fronts ask
-    then must not use up what the store machines need to elect one.
+    All calls of a front share one search, and its rounds back off while there is no primary, so that the
+    queries of the fronts do not use up the capacity that the store machines need to elect one.
     """
 
     def __init__(
         self, connections: ConnectionPool, hosts: Callable[[], list[str]], random: Random, clock: Clock
     ) -> None:
-        """Asks by `connections`; `hosts` names store machines in a random order."""
+        """Sends queries over `connections`; `hosts` returns the store machines in random order."""
         self._connections = connections
         self._hosts = hosts
         self._random = random
         self._clock = clock
         self._primary: str | None = None
-        self._highest_term: Term = NO_TERM  # under which a machine has said that it is the primary
-        self._primary_hint: str | None = None  # a machine that another one takes for the primary
-        self._changed = asyncio.Event()  # replaced at each change of the primary
+        self._highest_term: Term = NO_TERM  # of any machine that claimed to be the primary
+        self._primary_hint: str | None = None  # the primary according to another machine
+        self._changed = asyncio.Event()  # set and replaced when the primary changes
         self._search: asyncio.Task[None] | None = None
         self._confirmation: asyncio.Task[None] | None = None
         self._confirmed_at = -MIN_CONFIRM_INTERVAL_S
 
     @property
     def primary(self) -> str | None:
-        """The host of the primary; None while it is not known."""
+        """The host of the primary; None while it is unknown."""
         return self._primary
 
     @property
@@ -52,20 +52,20 @@
         return self._changed
 
     def primary_moved(self, host: str) -> None:
-        """The primary is at this host now."""
+        """Records that this host is the primary now."""
         self._primary = host
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
     def invalidate(self, host: str, leader: str | None = None) -> None:
-        """This host is not the primary; `leader` is, where it knows."""
+        """Records that this host is not the primary; `leader` is the primary it named, if any."""
         if self._primary == host:
             self._primary = None
         if leader is not None and leader != host:
             self._primary_hint = leader
 
     async def wait(self, timeout_s: float) -> str | None:
-        """The primary; None where none is found in time."""
+        """Waits for the primary; returns None if none is found in time."""
         deadline = self._clock.monotonic() + timeout_s
         while self._primary is None and (left_s := deadline - self._clock.monotonic()) > 0:
             if self._search is None or self._search.done():
@@ -74,9 +74,9 @@
         return self._primary
 
     async def confirm(self, host: str) -> bool:
-        """Asks others where a call to this host gets no response; False where another one is the primary.
+        """Asks other machines whether an unresponsive host is still the primary; False if another one is.
 
-        Calls that wait at the same time share the questions.
+        Concurrent calls share the queries.
         """
         if self._primary not in (None, host):
             return False
@@ -108,7 +108,7 @@
             pause_s = min(MAX_ROUND_PAUSE_S, 2 * pause_s)
 
     async def _query_some(self, excluded: str | None = None) -> str | None:
-        """One round of questions, to some machines and to those that they take for the primary."""
+        """Runs one round of queries: to random machines, then to those that they consider the primary."""
         hint, self._primary_hint = self._primary_hint, None
         drawn = [host for host in self._hosts() if host != excluded][:MAX_QUERIED]
         queried = {host for host in (hint, *drawn) if host is not None and host != excluded}
@@ -118,7 +118,7 @@
         return found
 
     async def _query_all(self, hosts: Sequence[str]) -> tuple[str | None, set[str]]:
-        """Asks some machines at once; the first that is the primary, and who proposed the others' terms."""
+        """Queries machines in parallel; returns the first that is the primary, and the terms' proposers."""
         proposers: set[str] = set()
         queries = [asyncio.ensure_future(self._status_of(host)) for host in hosts]
         try:
@@ -147,7 +147,7 @@
 
 
 async def _wait_for(event: asyncio.Event, timeout_s: float) -> None:
-    """Returns when the event is set, or after the limit."""
+    """Returns when the event is set, or after the time-out."""
     try:
         async with asyncio.timeout(timeout_s):
             await event.wait()
--- a/crowwing/tier/front/proxy.py
+++ b/crowwing/tier/front/proxy.py
@@ -1,4 +1,4 @@
-"""A client's request from its first byte to its last: route, admission, dispatch, and the response."""
+"""The reverse proxy for client requests: route, admission, dispatch, and relay of the response."""
 
 import asyncio
 import contextlib
@@ -49,34 +49,34 @@
 log = logging.getLogger("crowwing.proxy")
 
 DEFAULT_DEADLINE_MS = 10_000.0
-START_WAIT_S = 0.9  # for the first configuration, while this backend starts
-START_RETRY_AFTER_S = 0.3  # of a backend without a configuration
+START_WAIT_S = 0.9  # for the first configuration, while the front starts
+START_RETRY_AFTER_S = 0.3  # from a front without a configuration
 MIN_RETRY_AFTER_S = 0.05
-RETRY_THRESHOLD_FACTOR = 4.0  # later with the priority threshold, in latency targets
-RETRY_JITTER_S = 0.3  # not all at once
+RETRY_THRESHOLD_FACTOR = 4.0  # latency targets added to retry-after at a priority threshold of 1
+RETRY_JITTER_S = 0.3  # keeps rejected clients from retrying all at once
 MAX_BODY_BYTES_UNCONFIGURED = 64 * 1024 * 1024
-RESPONSE_MARGIN_S = 0.2  # beyond the deadline, after which a response is broken off
+RESPONSE_MARGIN_S = 0.2  # beyond the deadline, before a response is aborted
 UNCONFIGURED_LIMITS = RequestLimits.model_validate({"maxBodyBytes": MAX_BODY_BYTES_UNCONFIGURED})
-OPTIONAL_WHITESPACE = b" \t"  # around the value of a header, and no part of it (RFC 9110, 5.5)
+OPTIONAL_WHITESPACE = b" \t"  # around a header value, not part of it (RFC 9110, 5.5)
 CLOSE_CONNECTION = [(b"connection", b"close")]
 
 
 class ResponseBody:
-    """The body of a response on its way to the client. Made by the proxy for each response."""
+    """Sends the head and body of a response to the client. Created by the proxy for each response."""
 
     def __init__(self, send: Send) -> None:
-        """Sends to a client."""
+        """Sends over the ASGI channel `send`."""
         self._send = send
-        self.is_client_blocked = False  # it reads too slowly
+        self.is_client_blocked = False  # a send waits because the client reads too slowly
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Sends the head that the body belongs to."""
+        """Sends the response head."""
         self.is_client_blocked = True
         await self._send(response_start(status, headers))
         self.is_client_blocked = False
 
     async def forward(self, chunk: bytes) -> None:
-        """Sends a chunk."""
+        """Sends a chunk of the body."""
         self.is_client_blocked = True
         await self._send(response_body(chunk, more_body=True))
         self.is_client_blocked = False
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True)
 class RoutedRequest:
-    """A client's request with its route. Times are seconds of the steady clock."""
+    """A client request with its route. Times are seconds of the monotonic clock."""
 
     request: ClientRequest
     route: Route
@@ -94,12 +94,12 @@
 
     @property
     def request_id(self) -> bytes:
-        """Its id, empty where it has none."""
+        """The request id; empty if it has none."""
         return self.request.header(b"request-id") or b""
 
     @property
     def latency_target_s(self) -> float:
-        """The time to a first event that its route asks for."""
+        """The latency target of the route: the time to the first event."""
         return self.route.slo_ms / 1000
 
 
@@ -107,12 +107,12 @@
     """The front's ASGI application. Owned by the front's process; the HTTP server calls it for each request.
 
     Attributes:
-        draining: Whether this front leaves.
-        open: How many requests are open.
+        draining: Whether this front is shutting down.
+        open: The number of open requests.
     """
 
     def __init__(self, pool: ServicePool, batch: BatchApi) -> None:
-        """Serves routes by the sidecars of a pool, and batch jobs by the batch interface."""
+        """Serves routes with the sidecars of a pool, and batch jobs with the batch API."""
         self._pool, self._batch = pool, batch
         self._dispatcher = Dispatcher(pool)
         self.draining = False
@@ -154,7 +154,7 @@
             await self._run_while_connected(routed, receive, send)
 
     async def _run_while_connected(self, routed: RoutedRequest, receive: Receive, send: Send) -> None:
-        """Serves a request; cancels its work when the client closes its connection."""
+        """Serves a request, and cancels it when the client closes the connection."""
         work = asyncio.ensure_future(self._run(routed, send))
         disconnect = asyncio.ensure_future(wait_disconnect(receive))
         try:
@@ -182,7 +182,7 @@
             self._pool.release(routed.service)
 
     def _retry_after_s(self, routed: RoutedRequest) -> float:
-        """When a rejected request may come back."""
+        """Seconds after which a rejected request may be retried."""
         threshold = self._pool.admission(routed.service).priority_threshold
         base_s = max(MIN_RETRY_AFTER_S, routed.latency_target_s)
         return base_s * (1 + RETRY_THRESHOLD_FACTOR * threshold) + RETRY_JITTER_S * random.random()
@@ -202,14 +202,14 @@
                 await self._relay(sidecar_request, result, send)
 
     async def _relay(self, sidecar_request: SidecarRequest, response: OpenResponse, send: Send) -> None:
-        """Passes a response on to the client."""
+        """Relays a response to the client."""
         started = response.started
         route = sidecar_request.route
         is_resumable = route.kind == "stream" and started.status == OK_STATUS and route.resumable
         headers = forwarded_headers(started.headers, keeps_length=not is_resumable)
         body = ResponseBody(send)
         timeout_s = max(0.0, sidecar_request.deadline + RESPONSE_MARGIN_S - time.monotonic())
-        try:  # also a client that does not read keeps its slot at a sidecar no longer
+        try:  # so that a client that does not read can't hold a sidecar slot for longer
             async with asyncio.timeout(timeout_s):
                 await body.start(started.status, headers)
                 if is_resumable:
@@ -220,8 +220,8 @@
             if not body.is_client_blocked:
                 response.state.record_failure(time.monotonic())
             log.info("response_broken sidecar=%s reason=%s", response.state.entry.id, error)
-            return  # the server closes the connection, so that the response does not look complete
-        finally:  # also where the client has gone before it got the head
+            return  # the server closes the connection, so that the response is not taken as complete
+        finally:  # also if the client disconnected before the head was sent
             await self._dispatcher.close(response)
         await send(response_body(b""))
 
@@ -233,7 +233,7 @@
                 await body.forward(event.raw)
 
     async def _relay_body(self, response: OpenResponse, body: ResponseBody) -> None:
-        """Passes the body on as it comes."""
+        """Relays the body as it arrives."""
         async for chunk in read_response_body(response.started):
             await body.forward(chunk)
 
@@ -241,7 +241,7 @@
 async def _read_request(
     scope: Scope, receive: Receive, send: Send, limits: RequestLimits
 ) -> ClientRequest | None:
-    """The complete request; None where it was answered since its body is too large or too slow."""
+    """Reads the complete request; returns None if it was invalid and an error response was sent."""
     max_bytes = limits.max_body_bytes
     try:
         body = await read_body(receive, max_bytes, limits.idle_timeout_ms / 1000)
@@ -280,12 +280,12 @@
 
 
 def to_client(send: Send) -> Send:
-    """Sends to a client; raises ClientDisconnectedError where its connection has just gone."""
+    """Wraps `send` to raise ClientDisconnectedError if the client's connection is gone."""
 
     async def send_or_raise(message: Message) -> None:
         try:
             await send(message)
-        except (RuntimeError, OSError) as error:  # what the server raises for it
+        except (RuntimeError, OSError) as error:  # raised by the HTTP server
             log.debug("client_disconnected reason=%s", error)
             raise ClientDisconnectedError from error
 
@@ -293,21 +293,21 @@
 
 
 def forwarded_headers(headers: Headers, keeps_length: bool) -> Headers:
-    """The headers of a sidecar's response that the client gets."""
+    """The headers of a sidecar's response that are forwarded to the client."""
     dropped = hop_by_hop(headers) | (frozenset() if keeps_length else {b"content-length"})
     return [(name, value) for name, value in headers if name.lower() not in dropped]
 
 
 def hash_fraction(request_id: bytes) -> float:
-    """A number from 0 to 1 drawn by a request's id, so that all sizes of a class are rejected alike."""
+    """Hashes a request id to a number from 0 to 1, so that rejection is independent of the request's size."""
     return int.from_bytes(hashlib.blake2b(request_id, digest_size=4).digest(), "big") / 2**32
 
 
 def parse_deadline(header: bytes | None) -> float:
-    """Reads a `Deadline-Ms` header.
+    """Parses a `Deadline-Ms` header.
 
     Returns:
-        How many milliseconds the client waits, DEFAULT_DEADLINE_MS where it does not say so.
+        How many milliseconds the client waits; DEFAULT_DEADLINE_MS if the header is missing or invalid.
     """
     try:
         deadline_ms = float(header) if header is not None else DEFAULT_DEADLINE_MS
--- a/crowwing/tier/front/report_polling.py
+++ b/crowwing/tier/front/report_polling.py
@@ -1,4 +1,4 @@
-"""Asks sidecars for load reports where no response brings them."""
+"""Polls sidecars for load reports when no response has delivered one recently."""
 
 import asyncio
 import time
@@ -9,26 +9,26 @@
 
 
 class ReportPoller:
-    """Asks for load reports in the background. Owned by `ServicePool`, whose loop calls it."""
+    """Requests load reports in the background. Owned by `ServicePool`, whose loop calls it."""
 
     def __init__(self, sidecars: SidecarTable, clients: SidecarClients) -> None:
-        """Reports go into the table."""
+        """Records the reports in the table."""
         self._sidecars = sidecars
         self._clients = clients
         self._tasks: set[asyncio.Task[None]] = set()
 
     def poll_unresponsive(self, now: float) -> None:
-        """Asks unresponsive sidecars, so that one that answers is used again."""
+        """Polls unresponsive sidecars; one that responds is used again."""
         for state in self._sidecars.unresponsive(now):
             self.request(state, now)
 
     def poll_stale(self, service: str, now: float) -> None:
-        """Asks sidecars of a service that have reported nothing lately."""
+        """Polls sidecars of a service without a recent load report."""
         for state in self._sidecars.with_stale_load(service, now):
             self.request(state, now)
 
     def request(self, state: SidecarState, now: float) -> None:
-        """Asks one sidecar."""
+        """Requests a report from one sidecar."""
         state.report_requested_at = now
         task = asyncio.ensure_future(self._read_report(state))
         self._tasks.add(task)
--- a/crowwing/tier/front/routing.py
+++ b/crowwing/tier/front/routing.py
@@ -1,7 +1,10 @@
-"""Routing: which sidecar gets the next request. Pure; times are seconds of the steady clock.
+"""Routing: chooses the sidecar with the lowest cost for each attempt.
 
-The cost of a sidecar is its load, the part of the prompt that it would have to read, its failures, bytes
-between zones and a new connection (docs/serving-tier.md, "Choice of a sidecar").
+The cost is estimated in milliseconds from the sidecar's load, the prompt tokens missing in its prefix cache,
+its recent failures, traffic between zones and the need for a new connection (docs/serving-tier.md, "Choice of
+a sidecar").
+
+No I/O. Times are seconds of the monotonic clock.
 """
 
 import hashlib
@@ -14,21 +17,21 @@
 from crowwing.tier.front.sidecar_state import SidecarState
 from crowwing.tier.front.sidecar_table import MAX_FULL_SCAN, SidecarTable
 
-LOAD_COST_MS = 120.0  # of a sidecar whose slots are all taken
-OVERFULL_COST_MS = 400.0  # more for each further slots' worth
-OTHER_ZONE_COST_MS = 4.0  # bytes between zones have a price
-CONNECTING_COST_MS = 30.0  # a new connection takes round trips and processor time, and has a price
+LOAD_COST_MS = 120.0  # of a sidecar whose slots are all in use; proportional below that
+OVERFULL_COST_MS = 400.0  # in addition, for each multiple of its slots beyond the first
+OTHER_ZONE_COST_MS = 4.0  # traffic between zones is billed
+CONNECTING_COST_MS = 30.0  # a new connection takes round trips and CPU time, and is billed
 PREFILL_TOKENS_PER_MS = 128.0
-MIN_SHARED_BLOCK_TOKENS = 1000  # from which fronts agree on a home for a shared block
-SAMPLE_SIZE = 12  # sidecars at random that are scored where there are more than MAX_FULL_SCAN
-SAMPLED_HOLDERS = 3  # more of those that have the shared block cached
-SAMPLED_RECENT = 16  # more of those that answered lately, as far as a connection to them is idle
-MAX_HOMES = 4000  # shared blocks whose home and holders are remembered
-HOME_DISCOUNT = 0.6  # of a prompt's reading that its home is credited with before it is known to be cached
+MIN_SHARED_BLOCK_TOKENS = 1000  # shared prompt blocks of at least this size get a home sidecar
+SAMPLE_SIZE = 12  # random candidates if a service has more than MAX_FULL_SCAN sidecars
+SAMPLED_HOLDERS = 3  # additional candidates that have the shared block cached
+SAMPLED_RECENT = 16  # additional candidates that responded recently and have an idle connection
+MAX_HOMES = 4000  # shared blocks whose home and caching sidecars are remembered
+HOME_DISCOUNT = 0.6  # share of the prefill cost waived for a block's home before it is known to cache it
 
 
 def home_of(block_id: str, candidates: Iterable[SidecarState]) -> str:
-    """The id of the sidecar that all fronts take for the home of a shared block, by rendezvous hashing."""
+    """Returns the id of a shared block's home: the sidecar that all fronts agree on by rendezvous hashing."""
 
     def weight(state: SidecarState) -> bytes:
         return hashlib.blake2b(f"{block_id}|{state.entry.id}".encode(), digest_size=8).digest()
@@ -40,32 +43,33 @@
     """Chooses sidecars. Owned by `ServicePool`; called by the dispatcher for each attempt.
 
     Attributes:
-        zone: This front's own.
+        zone: The zone of this front.
     """
 
     def __init__(self, sidecars: SidecarTable, random: Random | None = None) -> None:
-        """Routes among the sidecars of a table; `random` draws samples of many."""
+        """Routes to the sidecars of a table; `random` draws the random candidates."""
         self.zone = ""
         self._sidecars = sidecars
         self._random = random or Random()
         self._homes: OrderedDict[str, SidecarState] = OrderedDict()  # by shared block
-        self._homes_version = sidecars.version  # of the list that they were chosen from
+        self._homes_version = sidecars.version  # version of the endpoint list that the homes were chosen from
         self._holders: OrderedDict[str, deque[SidecarState]] = OrderedDict()  # by shared block
-        self._recent: dict[str, deque[SidecarState]] = {}  # by service, which answered lately
+        self._recent: dict[str, deque[SidecarState]] = {}  # by service: responded recently
 
     def choose(
         self, service: str, blocks: tuple[PromptBlock, ...], now: float, tried: frozenset[str] = frozenset()
     ) -> SidecarState | None:
-        """The sidecar that will probably have read the prompt first.
+        """Returns the sidecar that is expected to process the prompt first.
 
         Args:
-            service: Whose sidecars.
+            service: The service to route to.
             blocks: The prompt.
-            now: The time.
-            tried: Ids of sidecars that are left out.
+            now: The current time.
+            tried: Ids of sidecars to exclude.
 
         Returns:
-            None where no sidecar is left. One in doubt is better than none.
+            The sidecar, or None if none is left. If no sidecar is usable, one that is listed as ready is
+            returned: a doubtful sidecar is better than none.
         """
         shared = next((block.id for block in blocks[:-1] if block.tokens >= MIN_SHARED_BLOCK_TOKENS), None)
         states = self._sidecars.of_service(service)
@@ -80,7 +84,7 @@
         return min(candidates, key=lambda state: self._cost_ms(state, blocks, home, average, now))
 
     def record_cached(self, state: SidecarState, blocks: tuple[PromptBlock, ...]) -> None:
-        """A sidecar has read these blocks."""
+        """Records that a sidecar has processed these blocks, and so caches them."""
         state.prefix_cache.add(blocks)
         recent = self._recent.setdefault(state.entry.service, deque(maxlen=SAMPLED_RECENT))
         if state not in recent:
@@ -95,7 +99,7 @@
             self._holders.popitem(last=False)
 
     def _sample(self, states: list[SidecarState], shared: str | None) -> list[SidecarState]:
-        """Some at random, those with idle connections, and the home and some holders of a shared block."""
+        """Random sidecars, recent ones with idle connections, and the home and holders of a shared block."""
         is_listed = self._sidecars.is_listed
         chosen = self._random.sample(states, SAMPLE_SIZE)
         recent = self._recent.get(states[0].entry.service, ())
@@ -106,7 +110,7 @@
         return list({state.entry.id: state for state in chosen}.values())
 
     def _home(self, block_id: str, states: list[SidecarState]) -> SidecarState:
-        """The home of a shared block among many sidecars, remembered until the list changes."""
+        """The home of a shared block among many sidecars, remembered until the endpoint list changes."""
         if self._homes_version != self._sidecars.version:
             self._homes.clear()
             self._homes_version = self._sidecars.version
@@ -144,7 +148,7 @@
 def _first_candidates(
     states: list[SidecarState], scored: list[SidecarState], now: float, tried: frozenset[str]
 ) -> list[SidecarState]:
-    """The best group of sidecars that is not empty: reachable, usable, or listed as ready."""
+    """The first non-empty group of: reachable, usable, and listed as ready sidecars."""
     candidates = [state for state in scored if state.is_reachable(now) and state.entry.id not in tried]
     if not candidates and scored is not states:
         candidates = [state for state in states if state.is_reachable(now) and state.entry.id not in tried]
--- a/crowwing/tier/front/service_pool.py
+++ b/crowwing/tier/front/service_pool.py
@@ -1,4 +1,4 @@
-"""The sidecars of all services, and the admission before each service."""
+"""The sidecars of all services, with admission control for each service."""
 
 import asyncio
 import time
@@ -14,23 +14,23 @@
 from crowwing.tier.front.sidecar_table import SidecarTable
 from crowwing.tier.platform_list import SidecarList
 
-STEP_INTERVAL_S = 0.05  # between steps of the admission loops
+STEP_INTERVAL_S = 0.05  # between steps of the admission control loops
 IDLE_STEP_INTERVAL_S = 0.2  # the same while nothing is queued or rejected
 STARTUP_POLL_S = 0.02
-START_SHARE = 1.0  # of this front's even share of all slots, which the limit starts at
+START_SHARE = 1.0  # initial limit, as a share of this front's even share of all slots
 
 
 class ServicePool:
-    """Everything between a client's request and a sidecar.
+    """Admission, routing and connections for the sidecars of all services.
 
     Owned by the front's process, which applies configuration and endpoint lists and runs `run_loops`. The
-    proxy and the batch job runner ask it for admission; the dispatcher uses its router, clients and
-    attempts.
+    proxy and the batch job runner request admission; the dispatcher uses the router, the clients and the
+    attempt tracker.
     """
 
     def __init__(self) -> None:
-        """Neither routes nor sidecars are known."""
-        self.has_endpoint_list = False  # whether an endpoint list has come
+        """Starts without routes and sidecars."""
+        self.has_endpoint_list = False  # whether an endpoint list was received
         self.sidecars = SidecarTable()
         self.router = Router(self.sidecars)
         self.clients = SidecarClients(self.sidecars)
@@ -42,7 +42,7 @@
 
     @property
     def table(self) -> RoutingTable | None:
-        """The routes, None before the first configuration."""
+        """The routing table; None before the first configuration."""
         return self.clients.routes
 
     @table.setter
@@ -50,7 +50,7 @@
         self.clients.routes = table
 
     def apply_endpoint_list(self, listed: SidecarList) -> None:
-        """Takes the platform's list in."""
+        """Applies an endpoint list of the platform."""
         self.has_endpoint_list = True
         for gone in self.sidecars.update(listed.sidecars):
             self.clients.remove(gone)
@@ -58,14 +58,14 @@
             self._start(service, admission)
 
     async def wait_until_known(self, timeout_s: float) -> RoutingTable | None:
-        """The routes, once these and the sidecars are known; None where that takes too long."""
+        """Waits for the first configuration and endpoint list; None on time-out."""
         deadline = time.monotonic() + timeout_s
         while (self.table is None or not self.has_endpoint_list) and time.monotonic() < deadline:
             await asyncio.sleep(STARTUP_POLL_S)
         return self.table if self.has_endpoint_list else None
 
     def admission(self, service: str) -> Admission:
-        """The admission before a service, made when first asked for."""
+        """Returns the admission control of a service, and creates it on first use."""
         admission = self._admissions.get(service)
         if admission is None:
             now = time.monotonic()
@@ -75,15 +75,15 @@
         return admission
 
     async def admit(self, service: str, admission_request: AdmissionRequest, latency_target_s: float) -> bool:
-        """Waits until a request may start; cancelling takes it out of the queue.
+        """Waits until a request may start. Cancelling the call removes the request from the queue.
 
         Args:
-            service: Whose sidecars.
-            admission_request: What asks to be started. Once it is, the caller calls `release` at its end.
-            latency_target_s: That of its class.
+            service: The service to run it.
+            admission_request: The request. If it is admitted, the caller calls `release` when it has ended.
+            latency_target_s: The latency target of its class.
 
         Returns:
-            Whether it starts; False where it is rejected.
+            True if the request may start, False if it is rejected.
         """
         admission = self.admission(service)
         if not admission.arrive(time.monotonic(), admission_request, latency_target_s):
@@ -101,13 +101,13 @@
             raise
 
     def release(self, service: str) -> None:
-        """A started request has ended."""
+        """Records the end of an admitted request, and starts queued ones."""
         admission = self.admission(service)
         admission.release()
         self._start(service, admission)
 
     def _start(self, service: str, admission: Admission) -> None:
-        """Rejects what was queued for too long, and starts what there are free slots for."""
+        """Rejects requests that were queued for too long, and starts queued ones while slots are free."""
         now = time.monotonic()
         for expired in admission.expire(now):
             _decide(expired, False)
@@ -122,7 +122,7 @@
         self.items.preempt(service, admission.queued_live_count)
 
     async def run_loops(self) -> None:
-        """Moves limits and priority thresholds, expires what is queued, and polls sidecars; never returns."""
+        """Steps the admission control loops, expires queued requests and polls sidecars; never returns."""
         while True:
             await asyncio.sleep(STEP_INTERVAL_S)
             now = time.monotonic()
--- a/crowwing/tier/front/sidecar_clients.py
+++ b/crowwing/tier/front/sidecar_clients.py
@@ -1,4 +1,4 @@
-"""The clients of all sidecars, and how many connections they may have."""
+"""The HTTP clients of all sidecars, and their connection limits."""
 
 import asyncio
 
@@ -8,22 +8,22 @@
 from crowwing.tier.front.sidecar_table import SidecarTable
 from crowwing.tier.front.upstream import SidecarClient
 
-DEFAULT_MAX_CONNECTIONS = 64  # of a sidecar whose service the configuration does not name
-LIMITS_INTERVAL_S = 0.5  # between looks at how many connections there may be
-CLOSE_DELAY_S = 30.0  # after a sidecar has left the list: answers that are still coming may end
+DEFAULT_MAX_CONNECTIONS = 64  # per sidecar of a service that the configuration does not list
+LIMITS_INTERVAL_S = 0.5  # between updates of the connection limits
+CLOSE_DELAY_S = 30.0  # after a sidecar was removed from the list, so that open responses can end
 
 
 class SidecarClients:
-    """One client for each sidecar, made when first used.
+    """One client for each sidecar, created on first use.
 
-    Owned by `ServicePool`, whose loop calls `maintain`; the dispatcher asks for the client of each attempt.
+    Owned by `ServicePool`, whose loop calls `maintain`; the dispatcher gets the client for each attempt.
 
     Attributes:
-        routes: The configuration in force, which names how many connections sidecars accept.
+        routes: The current configuration, which states how many connections sidecars accept.
     """
 
     def __init__(self, sidecars: SidecarTable) -> None:
-        """No connection is open yet."""
+        """Starts without connections."""
         self.routes: RoutingTable | None = None
         self._sidecars = sidecars
         self._clients: dict[str, SidecarClient] = {}
@@ -32,7 +32,7 @@
         self._closing: set[asyncio.Task[None]] = set()
 
     def of_sidecar(self, state: SidecarState) -> SidecarClient:
-        """The client of a sidecar."""
+        """Returns the client of a sidecar, and creates it on first use."""
         client = self._clients.get(state.entry.id)
         if client is None:
             idle = self._idle.setdefault(state.entry.service, IdleConnections())
@@ -42,7 +42,7 @@
         return client
 
     def remove(self, sidecar_id: str) -> None:
-        """A sidecar has left the list: its client is closed a while later."""
+        """Removes the client of a sidecar that is no longer listed, and closes it after a delay."""
         client = self._clients.pop(sidecar_id, None)
         if client is None:
             return
@@ -51,7 +51,7 @@
         task.add_done_callback(self._closing.discard)
 
     async def maintain(self, now: float) -> None:
-        """Follows the number of fronts and the configuration, and closes what need not stay open."""
+        """Updates the connection limits, and closes surplus and expired connections."""
         if now - self._limited_at < LIMITS_INTERVAL_S:
             return
         self._limited_at = now
@@ -61,7 +61,7 @@
             await idle.close_expired()
 
     def _limit_connections(self, service: str) -> None:
-        """Bounds the connections to a service's sidecars by what is known now."""
+        """Computes the limits of a service from its configuration, its sidecars and the number of fronts."""
         configured = self.routes.services.get(service) if self.routes else None
         accepted = configured.max_conns if configured is not None else DEFAULT_MAX_CONNECTIONS
         states = self._sidecars.of_service(service)
--- a/crowwing/tier/front/sidecar_connections.py
+++ b/crowwing/tier/front/sidecar_connections.py
@@ -1,9 +1,9 @@
-"""The connections of a front to its sidecars: which stay open, and how many there may be.
+"""Connection pools of a front for its sidecars, and their limits.
 
-A sidecar accepts a number of connections from all fronts together and resets what is over. So a front keeps
-no more idle ones, over all sidecars of a service, than its even share of a part of that number, and opens
-none to a sidecar that has just reset a new one. A reset before a byte was sent is distinguished from one
-after it: a new connection waits for about a round trip before its first request.
+A sidecar accepts a limited number of connections from all fronts together and resets the surplus. So a front
+keeps no more idle connections to a service than its even share of IDLE_SHARE of that number, and opens none
+to a sidecar that has just reset a new one. A new connection waits for about one round trip before its first
+request, so that a reset by the limit is seen before a byte was sent and is told from one after it.
 """
 
 import asyncio
@@ -16,38 +16,38 @@
 from crowwing.tier.front.errors import ConnectionsFullError
 from crowwing.tier.front.sidecar_stream import SidecarNetwork, SidecarStream
 
-OPEN_SHARE = 0.9  # of the connections that a sidecar accepts, which all fronts together may open
-IDLE_SHARE = 0.45  # of them, which all fronts together may keep idle
-MIN_OPEN_CONNECTIONS = 2  # connections to one sidecar that a front may have open whatever its share is
-MIN_IDLE_CONNECTIONS = 2  # connections that a front may keep idle, over all sidecars of a service
+OPEN_SHARE = 0.9  # share of the accepted connections that all fronts together may open
+IDLE_SHARE = 0.45  # share of the accepted connections that all fronts together may keep idle
+MIN_OPEN_CONNECTIONS = 2  # that a front may open to one sidecar, however small its share
+MIN_IDLE_CONNECTIONS = 2  # that a front may keep idle to a service, however small its share
 MIN_FULL_BACKOFF_S, MAX_FULL_BACKOFF_S = (
     0.1,
     1.6,
-)  # without new connections after a reset of a new one, doubled each time
-MIN_CONNECT_DELAY_S, MAX_CONNECT_DELAY_S = 0.002, 0.01  # bounds of the rest before the first request
+)  # without new connections after a new one was reset; doubled each time
+MIN_CONNECT_DELAY_S, MAX_CONNECT_DELAY_S = 0.002, 0.01  # bounds of the delay before the first request
 
 
 @dataclass
 class ConnectionState:
-    """What a front has and knows of the connections to one sidecar. Times are seconds of the steady clock."""
+    """The connections of a front to one sidecar. Times are seconds of the monotonic clock."""
 
-    max_open: int = MIN_OPEN_CONNECTIONS  # that this front may have open
+    max_open: int = MIN_OPEN_CONNECTIONS  # limit of this front
     open_count: int = 0
-    idle: list[httpcore.AsyncHTTP11Connection] = field(default_factory=list)  # the one used last at the end
-    resets: int = 0  # of new connections, in a row
+    idle: list[httpcore.AsyncHTTP11Connection] = field(default_factory=list)  # most recently used last
+    resets: int = 0  # of new connections, consecutive
     full_until: float = 0.0
 
     def is_available(self, now: float) -> bool:
-        """Whether a request would find a connection."""
+        """Whether a request would get a connection."""
         return bool(self.idle) or (self.open_count < self.max_open and now >= self.full_until)
 
     def record_reset(self, now: float) -> None:
-        """A new connection was reset before anything was sent on it."""
+        """Records that a new connection was reset before anything was sent."""
         self.full_until = now + min(MAX_FULL_BACKOFF_S, MIN_FULL_BACKOFF_S * 2**self.resets)
         self.resets += 1
 
     def record_accepted(self) -> None:
-        """A new connection was accepted."""
+        """Records that a new connection was accepted."""
         self.resets, self.full_until = 0, 0.0
 
 
@@ -60,52 +60,52 @@
 
 
 def connection_limits(accepted: int, sidecars: int, fronts: int) -> ConnectionLimits:
-    """The share of one of `fronts` in what `sidecars` accept, each `accepted` from all fronts together."""
+    """The limits of one of `fronts`, if each of `sidecars` accepts `accepted` connections in total."""
     max_open_each = max(MIN_OPEN_CONNECTIONS, int(OPEN_SHARE * accepted / max(1, fronts)))
     max_idle_total = max(MIN_IDLE_CONNECTIONS, int(IDLE_SHARE * accepted * sidecars / max(1, fronts)))
     return ConnectionLimits(max_open_each, max_idle_total)
 
 
 class IdleConnections:
-    """The idle connections to all sidecars of a service, the one used last at the end.
+    """The idle connections to all sidecars of a service, most recently used last.
 
-    Owned by `SidecarClients`, one for each service.
+    Owned by `SidecarClients`, one per service.
     """
 
     def __init__(self, max_idle: int = 1_000_000) -> None:
-        """Up to `max_idle` may stay open."""
+        """Keeps up to `max_idle` connections open."""
         self.max_idle = max_idle
         self._idle: OrderedDict[httpcore.AsyncHTTP11Connection, SidecarConnections] = OrderedDict()
 
     def add(self, connection: httpcore.AsyncHTTP11Connection, owner: "SidecarConnections") -> None:
-        """A connection is idle from now on; `trim` closes the one that was idle for longest."""
+        """Adds a connection that has become idle; the caller then calls `trim`."""
         self._idle[connection] = owner
 
     def remove(self, connection: httpcore.AsyncHTTP11Connection) -> None:
-        """A connection is in use again, or gone."""
+        """Removes a connection that is in use again or closed."""
         self._idle.pop(connection, None)
 
     async def trim(self) -> None:
-        """Closes those that were idle for longest, as far as there are more than may stay open."""
+        """Closes the least recently used connections beyond the limit."""
         while len(self._idle) > self.max_idle:
             connection, owner = next(iter(self._idle.items()))
             await owner.discard(connection)
 
     async def close_expired(self) -> None:
-        """Closes what has been idle for too long or was ended by its sidecar."""
+        """Closes connections that were idle for too long or were closed by their sidecar."""
         for connection, owner in list(self._idle.items()):
             if connection.has_expired():
                 await owner.discard(connection)
 
 
 class SidecarConnections:
-    """The connections to one sidecar. Owned by its `SidecarClient`."""
+    """The connection pool of one sidecar. Owned by its `SidecarClient`."""
 
     def __init__(
         self, address: str, state: ConnectionState, idle: IdleConnections, idle_timeout_s: float,
         connect_timeout_s: float,
     ) -> None:  # fmt: skip
-        """Connects to `address`, HOST:PORT; an idle connection stays open for `idle_timeout_s`."""
+        """Connects to `address`, HOST:PORT; closes connections that were idle for `idle_timeout_s`."""
         host, port = address.rsplit(":", 1)
         self._host, self._port = host, int(port)
         self.origin = httpcore.Origin(b"http", host.encode(), self._port)
@@ -115,9 +115,9 @@
         self._open: set[httpcore.AsyncHTTP11Connection] = set()
 
     async def acquire(self, options: tuple[tuple[int, int, int], ...]) -> httpcore.AsyncHTTP11Connection:
-        """A connection for one request, the one used last where some are idle.
+        """Returns a connection for one request: the most recently used idle one, or a new one.
 
-        Raises NoConnection, and httpcore.ConnectError or ConnectTimeout, with nothing sent.
+        Raises NoConnectionError, httpcore.ConnectError or httpcore.ConnectTimeout; nothing was sent then.
         """
         while self.state.idle:
             connection = self.state.idle[-1]
@@ -142,7 +142,7 @@
         return connection
 
     async def _open_stream(self, options: tuple[tuple[int, int, int], ...]) -> SidecarStream:
-        """A new stream that has outlived the moment in which one too many would be reset."""
+        """Opens a stream, and waits until a reset by a sidecar at its connection limit would have arrived."""
         began = time.monotonic()
         stream = await self._network.connect_tcp(
             self._host, self._port, self._connect_timeout_s, socket_options=options
@@ -153,7 +153,7 @@
         except BaseException:
             await stream.aclose()
             raise
-        if stream.get_extra_info("is_readable"):  # nothing was asked, so this is its end
+        if stream.get_extra_info("is_readable"):  # nothing was requested, so it can only have been closed
             await stream.aclose()
             self.state.record_reset(time.monotonic())
             reason = "a new connection was reset"
@@ -162,7 +162,7 @@
         return stream
 
     async def release(self, connection: httpcore.AsyncHTTP11Connection) -> None:
-        """A request has ended; its connection stays open where the response was complete."""
+        """Releases the connection of a request; it is kept if the response was complete."""
         if connection not in self._open or connection in self.state.idle:
             return
         if connection.is_idle() and not connection.has_expired():
@@ -178,7 +178,7 @@
         self._all_idle.remove(connection)
 
     async def discard(self, connection: httpcore.AsyncHTTP11Connection) -> None:
-        """Ends a connection."""
+        """Closes a connection."""
         self._remove_idle(connection)
         if connection in self._open:
             self._open.remove(connection)
@@ -186,6 +186,6 @@
         await connection.aclose()
 
     async def close(self) -> None:
-        """Ends all; open responses break."""
+        """Closes all connections; open responses break."""
         for connection in list(self._open):
             await self.discard(connection)
--- a/crowwing/tier/front/sidecar_state.py
+++ b/crowwing/tier/front/sidecar_state.py
@@ -1,4 +1,4 @@
-"""What a front knows of one sidecar. Pure; times are seconds of the steady clock."""
+"""The state of one sidecar as a front sees it. No I/O; times are seconds of the monotonic clock."""
 
 from dataclasses import dataclass, field
 
@@ -8,46 +8,52 @@
 from crowwing.tier.front.sidecar_connections import ConnectionState
 from crowwing.tier.platform_list import Sidecar
 
-LOAD_FRESH_S = 0.3  # for how long a load report counts in full
-LOAD_DECAY_S = 1.0  # in which its weight then falls to nothing
-LOAD_SHAPE = 2.0  # of the gamma distribution of loads among sidecars: they differ by 0.7 of the mean
-RESPONSE_TIMEOUT_S = 0.35  # without a byte while a request waits, after which a sidecar gets no more
-REPLACED_PAUSE_S = 1.0  # without requests to a sidecar at whose address another one answers
-MIN_BACKOFF_S, MAX_BACKOFF_S = 0.5, 4.0  # after failures, doubled with each one in a row
+LOAD_FRESH_S = 0.3  # how long a load report has full weight
+LOAD_DECAY_S = 1.0  # how long its weight then takes to fall to 0
+LOAD_SHAPE = (
+    2.0  # of the gamma distribution of loads among sidecars: their standard deviation is 0.7 of the mean
+)
+RESPONSE_TIMEOUT_S = 0.35  # without a byte while a request waits, before a sidecar is unresponsive
+REPLACED_PAUSE_S = 1.0  # without requests to a sidecar whose address belongs to another one now
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.5, 4.0  # after a failure; doubled with each consecutive one
 
 
 @dataclass(eq=False)
 class SidecarState:
-    """What this front knows of one sidecar: its load, its health, its prefix cache and its connections.
+    """The state of one sidecar: load, health, prefix cache and connections.
 
-    Owned by `SidecarTable` for as long as the endpoint list names the sidecar. `AttemptTracker` records what
-    becomes of requests; routing and the table read it.
+    Owned by `SidecarTable` for as long as the sidecar is on the endpoint list. `AttemptTracker` records the
+    outcome of requests; routing and the table read the state.
     """
 
     entry: Sidecar
     inflight: int = 0
-    max_inflight_seen: int = 0  # at which it still answered
+    max_inflight_seen: int = 0  # the most requests in flight at which it still responded
     running: float = 0.0  # as last reported
     waiting: float = 0.0  # as last reported
     reported_at: float = -1e9
     last_byte_at: float = -1e9
     report_requested_at: float = -1e9
     sent_since_report: int = 0  # by this front
-    failures: int = 0  # in a row
+    failures: int = 0  # consecutive
     avoid_until: float = 0.0
-    unanswered: dict[int, float] = field(default_factory=dict)  # attempts without a head, and when sent
-    unresponsive: bool = False  # nothing comes from it although something should
-    leaving: bool = False  # its responses say so, before the list does
+    unanswered: dict[int, float] = field(
+        default_factory=dict
+    )  # attempts without a response head: send time by number
+    unresponsive: bool = False  # sent no byte within the time-out while a request waited
+    leaving: bool = False  # its responses say so before the endpoint list does
     prefix_cache: PrefixCache = field(default_factory=PrefixCache)
     failure_rate: FailureRate = field(default_factory=FailureRate)
     connections: ConnectionState = field(default_factory=ConnectionState)
 
     def estimate(self, now: float, average: AverageInflight) -> float:
-        """Requests that it probably has now: as reported, or later as all sidecars of the service have.
+        """Estimates how many requests it has now.
+
+        Uses its last load report; as that ages, increasingly the average of the service.
 
         Args:
-            now: The time.
-            average: Requests at a sidecar of its service on average.
+            now: The current time.
+            average: The average number of requests at a sidecar of its service.
         """
         age = now - self.reported_at
         weight = min(1.0, max(0.0, 1 - (age - LOAD_FRESH_S) / LOAD_DECAY_S))
@@ -56,55 +62,55 @@
         return max(float(self.inflight), weight * reported + (1 - weight) * guessed)
 
     def _relative_load(self, mean: float) -> float:
-        """By how much its load probably differs from the mean, as this front's own count there suggests.
+        """Estimates the ratio of its load to the mean, from this front's own requests in flight there.
 
-        The mean of a gamma distribution of loads, given one Poisson count where `mean` was to be expected; a
-        count of 1 where nearly all are 0 says little, a count of 20 where the mean is 10 says much.
+        The posterior mean of a gamma distribution of loads, given one Poisson count with expectation `mean`.
+        A count of 1 where nearly all are 0 says little; a count of 20 where the mean is 10 says much.
         """
         return (self.inflight + LOAD_SHAPE) / (mean + LOAD_SHAPE)
 
     def record_load(self, now: float, report: LoadReport) -> None:
-        """Takes its load report in."""
+        """Records its load report."""
         self.running = report.running
         self.waiting = report.waiting
         self.reported_at = now
         self.sent_since_report = 0
 
     def record_request_end(self) -> None:
-        """A request of this front has left it, so that it runs one less than it last reported."""
+        """Records the end of a request of this front: its load is one less than last reported."""
         if self.sent_since_report > 0:
             self.sent_since_report -= 1
         else:
             self.running = max(0.0, self.running - 1)
 
     def is_usable(self, now: float) -> bool:
-        """Whether new requests may go there."""
+        """Whether new requests may be sent to it."""
         return self.entry.ready and not self.leaving and not self.unresponsive and now >= self.avoid_until
 
     def is_reachable(self, now: float) -> bool:
-        """Whether new requests may go there and would find a connection."""
+        """Whether new requests may be sent to it and would get a connection."""
         return self.is_usable(now) and self.connections.is_available(now)
 
     def detect_unresponsive(self, now: float) -> bool:
-        """Whether no byte came for long while a request waits there; noted until one comes again."""
+        """Whether it sent no byte within the time-out while a request waits; set until it responds again."""
         if not self.unresponsive and self.unanswered:
             quiet_since = max(min(self.unanswered.values()), self.last_byte_at)
             self.unresponsive = now - quiet_since >= RESPONSE_TIMEOUT_S
         return self.unresponsive
 
     def record_failure(self, now: float) -> None:
-        """It could not be reached, broke off or timed out: it gets nothing for a growing backoff."""
+        """Records that it was unreachable, broke off or timed out; it is avoided with growing backoff."""
         self.failures += 1
         self.failure_rate.record_failure(now)
         backoff_s = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2 ** (self.failures - 1))
         self.avoid_until = now + backoff_s
 
     def record_replaced(self, now: float) -> None:
-        """Another sidecar answers at its address: the list will say so."""
+        """Records that another sidecar has its address now, which the endpoint list will show soon."""
         self.avoid_until = max(self.avoid_until, now + REPLACED_PAUSE_S)
 
     def record_success(self) -> None:
-        """It has answered."""
+        """Records that it has responded."""
         self.unresponsive = False
         self.failures, self.avoid_until = 0, 0.0
         self.max_inflight_seen = max(self.max_inflight_seen, self.inflight)
--- a/crowwing/tier/front/sidecar_stream.py
+++ b/crowwing/tier/front/sidecar_stream.py
@@ -1,8 +1,7 @@
-"""The byte streams to sidecars: httpcore's network backend on asyncio, with what its own leaves undone.
+"""Byte streams to sidecars: a network backend for httpcore on asyncio, with two additions to httpcore's own.
 
-An idle connection must show bytes that nobody asked for, also those that came while it was idle, so that it
-is not used again; and the end of a connection must be distinguished from its reset, since a response without
-a length ends with the one and is broken by the other.
+Unrequested bytes are detected, also if they arrive on an idle connection, so that it is not reused. A close
+is distinguished from a reset: it completes a response without a length, while a reset breaks it.
 """
 
 import asyncio
@@ -12,23 +11,23 @@
 
 import httpcore
 
-MAX_UNREAD_BYTES = 64 * 1024  # beyond which nothing more is read from the sidecar
+MAX_UNREAD_BYTES = 64 * 1024  # beyond this, reading from the socket pauses
 READ_TIMED_OUT = "no byte in time"
 WRITE_TIMED_OUT = "the sidecar does not read"
-SocketOption = Any  # as httpcore declares it
+SocketOption = Any  # the type that httpcore declares
 
 
 class SidecarStream(asyncio.Protocol, httpcore.AsyncNetworkStream):
-    """One connection. Reads as bytes come, so that its state is known at any moment.
+    """One connection. Reads bytes as they arrive, so that its state is always known.
 
-    Made by `SidecarNetwork`; asyncio calls one half of it and httpcore the other.
+    Created by `SidecarNetwork`; asyncio calls the protocol methods, and httpcore the stream methods.
     """
 
     def __init__(self) -> None:
-        """Not connected yet."""
+        """Starts unconnected."""
         self._transport: asyncio.Transport | None = None
         self._unread = bytearray()
-        self._ended = False  # in order
+        self._ended = False  # closed by the sidecar without a reset
         self._error: Exception | None = None
         self._closed = False
         self._readable = asyncio.Event()
@@ -39,11 +38,11 @@
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """The connection is there."""
+        """Stores the transport of the new connection."""
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come, asked for or not."""
+        """Buffers received bytes, requested or not."""
         self._unread += data
         self._readable.set()
         if len(self._unread) > MAX_UNREAD_BYTES and self._transport is not None:
@@ -51,12 +50,12 @@
             self._transport.pause_reading()
 
     def eof_received(self) -> None:
-        """The far side has ended the connection in order."""
+        """Records that the sidecar closed the connection without a reset."""
         self._ended = True
         self._readable.set()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is gone; with an error, it was reset or its bytes were never acknowledged."""
+        """Records the loss of the connection; an error means a reset or unacknowledged bytes."""
         if not self._ended:
             self._error = error or ConnectionAbortedError("closed here")
         self._closed = True
@@ -64,17 +63,17 @@
         self._writable.set()
 
     def pause_writing(self) -> None:
-        """The far side does not read."""
+        """Blocks writes: the sidecar does not read."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """It reads again."""
+        """Unblocks writes: the sidecar reads again."""
         self._writable.set()
 
     # httpcore.AsyncNetworkStream
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Bytes as they come, none at the end; raises httpcore.ReadError where the connection was reset."""
+        """Returns received bytes, none at the end; raises httpcore.ReadError if the connection was reset."""
         try:
             async with asyncio.timeout(timeout):
                 await self._readable.wait()
@@ -97,7 +96,7 @@
             self._transport.resume_reading()
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Hands bytes to the connection; raises httpcore.WriteError where it is gone."""
+        """Sends bytes; raises httpcore.WriteError if the connection is closed."""
         if not buffer:
             return
         if self._closed or self._transport is None or self._transport.is_closing():
@@ -112,13 +111,13 @@
             raise httpcore.WriteError(str(self._error or "the connection is closed"))
 
     async def aclose(self) -> None:
-        """Ends the connection at once; what was not sent yet is not sent any more."""
+        """Aborts the connection; unsent bytes are discarded."""
         if not self._closed and self._transport is not None:
             self._closed = True
             self._transport.abort()
 
     def get_extra_info(self, info: str) -> Any:  # noqa: ANN401  as httpcore declares it
-        """`is_readable`: whether an idle connection has bytes or an end, and so can't be used again."""
+        """`is_readable`: whether an idle connection has unread bytes or was closed, so it can't be reused."""
         if info == "is_readable":
             return bool(self._unread) or self._ended or self._closed or self._error is not None
         return self._transport.get_extra_info(info) if self._transport is not None else None
@@ -135,8 +134,8 @@
         local_address: str | None = None,
         socket_options: Iterable[SocketOption] | None = None,
     ) -> SidecarStream:
-        """Connects; raises httpcore.ConnectError or ConnectTimeout, with no byte sent."""
-        del local_address  # a parameter of httpcore's interface: the system chooses it
+        """Connects; raises httpcore.ConnectError or httpcore.ConnectTimeout, with no byte sent."""
+        del local_address  # required by httpcore's interface; the system chooses the address
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(timeout):
@@ -153,5 +152,5 @@
         return stream
 
     async def sleep(self, seconds: float) -> None:
-        """Waits between httpcore's own retries, which are not used here."""
+        """Sleeps between httpcore's own retries, which are not used here."""
         await asyncio.sleep(seconds)
--- a/crowwing/tier/front/sidecar_table.py
+++ b/crowwing/tier/front/sidecar_table.py
@@ -1,4 +1,4 @@
-"""All sidecars that a front knows, and what it makes of their loads together. Pure; times are seconds."""
+"""The table of all sidecars, with load estimates for each service. No I/O; times are seconds."""
 
 import heapq
 import math
@@ -9,40 +9,40 @@
 from crowwing.tier.front.sidecar_state import SidecarState
 from crowwing.tier.platform_list import Sidecar
 
-LIVE_FILL = 0.95  # of a sidecar's slots, up to which live requests go there
-BATCH_FILL = 0.65  # of a sidecar's slots, up to which items of batch jobs go there
-MIN_REPORT_INTERVAL_S = 0.4  # since the last load report, after which a sidecar is asked for one
-MAX_REPORTS_PER_S = 20.0  # that a sidecar is asked for by all fronts together
-MAX_REPORT_REQUESTS = 4  # sidecars that a front asks for a report in one step
-MAX_FULL_SCAN = 16  # sidecars of a service that are all looked at for each request
-FREE_SLOTS_FRESH_S = 0.02  # for which counts are carried on instead of made anew, beyond MAX_FULL_SCAN
-UNCOUNTED_SHARE_SLOTS = 4.0  # slots that a front takes for its share before the fronts have been counted
+LIVE_FILL = 0.95  # share of a sidecar's slots that live requests may fill
+BATCH_FILL = 0.65  # share of a sidecar's slots up to which batch items are started
+MIN_REPORT_INTERVAL_S = 0.4  # since the last load report, before a sidecar is polled
+MAX_REPORTS_PER_S = 20.0  # requested from a sidecar by all fronts together
+MAX_REPORT_REQUESTS = 4  # sidecars that a front polls in one step
+MAX_FULL_SCAN = 16  # largest number of sidecars that are all evaluated for each request
+FREE_SLOTS_FRESH_S = 0.02  # how long counts are reused, for more than MAX_FULL_SCAN sidecars
+UNCOUNTED_SHARE_SLOTS = 4.0  # a front's assumed share of the slots before the fronts were counted
 
 
 class SidecarTable:
-    """The listed sidecars by id, with sums over each service.
+    """The listed sidecars by id, with totals for each service.
 
     Owned by `ServicePool`, which updates it; admission and routing read it.
 
     Attributes:
-        fronts: How many fronts there are, as far as is known.
-        fronts_counted: Whether the root has counted them, or only a few have been seen.
-        version: Grows with each update of the list.
+        fronts: The known number of fronts.
+        fronts_counted: Whether this is the root's count; otherwise it is only a lower bound.
+        version: Incremented with each update of the endpoint list.
     """
 
     def __init__(self) -> None:
-        """No sidecar is known."""
+        """Starts empty."""
         self.fronts = 1
         self.fronts_counted = False
         self.version = 0
         self._states: dict[str, SidecarState] = {}
         self._by_service: dict[str, list[SidecarState]] = {}
-        self._free_slots: dict[str, tuple[float, FreeSlots]] = {}  # when they were counted, and how many
-        self._means: dict[str, tuple[float, float]] = {}  # when it was counted, and requests at a sidecar
+        self._free_slots: dict[str, tuple[float, FreeSlots]] = {}  # by service: when counted, and the counts
+        self._means: dict[str, tuple[float, float]] = {}  # by service: when computed, and the mean inflight
         self._reported_loads: dict[str, ReportedLoad] = {}  # by service
 
     def update(self, entries: Iterable[Sidecar]) -> list[str]:
-        """Takes an endpoint list in; returns the ids that are gone."""
+        """Applies an endpoint list; returns the ids of removed sidecars."""
         listed = {entry.id: entry for entry in entries}
         gone = [sidecar_id for sidecar_id in self._states if sidecar_id not in listed]
         for sidecar_id in gone:
@@ -60,15 +60,15 @@
         return gone
 
     def of_service(self, service: str) -> list[SidecarState]:
-        """The sidecars of a service that are listed."""
+        """The listed sidecars of a service."""
         return self._by_service.get(service, [])
 
     def is_listed(self, state: SidecarState) -> bool:
-        """Whether a sidecar is still on the list."""
+        """Whether a sidecar is still on the endpoint list."""
         return self._states.get(state.entry.id) is state
 
     def load(self, service: str, now: float) -> Load:
-        """What is known of all sidecars of a service together."""
+        """The estimated total load of a service's usable sidecars."""
         states = [state for state in self.of_service(service) if state.is_usable(now)]
         slots = sum(state.entry.slots for state in states)
         average = self.average_inflight(service, now)
@@ -78,10 +78,10 @@
         return Load(running, waiting, float(max(1, slots)))
 
     def assumed_front_count(self, service: str) -> int:
-        """How many fronts to share a service's sidecars with.
+        """How many fronts are assumed to share a service's sidecars.
 
-        Until they have been counted there may be many, all started at the same moment: so many that the share
-        of each is UNCOUNTED_SHARE_SLOTS slots.
+        Until they have been counted there may be many that started at the same moment; so many are assumed
+        that the share of each is UNCOUNTED_SHARE_SLOTS slots.
         """
         if self.fronts_counted:
             return max(1, self.fronts)
@@ -89,7 +89,7 @@
         return max(1, self.fronts, int(slots / UNCOUNTED_SHARE_SLOTS))
 
     def _mean_inflight(self, service: str, now: float) -> float:
-        """This front's requests at a sidecar on average; of many sidecars as counted a moment ago."""
+        """This front's average number of requests per sidecar; cached briefly if there are many sidecars."""
         states = self.of_service(service)
         counted_at, mean = self._means.get(service, (-1e9, 0.0))
         if now - counted_at >= FREE_SLOTS_FRESH_S or len(states) <= MAX_FULL_SCAN:
@@ -98,7 +98,7 @@
         return mean
 
     def record_load(self, state: SidecarState, now: float, report: LoadReport) -> None:
-        """Takes one sidecar's load report in, which also counts for the average of its service."""
+        """Records the load report of a sidecar, also in the average of its service."""
         state.record_load(now, report)
         slots = report.slots if report.slots is not None else state.entry.slots
         average = self._reported_loads.get(state.entry.service)
@@ -107,7 +107,7 @@
         average.update(now, (report.running + report.waiting) / max(1.0, slots))
 
     def average_inflight(self, service: str, now: float) -> AverageInflight:
-        """The requests at a sidecar on average, as sidecars report, or else as if all fronts sent alike."""
+        """Average requests per sidecar, from load reports; without them, as if all fronts sent the same."""
         own = self._mean_inflight(service, now)
         reported = self._reported_loads.get(service)
         states = self.of_service(service)
@@ -116,17 +116,17 @@
         return AverageInflight(own, max(0.0, reported.fill * states[0].entry.slots - own))
 
     def max_inflight(self, service: str, now: float) -> float:
-        """The most requests of this front that the sidecars of a service may have at once."""
+        """How many requests of this front the sidecars of a service can handle at once."""
         states = [state for state in self.of_service(service) if state.is_usable(now)]
         return sum(max(state.entry.slots, state.max_inflight_seen) for state in states)
 
     def max_batch_items(self, service: str) -> int:
-        """How many items this front may run at once: its even share of the slots that items may take."""
+        """How many batch items this front may run at once: its even share of the slots for items."""
         slots = sum(state.entry.slots for state in self.of_service(service))
         return math.ceil(BATCH_FILL * slots / self.assumed_front_count(service))
 
     def free_slots(self, service: str, now: float) -> FreeSlots:
-        """How many more requests the sidecars of a service can take without waiting there."""
+        """How many more requests the sidecars of a service can take without queuing them."""
         counted_at, counted = self._free_slots.get(service, (-1e9, FreeSlots(0, 0)))
         if now - counted_at < FREE_SLOTS_FRESH_S and len(self.of_service(service)) > MAX_FULL_SCAN:
             return counted
@@ -135,7 +135,7 @@
         return counted
 
     def count_started(self, service: str, live: int, batch: int) -> None:
-        """So many requests and items have just started, which the last count of free slots leaves out."""
+        """Subtracts requests and items that have just started from the cached count of free slots."""
         counted_at, counted = self._free_slots.get(service, (-1e9, FreeSlots(0, 0)))
         remaining = FreeSlots(counted.live - live - batch, counted.batch - live - batch)
         self._free_slots[service] = (counted_at, remaining)
@@ -152,7 +152,7 @@
         return FreeSlots(live, batch)
 
     def unresponsive(self, now: float) -> list[SidecarState]:
-        """The unresponsive sidecars that have not just been asked for a report."""
+        """The unresponsive sidecars that were not polled within MIN_REPORT_INTERVAL_S."""
         return [
             state
             for state in self._states.values()
@@ -160,9 +160,9 @@
         ]
 
     def with_stale_load(self, service: str, now: float) -> list[SidecarState]:
-        """The sidecars whose load was not reported for longest, a few at a time.
+        """The sidecars with the oldest load reports, at most MAX_REPORT_REQUESTS.
 
-        The more fronts there are, the less often each of them asks.
+        The more fronts there are, the less often each of them polls.
         """
         interval_s = max(MIN_REPORT_INTERVAL_S, self.fronts / MAX_REPORTS_PER_S)
         stale = [
--- a/crowwing/tier/front/store_client.py
+++ b/crowwing/tier/front/store_client.py
@@ -1,4 +1,4 @@
-"""Calls to the primary of the store machines, whichever machine that is."""
+"""The client of the store: calls to the primary, with retries and failover."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,10 +12,10 @@
 from crowwing.tier.wire.connection_pool import ConnectionPool
 from crowwing.tier.wire.errors import CallError
 
-CONFIRM_INTERVAL_S = 0.7  # without a response, after which others are asked whether the primary has changed
-MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 0.08, 0.64  # of one call, doubled with each of its attempts
-MIN_PAUSE_SHARE = 0.5  # of such a pause; the rest is drawn, so that fronts do not retry in step
-OVERLOAD_PAUSE_S = 0.5  # after which a primary that had no capacity is asked again
+CONFIRM_INTERVAL_S = 0.7  # without a response, before other machines are asked if the primary has changed
+MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 0.08, 0.64  # between attempts of a call; doubled each time
+MIN_PAUSE_SHARE = 0.5  # fixed share of a pause; the rest is random, so that fronts do not retry in step
+OVERLOAD_PAUSE_S = 0.5  # before an overloaded primary is called again
 PRIMARY_MOVED = "the primary has moved"
 TIMED_OUT = "no response in time"
 
@@ -41,17 +41,17 @@
 
 
 def is_overloaded(outcome: FrontOutcome) -> bool:
-    """Whether the primary has rejected a command for want of capacity, which is no matter of the command."""
+    """Whether the primary rejected a command for lack of capacity, not because of the command itself."""
     return isinstance(outcome, outcomes.Rejected) and outcome.status == HTTPStatus.SERVICE_UNAVAILABLE
 
 
 class StoreClient:
-    """Finds the primary and calls it until there is a clear outcome or the time is up.
+    """Calls the primary until the outcome is known or the call times out.
 
-    A command is sent to a machine that is known as the primary, and sent again only once that has failed or
-    is the primary no more: batch jobs are long, and a primary that is slow must not get them several times.
+    A command is sent to the known primary, and again only if that call failed or the machine is no longer the
+    primary: batch jobs are large, and a slow primary must not receive them several times.
 
-    Owned by the front's process; the batch interface and the batch job runner call it.
+    Owned by the front's process; the batch API and the batch job runner call it.
     """
 
     def __init__(
@@ -61,14 +61,14 @@
         random: Random,
         clock: Clock = SYSTEM_CLOCK,
     ) -> None:
-        """Calls by `connections`; `hosts` names where the primary may be found; `random` draws pauses."""
+        """Calls over `connections`; `hosts` returns the store machines; `random` adds jitter to pauses."""
         self._connections = connections
         self._random = random
         self._clock = clock
         self._finder = PrimaryFinder(connections, hosts, random, clock)
 
     def primary_moved(self, host: str) -> None:
-        """The primary is at this host now; calls to a former one are made again there."""
+        """Records that this host is the primary now; pending calls to a former one are retried there."""
         self._finder.primary_moved(host)
 
     async def call(
@@ -77,13 +77,13 @@
         """Sends a command to the primary.
 
         Args:
-            command: What is asked.
-            timeout_s: The time for all attempts.
-            confirm_s: The time without a response after which to look whether there is another primary.
+            command: The command.
+            timeout_s: The time-out of all attempts together.
+            confirm_s: The time without a response before checking whether the primary has changed.
 
         Returns:
-            The primary's outcome; Indeterminate where the command may have been carried out, NotPrimary
-            where it certainly was not.
+            The primary's outcome; Indeterminate if the command may have been executed, NotPrimary if it
+            certainly was not.
         """
         deadline = self._clock.monotonic() + timeout_s
         indeterminate = False
@@ -98,7 +98,9 @@
             except CallError as error:
                 indeterminate = indeterminate or error.sent
             else:
-                if indeterminate and is_overloaded(outcome):  # no promise: an earlier attempt may be done
+                if indeterminate and is_overloaded(
+                    outcome
+                ):  # not final: an earlier attempt may have succeeded
                     await asyncio.sleep(max(0.0, min(OVERLOAD_PAUSE_S, deadline - self._clock.monotonic())))
                     continue
                 if not isinstance(outcome, outcomes.NotPrimary | outcomes.Indeterminate):
@@ -119,7 +121,7 @@
     async def _attempt(
         self, host: str, command: FrontCommand, deadline: float, confirm_s: float
     ) -> FrontOutcome:
-        """One attempt; raises CallError, also where the primary turns out to be at another host."""
+        """Makes one attempt; raises CallError, also if the primary has moved to another host."""
         request = commands.ForwardedCommand(command)
         call = asyncio.ensure_future(
             self._connections.call(host, request, deadline - self._clock.monotonic())
@@ -136,7 +138,7 @@
         return outcome
 
     async def _has_moved(self, host: str, call: "asyncio.Task[Decoded]", deadline: float) -> bool:
-        """Looks whether another machine is the primary, until the response or the deadline comes."""
+        """Checks whether another machine is the primary, until the response or the deadline."""
         confirmation = asyncio.ensure_future(self._finder.confirm(host))
         left_s = max(0.0, deadline - self._clock.monotonic())
         try:
@@ -146,7 +148,7 @@
             confirmation.cancel()
 
     async def _is_done(self, call: "asyncio.Task[Decoded]", timeout_s: float) -> bool:
-        """Waits for a response, a change of the primary, or the limit; whether the response is there."""
+        """Waits for the response, a change of the primary, or the time-out; whether the call is done."""
         changed = asyncio.ensure_future(self._finder.changed.wait())
         try:
             await asyncio.wait(
--- a/crowwing/tier/front/upstream.py
+++ b/crowwing/tier/front/upstream.py
@@ -1,7 +1,7 @@
-"""Requests to sidecars, over connections that stay open, and how each attempt ended.
+"""The HTTP client for sidecars, over persistent connections, and the outcome of each attempt.
 
-A response belongs to a request where it carries the request's id; one without an id, or with another, is
-never forwarded. A connection is used again only after a complete response with nothing behind it.
+A response belongs to a request if it carries the request's id; one without an id, or with another, is never
+forwarded. A connection is reused only after a complete response without surplus bytes.
 """
 
 import asyncio
@@ -25,12 +25,12 @@
 REPORT_TIMEOUT_S = 0.5
 TIMEOUTS = {
     "connect": CONNECT_TIMEOUT_S,
-    "read": None,  # the request's own deadline holds
+    "read": None,  # the deadline of the request applies instead
     "write": WRITE_TIMEOUT_S,
 }
-RELEASE = "crowwing.release"  # among the extensions of a response: what is done once it has been closed
+RELEASE = "crowwing.release"  # response extension: releases the connection once the response is closed
 DRAIN_TIMEOUT_S = 0.2
-NEXT_HEAD = b"HTTP/1."  # how a head begins; in the midst of one it is the next one's
+NEXT_HEAD = b"HTTP/1."  # start of a head; inside another head, it belongs to the next response
 IDLE_TIMEOUT_S = 4.0
 TCP_USER_TIMEOUT_MS = 1500
 HOP_BY_HOP = frozenset(
@@ -51,7 +51,7 @@
 
 
 def hop_by_hop(headers: Headers) -> frozenset[bytes]:
-    """Names of headers that concern one connection only, also those that its `Connection` header lists."""
+    """Names of hop-by-hop headers, including those listed in the `Connection` header."""
     listed = [value for name, value in headers if name.lower() == b"connection"]
     names = {name.strip().lower() for value in listed for name in value.split(b",")}
     return HOP_BY_HOP | (names - NEVER_DROPPED)
@@ -59,30 +59,30 @@
 
 @dataclass(frozen=True)
 class ResponseStarted:
-    """The sidecar has begun to respond to this very request."""
+    """The sidecar has started to respond to this request."""
 
     status: int
     headers: Headers
     response: httpcore.Response
 
     def header(self, name: bytes) -> bytes | None:
-        """The value of one header."""
+        """Returns the value of a header, or None."""
         return next((value for key, value in self.headers if key.lower() == name), None)
 
 
 @dataclass(frozen=True)
 class NotExecuted:
-    """The sidecar says that it did not run the request, or it can't have read it."""
+    """The sidecar stated that it did not execute the request, or can't have received it."""
 
-    status: int | None  # the sidecar's own, None where it was not reached
+    status: int | None  # of the sidecar's response; None if it was not reached
     reason: str
-    no_connection: bool = False  # it accepts no further connection, and may be healthy otherwise
-    load: bytes | None = None  # the `Server-Load` of its response
+    no_connection: bool = False  # no connection was available; the sidecar may be healthy
+    load: bytes | None = None  # the `Server-Load` header of the response
 
 
 @dataclass(frozen=True)
 class ResponseLost:
-    """The request was sent, and what became of it is not known."""
+    """The request was sent, and its outcome is unknown."""
 
     reason: str
 
@@ -96,7 +96,7 @@
     def __init__(
         self, address: str, state: ConnectionState | None = None, idle: IdleConnections | None = None
     ) -> None:
-        """Connects to `address`, HOST:PORT; `state` and `idle` are shared with routing and other clients."""
+        """Connects to `address`, HOST:PORT; shares `state` with routing and `idle` with other clients."""
         self._address = address
         state = state if state is not None else ConnectionState()
         idle = idle if idle is not None else IdleConnections()
@@ -122,20 +122,20 @@
         return response
 
     async def report(self) -> LoadReport | None:
-        """The sidecar's load report; None where none comes in time."""
+        """Requests the sidecar's load report; returns None on an error or time-out."""
         try:
             async with asyncio.timeout(REPORT_TIMEOUT_S):
                 headers = [(b"Host", self._address.encode())]
                 response = await self._request("GET", b"/report", headers, b"")
                 return await _read_report(response)
         except (*HTTP_ERRORS, NoConnectionError, TimeoutError) as error:
-            log.debug("no report from %s: %s", self._address, error)
+            log.debug("load report request to %s failed: %s", self._address, error)
             return None
 
     async def send(
         self, method: str, target: bytes, headers: Headers, body: bytes, request_id: bytes
     ) -> AttemptOutcome:
-        """Sends one request and waits for the head of its response."""
+        """Sends a request and waits for the response head."""
         try:
             response = await self._request(method, target, headers, body)
         except NoConnectionError as error:
@@ -164,10 +164,10 @@
 
 
 def _is_answer_to(response: httpcore.Response, request_id: bytes) -> bool:
-    """Whether a head is the response to a request, and one head alone.
+    """Whether a head is the response to this request, and a single head.
 
-    A surplus response that was broken off within its head runs on into the head of the next one: what comes
-    of that has the status of the first, and the id of the second.
+    A surplus response that breaks off inside its head merges with the head of the next response: the result
+    has the status of the first one and the id of the second.
     """
     ids = [value for name, value in response.headers if name.lower() == b"request-id"]
     if ids != ([request_id] if request_id else []):
@@ -177,7 +177,7 @@
 
 
 async def _read_report(response: httpcore.Response) -> LoadReport | None:
-    """A report, which carries no id: a connection on which anything else stands is not used again."""
+    """Reads a load report. It carries no id, so a connection that delivers anything else is not reused."""
     body = b"".join([chunk async for chunk in _chunks(response)])
     report = parse_report(body)
     if report is None:
@@ -194,7 +194,7 @@
 
 
 async def _abort(response: httpcore.Response) -> None:
-    """Ends a response with its connection."""
+    """Aborts a response by closing its connection."""
     await response.extensions["network_stream"].aclose()
     await _close(response)
 
@@ -208,7 +208,7 @@
 
 
 async def close_after_answer(response: httpcore.Response) -> None:
-    """Done with a response; its connection is used again only after a complete one with nothing behind it."""
+    """Closes a response; its connection is reused only if the response was complete without surplus bytes."""
     stream = response.extensions["network_stream"]
     if _has_surplus(response) or stream.get_extra_info("is_readable"):
         await stream.aclose()
@@ -216,14 +216,14 @@
 
 
 def _has_surplus(response: httpcore.Response) -> bool:
-    """Whether bytes behind the response were read with it. httpcore shows its parser's buffer nowhere."""
+    """Whether surplus bytes were read after the response. httpcore does not expose its parser's buffer."""
     connection = getattr(response.stream, "_connection", None)
     state: h11.Connection | None = getattr(connection, "_h11_state", None)
     return state is None or bool(state.trailing_data[0])
 
 
 async def _drain(response: httpcore.Response) -> None:
-    """Reads a short body, so that its connection can be used again."""
+    """Reads and discards a short body, so that the connection can be reused."""
     try:
         async with asyncio.timeout(DRAIN_TIMEOUT_S):
             async for _ in _chunks(response):
@@ -234,9 +234,9 @@
 
 
 async def read_body(started: ResponseStarted) -> AsyncGenerator[bytes, None]:
-    """The body as it comes; raises StreamBrokenError where it ends before its end.
+    """Yields the body as it arrives; raises StreamBrokenError if it ends early.
 
-    One without a length is complete where its connection ended in order, and broken where that was reset.
+    A body without a length is complete if the connection was closed regularly, and broken if it was reset.
     """
     try:
         async for chunk in _chunks(started.response):
--- a/crowwing/tier/front/whole_numbers.py
+++ b/crowwing/tier/front/whole_numbers.py
@@ -1,22 +1,22 @@
-"""Whole numbers in headers and bodies from clients, sidecars and the platform.
+"""Parsing of whole numbers in headers and bodies from clients, sidecars and the platform.
 
-`str.isdigit` takes digits of any script and superscripts, which `int` reads otherwise or not at all; and
-`int` refuses texts of thousands of digits with an error. Numbers from outside are read here only.
+`str.isdigit` accepts digits of any script and superscripts, which `int` reads differently or rejects; and
+`int` raises an error for thousands of digits. External numbers are parsed only here.
 """
 
-MAX_WHOLE_NUMBER = 2**53 - 1  # the largest that every reader of JSON keeps exactly (RFC 8259)
+MAX_WHOLE_NUMBER = 2**53 - 1  # the largest that every JSON parser represents exactly (RFC 8259)
 _MAX_DIGITS = len(str(MAX_WHOLE_NUMBER))
 
 
 def parse_whole_number(text: str | bytes, max_value: int = MAX_WHOLE_NUMBER) -> int | None:
-    """Reads a number that is written in ASCII digits and nothing else.
+    """Parses a number that consists of ASCII digits only.
 
     Args:
         text: The digits; no sign, and no space around them.
-        max_value: The largest number that is accepted.
+        max_value: The largest accepted number.
 
     Returns:
-        The number; None where the text is no such number, or one that is too large.
+        The number; None if the text is not such a number or it is too large.
     """
     if not (text.isascii() and text.isdigit()):
         return None
