--- a/tests/tier/test_admission.py
+++ b/tests/tier/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission before one service: the priority threshold, the order of starts, timeouts, the limit."""
+"""Admission control of one service: priority threshold, order of starts, queue timeouts and limit."""
 
 import pytest
 
@@ -15,7 +15,7 @@
     return AdmissionRequest(name, rank, arrived, arrived + 5, is_batch_item)
 
 
-def test_tiers_map_onto_six_equal_bands() -> None:
+def test_priorities_map_onto_six_equal_bands() -> None:
     assert rank_of(0, 0.0) == pytest.approx(5 / 6)
     assert rank_of(5, 0.0) == 0
     assert rank_of(9, 0.5) == pytest.approx(0.5 / 6)
@@ -35,7 +35,7 @@
     late = admission_request(0.9)
     admission.arrive(0.0, late, LATENCY_TARGET_S)
     assert admission.expire(0.045) == []
-    assert admission.expire(0.047) == [late], "a share of the latency target while nothing is known"
+    assert admission.expire(0.047) == [late], "a share of the latency target while no latency is known"
     assert admission.queued_count == 0 and admission.rejected_count == 1
 
 
@@ -50,7 +50,7 @@
     assert queue.timeout_s == pytest.approx(0.05)
     for _ in range(64):
         queue.record_latency(0.5)
-    assert queue.timeout_s == pytest.approx(0.23), "a rejection leaves time for another attempt"
+    assert queue.timeout_s == pytest.approx(0.23), "a rejection leaves time for a retry"
 
 
 def test_the_priority_threshold_rises_while_waits_outlast_timeouts_and_slots_are_full() -> None:
@@ -63,12 +63,12 @@
         admission.expire(now)
     assert admission.priority_threshold > 0.5
     assert not admission.arrive(now, admission_request(0.1, now), LATENCY_TARGET_S), (
-        "rejected at once under the threshold"
+        "rejected at once below the threshold"
     )
     for _ in range(200):
         now += 0.05
         admission.step(now, IDLE, 240)
-    assert admission.priority_threshold == 0, "waits that clear lower it"
+    assert admission.priority_threshold == 0, "it falls once queues are empty"
 
 
 def test_a_quarter_of_the_highest_band_is_never_rejected_by_the_threshold() -> None:
@@ -107,17 +107,17 @@
 
 
 @pytest.mark.parametrize("fronts", [3, 72, 3000])
-def test_what_all_fronts_may_send_at_least_is_a_part_of_the_slots(fronts: int) -> None:
+def test_the_minimum_limits_of_all_fronts_are_a_share_of_the_slots(fronts: int) -> None:
     slots = 432.0
     admission = Admission(0.0, slots / fronts)
     crowded = Load(slots, 3 * slots, slots)
     for step in range(1, 400):
         admission.step(0.05 * step, crowded, slots, fronts)
     assert fronts * admission.limit <= max(0.3 * slots, fronts * 1.0), "the loops can reject work"
-    assert admission.limit >= 1.0, "and none of them is starved"
+    assert admission.limit >= 1.0, "and no front is starved"
 
 
-def test_fronts_that_climb_together_take_what_idles_once_and_not_each() -> None:
+def test_fronts_that_raise_their_limits_together_share_the_idle_slots() -> None:
     slots, fronts = 432.0, 72
     admission = Admission(0.0, 1.0)
     admission.limit = 1.0
--- a/tests/tier/test_batch_jobs_on_processes.py
+++ b/tests/tier/test_batch_jobs_on_processes.py
@@ -1,4 +1,4 @@
-"""Lots among real processes: handed in by two fronts, ended while items run, and a running front killed."""
+"""Batch jobs on real processes: submitted to two fronts, ended while items run, and a front killed."""
 
 import asyncio
 from collections import Counter
@@ -9,11 +9,11 @@
 from tests.tier.loopback import HOST_NAME, Loopback
 from tests.tier.test_processes import ITEMS, played, results, submit_batch_job, text_of
 
-SLOW_PAUSE_S = 0.25  # between events, so that a run takes a second and a half
+SLOW_PAUSE_S = 0.25  # between events, so that a run takes 1.5 s
 
 
 def runs_of(tier: Loopback, job_id: str) -> Counter[str]:
-    """How often each item of a lot has begun at a sidecar."""
+    """How often each item of a job was started at a sidecar."""
     started = [name for sidecar in tier.sidecars for name in sidecar.runs]
     return Counter(name for name in started if name.startswith(f"{job_id}-"))
 
@@ -25,20 +25,20 @@
     await tier.until(f"a run of {job_id}", some_run)
 
 
-def test_a_job_whose_answer_was_lost_is_taken_once_however_it_comes_again(tmp_path: Path) -> None:
+def test_a_job_that_is_resubmitted_after_a_lost_response_is_accepted_once(tmp_path: Path) -> None:
     async def play(tier: Loopback, client: httpx.AsyncClient) -> None:
         for sidecar in tier.sidecars:
             sidecar.pause_s = SLOW_PAUSE_S
         await submit_batch_job(tier, client, "lot0")
         await until_running(tier, "lot0")
-        tier.fronts.reverse()  # the answer was lost: the client tries the other front first
+        tier.fronts.reverse()  # the response was lost: the client tries the other front first
         await submit_batch_job(tier, client, "lot0")
         first = await results(tier, client, tier.fronts[0], "lot0")
         tier.fronts.reverse()
         await submit_batch_job(tier, client, "lot0")
         assert await results(tier, client, tier.fronts[0], "lot0") == first
         assert sorted(x["id"] for x in first) == sorted(f"lot0-{n}" for n in range(ITEMS))
-        assert set(runs_of(tier, "lot0").values()) == {1}, "no item ran again"
+        assert set(runs_of(tier, "lot0").values()) == {1}, "no item ran twice"
 
     played(tmp_path, play)
 
@@ -60,7 +60,7 @@
         for sidecar in tier.sidecars:
             sidecar.runs.clear()
         await submit_batch_job(tier, client, "lot1")
-        await results(tier, client, tier.fronts[0], "lot1")  # time in which items of lot0 would have begun
+        await results(tier, client, tier.fronts[0], "lot1")  # time in which items of lot0 could have started
         assert runs_of(tier, "lot0") == Counter()
         for place in range(len(tier.fronts)):
             assert (await listed(tier, client, place))[: len(before)] == before
@@ -73,7 +73,7 @@
 
     async def read() -> list[list[dict[str, str]]] | None:
         answer = await client.get(url, headers={"Host": HOST_NAME})
-        assert answer.status_code != 404, "an ended lot is still known"
+        assert answer.status_code != 404, "an ended job is still known"
         return [answer.json()["results"]] if answer.status_code == 200 else None
 
     return (await tier.until("the listed results", read))[0]
--- a/tests/tier/test_connection.py
+++ b/tests/tier/test_connection.py
@@ -44,15 +44,15 @@
             decode(spoiled)
 
 
-def test_calls_are_answered_and_a_defect_ends_neither_side() -> None:
+def test_calls_get_responses_and_a_defect_closes_neither_side() -> None:
     async def play() -> None:
         server, port = await listening()
         connections = ConnectionPool(port)
         answers = await asyncio.gather(*(connections.call(HOST, number, 5.0) for number in range(50)))
         assert answers == list(range(50))
-        with pytest.raises(CallError) as told:
+        with pytest.raises(CallError) as raised:
             await connections.call(HOST, "fails", 5.0)
-        assert told.value.sent and told.value.reason == DEFECT
+        assert raised.value.sent and raised.value.reason == DEFECT
         assert await connections.call(HOST, PEER, 5.0) == PEER
         connections.close()
         server.close()
@@ -60,7 +60,7 @@
     uvloop.run(play())
 
 
-def test_a_call_says_whether_it_can_have_been_seen() -> None:
+def test_a_failed_call_states_whether_it_may_have_been_received() -> None:
     async def play() -> None:
         server, port = await listening()
         connections = ConnectionPool(port)
@@ -77,7 +77,7 @@
     uvloop.run(play())
 
 
-def test_a_connection_that_the_loop_has_closed_takes_messages_without_a_defect() -> None:
+def test_a_connection_that_the_loop_has_closed_accepts_messages_without_an_error() -> None:
     async def play() -> None:
         server, port = await listening()
         connections = ConnectionPool(port)
@@ -86,7 +86,7 @@
         while not connection._writer.transport.is_closing():
             await asyncio.sleep(0)
         await asyncio.sleep(0)
-        connection.is_closed = False  # as it is until the reader has been told
+        connection.is_closed = False  # as it is until the reader task has noticed
         connection.notify(PEER)
         connection.notify(PEER)
         assert connection.is_closed
--- a/tests/tier/test_dispatch.py
+++ b/tests/tier/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Tries of one request at several sidecars, with answers played from a list."""
+"""Attempts of one request at several sidecars, with scripted outcomes."""
 
 import asyncio
 import time
@@ -18,8 +18,8 @@
 from crowwing.tier.platform_list import Sidecar, SidecarList
 
 
-class PlayedClient:
-    """Answers in the order of a list that all sidecars share."""
+class ScriptedClient:
+    """Returns outcomes from a list that all sidecars share."""
 
     def __init__(self, outcomes: list[Any]) -> None:
         self._outcomes = outcomes
@@ -29,22 +29,22 @@
         return self._outcomes.pop(0)
 
 
-class PlayedClients(SidecarClients):
-    """One client for all sidecars, which answers from a list."""
+class ScriptedClients(SidecarClients):
+    """One scripted client for all sidecars."""
 
     def __init__(self, sidecars: SidecarTable, outcomes: list[Any]) -> None:
         super().__init__(sidecars)
-        self._played = PlayedClient(outcomes)
+        self._scripted = ScriptedClient(outcomes)
 
     def of_sidecar(self, _: SidecarState) -> Any:  # noqa: ANN401
-        """The same client for all."""
-        return self._played
+        """The same client for every sidecar."""
+        return self._scripted
 
 
-def played_pool(outcomes: list[Any]) -> ServicePool:
-    """A pool whose sidecars answer from a list."""
+def scripted_pool(outcomes: list[Any]) -> ServicePool:
+    """A pool whose sidecars return scripted outcomes."""
     pool = ServicePool()
-    pool.clients = PlayedClients(pool.sidecars, outcomes)
+    pool.clients = ScriptedClients(pool.sidecars, outcomes)
     entries = [
         Sidecar(name, "advisor", f"127.0.0.1:{port}", "z", 8, True) for port, name in enumerate("abcd")
     ]
@@ -58,18 +58,18 @@
 
 
 class NoBody:
-    """A body without bytes."""
+    """An empty body."""
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        """Nothing."""
+        """Yields nothing."""
         return
         yield b""
 
     async def aclose(self) -> None:
-        """Nothing is open."""
+        """Does nothing."""
 
 
-def job(resumable: bool, attempts: int) -> SidecarRequest:
+def sidecar_request(resumable: bool, attempts: int) -> SidecarRequest:
     route = Route.model_validate(
         {
             "name": "r",
@@ -100,36 +100,36 @@
 
 
 def opened(outcomes: list[Any], resumable: bool, attempts: int = 2) -> tuple[Any, list[Any]]:
-    result = asyncio.run(Dispatcher(played_pool(outcomes)).open(job(resumable, attempts)))
+    result = asyncio.run(Dispatcher(scripted_pool(outcomes)).open(sidecar_request(resumable, attempts)))
     return result, outcomes
 
 
-def test_an_error_of_a_repeatable_request_is_tried_once_more_elsewhere() -> None:
+def test_an_error_of_an_idempotent_request_is_retried_elsewhere() -> None:
     result, left = opened([answered(500), answered(200)], True)
     assert isinstance(result, OpenResponse) and result.started.status == 200 and left == []
 
 
-def test_the_last_allowed_run_gives_its_error_to_the_client() -> None:
+def test_the_error_of_the_last_allowed_attempt_goes_to_the_client() -> None:
     result, left = opened([answered(500), answered(500), answered(200)], True)
     assert isinstance(result, OpenResponse) and result.started.status == 500 and len(left) == 1
 
 
-def test_an_error_of_a_request_that_must_not_run_twice_is_final() -> None:
+def test_an_error_of_a_non_idempotent_request_is_final() -> None:
     result, left = opened([answered(500), answered(200)], False)
     assert isinstance(result, OpenResponse) and result.started.status == 500 and len(left) == 1
 
 
 @pytest.mark.parametrize(("resumable", "kind"), [(True, OpenResponse), (False, Failed)])
-def test_what_may_have_run_is_repeated_only_where_it_may_be(resumable: bool, kind: type) -> None:
+def test_a_lost_attempt_is_retried_only_for_an_idempotent_request(resumable: bool, kind: type) -> None:
     result, _ = opened([ResponseLost("reset"), answered(200)], resumable)
     assert isinstance(result, kind)
 
 
-def test_what_has_not_run_is_tried_elsewhere_however_its_route_is() -> None:
+def test_a_request_that_was_not_executed_is_retried_on_any_route() -> None:
     result, left = opened([NotExecuted(503, "full"), NotExecuted(None, "refused"), answered(200)], False, 1)
     assert isinstance(result, OpenResponse) and left == []
 
 
-def test_where_nobody_runs_it_the_client_is_promised_that_it_has_not_run() -> None:
+def test_a_request_that_no_sidecar_executes_is_not_served() -> None:
     result, _ = opened([NotExecuted(503, "full")] * 4, False, 1)
     assert isinstance(result, NotServed)
--- a/tests/tier/test_outside_numbers.py
+++ b/tests/tier/test_outside_numbers.py
@@ -1,4 +1,4 @@
-"""What clients, sidecars and the platform may send where a number or a header's text is due."""
+"""Parsing of numbers and header values from clients, sidecars and the platform."""
 
 import base64
 import json
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("text", DIGIT_LIKE)
-def test_what_is_no_plain_number_is_none(text: str) -> None:
+def test_text_other_than_ascii_digits_is_none(text: str) -> None:
     assert parse_whole_number(text) is None
     assert parse_whole_number(text.encode()) is None
     assert parse_whole_number(text.encode("latin-1", "ignore")) is None
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("text", DIGIT_LIKE)
 def test_an_event_with_an_unreadable_id_has_none(text: str) -> None:
-    if text != " 1":  # one space behind the colon is no part of the value
+    if text != " 1":  # one space after the colon is not part of the value
         assert parse_event(f"id: {text}\ndata: x\n\n".encode()).id is None
 
 
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize("changes", UNUSABLE, ids=[json.dumps(changes) for changes in UNUSABLE])
-def test_an_item_that_could_never_be_sent_is_rejected_before_it_is_taken(changes: dict[str, Any]) -> None:
+def test_an_item_that_could_never_be_sent_is_rejected(changes: dict[str, Any]) -> None:
     with pytest.raises(MalformedBatchJobError):
         parse_batch_job(submitted(**changes))
 
@@ -117,7 +117,7 @@
 
 
 @given(st.text(), st.text(), st.dictionaries(st.text(), st.text()), json_values)
-def test_each_item_that_is_taken_can_be_sent(
+def test_each_accepted_item_can_be_sent(
     item_id: str,
     path: str,
     headers: dict[str, str],
@@ -130,7 +130,7 @@
     fields = [
         (name.encode("latin-1"), value.encode("latin-1"))
         for name, value in (*item.headers, ("Request-Id", item.id))
-        if name.lower() not in ("content-length", "transfer-encoding", "host")  # set anew for each request
+        if name.lower() not in ("content-length", "transfer-encoding", "host")  # set for each request
     ]
     h11.Request(method="POST", target=item.path.encode("latin-1"), headers=[("Host", "h"), *fields])
 
@@ -146,7 +146,7 @@
 
 
 @given(st.sampled_from(sorted(ENTRY)), json_values)
-def test_an_entry_of_the_platforms_list_is_read_or_told_as_malformed(field: str, value: Any) -> None:  # noqa: ANN401
+def test_an_entry_of_the_platforms_list_is_read_or_malformed(field: str, value: Any) -> None:  # noqa: ANN401
     try:
         entry = parse_entry({**ENTRY, field: value})
     except MALFORMED_PAGE:
--- a/tests/tier/test_overload.py
+++ b/tests/tier/test_overload.py
@@ -1,4 +1,4 @@
-"""Batch jobs beyond what the primary's link carries are rejected at once, so that changes stay quick."""
+"""Batch jobs beyond the capacity of the primary's link are rejected at once, so that changes stay fast."""
 
 import asyncio
 from random import Random
@@ -53,7 +53,7 @@
 
 
 def capacity(uncommitted: list[int], members: int, link_mbps: float | None = LINK_MBPS) -> WriteCapacity:
-    """The bound of a primary that has committed one entry, and proposed others of these lengths."""
+    """The capacity of a primary that has committed one entry and proposed others of these lengths."""
     log = EntryLog()
     for index, length in enumerate([1_000_000, *uncommitted], 1):
         log.append(LogEntry(NO_TERM, index, bytes(length)))
@@ -109,7 +109,7 @@
 
 
 class Submissions:
-    """Jobs that are submitted at the primary at one moment."""
+    """Jobs that are submitted to the primary at the same time."""
 
     def __init__(self, world: World, count: int) -> None:
         self.world = world
@@ -225,14 +225,14 @@
 
 
 class Attempts(ConnectionPool):
-    """Connections to a primary that gives one outcome, or error, after the other."""
+    """Connections to a primary that returns a list of outcomes or errors, one for each call."""
 
     def __init__(self, *results: outcomes.Outcome | Exception) -> None:
         super().__init__(1)
         self.results = list(results)
 
     async def call(self, _host: str, body: Any, _timeout_s: float) -> Any:  # noqa: ANN401
-        """The next result; the last one again and again."""
+        """Returns the next result, and the last one repeatedly."""
         await asyncio.sleep(0)
         if isinstance(body.command, commands.GetStatus):
             return outcomes.StoreStatus("m0", "primary", (1, "m0"), (), (), 0, 0, 0, 0, 0, {})
@@ -243,7 +243,7 @@
 
 
 def ask(*results: outcomes.Outcome | Exception) -> tuple[outcomes.Outcome, float]:
-    """What a front is told of a job, and after how long."""
+    """Submits a job through a front; returns the outcome and its duration."""
     loop = SimulatedLoop()
     client = StoreClient(Attempts(*results), lambda: ["m0"], Random(1), Clock(loop.time))
     return loop.run_until_complete(client.call(job(1, 1), 2.5)), loop.time()
@@ -263,7 +263,7 @@
     assert ask(lost, outcomes.Rejected(400, ""))[0] == outcomes.Rejected(400, "")
 
 
-def test_a_client_is_told_when_to_come_back() -> None:
+def test_a_client_gets_retry_after() -> None:
     headers: list[tuple[bytes, bytes]] = []
 
     class Heads(Answer):
--- a/tests/tier/test_request_head.py
+++ b/tests/tier/test_request_head.py
@@ -1,4 +1,4 @@
-"""Heads of requests that a front reads as HTTP has them, on sockets, and clients that go before their own."""
+"""Unusual but valid request heads, on sockets, and clients that disconnect before the response head."""
 
 import asyncio
 import time
@@ -13,12 +13,12 @@
 from crowwing.tier.front.proxy import Proxy
 from crowwing.tier.front.upstream import ResponseStarted
 from tests.tier.exchanges import HOST
-from tests.tier.test_dispatch import played_pool
+from tests.tier.test_dispatch import scripted_pool
 from tests.tier.test_request_path import Request, answer, encoded, one, play, routes
 
 
 async def prompt(request: Request, writer: Any) -> None:  # noqa: ANN401
-    """Answers at once."""
+    """Responds at once."""
     writer.write(answer(request))
 
 
@@ -35,7 +35,7 @@
     request = encoded(path).replace(b"Request-Id: r1\r\n", b"Request-Id: r1\r\n" + field)
     (found, _), got = play(prompt, lambda port: one(port, request))
     assert (found.status, found.body) == (200, b"ok")
-    assert len(got) == 1, "no sidecar is blamed for it"
+    assert len(got) == 1, "it does not count as a failure of a sidecar"
 
 
 def test_space_around_a_value_is_not_passed_on() -> None:
@@ -66,19 +66,19 @@
 
 
 class EndlessBody:
-    """A body that never ends, and whether it was closed."""
+    """A body that never ends, and records whether it was closed."""
 
     def __init__(self) -> None:
         self.is_closed = False
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
-        """Chunks for ever."""
+        """Yields chunks forever."""
         while True:
             yield b"chunk"
             await asyncio.sleep(0.01)
 
     async def aclose(self) -> None:
-        """The proxy has done with it."""
+        """Records that the proxy has closed it."""
         self.is_closed = True
 
 
@@ -94,7 +94,7 @@
     body = EndlessBody()
     stream = httpcore.AsyncMockStream([])
     response = httpcore.Response(200, content=body, extensions={"network_stream": stream})
-    pool = played_pool([ResponseStarted(200, [], response)])
+    pool = scripted_pool([ResponseStarted(200, [], response)])
     pool.table = routes(service="advisor")
     gone = asyncio.Event()
 
--- a/tests/tier/test_request_path.py
+++ b/tests/tier/test_request_path.py
@@ -1,4 +1,4 @@
-"""The rules of the request path, each brought about on sockets: a real request path, sidecars by script."""
+"""The rules of the request path, tested on sockets with a real front and scripted sidecars."""
 
 import asyncio
 import time
@@ -23,7 +23,7 @@
 
 @dataclass
 class Request:
-    """A request as a sidecar got it."""
+    """A request as received by a sidecar."""
 
     headers: dict[str, str]
     at: float
@@ -36,13 +36,13 @@
 
 @dataclass
 class Scripted:
-    """Sidecars that answer as one script says, and what they got."""
+    """Scripted sidecars, and the requests that they received."""
 
     reply: Reply
     got: list[Request] = field(default_factory=list)
 
     async def start(self, count: int) -> SidecarList:
-        """Listens at so many addresses."""
+        """Listens at `count` addresses."""
         self._servers = [await asyncio.start_server(self._serve, "127.0.0.1", 0) for _ in range(count)]
         ports = [server.sockets[0].getsockname()[1] for server in self._servers]
         return SidecarList(
@@ -50,7 +50,7 @@
         )
 
     def stop(self) -> None:
-        """Listens no more."""
+        """Stops listening."""
         for server in self._servers:
             server.close()
 
@@ -81,16 +81,16 @@
 
 
 def answer(request: Request, status: int = 200, body: bytes = b"ok", fields: str = "") -> bytes:
-    """A whole answer."""
-    told = request.headers.get("request-id", "")
+    """A complete response."""
+    r_id = request.headers.get("request-id", "")
     head = (
-        f"HTTP/1.1 {status} X\r\nRequest-Id: {told}\r\nServer-Stamp: t\r\n{fields}Content-Length: {len(body)}"
+        f"HTTP/1.1 {status} X\r\nRequest-Id: {r_id}\r\nServer-Stamp: t\r\n{fields}Content-Length: {len(body)}"
     )
     return head.encode() + b"\r\n\r\n" + body
 
 
 async def silent(_request: Request, _writer: asyncio.StreamWriter) -> None:
-    """Never answers."""
+    """Never responds."""
     await asyncio.sleep(60)
 
 
@@ -99,18 +99,18 @@
     common = {"host": HOST, "timeoutMs": 400, "sloMs": 20_000, "service": "s", "maxAttempts": 2, **changes}
     kinds = {"/safe/": "safe", "/unsafe/": "unsafe", "/stream/": "stream"}
     listed = [{**common, "name": p, "pathPrefix": p, "kind": k, "resumable": True} for p, k in kinds.items()]
-    whole = {"version": 1, "routes": listed, "services": [{"name": common["service"], "maxConns": 400}]}
-    return RoutingTable(Configuration.model_validate(whole))
+    spec = {"version": 1, "routes": listed, "services": [{"name": common["service"], "maxConns": 400}]}
+    return RoutingTable(Configuration.model_validate(spec))
 
 
 def encoded(path: str, headers: str = "", body: bytes = b"b") -> bytes:
-    """A client's request."""
+    """A client request, encoded."""
     head = f"POST {path} HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: r1\r\n{headers}"
     return f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
 def play(reply: Reply, work: Callable[[int], Awaitable[Any]], count: int = 2, **changes: Any) -> Any:  # noqa: ANN401
-    """Plays clients against a front before scripted sidecars; gives what they saw and what sidecars got."""
+    """Runs clients against a front with scripted sidecars; returns their result, and what sidecars got."""
 
     async def run() -> tuple[Any, list[Request]]:
         scripted = Scripted(reply)
@@ -131,7 +131,7 @@
 
 
 async def one(port: int, request: bytes) -> tuple[Answer, float]:
-    """One request on a connection of its own, and how long its answer took."""
+    """Sends one request on a new connection; returns the response and its duration."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     began = time.monotonic()
     writer.write(request)
@@ -207,17 +207,17 @@
 
 def test_a_fraction_of_a_millisecond_is_a_deadline_and_nonsense_is_none() -> None:
     assert parse_deadline(b"1500.5") == 1500.5
-    for told in (None, b"", b"soon", b"-1", b"inf", b"nan"):
-        assert parse_deadline(told) == DEFAULT_DEADLINE_MS
+    for header in (None, b"", b"soon", b"-1", b"inf", b"nan"):
+        assert parse_deadline(header) == DEFAULT_DEADLINE_MS
 
 
 def test_unasked_a_sidecar_gets_the_clients_own_headers_and_body() -> None:
     async def ok(request: Request, writer: asyncio.StreamWriter) -> None:
         writer.write(answer(request, fields="Versions: 7\r\n"))
 
-    told = "Model: m\r\nToken-Usage: 5,6\r\nPrompt-Prefix: aa:5,bb:6\r\nExpect-Version: 7\r\n"
-    told += "Connection: X\r\nX: 1\r\n"
-    (found, _), got = play(ok, lambda port: one(port, encoded("/unsafe/x", told, b"body")))
+    fields = "Model: m\r\nToken-Usage: 5,6\r\nPrompt-Prefix: aa:5,bb:6\r\nExpect-Version: 7\r\n"
+    fields += "Connection: X\r\nX: 1\r\n"
+    (found, _), got = play(ok, lambda port: one(port, encoded("/unsafe/x", fields, b"body")))
     assert found.status == 200 and found.body == b"ok" and found.headers["versions"] == "7"
     headers = got[0].headers
     assert (headers["model"], headers["token-usage"], headers["prompt-prefix"]) == ("m", "5,6", "aa:5,bb:6")
@@ -262,7 +262,7 @@
         return statuses
 
     statuses, _ = play(broken, many)
-    assert set(statuses) <= {502, 503, 504}, "and the connection stays"
+    assert set(statuses) <= {502, 503, 504}, "and the connection stays open"
 
 
 def test_denied_a_front_that_knows_no_configuration_promises_that_nothing_has_run() -> None:
@@ -282,13 +282,13 @@
     front = FrontProcess(Settings.model_validate({"node": "f", "ip": "127.0.0.1", "portRange": [1, 2]}))
 
     def ready() -> int:
-        told: list[Any] = []
+        messages: list[Any] = []
 
         async def send(message: Any) -> None:  # noqa: ANN401
-            told.append(message)
+            messages.append(message)
 
         asyncio.run(front.report_readiness(send))
-        return told[0]["status"]
+        return messages[0]["status"]
 
     assert ready() == 503, "it knows neither routes nor sidecars"
     front.pool.table = routes()
--- a/tests/tier/test_service_pool.py
+++ b/tests/tier/test_service_pool.py
@@ -1,4 +1,4 @@
-"""Between admission and sidecars: items of lots give way to live requests."""
+"""The service pool: preemption of batch items, admission, and recording of attempts."""
 
 import asyncio
 import time
@@ -37,16 +37,18 @@
         for run in runs:
             pool.items.add(SERVICE, run)
         await asyncio.sleep(0)
-        asked = asyncio.ensure_future(pool.admit(SERVICE, admission_request(), LATENCY_TARGET_S))
+        admitted = asyncio.ensure_future(pool.admit(SERVICE, admission_request(), LATENCY_TARGET_S))
         await asyncio.sleep(0)
         pool._start(SERVICE, pool.admission(SERVICE))
         await asyncio.sleep(0)
-        assert [run.cancelled() for run in runs] == [False, False, True], "one, however often it is looked at"
+        assert [run.cancelled() for run in runs] == [False, False, True], (
+            "only one, however often admission runs"
+        )
         state = pool.sidecars.of_service(SERVICE)[0]
         pool.items.remove(SERVICE, runs[2])
         pool.attempts.ended(state)
         pool._start(SERVICE, pool.admission(SERVICE))
-        assert await asked
+        assert await admitted
         assert not runs[0].cancelled() and not runs[1].cancelled()
         for run in runs:
             run.cancel()
@@ -54,20 +56,20 @@
     asyncio.run(play())
 
 
-def test_a_caller_that_goes_leaves_the_queue() -> None:
+def test_a_cancelled_caller_leaves_the_queue() -> None:
     async def play() -> None:
         pool = full_pool()
-        asked = asyncio.ensure_future(pool.admit(SERVICE, admission_request(), LATENCY_TARGET_S))
+        admitted = asyncio.ensure_future(pool.admit(SERVICE, admission_request(), LATENCY_TARGET_S))
         await asyncio.sleep(0)
         assert pool.admission(SERVICE).queued_count == 1
-        asked.cancel()
-        await asyncio.gather(asked, return_exceptions=True)
+        admitted.cancel()
+        await asyncio.gather(admitted, return_exceptions=True)
         assert pool.admission(SERVICE).queued_count == 0 and pool.admission(SERVICE).inflight == 0
 
     asyncio.run(play())
 
 
-def test_a_sidecar_that_rejects_counts_as_full_unless_it_tells_its_load() -> None:
+def test_a_sidecar_that_rejects_counts_as_full_unless_it_reports_its_load() -> None:
     pool = full_pool()
     state = pool.sidecars.of_service(SERVICE)[0]
     pool.attempts.not_executed(state, NotExecuted(503, "full", load=b"4,30,4"), False)
@@ -77,11 +79,11 @@
     reported_at = state.reported_at
     pool.attempts.not_executed(state, NotExecuted(421, "other weights"), True)
     now = time.monotonic()
-    assert state.reported_at == reported_at, "that says nothing of its load"
-    assert state.is_usable(now), "it has other weights than this request wants, and is there"
+    assert state.reported_at == reported_at, "that says nothing about its load"
+    assert state.is_usable(now), "it has other weights than the request expects, but is available"
     pool.attempts.not_executed(state, NotExecuted(421, "another sidecar"), False)
     assert not state.is_usable(now) and state.is_usable(now + 2), (
-        "another one is in its place; the list will say so"
+        "another sidecar has its address; the endpoint list will show it"
     )
 
 
--- a/tests/tier/test_sidecar_connections.py
+++ b/tests/tier/test_sidecar_connections.py
@@ -1,4 +1,4 @@
-"""The connections of a front to its sidecars: how many are kept, and what a reset of a new one means."""
+"""Connection pools for sidecars: limits of idle connections, and resets of new connections."""
 
 import asyncio
 import socket
@@ -32,20 +32,20 @@
 ANSWER = b"HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nContent-Length: 2\r\n\r\nok"
 
 
-class CappedSidecar:
-    """Accepts so many connections and resets those that are over, before it reads anything."""
+class LimitedSidecar:
+    """Accepts up to `cap` connections, and resets any other before it reads from it."""
 
     def __init__(self, cap: int) -> None:
         self.cap, self.open, self.resets, self.requests = cap, 0, 0, 0
         self._server: asyncio.Server | None = None
 
     async def start(self) -> str:
-        """Gives its address."""
+        """Starts to listen; returns the address."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         return f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     def stop(self) -> None:
-        """Takes no more."""
+        """Stops listening."""
         assert self._server is not None
         self._server.close()
 
@@ -80,25 +80,25 @@
     return body
 
 
-def test_a_new_connection_that_is_reset_before_its_request_says_that_nothing_ran(
+def test_a_new_connection_that_is_reset_means_that_nothing_was_executed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(
         sidecar_connections, "MIN_CONNECT_DELAY_S", 0.05
-    )  # this sidecar shares a busy machine
+    )  # the sidecar runs on the same busy machine
     monkeypatch.setattr(sidecar_connections, "MAX_CONNECT_DELAY_S", 0.05)
 
     async def play() -> None:
-        sidecar = CappedSidecar(1)
+        sidecar = LimitedSidecar(1)
         address = await sidecar.start()
         first, second = ConnectionState(4), ConnectionState(4)
         holder, late = SidecarClient(address, first), SidecarClient(address, second)
         assert await finish(await ask(holder, "r1")) == b"ok"
         rejected = await ask(late, "r2")
         assert isinstance(rejected, NotExecuted) and rejected.no_connection
-        assert sidecar.requests == 1, "not a byte of the second one was read"
+        assert sidecar.requests == 1, "nothing of the second request was read"
         assert second.open_count == 0 and not second.is_available(time.monotonic())
-        assert await finish(await ask(holder, "r3")) == b"ok", "the kept one is still used"
+        assert await finish(await ask(holder, "r3")) == b"ok", "the first connection is still used"
         await holder.close()
         await late.close()
         sidecar.stop()
@@ -106,9 +106,9 @@
     uvloop.run(play())
 
 
-def test_what_is_over_the_idle_ones_that_may_be_kept_is_closed_the_longest_rested_first() -> None:
+def test_surplus_idle_connections_are_closed_least_recently_used_first() -> None:
     async def play() -> None:
-        sidecars = [CappedSidecar(9) for _ in range(4)]
+        sidecars = [LimitedSidecar(9) for _ in range(4)]
         idle = IdleConnections(2)
         states = [ConnectionState(4) for _ in sidecars]
         clients = [
@@ -126,7 +126,7 @@
     uvloop.run(play())
 
 
-def test_a_sidecar_that_resets_is_left_alone_for_longer_each_time_and_then_tried_again() -> None:
+def test_resets_of_new_connections_cause_a_growing_backoff() -> None:
     state = ConnectionState(4)
     pauses = []
     now = 0.0
@@ -145,7 +145,7 @@
 
 @pytest.mark.parametrize("fronts", [3, 72, 3000])
 @pytest.mark.parametrize(("accepted", "sidecars"), [(74, 36), (310, 5), (450, 30)])
-def test_what_all_fronts_keep_idle_is_a_part_of_what_a_sidecar_accepts(
+def test_idle_connections_of_all_fronts_are_a_share_of_what_sidecars_accept(
     fronts: int, accepted: int, sidecars: int
 ) -> None:
     limits = connection_limits(accepted, sidecars, fronts)
@@ -156,11 +156,11 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_idle_connections_of_72_fronts_stay_under_the_cap_of_each_sidecar(seed: int) -> None:
-    """Fronts that use sidecars at random: the idle ones are spread well enough to leave room for work."""
+    """Random choice of sidecars spreads the idle connections evenly enough to leave some for requests."""
     random = Random(seed)
     limits = connection_limits(74, 36, 72)
     kept = [0] * 36
     for _ in range(72):
         for sidecar in random.choices(range(36), k=limits.max_idle_total):
             kept[sidecar] += 1
-    assert max(kept) <= 74 - 12, "the slots of a sidecar find connections beside them"
+    assert max(kept) <= 74 - 12, "connections are left for the slots of the sidecar"
--- a/tests/tier/test_sidecars.py
+++ b/tests/tier/test_sidecars.py
@@ -1,4 +1,4 @@
-"""What a front believes of sidecars, and which one it chooses."""
+"""Load estimates and health of sidecars, and the choice of one by routing."""
 
 from random import Random
 from typing import Any
@@ -55,7 +55,7 @@
     assert router.choose("advisor", (), 0.1).entry.id == "b"
 
 
-def test_a_reported_load_decays_so_that_nobody_is_starved_by_old_reports() -> None:
+def test_a_reported_load_decays_so_that_old_reports_starve_no_sidecar() -> None:
     sidecars = table("a")
     state = sidecars.of_service("advisor")[0]
     state.record_load(0.0, LoadReport(48, 12, 48))
@@ -95,7 +95,7 @@
     assert home_of("part", rest) == home
 
 
-def test_a_sidecar_that_fails_is_avoided_for_longer_each_time_and_never_leaves_nobody() -> None:
+def test_a_failing_sidecar_is_avoided_with_growing_backoff_unless_all_fail() -> None:
     sidecars = table("a", "b")
     router = router_of(sidecars)
     first = sidecars.of_service("advisor")[0]
@@ -106,10 +106,10 @@
     first.record_success()
     for state in sidecars.of_service("advisor"):
         state.record_failure(2.0)
-    assert router.choose("advisor", (), 2.1) is not None, "one in doubt is better than none"
+    assert router.choose("advisor", (), 2.1) is not None, "a doubtful sidecar is better than none"
 
 
-def test_a_sidecar_that_says_nothing_while_a_request_waits_gets_no_more_until_it_speaks() -> None:
+def test_an_unresponsive_sidecar_gets_no_requests_until_it_responds() -> None:
     sidecars = table("a", "b")
     router = router_of(sidecars)
     first = sidecars.of_service("advisor")[0]
@@ -119,19 +119,19 @@
     assert router.choose("advisor", (), 1.4).entry.id == "b"
     first.record_success()
     first.last_byte_at = 1.5
-    assert first.is_usable(1.5) and sidecars.unresponsive(1.6) == [], "it has spoken since"
+    assert first.is_usable(1.5) and sidecars.unresponsive(1.6) == [], "it has responded since"
 
 
-def test_a_sidecar_whose_requests_fail_gets_fewer_although_it_says_that_it_is_well() -> None:
+def test_a_sidecar_whose_requests_fail_gets_fewer_although_it_reports_no_load() -> None:
     sidecars = table("a", "b")
     router = router_of(sidecars)
     first, second = sidecars.of_service("advisor")
-    for place in range(12):
-        (first.failure_rate.record_failure if place % 2 else first.failure_rate.record_success)(0.1 * place)
-        second.failure_rate.record_success(0.1 * place)
+    for index in range(12):
+        (first.failure_rate.record_failure if index % 2 else first.failure_rate.record_success)(0.1 * index)
+        second.failure_rate.record_success(0.1 * index)
     second.record_load(1.2, LoadReport(40, 0, 48))
-    assert router.choose("advisor", (), 1.2).entry.id == "b", "even where the other one is busier"
-    assert sidecars.free_slots("advisor", 1.2).live < 48 + 8, "the failing one counts for less"
+    assert router.choose("advisor", (), 1.2).entry.id == "b", "although the other one is busier"
+    assert sidecars.free_slots("advisor", 1.2).live < 48 + 8, "the failing one has fewer usable slots"
     assert router.choose("advisor", (), 30.0).entry.id in "ab"
     assert first.failure_rate.excess_failure_share(30.0) < 0.01, "it is tried again"
 
@@ -149,8 +149,8 @@
     sidecars = table("a", "b")
     router = router_of(sidecars)
     for state in sidecars.of_service("advisor"):
-        for place in range(20):
-            state.failure_rate.record_failure(0.1 * place)
+        for index in range(20):
+            state.failure_rate.record_failure(0.1 * index)
     assert router.choose("advisor", (), 2.0) is not None
 
 
@@ -160,23 +160,23 @@
     return made
 
 
-def test_of_many_sidecars_few_are_weighed_for_each_request(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_of_many_sidecars_few_are_scored_for_each_request(monkeypatch: pytest.MonkeyPatch) -> None:
     for count in (60, 5200):
         sidecars = many(count)
         router = router_of(sidecars, Random(1))
-        weighed: list[str] = []
+        scored: list[str] = []
         cost = router._cost_ms
 
-        def counted(state: SidecarState, *rest: Any, cost: Any = cost, weighed: Any = weighed) -> float:  # noqa: ANN401
-            weighed.append(state.entry.id)
+        def counted(state: SidecarState, *rest: Any, cost: Any = cost, scored: Any = scored) -> float:  # noqa: ANN401
+            scored.append(state.entry.id)
             return cost(state, *rest)
 
         monkeypatch.setattr(router, "_cost_ms", counted)
         router.choose("advisor", (PromptBlock("shared", 13_300), PromptBlock("own", 10)), 0.0)
-        assert len(weighed) <= SAMPLE_SIZE + SAMPLED_HOLDERS + SAMPLED_RECENT + 1, f"of {count}"
+        assert len(scored) <= SAMPLE_SIZE + SAMPLED_HOLDERS + SAMPLED_RECENT + 1, f"of {count}"
 
 
-def test_of_many_sidecars_the_home_of_a_shared_part_or_a_holder_is_chosen() -> None:
+def test_of_many_sidecars_the_home_of_a_shared_block_or_a_holder_is_chosen() -> None:
     sidecars = many(60)
     router = router_of(sidecars, Random(1))
     prompt = (PromptBlock("shared", 13_300), PromptBlock("own", 10))
@@ -184,9 +184,9 @@
     assert {router.choose("advisor", prompt, 0.0).entry.id for _ in range(20)} == {home}
     holder = next(x for x in sidecars.of_service("advisor") if x.entry.id != home)
     router.record_cached(holder, prompt)
-    assert router.choose("advisor", prompt, 0.0) is holder, "it need not read it"
+    assert router.choose("advisor", prompt, 0.0) is holder, "it has it cached"
     sidecars.update([x.entry for x in sidecars.of_service("advisor") if x is not holder])
-    assert router.choose("advisor", prompt, 0.0).entry.id == home, "a holder that is gone is not chosen"
+    assert router.choose("advisor", prompt, 0.0).entry.id == home, "a holder that was removed is not chosen"
 
 
 def test_of_many_sidecars_those_that_can_be_used_are_found_among_many_that_cannot() -> None:
@@ -199,48 +199,48 @@
     assert router.choose("advisor", (), 0.1) is is_usable
 
 
-def test_free_slots_are_carried_on_for_a_moment_where_there_are_many_sidecars() -> None:
+def test_free_slots_are_cached_briefly_for_many_sidecars() -> None:
     sidecars = many(60)
     before = sidecars.free_slots("advisor", 1.0)
     sidecars.count_started("advisor", 10, 5)
     after = sidecars.free_slots("advisor", 1.01)
     assert (after.live, after.batch) == (before.live - 15, before.batch - 15)
-    assert sidecars.free_slots("advisor", 1.05) == before, "counted anew"
+    assert sidecars.free_slots("advisor", 1.05) == before, "counted again"
 
 
-def test_many_fronts_ask_a_sidecar_for_no_more_reports_than_few() -> None:
-    asked = {}
+def test_many_fronts_poll_a_sidecar_no_more_often_than_few() -> None:
+    reports_per_s = {}
     for fronts in (5, 50):
         sidecars = table(*(f"s{number}" for number in range(30)))
         sidecars.fronts = fronts
         count = 0
-        for step in range(200):  # ten seconds in which work waits
+        for step in range(200):  # 10 s in which requests are queued
             now = 100 + 0.05 * step
             for state in sidecars.with_stale_load("advisor", now):
                 state.report_requested_at = now
                 count += 1
-        asked[fronts] = count * fronts / 30 / 10  # of one sidecar by all, a second
-    assert asked[5] <= 5 / 0.4 + 1 and asked[50] <= 20 + 50 / 10, asked
+        reports_per_s[fronts] = count * fronts / 30 / 10  # at one sidecar, by all fronts
+    assert reports_per_s[5] <= 5 / 0.4 + 1 and reports_per_s[50] <= 20 + 50 / 10, reports_per_s
 
 
-def test_a_few_sidecars_are_asked_at_a_time_those_untold_for_longest_first() -> None:
+def test_a_few_sidecars_are_polled_at_a_time_the_oldest_reports_first() -> None:
     sidecars = table(*(f"s{number}" for number in range(10)))
-    for place, state in enumerate(sidecars.of_service("advisor")):
-        state.record_load(float(-place), LoadReport(0, 0, 48))
-    asked = [state.entry.id for state in sidecars.with_stale_load("advisor", 10.0)]
-    assert asked == ["s9", "s8", "s7", "s6"]
+    for index, state in enumerate(sidecars.of_service("advisor")):
+        state.record_load(float(-index), LoadReport(0, 0, 48))
+    polled = [state.entry.id for state in sidecars.with_stale_load("advisor", 10.0)]
+    assert polled == ["s9", "s8", "s7", "s6"]
 
 
-def test_one_request_at_a_sidecar_does_not_stand_for_one_of_each_of_many_fronts() -> None:
+def test_one_request_at_a_sidecar_is_not_multiplied_by_the_number_of_fronts() -> None:
     sidecars = table(*(f"s{number}" for number in range(30)))
     sidecars.fronts = 50
     state = sidecars.of_service("advisor")[0]
     state.inflight = 1
-    assert sidecars.load("advisor", 100.0).waiting == 0, "50 requests would be more than its slots"
-    assert sidecars.load("advisor", 100.0).running == pytest.approx(50, rel=0.2), "in all, one of each front"
+    assert sidecars.load("advisor", 100.0).waiting == 0, "50 requests there would exceed its slots"
+    assert sidecars.load("advisor", 100.0).running == pytest.approx(50, rel=0.2), "in total, one per front"
 
 
-def test_many_requests_at_one_sidecar_do_tell_of_those_of_other_fronts() -> None:
+def test_many_requests_at_one_sidecar_raise_the_estimate_of_other_fronts() -> None:
     sidecars = table("a", "b", "c")
     sidecars.fronts = 9
     crowded, *others = sidecars.of_service("advisor")
@@ -266,11 +266,11 @@
     monkeypatch.setattr(sidecars, "of_service", count)
     for _ in range(50):
         assert router.choose("advisor", (), 100.0) is not None
-    assert listed <= 2 * 200, "counted once in this moment, not for each of fifty requests"
+    assert listed <= 2 * 200, "counted once for all fifty requests"
 
 
 class CountedList(list[SidecarState]):
-    """Tells how many of its items are gone through."""
+    """A list that reports how many of its items are iterated over."""
 
     def __init__(self, items: list[SidecarState], note: Any) -> None:  # noqa: ANN401
         super().__init__(items)
@@ -281,7 +281,7 @@
         return super().__iter__()
 
 
-def test_before_the_fronts_are_counted_each_takes_a_small_part_as_if_there_were_many() -> None:
+def test_before_the_fronts_are_counted_each_assumes_a_small_share() -> None:
     sidecars = table(*(f"s{number}" for number in range(36)))
     slots = 36 * 48
     assert slots / sidecars.assumed_front_count("advisor") == pytest.approx(UNCOUNTED_SHARE_SLOTS, rel=0.01)
@@ -289,7 +289,7 @@
     assert sidecars.assumed_front_count("advisor") == 9
 
 
-def test_a_sidecar_with_a_kept_connection_is_taken_before_one_that_needs_a_new_one() -> None:
+def test_a_sidecar_with_an_idle_connection_is_preferred() -> None:
     sidecars = table("a", "b")
     router = router_of(sidecars)
     first, second = sidecars.of_service("advisor")
@@ -297,23 +297,23 @@
     second.connections.idle.append(CONNECTION)
     assert router.choose("advisor", (), 0.0) is second
     second.record_load(0.0, LoadReport(24, 0, 48))
-    assert router.choose("advisor", (), 0.0) is first, "but not at any load"
+    assert router.choose("advisor", (), 0.0) is first, "a busy sidecar is not preferred"
 
 
-def test_a_sidecar_that_takes_no_more_connections_is_left_out_while_others_are_there() -> None:
+def test_a_sidecar_without_available_connections_is_skipped_while_others_have_some() -> None:
     sidecars = table("a", "b")
     router = router_of(sidecars)
     first, second = sidecars.of_service("advisor")
     first.connections.record_reset(0.0)
     assert {router.choose("advisor", (), 0.05).entry.id for _ in range(5)} == {"b"}
     first.connections.idle.append(CONNECTION)
-    assert router.choose("advisor", (), 0.05) is first, "a kept connection is as good as before"
+    assert router.choose("advisor", (), 0.05) is first, "an idle connection is still usable"
     second.connections.record_reset(0.0)
     first.connections.idle.clear()
-    assert router.choose("advisor", (), 0.05) is not None, "one in doubt is better than none"
+    assert router.choose("advisor", (), 0.05) is not None, "a doubtful sidecar is better than none"
 
 
-def test_sidecars_that_report_their_load_count_for_the_others_whatever_the_count_of_fronts_is() -> None:
+def test_reported_loads_are_extrapolated_whatever_the_number_of_fronts() -> None:
     for fronts in (3, 72, 3000):
         sidecars = table(*(f"s{number}" for number in range(10)))
         sidecars.fronts = fronts
@@ -322,27 +322,27 @@
         for step in range(60):
             sidecars.record_load(first, 0.01 * step, LoadReport(12, 0, 48))
         load = sidecars.load("advisor", 0.6)
-        assert load.running == pytest.approx(10 * 12, rel=0.2), "each of ten like the one that was heard"
+        assert load.running == pytest.approx(10 * 12, rel=0.2), "each of ten like the one that reported"
 
 
-def test_a_lying_sidecar_moves_what_is_believed_of_the_others_by_little_and_not_for_long() -> None:
+def test_a_false_load_report_changes_other_estimates_little_and_briefly() -> None:
     sidecars = table(*(f"s{number}" for number in range(10)))
-    honest, liar, *_ = sidecars.of_service("advisor")
+    healthy, faulty, *_ = sidecars.of_service("advisor")
     for step in range(60):
         now = 0.01 * step
-        sidecars.record_load(honest, now, LoadReport(12, 0, 48))
+        sidecars.record_load(healthy, now, LoadReport(12, 0, 48))
         if step % 10 == 9:
-            sidecars.record_load(liar, now, LoadReport(1e9, 1e9, 1))
-    others = [state for state in sidecars.of_service("advisor") if state not in (honest, liar)]
+            sidecars.record_load(faulty, now, LoadReport(1e9, 1e9, 1))
+    others = [state for state in sidecars.of_service("advisor") if state not in (healthy, faulty)]
     average = sidecars.average_inflight("advisor", 0.6)
-    assert max(state.estimate(0.6, average) for state in others) < 48, "they still count as having places"
+    assert max(state.estimate(0.6, average) for state in others) < 48, "they still have free slots"
     average = sidecars.average_inflight("advisor", 9.0)
-    assert average.others == 0, "what was told is forgotten, and this front sends nothing"
+    assert average.others == 0, "the reports are too old, and this front sends nothing"
 
 
 @pytest.mark.parametrize("fronts", [1, 9, 72, 3000])
-def test_all_fronts_together_run_no_more_items_than_leave_room_for_live_requests(fronts: int) -> None:
+def test_items_of_all_fronts_together_leave_slots_for_live_requests(fronts: int) -> None:
     sidecars = table(*(f"s{number}" for number in range(36)))
     sidecars.fronts, sidecars.fronts_counted = fronts, True
     assert fronts * (sidecars.max_batch_items("advisor") - 1) <= BATCH_FILL * 36 * 48
-    assert sidecars.max_batch_items("advisor") >= 1, "and none is starved"
+    assert sidecars.max_batch_items("advisor") >= 1, "and no front is starved"
