--- a/crowwing/tier/front/batch_job_runner.py
+++ b/crowwing/tier/front/batch_job_runner.py
@@ -14,10 +14,7 @@
 log = logging.getLogger("crowwing.lots")
 
 LEASE_WAIT_MS = 600  # how long the primary may wait for items (long polling)
-LEASE_TIMEOUT_S, LEASE_CONFIRM_S = (
-    2.0,
-    1.2,
-)  # for a lease call; without a response, before the primary is confirmed
+LEASE_TIMEOUT_S, LEASE_CONFIRM_S = 2.0, 1.2  # of a lease call; before the primary is confirmed
 REPORT_TIMEOUT_S = 4.0
 MAX_REPORT_CALLS = 8
 POLL_INTERVAL_S, MIN_POLL_INTERVAL_S = 0.15, 0.02
--- a/crowwing/tier/front/sidecar_connections.py
+++ b/crowwing/tier/front/sidecar_connections.py
@@ -20,10 +20,7 @@
 IDLE_SHARE = 0.45  # share of the accepted connections that all fronts together may keep idle
 MIN_OPEN_CONNECTIONS = 2  # that a front may open to one sidecar, however small its share
 MIN_IDLE_CONNECTIONS = 2  # that a front may keep idle to a service, however small its share
-MIN_FULL_BACKOFF_S, MAX_FULL_BACKOFF_S = (
-    0.1,
-    1.6,
-)  # without new connections after a new one was reset; doubled each time
+MIN_FULL_BACKOFF_S, MAX_FULL_BACKOFF_S = 0.1, 1.6  # after a new connection was reset; doubled each time
 MIN_CONNECT_DELAY_S, MAX_CONNECT_DELAY_S = 0.002, 0.01  # bounds of the delay before the first request
 
 
--- a/crowwing/tier/front/sidecar_state.py
+++ b/crowwing/tier/front/sidecar_state.py
@@ -10,9 +10,7 @@
 
 LOAD_FRESH_S = 0.3  # how long a load report has full weight
 LOAD_DECAY_S = 1.0  # how long its weight then takes to fall to 0
-LOAD_SHAPE = (
-    2.0  # of the gamma distribution of loads among sidecars: their standard deviation is 0.7 of the mean
-)
+LOAD_SHAPE = 2.0  # of the gamma distribution of sidecar loads: standard deviation 0.7 of the mean
 RESPONSE_TIMEOUT_S = 0.35  # without a byte while a request waits, before a sidecar is unresponsive
 REPLACED_PAUSE_S = 1.0  # without requests to a sidecar whose address belongs to another one now
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.5, 4.0  # after a failure; doubled with each consecutive one
@@ -37,9 +35,7 @@
     sent_since_report: int = 0  # by this front
     failures: int = 0  # consecutive
     avoid_until: float = 0.0
-    unanswered: dict[int, float] = field(
-        default_factory=dict
-    )  # attempts without a response head: send time by number
+    unanswered: dict[int, float] = field(default_factory=dict)  # send times of attempts without a head
     unresponsive: bool = False  # sent no byte within the time-out while a request waited
     leaving: bool = False  # its responses say so before the endpoint list does
     prefix_cache: PrefixCache = field(default_factory=PrefixCache)
--- a/crowwing/tier/front/store_client.py
+++ b/crowwing/tier/front/store_client.py
@@ -98,9 +98,7 @@
             except CallError as error:
                 indeterminate = indeterminate or error.sent
             else:
-                if indeterminate and is_overloaded(
-                    outcome
-                ):  # not final: an earlier attempt may have succeeded
+                if indeterminate and is_overloaded(outcome):  # an earlier attempt may have succeeded
                     await asyncio.sleep(max(0.0, min(OVERLOAD_PAUSE_S, deadline - self._clock.monotonic())))
                     continue
                 if not isinstance(outcome, outcomes.NotPrimary | outcomes.Indeterminate):
