--- a/crowwing/tier/front/attempts.py
+++ b/crowwing/tier/front/attempts.py
@@ -53,7 +53,7 @@
             state.failure_rate.record_success(now)
         self._record_load_header(state, started.header(b"server-load"))
         if (started.header(b"connection") or b"").lower() == b"close" and not state.entry.ready:
-            state.leaving = True
+            state.draining = True
 
     def not_executed(self, state: SidecarState, outcome: NotExecuted, expects_version: bool) -> None:
         """Records that a sidecar did not execute a request, usually because it is full.
--- a/crowwing/tier/front/preemption.py
+++ b/crowwing/tier/front/preemption.py
@@ -29,11 +29,11 @@
         if run in runs:
             runs.remove(run)
 
-    def preempt(self, service: str, wanted: int) -> None:
-        """Cancels runs, newest first, for `wanted` live requests that are queued without a free slot."""
+    def preempt(self, service: str, queued_count: int) -> None:
+        """Cancels runs, newest first, for `queued_count` live requests without a free slot."""
         runs = self._running.get(service)
         preempted = self._preempted.setdefault(service, set())
-        while runs and len(preempted) < min(wanted, MAX_PREEMPTED):
+        while runs and len(preempted) < min(queued_count, MAX_PREEMPTED):
             run = runs.pop()
             preempted.add(run)
             run.cancel()
--- a/crowwing/tier/front/routing.py
+++ b/crowwing/tier/front/routing.py
@@ -158,6 +158,6 @@
         candidates = [
             state
             for state in states
-            if state.entry.ready and not state.leaving and state.entry.id not in tried
+            if state.entry.ready and not state.draining and state.entry.id not in tried
         ]
     return candidates
--- a/crowwing/tier/front/sidecar_connections.py
+++ b/crowwing/tier/front/sidecar_connections.py
@@ -144,9 +144,9 @@
         stream = await self._network.connect_tcp(
             self._host, self._port, self._connect_timeout_s, socket_options=options
         )
-        took = time.monotonic() - began
+        connect_s = time.monotonic() - began
         try:
-            await asyncio.sleep(min(MAX_CONNECT_DELAY_S, max(MIN_CONNECT_DELAY_S, took)))
+            await asyncio.sleep(min(MAX_CONNECT_DELAY_S, max(MIN_CONNECT_DELAY_S, connect_s)))
         except BaseException:
             await stream.aclose()
             raise
--- a/crowwing/tier/front/sidecar_state.py
+++ b/crowwing/tier/front/sidecar_state.py
@@ -37,7 +37,7 @@
     avoid_until: float = 0.0
     unanswered: dict[int, float] = field(default_factory=dict)  # send times of attempts without a head
     unresponsive: bool = False  # sent no byte within the time-out while a request waited
-    leaving: bool = False  # its responses say so before the endpoint list does
+    draining: bool = False  # it closes connections while it is listed as not ready
     prefix_cache: PrefixCache = field(default_factory=PrefixCache)
     failure_rate: FailureRate = field(default_factory=FailureRate)
     connections: ConnectionState = field(default_factory=ConnectionState)
@@ -81,7 +81,7 @@
 
     def is_usable(self, now: float) -> bool:
         """Whether new requests may be sent to it."""
-        return self.entry.ready and not self.leaving and not self.unresponsive and now >= self.avoid_until
+        return self.entry.ready and not self.draining and not self.unresponsive and now >= self.avoid_until
 
     def is_reachable(self, now: float) -> bool:
         """Whether new requests may be sent to it and would get a connection."""
