--- a/crowwing/tier/configuration.py
+++ b/crowwing/tier/configuration.py
@@ -82,7 +82,7 @@
         return self.kind in ("safe", "batch_queue") or (self.kind == "stream" and self.resumable)
 
     @model_validator(mode="after")
-    def _names_a_target(self) -> "Route":
+    def _check_target(self) -> "Route":
         if self.service is None and not self.traffic_split:
             raise NoTargetError
         if sum(share.weight for share in self.services) <= 0:
@@ -128,7 +128,7 @@
     limits: RequestLimits = RequestLimits.model_validate({})
 
     @model_validator(mode="after")
-    def _is_consistent(self) -> "Configuration":
+    def _check_consistency(self) -> "Configuration":
         names = {service.name for service in self.services}
         hosts_and_prefixes: set[tuple[str, str]] = set()
         for route in self.routes:
--- a/crowwing/tier/operator_commands.py
+++ b/crowwing/tier/operator_commands.py
@@ -21,7 +21,7 @@
 
 DONE = 0  # exit statuses
 FAILED = 1
-WRONG_USE = 2
+USAGE_ERROR = 2
 
 ATTEMPT_TIMEOUT_S = 1.5  # of one request to one store machine
 COMMAND_TIMEOUT_S = 20.0  # of all attempts of one command
@@ -52,7 +52,7 @@
     return status
 
 
-def ask(
+def send_request(
     control: list[str], method: str, path: str, body: bytes = b"", headers: dict[str, str] | None = None
 ) -> httpx.Response | None:
     """Asks one control address after another until one gives a final response.
@@ -83,7 +83,7 @@
     return None
 
 
-def _failure_of(response: httpx.Response | None) -> str | None:
+def _failure_message(response: httpx.Response | None) -> str | None:
     """What to print of a command that was not carried out for certain; None where it was."""
     if response is None:
         return "no clear answer; make the same call again"
@@ -101,14 +101,14 @@
         """0 where the file is valid, 2 with the place of the mistake where not."""
         if self.file.suffix == ".toml":
             settings = read_settings(str(self.file))
-            return _fail(str(settings), WRONG_USE) if isinstance(settings, InvalidSettings) else DONE
+            return _fail(str(settings), USAGE_ERROR) if isinstance(settings, InvalidSettings) else DONE
         try:
             text = self.file.read_bytes()
         except OSError as error:
-            return _fail(str(error), WRONG_USE)
+            return _fail(str(error), USAGE_ERROR)
         parsed = parse_configuration(text)
         if isinstance(parsed, InvalidConfiguration):
-            return _fail(f"{self.file}: {parsed.location}: {parsed.reason}", WRONG_USE)
+            return _fail(f"{self.file}: {parsed.location}: {parsed.reason}", USAGE_ERROR)
         print(f"version {parsed.version}, {len(parsed.routes)} routes, {len(parsed.services)} services")
         return DONE
 
@@ -122,7 +122,7 @@
 
     def __call__(self) -> int:
         """0 with the configuration on standard output."""
-        response = ask(self.control, "GET", "/config")
+        response = send_request(self.control, "GET", "/config")
         if response is None or response.status_code != HTTPStatus.OK:
             no_response = "no store machine answers for certain"
             return _fail(no_response if response is None else "no configuration")
@@ -144,8 +144,10 @@
         checked = Check(self.file)()
         if checked != DONE:
             return checked
-        response = ask(self.control, "PUT", "/config", self.file.read_bytes(), {"If-Match": str(self.base)})
-        failure = _failure_of(response)
+        response = send_request(
+            self.control, "PUT", "/config", self.file.read_bytes(), {"If-Match": str(self.base)}
+        )
+        failure = _failure_message(response)
         if failure is not None:
             return _fail(failure)
         print("taken")
@@ -163,12 +165,12 @@
     def __call__(self) -> int:
         """0 once the machine may be taken away with its disk."""
         body = json.dumps({"durationS": int(RETIREMENT_TIMEOUT_S)}).encode()
-        failure = _failure_of(ask(self.control, "POST", f"/retire/{self.node}", body))
+        failure = _failure_message(send_request(self.control, "POST", f"/retire/{self.node}", body))
         if failure is not None:
             return _fail(failure)
         deadline = time.monotonic() + RETIREMENT_TIMEOUT_S
         while time.monotonic() < deadline:
-            response = ask(self.control, "GET", f"/retire/{self.node}")
+            response = send_request(self.control, "GET", f"/retire/{self.node}")
             if response is not None and response.json().get("state") == "completed":
                 print("completed")
                 return DONE
--- a/crowwing/tier/roles.py
+++ b/crowwing/tier/roles.py
@@ -11,14 +11,14 @@
 FRONT = "front"
 STORE = "store"
 ROLES = (FRONT, STORE)
-WRONG_USE = 2  # exit status
+USAGE_ERROR = 2  # exit status
 
 
 def _settings_or_exit() -> Settings:
     settings = read_settings()
     if isinstance(settings, InvalidSettings):
         print(f"crowwing: {settings}", file=sys.stderr)
-        raise SystemExit(WRONG_USE)
+        raise SystemExit(USAGE_ERROR)
     set_up_logging(settings.node)
     return settings
 
--- a/crowwing/tier/store/decisions.py
+++ b/crowwing/tier/store/decisions.py
@@ -25,13 +25,13 @@
     Attributes:
         events: What is proposed.
         outcome: What the caller is told.
-        rests_on_state: False where nothing is done whatever the state is, so that the caller may hear of it
+        depends_on_state: False where nothing is done whatever the state is, so that the caller may hear of it
             at once.
     """
 
     events: tuple[events.Event, ...]
     outcome: outcomes.Outcome
-    rests_on_state: bool = True
+    depends_on_state: bool = True
 
 
 DONE = Decision((), outcomes.Done())
@@ -43,7 +43,7 @@
 
 
 def _overloaded(reason: str) -> Decision:
-    return Decision((), outcomes.Rejected(503, reason), rests_on_state=False)
+    return Decision((), outcomes.Rejected(503, reason), depends_on_state=False)
 
 
 def put_configuration(state: TierState, command: commands.PutConfiguration) -> Decision:
@@ -229,15 +229,15 @@
         now_ms: The primary's time of day, in milliseconds.
         retention_s: For how long after its acceptance a completed job may be read.
     """
-    made: list[events.Event] = []
+    new_events: list[events.Event] = []
     routes = RoutingTable(configuration) if configuration is not None else None
     for job in state.jobs.values():
         age_s = (now_ms - job.at_ms) / 1000
         if job.done and age_s > retention_s:
-            made.append(events.BatchJobRemoved(job.id))
+            new_events.append(events.BatchJobRemoved(job.id))
         elif not job.done and routes is not None and _has_waited_too_long(job, routes, age_s):
-            made.append(_dead_letters(job, job.open_items))
-    return Decision(tuple(made), outcomes.Done())
+            new_events.append(_dead_letters(job, job.open_items))
+    return Decision(tuple(new_events), outcomes.Done())
 
 
 def _has_waited_too_long(job: BatchJob, routes: RoutingTable, age_s: float) -> bool:
--- a/crowwing/tier/store/disk.py
+++ b/crowwing/tier/store/disk.py
@@ -20,8 +20,8 @@
 FILE_NAME = "state.log"
 MIN_COMPACTION_BYTES = 8 * 1024 * 1024  # a shorter file is not compacted, but on a crowded disk
 COMPACTION_FACTOR = 3  # times the length after the last compaction
-CROWDED_DISK_SHARE = 0.4  # of the disk's capacity, from which a file is compacted sooner
-CROWDED_COMPACTION_FACTOR = 1.5  # times the length that a compaction is expected to give
+HIGH_DISK_USAGE_SHARE = 0.4  # of the disk's capacity, from which a file is compacted sooner
+HIGH_USAGE_COMPACTION_FACTOR = 1.5  # times the length that a compaction is expected to give
 COMPACTION_RETRY_S = 2.0  # after a compaction that failed
 USABLE_DISK_SHARE = 0.95  # of the disk's capacity, for the file and its replacement together
 
@@ -31,7 +31,7 @@
     """A replacement of the file that is being written beside it."""
 
     replacement: PendingResult[CompactedFile]
-    written_meanwhile: list[
+    concurrent_appends: list[
         bytes
     ]  # what was appended to the file since, and has to follow in the replacement
 
@@ -93,8 +93,8 @@
             return False
         if size > max(MIN_COMPACTION_BYTES, COMPACTION_FACTOR * self._compacted_bytes):
             return True
-        is_crowded = self._capacity_bytes > 0 and size > CROWDED_DISK_SHARE * self._capacity_bytes
-        return is_crowded and size > CROWDED_COMPACTION_FACTOR * compacted_bytes
+        is_high_usage = self._capacity_bytes > 0 and size > HIGH_DISK_USAGE_SHARE * self._capacity_bytes
+        return is_high_usage and size > HIGH_USAGE_COMPACTION_FACTOR * compacted_bytes
 
     async def write(self, records: list[Record]) -> None:
         """Appends records and syncs them; raises StorageError."""
@@ -105,7 +105,7 @@
             await self._workers.write(self._finish_compaction, compaction, payloads)
             return
         if compaction is not None:
-            compaction.written_meanwhile += payloads
+            compaction.concurrent_appends += payloads
         await self._workers.write(self._file.append, payloads)
 
     def begin_compaction(self, records: Iterable[Record]) -> None:
@@ -137,7 +137,7 @@
         Until the switch the file has all that was acknowledged, so a crash at any step loses nothing; what
         was written meanwhile must be in the replacement before it.
         """
-        tail = compaction.written_meanwhile
+        tail = compaction.concurrent_appends
         try:
             replacement = compaction.replacement.result()
             compacted_bytes = replacement.size
--- a/crowwing/tier/store/machine.py
+++ b/crowwing/tier/store/machine.py
@@ -112,15 +112,15 @@
         self.relay.view.seeds = hosts
         self.node.replica.add_peers(hosts)
 
-    async def start(self, is_wanted: Callable[[], bool] = lambda: True) -> Listener:
+    async def start(self, should_retry: Callable[[], bool] = lambda: True) -> Listener:
         """Recovers from the disk and listens.
 
         A disk that can't be opened is tried again, since an operator may free or replace it meanwhile.
 
         Args:
-            is_wanted: Whether to go on trying; False once the process is to end.
+            should_retry: Whether to go on trying; False once the process is to end.
         """
-        while is_wanted():
+        while should_retry():
             error = self._start_node()
             if error is None:
                 break
--- a/crowwing/tier/store/node.py
+++ b/crowwing/tier/store/node.py
@@ -233,7 +233,7 @@
             return outcomes.NotPrimary(self.leader)
         now = self.clock.monotonic()
         decision = decide(self.state)
-        if not decision.rests_on_state:
+        if not decision.depends_on_state:
             return decision.outcome
         for event in decision.events:
             self.replica.propose(now, encode(event))
--- a/crowwing/tier/store/service.py
+++ b/crowwing/tier/store/service.py
@@ -191,10 +191,10 @@
         while True:
             job = self._node.state.jobs.get(command.job_id)
             has_to_wait = job is not None and len(job.results) <= command.start and not job.done
-            left_s = deadline - self._clock.monotonic()
-            if not has_to_wait or left_s <= 0 or self._node.replica.role is not Role.PRIMARY:
+            remaining_s = deadline - self._clock.monotonic()
+            if not has_to_wait or remaining_s <= 0 or self._node.replica.role is not Role.PRIMARY:
                 return await self._node.decide(lambda state: decisions.read_batch_job(state, command))
-            await self._readers.wait(command.job_id, left_s)
+            await self._readers.wait(command.job_id, remaining_s)
 
     def _end_batch_job(self, state: TierState, command: commands.EndBatchJob) -> Decision:
         return self._notify_readers(decisions.end_batch_job(state, command))
--- a/crowwing/tier/wire/bulk_queue.py
+++ b/crowwing/tier/wire/bulk_queue.py
@@ -25,14 +25,14 @@
     Attributes:
         flow: the connection's flow.
         traffic_class: the frame's class.
-        goes_ahead: whether a more urgent class waits, past which it goes by its share.
-        begins: whether nothing of it has been written yet.
+        uses_credit: whether a more urgent class waits, past which it goes by its share.
+        is_first_chunk: whether nothing of it has been written yet.
     """
 
     flow: PacedFlow
     traffic_class: TrafficClass
-    goes_ahead: bool = False
-    begins: bool = True
+    uses_credit: bool = False
+    is_first_chunk: bool = True
 
 
 class BulkQueue:
@@ -61,7 +61,7 @@
         flow.enqueue(frame, traffic_class, expires_at)
         self._waiting_bytes[traffic_class] += len(frame)
 
-    def forget(self, flow: PacedFlow) -> None:
+    def remove_flow(self, flow: PacedFlow) -> None:
         """Removes all frames of a flow."""
         for traffic_class, flows in self._flows.items():
             if flow in flows:
@@ -84,7 +84,7 @@
             return None
         for flow, traffic_class in ready[1:]:
             if self._credit_bytes[traffic_class] > 0:
-                return NextFrame(flow, traffic_class, goes_ahead=True)
+                return NextFrame(flow, traffic_class, uses_credit=True)
         return NextFrame(*ready[0])
 
     def _first_ready(self, traffic_class: TrafficClass, now: float) -> PacedFlow | None:
@@ -104,12 +104,12 @@
             The bytes that were written.
         """
         flow, traffic_class = frame.flow, frame.traffic_class
-        if frame.begins:
+        if frame.is_first_chunk:
             self._count_credit(frame)
         chunk = flow.take_chunk(traffic_class, max_bytes)
         self._waiting_bytes[traffic_class] -= len(chunk)
         if flow.is_in_progress:
-            self._in_progress = NextFrame(flow, traffic_class, begins=False)
+            self._in_progress = NextFrame(flow, traffic_class, is_first_chunk=False)
         else:
             self._in_progress = None
             self._end_turn(flow, traffic_class)
@@ -129,5 +129,5 @@
             credit_bytes = self._credit_bytes[traffic_class] + share * length
             max_bytes = MAX_CREDIT_BYTES if self._flows[traffic_class] else 0
             self._credit_bytes[traffic_class] = min(credit_bytes, max_bytes)
-        if frame.goes_ahead:
+        if frame.uses_credit:
             self._credit_bytes[frame.traffic_class] -= length
--- a/crowwing/tier/wire/codec.py
+++ b/crowwing/tier/wire/codec.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True)
-class _Registered:
+class _Registration:
     """How a class stands in the bytes."""
 
     wire_name: str
@@ -25,7 +25,7 @@
 
 
 _CLASSES: dict[str, type[Any]] = {}  # by wire name
-_REGISTERED: dict[type, _Registered] = {}
+_REGISTERED: dict[type, _Registration] = {}
 
 
 def message(wire_name: str) -> Callable[[type[MessageT]], type[MessageT]]:
@@ -45,7 +45,7 @@
         assert wire_name not in _CLASSES, f"two messages are named {wire_name}"
         _CLASSES[wire_name] = cls
         field_names = tuple(field.name for field in fields(cast("type[Any]", cls)))
-        _REGISTERED[cls] = _Registered(wire_name, field_names)
+        _REGISTERED[cls] = _Registration(wire_name, field_names)
         return cls
 
     return register
--- a/crowwing/tier/wire/egress.py
+++ b/crowwing/tier/wire/egress.py
@@ -88,9 +88,9 @@
             return flow.has_frames(traffic_class)
         return flow.has_equal_frame(frame, traffic_class)
 
-    def forget(self, flow: PacedFlow) -> None:
+    def remove_flow(self, flow: PacedFlow) -> None:
         """Removes a flow that is about to drop its frames."""
-        self._queue.forget(flow)
+        self._queue.remove_flow(flow)
 
     # The budget
 
--- a/crowwing/tier/wire/paced_flow.py
+++ b/crowwing/tier/wire/paced_flow.py
@@ -23,7 +23,7 @@
     def send_bulk(self, flow: "PacedFlow", frame: bytes, traffic_class: TrafficClass) -> None:
         """Sends a frame of bulk data, now or later."""
 
-    def forget(self, flow: "PacedFlow") -> None:
+    def remove_flow(self, flow: "PacedFlow") -> None:
         """Removes a flow that is about to drop its frames."""
 
 
@@ -36,7 +36,7 @@
     sent_bytes: int = 0
 
     @property
-    def rest_bytes(self) -> int:
+    def remaining_bytes(self) -> int:
         """Bytes that are left to be sent."""
         return len(self.frame) - self.sent_bytes
 
@@ -87,7 +87,7 @@
         if self._is_closed:
             return
         self._is_closed = True
-        self._pacer.forget(self)
+        self._pacer.remove_flow(self)
         self._frames.clear()
         self._control.clear()
         self.waiting_bytes = 0
@@ -109,11 +109,11 @@
 
     def count_bytes(self, traffic_class: TrafficClass) -> int:
         """Bytes of a class that wait."""
-        return sum(frame.rest_bytes for frame in self._frames.get(traffic_class, ()))
+        return sum(frame.remaining_bytes for frame in self._frames.get(traffic_class, ()))
 
     def first_length(self, traffic_class: TrafficClass) -> int:
         """Bytes that are left of the first frame of a class."""
-        return self._frames[traffic_class][0].rest_bytes
+        return self._frames[traffic_class][0].remaining_bytes
 
     def is_ready(self, traffic_class: TrafficClass) -> bool:
         """Whether a frame of a class may be written: its peer reads, and no other frame is in progress."""
@@ -131,7 +131,7 @@
         frames = self._frames[traffic_class]
         dropped_bytes = 0
         while frames and frames[0].expires_at <= now:
-            dropped_bytes += frames.popleft().rest_bytes
+            dropped_bytes += frames.popleft().remaining_bytes
         self.waiting_bytes -= dropped_bytes
         return dropped_bytes
 
@@ -139,10 +139,10 @@
         """Takes the first frame of a class, or a part of it, which `write` has to be given next."""
         frames = self._frames[traffic_class]
         first = frames[0]
-        begin, length = first.sent_bytes, min(first.rest_bytes, max_bytes)
+        begin, length = first.sent_bytes, min(first.remaining_bytes, max_bytes)
         chunk = first.frame if length == len(first.frame) else memoryview(first.frame)[begin : begin + length]
         first.sent_bytes += length
-        if first.rest_bytes:
+        if first.remaining_bytes:
             first.expires_at = math.inf  # the peer can't read what follows without the rest
             self._in_progress = traffic_class
         else:
--- a/tests/tier/test_overload.py
+++ b/tests/tier/test_overload.py
@@ -86,7 +86,7 @@
 
 def test_a_job_beyond_the_capacity_is_rejected_and_leaves_nothing_behind() -> None:
     decision = decisions.submit_batch_job(TierState(), job(1), 0, True, has_write_capacity=False)
-    assert decision == decisions.Decision((), OVERLOADED, rests_on_state=False)
+    assert decision == decisions.Decision((), OVERLOADED, depends_on_state=False)
 
 
 def test_a_job_that_was_accepted_before_is_acknowledged_again_whatever_the_capacity() -> None:
