--- a/tests/tier/exchanges.py
+++ b/tests/tier/exchanges.py
@@ -32,7 +32,7 @@
 
 
 @dataclass
-class Answer:
+class Response:
     """An answer as a client read it."""
 
     status: int
@@ -42,12 +42,12 @@
 
 
 @dataclass
-class Sent:
+class SentRequest:
     """A request of a client, and its answer; None where none came or the client left."""
 
     id: str
     path: str
-    answer: Answer | None = None
+    response: Response | None = None
 
 
 @dataclass
@@ -82,15 +82,15 @@
     return server.servers[0].sockets[0].getsockname()[1], serving
 
 
-class Play:
+class ExchangeRun:
     """One play of a seed."""
 
     def __init__(self, seed: int, exchanges: int, clients: int = 8) -> None:
         self._random = Random(seed)
-        self._left, self._clients = exchanges, clients
+        self._remaining, self._clients = exchanges, clients
         self._number = 0
         self._ledger = Ledger()
-        self._sent: list[Sent] = []
+        self._sent: list[SentRequest] = []
         self._unanswered: list[str] = []  # requests whose kept connection was closed without an answer
 
     async def run(self) -> Outcome:
@@ -108,18 +108,18 @@
         stop = asyncio.Event()
         port, serving = await serve_front(pool, stop)
         loops = asyncio.ensure_future(pool.run_loops())
-        asking = asyncio.ensure_future(self._ask_reports(pool))
+        report_requests = asyncio.ensure_future(self._request_reports(pool))
         await asyncio.gather(*(self._client(port) for _ in range(self._clients)))
         await asyncio.sleep(0.5)  # what still runs, runs
         loops.cancel()
-        asking.cancel()
+        report_requests.cancel()
         stop.set()
         await serving
         for sidecar in sidecars:
             sidecar.stop()
         return self._check()
 
-    async def _ask_reports(self, pool: ServicePool) -> None:
+    async def _request_reports(self, pool: ServicePool) -> None:
         """Reports are asked for all the time, on the same connections."""
         while True:
             await asyncio.sleep(0.01)
@@ -127,7 +127,7 @@
                 pool.reports.request(state, 0.0)
 
     async def _client(self, port: int) -> None:
-        while self._left > 0:
+        while self._remaining > 0:
             try:
                 await self._connection(port)
             except (OSError, asyncio.IncompleteReadError, ValueError):
@@ -136,7 +136,7 @@
     async def _connection(self, port: int) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         try:
-            while self._left > 0:
+            while self._remaining > 0:
                 count = 2 if self._random.random() < 0.1 else 1  # two requests in a row
                 sent = [self._new_request() for _ in range(count)]
                 writer.write(b"".join(self._encode(one) for one in sent))
@@ -145,26 +145,26 @@
                         await asyncio.sleep(self._random.uniform(0, 0.02))
                         return
                     try:
-                        one.answer = await asyncio.wait_for(read_answer(reader), 5)
+                        one.response = await asyncio.wait_for(read_response(reader), 5)
                     except (asyncio.IncompleteReadError, OSError, TimeoutError) as error:
                         self._unanswered.append(f"{one.path}: no answer: {error!r}")
                         return
-                    if not one.answer.is_complete or one.answer.headers.get("connection") == "close":
+                    if not one.response.is_complete or one.response.headers.get("connection") == "close":
                         return
                 if self._random.random() < 0.02:
                     return
         finally:
             writer.close()
 
-    def _new_request(self) -> Sent:
-        self._left -= 1
+    def _new_request(self) -> SentRequest:
+        self._remaining -= 1
         self._number += 1
         request_id = _base36(self._number) + _base36(self._random.randrange(36**5))
-        sent = Sent(request_id, self._random.choice(list(KINDS)) + request_id)
+        sent = SentRequest(request_id, self._random.choice(list(KINDS)) + request_id)
         self._sent.append(sent)
         return sent
 
-    def _encode(self, sent: Sent) -> bytes:
+    def _encode(self, sent: SentRequest) -> bytes:
         body = body_of(sent.path, sent.id)
         head = (
             f"POST {sent.path} HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {sent.id}\r\nModel: m-{sent.id}\r\n"
@@ -183,38 +183,42 @@
         known = {one.id for one in self._sent}
         outcome.findings += [f"{one} was never sent" for one in self._ledger.runs if one not in known]
         for one in self._sent:
-            finding = self._check_runs(one) or (self._check_answer(one, one.answer) if one.answer else "")
+            finding = self._check_runs(one) or (
+                self._check_response(one, one.response) if one.response else ""
+            )
             if finding:
                 outcome.findings.append(f"{one.path}: {finding}")
-            outcome.served += one.answer is not None and one.answer.status == 200 and one.answer.is_complete
+            outcome.served += (
+                one.response is not None and one.response.status == 200 and one.response.is_complete
+            )
         return outcome
 
-    def _check_runs(self, sent: Sent) -> str:
+    def _check_runs(self, sent: SentRequest) -> str:
         runs = self._ledger.runs[sent.id]
         if sent.path.startswith("/unsafe/") and runs > 1:
             return f"ran {runs} times"
         if runs > 3:
             return f"ran at {runs} sidecars"
-        refused = sent.answer is not None and sent.answer.status in NEVER_RAN_STATUSES
-        if refused and runs and sent.path.startswith("/unsafe/"):
-            return f"was refused with {sent.answer.status} and ran"  # type: ignore[union-attr]
+        rejected = sent.response is not None and sent.response.status in NEVER_RAN_STATUSES
+        if rejected and runs and sent.path.startswith("/unsafe/"):
+            return f"was refused with {sent.response.status} and ran"  # type: ignore[union-attr]
         return ""
 
-    def _check_answer(self, sent: Sent, answer: Answer) -> str:
-        stamp = answer.headers.get("server-stamp")
-        if answer.status != 200:
-            return "" if stamp is None or answer.status in (500, 504) else f"{answer.status} with a stamp"
-        if answer.headers.get("request-id") != sent.id:
+    def _check_response(self, sent: SentRequest, response: Response) -> str:
+        stamp = response.headers.get("server-stamp")
+        if response.status != 200:
+            return "" if stamp is None or response.status in (500, 504) else f"{response.status} with a stamp"
+        if response.headers.get("request-id") != sent.id:
             return "an answer with another id"
-        if not answer.is_complete:
+        if not response.is_complete:
             return ""
         if sent.path.startswith("/stream/"):
             events = "".join(f"id: {n}\ndata: {sent.id}-{n}\n\n" for n in range(1, EVENTS + 1)).encode()
-            is_right = answer.body == events
+            is_correct = response.body == events
         else:
             bodies = self._ledger.bodies.get(sent.id, [])
-            is_right = any(answer.body == body and f" {stamp} ".encode() in body for body in bodies)
-        return "" if is_right else f"a body that is not its own: {answer.body[:80]!r}"
+            is_correct = any(response.body == body and f" {stamp} ".encode() in body for body in bodies)
+        return "" if is_correct else f"a body that is not its own: {response.body[:80]!r}"
 
 
 def _base36(number: int) -> str:
@@ -222,7 +226,7 @@
     return (_base36(number // 36) if number >= 36 else "") + digits[number % 36]
 
 
-async def read_answer(reader: asyncio.StreamReader) -> Answer:
+async def read_response(reader: asyncio.StreamReader) -> Response:
     """Reads one answer; raises where not even its head comes."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     if not head[0].startswith("HTTP/1.1 "):
@@ -232,20 +236,20 @@
     try:
         if "content-length" in headers:
             body = await reader.readexactly(int(headers["content-length"]))
-            return Answer(status, headers, body, True)
+            return Response(status, headers, body, True)
         while True:
             size = int((await reader.readuntil(b"\r\n")).strip(), 16)
             part = await reader.readexactly(size + 2)
             body += part[:size]
             if size == 0:
-                return Answer(status, headers, body, True)
+                return Response(status, headers, body, True)
     except (asyncio.IncompleteReadError, OSError):
-        return Answer(status, headers, body, False)
+        return Response(status, headers, body, False)
 
 
-def play(seed: int, exchanges: int) -> Outcome:
+def run_seed(seed: int, exchanges: int) -> Outcome:
     """Plays one seed."""
-    return uvloop.run(Play(seed, exchanges).run())
+    return uvloop.run(ExchangeRun(seed, exchanges).run())
 
 
 def main() -> int:
@@ -257,17 +261,17 @@
     parser.add_argument("--jobs", type=int, default=4)
     options = parser.parse_args()
     seeds = range(options.first, options.first + options.count // options.each)
-    work: Callable[[int], Any] = partial(play, exchanges=options.each)
-    exchanges = served = found = 0
+    work: Callable[[int], Any] = partial(run_seed, exchanges=options.each)
+    exchanges = served = finding_count = 0
     with ProcessPoolExecutor(options.jobs) as pool:
         for seed, outcome in zip(seeds, pool.map(work, seeds), strict=True):
-            exchanges, served, found = (
-                exchanges + outcome.exchanges, served + outcome.served, found + len(outcome.findings)
+            exchanges, served, finding_count = (
+                exchanges + outcome.exchanges, served + outcome.served, finding_count + len(outcome.findings)
             )  # fmt: skip
             for finding in outcome.findings[:5]:
                 print(f"seed {seed}: {finding}", flush=True)
-    print(f"{exchanges} exchanges, {served} served completely, {found} findings")
-    return 1 if found else 0
+    print(f"{exchanges} exchanges, {served} served completely, {finding_count} findings")
+    return 1 if finding_count else 0
 
 
 if __name__ == "__main__":
--- a/tests/tier/loopback.py
+++ b/tests/tier/loopback.py
@@ -30,7 +30,7 @@
         self.pause_s = 0.01
         self._server: asyncio.Server | None = None
         self.padding = 0  # bytes more of each event
-        self.answering = 0  # requests under way
+        self.open_requests = 0  # requests under way
         self._open: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
@@ -44,7 +44,7 @@
         if self._server is not None:
             self._server.close()
 
-    def break_off(self) -> None:
+    def reset_connections(self) -> None:
         """Resets all connections."""
         for writer in list(self._open):
             writer.transport.abort()
@@ -58,18 +58,18 @@
                     line.split(":", 1)[0].lower(): line.split(":", 1)[1].strip() for line in head[1:] if line
                 }
                 await reader.readexactly(int(headers.get("content-length", "0")))
-                self.answering += 1
+                self.open_requests += 1
                 try:
-                    await self._answer(head[0], headers, writer)
+                    await self._respond(head[0], headers, writer)
                 finally:
-                    self.answering -= 1
+                    self.open_requests -= 1
         except (asyncio.IncompleteReadError, OSError):
             pass
         finally:
             self._open.discard(writer)
             writer.close()
 
-    async def _answer(self, line: str, headers: dict[str, str], writer: asyncio.StreamWriter) -> None:
+    async def _respond(self, line: str, headers: dict[str, str], writer: asyncio.StreamWriter) -> None:
         if line.startswith("GET /report"):
             body = b'{"waiting":0,"running":0}'
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
@@ -214,18 +214,18 @@
         """Where a machine serves the outside."""
         return f"http://{host}:{self.port + 1}{path}"
 
-    async def until(
-        self, what: str, asked: Callable[[], Awaitable[Any]], limit_s: float = START_LIMIT_S
+    async def wait_until(
+        self, description: str, condition: Callable[[], Awaitable[Any]], limit_s: float = START_LIMIT_S
     ) -> Any:  # noqa: ANN401
         """Asks again and again until the answer is true; raises AssertionError after the limit."""
         deadline = time.monotonic() + limit_s
         while time.monotonic() < deadline:
             try:
-                found = await asked()
+                result = await condition()
             except httpx.HTTPError:
-                found = None
-            if found:
-                return found
+                result = None
+            if result:
+                return result
             await asyncio.sleep(POLL_S)
         logs = "\n".join(path.read_text()[-1500:] for path in sorted(self.folder.glob("*.log")))
-        raise AssertionError(f"{what} did not come in {limit_s} s\n{logs}")
+        raise AssertionError(f"{description} did not come in {limit_s} s\n{logs}")
--- a/tests/tier/test_batch_jobs_on_processes.py
+++ b/tests/tier/test_batch_jobs_on_processes.py
@@ -7,7 +7,7 @@
 import httpx
 
 from tests.tier.loopback import HOST_NAME, Loopback
-from tests.tier.test_processes import ITEMS, played, results, submit_batch_job, text_of
+from tests.tier.test_processes import ITEMS, results, run_on_tier, submit_batch_job, text_of
 
 SLOW_PAUSE_S = 0.25  # between events, so that a run takes a second and a half
 
@@ -22,11 +22,11 @@
     async def some_run() -> bool:
         return bool(runs_of(tier, job_id))
 
-    await tier.until(f"a run of {job_id}", some_run)
+    await tier.wait_until(f"a run of {job_id}", some_run)
 
 
 def test_a_job_whose_answer_was_lost_is_taken_once_however_it_comes_again(tmp_path: Path) -> None:
-    async def play(tier: Loopback, client: httpx.AsyncClient) -> None:
+    async def scenario(tier: Loopback, client: httpx.AsyncClient) -> None:
         for sidecar in tier.sidecars:
             sidecar.pause_s = SLOW_PAUSE_S
         await submit_batch_job(tier, client, "lot0")
@@ -40,11 +40,11 @@
         assert sorted(x["id"] for x in first) == sorted(f"lot0-{n}" for n in range(ITEMS))
         assert set(runs_of(tier, "lot0").values()) == {1}, "no item ran again"
 
-    played(tmp_path, play)
+    run_on_tier(tmp_path, scenario)
 
 
 def test_an_ended_job_starts_no_more_items_and_its_results_stay(tmp_path: Path) -> None:
-    async def play(tier: Loopback, client: httpx.AsyncClient) -> None:
+    async def scenario(tier: Loopback, client: httpx.AsyncClient) -> None:
         for sidecar in tier.sidecars:
             sidecar.pause_s = SLOW_PAUSE_S
         await submit_batch_job(tier, client, "lot0")
@@ -54,8 +54,8 @@
             url = tier.url(tier.fronts[1], "/lots/lot0")
             return (await client.delete(url, headers={"Host": HOST_NAME})).status_code == 200
 
-        await tier.until("the end", ended)
-        await tier.until("the end again", ended)
+        await tier.wait_until("the end", ended)
+        await tier.wait_until("the end again", ended)
         before = await listed(tier, client, 0)
         for sidecar in tier.sidecars:
             sidecar.runs.clear()
@@ -65,7 +65,7 @@
         for place in range(len(tier.fronts)):
             assert (await listed(tier, client, place))[: len(before)] == before
 
-    played(tmp_path, play)
+    run_on_tier(tmp_path, scenario)
 
 
 async def listed(tier: Loopback, client: httpx.AsyncClient, place: int) -> list[dict[str, str]]:
@@ -76,11 +76,11 @@
         assert answer.status_code != 404, "an ended lot is still known"
         return [answer.json()["results"]] if answer.status_code == 200 else None
 
-    return (await tier.until("the listed results", read))[0]
+    return (await tier.wait_until("the listed results", read))[0]
 
 
 def test_items_of_a_front_that_is_killed_are_run_by_another(tmp_path: Path) -> None:
-    async def play(tier: Loopback, client: httpx.AsyncClient) -> None:
+    async def scenario(tier: Loopback, client: httpx.AsyncClient) -> None:
         for sidecar in tier.sidecars:
             sidecar.pause_s = SLOW_PAUSE_S
         await submit_batch_job(tier, client, "lot0")
@@ -91,4 +91,4 @@
             f"lot0-{n}": text_of(f"lot0-{n}") for n in range(ITEMS)
         }
 
-    played(tmp_path, play)
+    run_on_tier(tmp_path, scenario)
--- a/tests/tier/test_egress.py
+++ b/tests/tier/test_egress.py
@@ -30,24 +30,24 @@
 
     def __init__(self, loop: SimulatedLoop) -> None:
         self.loop = loop
-        self.free_at = 0.0
+        self.idle_at = 0.0
         self.bytes_sent = 0
 
     def send(self, length: int) -> float:
         """When bytes that are written now have left the machine."""
-        self.free_at = max(self.loop.time(), self.free_at) + length / LINK_BYTES_PER_S
+        self.idle_at = max(self.loop.time(), self.idle_at) + length / LINK_BYTES_PER_S
         self.bytes_sent += length
-        return self.free_at
+        return self.idle_at
 
 
-class Wire:
+class FakeConnection:
     """One connection: what was written to it, and when that has left the machine."""
 
     def __init__(self, link: Link, pacer: EgressPacer) -> None:
         self.link = link
         self.written = bytearray()
         self.chunks: list[tuple[float, int]] = []
-        self.left_at = 0.0
+        self.sent_at = 0.0
         self.stalled_bytes = 0  # in its own buffer, as the peer does not read
         self.is_stalled = False
         self.flow: PacedFlow = pacer.open_flow(self._write, lambda: self.stalled_bytes)
@@ -58,17 +58,17 @@
         if self.is_stalled:
             self.stalled_bytes += len(chunk)
         else:
-            self.left_at = self.link.send(len(chunk))
+            self.sent_at = self.link.send(len(chunk))
 
 
-class Play:
+class PacerHarness:
     """A pacer with connections, on simulated time."""
 
     def __init__(self, connections: int) -> None:
         self.loop = SimulatedLoop()
         self.link = Link(self.loop)
         self.pacer = EgressPacer(LINK_MBPS, Clock(self.loop.time), classify_as_control)
-        self.wires = [Wire(self.link, self.pacer) for _ in range(connections)]
+        self.connections = [FakeConnection(self.link, self.pacer) for _ in range(connections)]
 
     def run(self, work: Coroutine[Any, Any, None]) -> None:
         self.loop.run_until_complete(work)
@@ -86,96 +86,102 @@
 
 
 async def offer(
-    play: Play, wires: list[Wire], traffic_class: TrafficClass, rate: float, span_s: float
+    harness: PacerHarness,
+    connections: list[FakeConnection],
+    traffic_class: TrafficClass,
+    rate: float,
+    span_s: float,
 ) -> None:
     """Offers frames of random lengths at a rate in bytes a second, to random connections."""
     random = Random(f"{traffic_class}/{rate}")
-    until = play.loop.time() + span_s
-    while play.loop.time() < until:
+    until = harness.loop.time() + span_s
+    while harness.loop.time() < until:
         length = random.randint(1, 250) * KILOBYTE
-        random.choice(wires).flow.send(frame(length), traffic_class)
+        random.choice(connections).flow.send(frame(length), traffic_class)
         await asyncio.sleep(length / rate)
 
 
-async def send_control(play: Play, wires: list[Wire], span_s: float, delays: list[float]) -> None:
+async def send_control(
+    harness: PacerHarness, connections: list[FakeConnection], span_s: float, delays: list[float]
+) -> None:
     """Sends a heartbeat to every connection each interval, and notes how long each took to leave."""
-    until = play.loop.time() + span_s
-    while play.loop.time() < until:
-        for wire in wires:
-            wire.flow.send(frame(CONTROL_BYTES), CONTROL)
-            delays.append(wire.left_at - play.loop.time())
+    until = harness.loop.time() + span_s
+    while harness.loop.time() < until:
+        for connection in connections:
+            connection.flow.send(frame(CONTROL_BYTES), CONTROL)
+            delays.append(connection.sent_at - harness.loop.time())
         await asyncio.sleep(CONTROL_INTERVAL_S)
 
 
 @pytest.mark.parametrize("load", [1, 2, 6, 20])
 def test_control_traffic_leaves_within_tens_of_milliseconds_at_any_load(load: float) -> None:
-    play = Play(34)
-    data, urgent = play.wires[:17], play.wires[17:]
+    harness = PacerHarness(34)
+    data, urgent = harness.connections[:17], harness.connections[17:]
     delays: list[float] = []
 
     async def work() -> None:
         rate = load * LINK_BYTES_PER_S / len(BULK_CLASSES)
-        bulk = [offer(play, data, traffic_class, rate, 5.0) for traffic_class in BULK_CLASSES]
-        await asyncio.gather(*bulk, send_control(play, urgent, 5.0, delays))
+        bulk = [offer(harness, data, traffic_class, rate, 5.0) for traffic_class in BULK_CLASSES]
+        await asyncio.gather(*bulk, send_control(harness, urgent, 5.0, delays))
 
-    play.run(work())
+    harness.run(work())
     assert len(delays) > 1000
     assert max(delays) < MAX_CONTROL_DELAY_S
     if load > 1:
-        assert play.link.bytes_sent > 0.95 * BULK_SHARE * LINK_BYTES_PER_S * 5.0
+        assert harness.link.bytes_sent > 0.95 * BULK_SHARE * LINK_BYTES_PER_S * 5.0
 
 
 def test_control_traffic_of_one_connection_waits_for_no_more_than_its_frame_in_progress() -> None:
-    play = Play(2)
-    wire, other = play.wires
+    harness = PacerHarness(2)
+    connection, other = harness.connections
 
     frames = [frame(KILOBYTE * KILOBYTE) for _ in range(4)]
 
     async def work() -> None:
         for one in frames:
-            wire.flow.send(one, REPLICATION)
+            connection.flow.send(one, REPLICATION)
             other.flow.send(frame(KILOBYTE * KILOBYTE), REPLICATION)
         await asyncio.sleep(0.03)
-        wire.flow.send(b"first", CONTROL)
-        wire.flow.send(b"second", CONTROL)
+        connection.flow.send(b"first", CONTROL)
+        connection.flow.send(b"second", CONTROL)
         await asyncio.sleep(2.0)
 
-    play.run(work())
-    assert wire.written == frames[0] + b"firstsecond" + b"".join(frames[1:])
-    assert wire.flow.waiting_bytes == 0
+    harness.run(work())
+    assert connection.written == frames[0] + b"firstsecond" + b"".join(frames[1:])
+    assert connection.flow.waiting_bytes == 0
 
 
 def test_what_control_traffic_takes_is_part_of_the_budget() -> None:
-    play = Play(2)
+    harness = PacerHarness(2)
 
     async def work() -> None:
         control = asyncio.ensure_future(send_bytes_as_control())
-        await offer(play, play.wires[1:], REPLICATION, 3 * LINK_BYTES_PER_S, 4.0)
+        await offer(harness, harness.connections[1:], REPLICATION, 3 * LINK_BYTES_PER_S, 4.0)
         await control
 
     async def send_bytes_as_control() -> None:
         for _ in range(400):
-            play.wires[0].flow.send(frame(30_000), CONTROL)  # a fifth of the link
+            harness.connections[0].flow.send(frame(30_000), CONTROL)  # a fifth of the link
             await asyncio.sleep(0.01)
 
-    play.run(work())
-    assert play.link.bytes_sent <= BULK_SHARE * LINK_BYTES_PER_S * (4.0 + 2 * BURST_S)
+    harness.run(work())
+    assert harness.link.bytes_sent <= BULK_SHARE * LINK_BYTES_PER_S * (4.0 + 2 * BURST_S)
 
 
 def test_the_more_urgent_class_goes_first_and_none_starves() -> None:
-    play = Play(3)
+    harness = PacerHarness(3)
     sent = dict.fromkeys(BULK_CLASSES, 0)
 
     async def work() -> None:
         offers = [
-            offer(play, [wire], traffic_class, 2 * LINK_BYTES_PER_S, 5.0)
-            for wire, traffic_class in zip(play.wires, BULK_CLASSES, strict=True)
+            offer(harness, [connection], traffic_class, 2 * LINK_BYTES_PER_S, 5.0)
+            for connection, traffic_class in zip(harness.connections, BULK_CLASSES, strict=True)
         ]
         await asyncio.gather(*offers)
-        for wire, traffic_class in zip(play.wires, BULK_CLASSES, strict=True):
-            sent[traffic_class] = len(wire.written)
+        for connection, traffic_class in zip(harness.connections, BULK_CLASSES, strict=True):
+            sent[traffic_class] = len(connection.written)
 
-    play.run(work())
+    harness.run(work())
     total = sum(sent.values())
     assert sent[REPLICATION] / total == pytest.approx(0.5, abs=0.05)
     assert sent[RESPONSE] / total == pytest.approx(0.25, abs=0.05)
@@ -183,46 +189,46 @@
 
 
 def test_catching_up_has_the_link_to_itself_where_nothing_else_waits() -> None:
-    play = Play(1)
+    harness = PacerHarness(1)
 
     async def work() -> None:
         for _ in range(200):
-            play.wires[0].flow.send(frame(256 * KILOBYTE), CATCH_UP)
-            while play.wires[0].flow.waiting_bytes:
+            harness.connections[0].flow.send(frame(256 * KILOBYTE), CATCH_UP)
+            while harness.connections[0].flow.waiting_bytes:
                 await asyncio.sleep(0.001)
 
-    play.run(work())
-    lasted_s = play.wires[0].chunks[-1][0]
-    assert len(play.wires[0].written) / lasted_s > 0.95 * BULK_SHARE * LINK_BYTES_PER_S
+    harness.run(work())
+    elapsed_s = harness.connections[0].chunks[-1][0]
+    assert len(harness.connections[0].written) / elapsed_s > 0.95 * BULK_SHARE * LINK_BYTES_PER_S
 
 
 def test_two_lost_replicas_are_restored_within_their_bound_at_full_load() -> None:
     state_bytes, catch_up_s = 8_400_000, 6.0
-    play = Play(8)
-    learners = play.wires[:2]
+    harness = PacerHarness(8)
+    learners = harness.connections[:2]
 
-    async def catch_up(wire: Wire) -> None:
-        while len(wire.written) < state_bytes:
-            wire.flow.send(frame(128 * KILOBYTE), CATCH_UP)
-            while wire.flow.waiting_bytes:
+    async def catch_up(connection: FakeConnection) -> None:
+        while len(connection.written) < state_bytes:
+            connection.flow.send(frame(128 * KILOBYTE), CATCH_UP)
+            while connection.flow.waiting_bytes:
                 await asyncio.sleep(0.005)
             await asyncio.sleep(0.005)  # the learner asks for the next ranges
 
     async def work() -> None:
         load = [
-            offer(play, play.wires[2:6], REPLICATION, 3 * LINK_BYTES_PER_S, catch_up_s),
-            offer(play, play.wires[6:], RESPONSE, 3 * LINK_BYTES_PER_S, catch_up_s),
+            offer(harness, harness.connections[2:6], REPLICATION, 3 * LINK_BYTES_PER_S, catch_up_s),
+            offer(harness, harness.connections[6:], RESPONSE, 3 * LINK_BYTES_PER_S, catch_up_s),
         ]
         running = asyncio.gather(*load)
-        await asyncio.gather(*(catch_up(wire) for wire in learners))
-        assert play.loop.time() < catch_up_s
+        await asyncio.gather(*(catch_up(connection) for connection in learners))
+        assert harness.loop.time() < catch_up_s
         await running
 
-    play.run(work())
+    harness.run(work())
 
 
 def test_frames_of_one_class_keep_their_order_on_a_connection() -> None:
-    play = Play(3)
+    harness = PacerHarness(3)
     random = Random(7)
     expected = {index: b"" for index in range(3)}
 
@@ -231,38 +237,38 @@
             index = random.randrange(3)
             sent = number.to_bytes(2, "big") * random.randint(1, 40_000)
             expected[index] += sent
-            play.wires[index].flow.send(sent, REPLICATION)
+            harness.connections[index].flow.send(sent, REPLICATION)
             if random.random() < 0.2:
                 await asyncio.sleep(random.random() * 0.03)
         await asyncio.sleep(5.0)
 
-    play.run(work())
-    assert {index: wire.written for index, wire in enumerate(play.wires)} == expected
+    harness.run(work())
+    assert {index: connection.written for index, connection in enumerate(harness.connections)} == expected
 
 
 def test_connections_take_turns_within_a_class() -> None:
-    play = Play(4)
+    harness = PacerHarness(4)
 
     async def work() -> None:
         for _ in range(50):
-            play.wires[0].flow.send(frame(64 * KILOBYTE), REPLICATION)
-        for wire in play.wires[1:]:
-            wire.flow.send(frame(64 * KILOBYTE), REPLICATION)
+            harness.connections[0].flow.send(frame(64 * KILOBYTE), REPLICATION)
+        for connection in harness.connections[1:]:
+            connection.flow.send(frame(64 * KILOBYTE), REPLICATION)
         await asyncio.sleep(0.06)
 
-    play.run(work())
-    assert all(len(wire.written) == 64 * KILOBYTE for wire in play.wires[1:])
+    harness.run(work())
+    assert all(len(connection.written) == 64 * KILOBYTE for connection in harness.connections[1:])
 
 
 def test_frames_of_a_closed_connection_are_dropped_and_the_others_go_on() -> None:
-    play = Play(2)
-    closed, kept = play.wires
+    harness = PacerHarness(2)
+    closed, still_open = harness.connections
 
     async def work() -> None:
-        for wire in play.wires:
+        for connection in harness.connections:
             for traffic_class in (REPLICATION, RESPONSE):
                 for _ in range(20):
-                    wire.flow.send(frame(100 * KILOBYTE), traffic_class)
+                    connection.flow.send(frame(100 * KILOBYTE), traffic_class)
         await asyncio.sleep(0.031)  # in the middle of a frame
         closed.flow.close()
         before = len(closed.written)
@@ -272,35 +278,35 @@
         assert len(closed.written) == before
         assert closed.flow.waiting_bytes == 0
 
-    play.run(work())
-    assert len(kept.written) == 40 * 100 * KILOBYTE
-    assert all(play.pacer.waiting_bytes(traffic_class) == 0 for traffic_class in BULK_CLASSES)
-    assert play.timers() == 0
+    harness.run(work())
+    assert len(still_open.written) == 40 * 100 * KILOBYTE
+    assert all(harness.pacer.waiting_bytes(traffic_class) == 0 for traffic_class in BULK_CLASSES)
+    assert harness.timers() == 0
 
 
 def test_a_connection_that_closes_as_it_is_written_to_harms_no_other() -> None:
-    play = Play(2)
-    wire, other = play.wires
+    harness = PacerHarness(2)
+    connection, other = harness.connections
 
     def write_and_close(_chunk: Chunk) -> None:
         flow.close()
 
-    flow = play.pacer.open_flow(write_and_close, lambda: 0)
+    flow = harness.pacer.open_flow(write_and_close, lambda: 0)
 
     async def work() -> None:
-        for one in (wire.flow, flow, other.flow):
+        for one in (connection.flow, flow, other.flow):
             for _ in range(4):
                 one.send(frame(200 * KILOBYTE), REPLICATION)
         await asyncio.sleep(1.0)
 
-    play.run(work())
-    assert len(wire.written) == len(other.written) == 800 * KILOBYTE
-    assert play.pacer.waiting_bytes(REPLICATION) == 0
+    harness.run(work())
+    assert len(connection.written) == len(other.written) == 800 * KILOBYTE
+    assert harness.pacer.waiting_bytes(REPLICATION) == 0
 
 
 def test_a_peer_that_does_not_read_holds_up_no_other() -> None:
-    play = Play(2)
-    stalled, other = play.wires
+    harness = PacerHarness(2)
+    stalled, other = harness.connections
     stalled.is_stalled = True
 
     async def work() -> None:
@@ -313,84 +319,84 @@
         stalled.is_stalled, stalled.stalled_bytes = False, 0
         await asyncio.sleep(2.0)
 
-    play.run(work())
+    harness.run(work())
     assert len(stalled.written) == 100 * 100 * KILOBYTE
 
 
 def test_a_frame_that_the_budget_covers_is_written_at_once_without_a_timer() -> None:
-    play = Play(1)
-    wire = play.wires[0]
+    harness = PacerHarness(1)
+    connection = harness.connections[0]
 
     async def work() -> None:
         for _ in range(100):
-            wire.flow.send(frame(64 * KILOBYTE), REPLICATION)
-            assert wire.chunks[-1][0] == play.loop.time()
-            assert wire.flow.waiting_bytes == 0
-            assert play.timers() == 0
+            connection.flow.send(frame(64 * KILOBYTE), REPLICATION)
+            assert connection.chunks[-1][0] == harness.loop.time()
+            assert connection.flow.waiting_bytes == 0
+            assert harness.timers() == 0
             await asyncio.sleep(0.01)
 
-    play.run(work())
-    assert len(wire.chunks) == 100
+    harness.run(work())
+    assert len(connection.chunks) == 100
 
 
 def test_small_responses_are_not_held_up() -> None:
-    play = Play(2)
+    harness = PacerHarness(2)
 
     async def work() -> None:
         for _ in range(20):
-            play.wires[0].flow.send(frame(100 * KILOBYTE), RESPONSE)
-        play.wires[1].flow.send(frame(SMALL_RESPONSE_BYTES), RESPONSE)
-        assert len(play.wires[1].written) == SMALL_RESPONSE_BYTES
+            harness.connections[0].flow.send(frame(100 * KILOBYTE), RESPONSE)
+        harness.connections[1].flow.send(frame(SMALL_RESPONSE_BYTES), RESPONSE)
+        assert len(harness.connections[1].written) == SMALL_RESPONSE_BYTES
 
-    play.run(work())
+    harness.run(work())
 
 
 def test_a_response_that_nobody_waits_for_any_more_is_dropped() -> None:
-    play = Play(1)
+    harness = PacerHarness(1)
 
     async def work() -> None:
         for _ in range(40):
-            play.wires[0].flow.send(frame(KILOBYTE * KILOBYTE), RESPONSE)
+            harness.connections[0].flow.send(frame(KILOBYTE * KILOBYTE), RESPONSE)
         await asyncio.sleep(5.0)
 
-    play.run(work())
-    frames, rest = divmod(len(play.wires[0].written), KILOBYTE * KILOBYTE)
+    harness.run(work())
+    frames, rest = divmod(len(harness.connections[0].written), KILOBYTE * KILOBYTE)
     assert rest == 0  # never a part of a frame
-    assert play.wires[0].chunks[-1][0] < MAX_RESPONSE_WAIT_S + 0.1
-    sent_in_time = play.pacer.bulk_bytes_per_s * (MAX_RESPONSE_WAIT_S + 0.1) / KILOBYTE**2
+    assert harness.connections[0].chunks[-1][0] < MAX_RESPONSE_WAIT_S + 0.1
+    sent_in_time = harness.pacer.bulk_bytes_per_s * (MAX_RESPONSE_WAIT_S + 0.1) / KILOBYTE**2
     assert frames <= sent_in_time + 1
-    assert play.pacer.waiting_bytes(RESPONSE) == play.wires[0].flow.waiting_bytes == 0
+    assert harness.pacer.waiting_bytes(RESPONSE) == harness.connections[0].flow.waiting_bytes == 0
 
 
 def test_a_repeated_message_to_a_learner_does_not_add_to_the_first() -> None:
-    play = Play(1)
+    harness = PacerHarness(1)
 
     async def work() -> None:
         for _ in range(30):
-            play.wires[0].flow.send(frame(KILOBYTE * KILOBYTE), REPLICATION)
+            harness.connections[0].flow.send(frame(KILOBYTE * KILOBYTE), REPLICATION)
         for _ in range(20):
-            play.wires[0].flow.send(frame(256 * KILOBYTE), CATCH_UP)
+            harness.connections[0].flow.send(frame(256 * KILOBYTE), CATCH_UP)
             await asyncio.sleep(0.005)
-        assert play.pacer.waiting_bytes(CATCH_UP) <= 256 * KILOBYTE
+        assert harness.pacer.waiting_bytes(CATCH_UP) <= 256 * KILOBYTE
 
-    play.run(work())
+    harness.run(work())
 
 
 def test_a_frame_that_is_repeated_while_it_waits_is_sent_once() -> None:
-    play = Play(2)
+    harness = PacerHarness(2)
     repeated, other = frame(500 * KILOBYTE), frame(500 * KILOBYTE)
 
     async def work() -> None:
-        play.wires[1].flow.send(frame(KILOBYTE * KILOBYTE), REPLICATION)
+        harness.connections[1].flow.send(frame(KILOBYTE * KILOBYTE), REPLICATION)
         for _ in range(3):
             for one in (repeated, other):
-                for wire in play.wires:
-                    wire.flow.send(one, REPLICATION)
+                for connection in harness.connections:
+                    connection.flow.send(one, REPLICATION)
         await asyncio.sleep(1.0)
-        assert play.wires[0].written == repeated + other
-        assert len(play.wires[1].written) == 2024 * KILOBYTE
-        play.wires[0].flow.send(repeated, REPLICATION)  # waits for nothing any more
+        assert harness.connections[0].written == repeated + other
+        assert len(harness.connections[1].written) == 2024 * KILOBYTE
+        harness.connections[0].flow.send(repeated, REPLICATION)  # waits for nothing any more
         await asyncio.sleep(1.0)
-        assert play.wires[0].written == repeated + other + repeated
+        assert harness.connections[0].written == repeated + other + repeated
 
-    play.run(work())
+    harness.run(work())
--- a/tests/tier/test_exchanges.py
+++ b/tests/tier/test_exchanges.py
@@ -21,27 +21,31 @@
     hop_by_hop,
     read_body,
 )
-from tests.tier.exchanges import play
+from tests.tier.exchanges import run_seed
 from tests.tier.misbehaving_sidecar import LINGER_NOT
 
 Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
-HALF = b"HTTP/1.1 200 Told\r\nServer-Stamp: old\r\nRequest-Id: r0\r\nContent-Length: 90\r\n\r\nsurplus"
-WHOLE = b"HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 2\r\n\r\nok"
+TRUNCATED_RESPONSE = (
+    b"HTTP/1.1 200 Told\r\nServer-Stamp: old\r\nRequest-Id: r0\r\nContent-Length: 90\r\n\r\nsurplus"
+)
+COMPLETE_RESPONSE = b"HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 2\r\n\r\nok"
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_ten_thousand_exchanges_find_no_wrong_caller_and_no_second_run(seed: int) -> None:
-    outcome = play(seed, 2000)
+    outcome = run_seed(seed, 2000)
     assert not outcome.findings, outcome.findings[:5]
     assert outcome.exchanges >= 2000 and outcome.served > 0.8 * outcome.exchanges
 
 
-async def asked(script: Script, body: bytes = b"", most: int = 4) -> Any:  # noqa: ANN401
+async def request_with_script(script: Script, body: bytes = b"", max_connections: int = 4) -> Any:  # noqa: ANN401
     """What becomes of one request to a sidecar that acts as a script says."""
     server = await asyncio.start_server(script, "127.0.0.1", 0)
-    client = SidecarClient(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", ConnectionState(most))
+    client = SidecarClient(
+        f"127.0.0.1:{server.sockets[0].getsockname()[1]}", ConnectionState(max_connections)
+    )
     try:
-        return await whole(await send(client, "r1", body))
+        return await read_complete(await send(client, "r1", body))
     finally:
         await client.close()
         server.close()
@@ -54,7 +58,7 @@
     return await client.send("POST", b"/p", headers, body, request_id.encode())
 
 
-async def whole(outcome: AttemptOutcome) -> Any:  # noqa: ANN401
+async def read_complete(outcome: AttemptOutcome) -> Any:  # noqa: ANN401
     """The body of an answer that began, StreamBroken where it broke."""
     if not isinstance(outcome, ResponseStarted):
         return outcome
@@ -66,7 +70,7 @@
         await close_after_answer(outcome.response)
 
 
-def saying(*parts: bytes, resets: bool = False) -> Script:
+def script_sending(*parts: bytes, resets: bool = False) -> Script:
     """Reads a head, says some parts, and ends the connection."""
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -89,39 +93,45 @@
 
 @pytest.mark.parametrize("run", RUNNERS)
 def test_an_answer_without_a_length_is_whole_at_its_end_and_broken_by_a_reset(run: Any) -> None:  # noqa: ANN401
-    assert run(asked(saying(UNFRAMED, b" two"))) == b"part two"
-    assert isinstance(run(asked(saying(UNFRAMED, resets=True))), StreamBrokenError)
+    assert run(request_with_script(script_sending(UNFRAMED, b" two"))) == b"part two"
+    assert isinstance(run(request_with_script(script_sending(UNFRAMED, resets=True))), StreamBrokenError)
 
 
-@pytest.mark.parametrize("cut", [*range(len(WHOLE) - 1)])
+@pytest.mark.parametrize("cut", [*range(len(COMPLETE_RESPONSE) - 1)])
 @pytest.mark.parametrize("resets", [False, True])
 def test_an_answer_cut_at_any_byte_is_never_whole_and_may_have_run(cut: int, resets: bool) -> None:
-    found = uvloop.run(asked(saying(WHOLE[:cut], resets=resets)))
-    assert isinstance(found, (ResponseLost, StreamBrokenError)), found
+    outcome = uvloop.run(request_with_script(script_sending(COMPLETE_RESPONSE[:cut], resets=resets)))
+    assert isinstance(outcome, (ResponseLost, StreamBrokenError)), outcome
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
-        WHOLE.replace(b"Request-Id: r1\r\n", b""),
-        WHOLE.replace(b"r1", b"r2"),
-        WHOLE.replace(b"200 OK", b"421 No").replace(b"r1", b"r2"),
-        WHOLE.replace(b"r1", b"r2\r\nNot-Executed: 1"),
+        COMPLETE_RESPONSE.replace(b"Request-Id: r1\r\n", b""),
+        COMPLETE_RESPONSE.replace(b"r1", b"r2"),
+        COMPLETE_RESPONSE.replace(b"200 OK", b"421 No").replace(b"r1", b"r2"),
+        COMPLETE_RESPONSE.replace(b"r1", b"r2\r\nNot-Executed: 1"),
         b"HTTP/1.1 101 Switching Protocols\r\nRequest-Id: r1\r\n\r\n",
     ],
 )
-def test_what_is_not_this_requests_answer_says_nothing_of_it(answer: bytes) -> None:
-    assert isinstance(uvloop.run(asked(saying(answer))), ResponseLost)
+def test_what_is_not_this_requests_answer_says_nothing_of_it(response: bytes) -> None:
+    assert isinstance(uvloop.run(request_with_script(script_sending(response))), ResponseLost)
 
 
-@pytest.mark.parametrize("cut", range(1, len(HALF)))
+@pytest.mark.parametrize("cut", range(1, len(TRUNCATED_RESPONSE)))
 def test_a_head_that_runs_on_into_the_next_one_is_nobodys(cut: int) -> None:
     """Of a surplus answer only a part came, just before the answer to this request."""
-    found = uvloop.run(asked(saying(HALF[:cut] + WHOLE.replace(b"200 OK", b"500 No"))))
-    assert isinstance(found, (ResponseLost, StreamBrokenError)), found
+    outcome = uvloop.run(
+        request_with_script(
+            script_sending(TRUNCATED_RESPONSE[:cut] + COMPLETE_RESPONSE.replace(b"200 OK", b"500 No"))
+        )
+    )
+    assert isinstance(outcome, (ResponseLost, StreamBrokenError)), outcome
 
 
-@pytest.mark.parametrize("surplus", [WHOLE, WHOLE[:7], b"\r\n", WHOLE.replace(b"r1", b"r0")])
+@pytest.mark.parametrize(
+    "surplus", [COMPLETE_RESPONSE, COMPLETE_RESPONSE[:7], b"\r\n", COMPLETE_RESPONSE.replace(b"r1", b"r0")]
+)
 @pytest.mark.parametrize("pause_s", [None, 0.0, 0.02])
 def test_a_connection_with_bytes_behind_an_answer_is_not_used_again(
     surplus: bytes, pause_s: float | None
@@ -133,24 +143,28 @@
         connections += 1
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
-            answer = WHOLE if b"r1" in head else WHOLE.replace(b"r1", b"r2").replace(b"ok", b"hi")
+            response = (
+                COMPLETE_RESPONSE
+                if b"r1" in head
+                else COMPLETE_RESPONSE.replace(b"r1", b"r2").replace(b"ok", b"hi")
+            )
             surplus_now = surplus if b"r1" in head else b""
             if pause_s is None:
-                writer.write(answer + surplus_now)
+                writer.write(response + surplus_now)
             else:
-                writer.write(answer)
+                writer.write(response)
                 await asyncio.sleep(pause_s)
                 writer.write(surplus_now)
 
     async def twice() -> list[Any]:
         server = await asyncio.start_server(script, "127.0.0.1", 0)
         client = SidecarClient(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", ConnectionState(1))
-        answers = [await whole(await send(client, "r1"))]
+        responses = [await read_complete(await send(client, "r1"))]
         await asyncio.sleep(0.06)
-        answers.append(await whole(await send(client, "r2")))
+        responses.append(await read_complete(await send(client, "r2")))
         await client.close()
         server.close()
-        return answers
+        return responses
 
     assert uvloop.run(twice()) == [b"ok", b"hi"]
     assert connections == 2
@@ -164,13 +178,13 @@
         connections += 1
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
-            writer.write(WHOLE if b"r1" in head else WHOLE.replace(b"r1", b"r2"))
+            writer.write(COMPLETE_RESPONSE if b"r1" in head else COMPLETE_RESPONSE.replace(b"r1", b"r2"))
 
     async def many() -> None:
         server = await asyncio.start_server(script, "127.0.0.1", 0)
         client = SidecarClient(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", ConnectionState(4))
         for number in range(10):
-            assert await whole(await send(client, "r1" if number % 2 else "r2")) == b"ok"
+            assert await read_complete(await send(client, "r1" if number % 2 else "r2")) == b"ok"
         await client.close()
         server.close()
 
@@ -179,13 +193,13 @@
 
 
 def test_nothing_was_sent_where_nobody_listens_or_no_connection_is_free() -> None:
-    async def refused() -> AttemptOutcome:
+    async def rejected() -> AttemptOutcome:
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             client = SidecarClient(f"127.0.0.1:{free.getsockname()[1]}", ConnectionState(1))
         return await send(client, "r1")
 
-    assert isinstance(uvloop.run(refused()), NotExecuted)
+    assert isinstance(uvloop.run(rejected()), NotExecuted)
     heads = 0
 
     async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -194,7 +208,7 @@
         heads += 1
         await reader.read()
 
-    async def crowded() -> AttemptOutcome:
+    async def beyond_connection_limit() -> AttemptOutcome:
         server = await asyncio.start_server(silent, "127.0.0.1", 0)
         client = SidecarClient(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", ConnectionState(1))
         first = asyncio.ensure_future(send(client, "r1"))
@@ -205,7 +219,7 @@
         server.close()
         return second
 
-    assert isinstance(uvloop.run(crowded()), NotExecuted)
+    assert isinstance(uvloop.run(beyond_connection_limit()), NotExecuted)
     assert heads == 1, "not one byte of the second one came"
 
 
@@ -223,7 +237,7 @@
             )
             await asyncio.sleep(1)  # it does not read on
         else:
-            writer.write(WHOLE.replace(b"r1", b"r2"))
+            writer.write(COMPLETE_RESPONSE.replace(b"r1", b"r2"))
 
     async def twice() -> Any:  # noqa: ANN401
         server = await asyncio.start_server(early, "127.0.0.1", 0)
@@ -232,7 +246,7 @@
         await asyncio.sleep(0.1)
         first.cancel()
         await asyncio.gather(first, return_exceptions=True)
-        second = await whole(await send(client, "r2"))
+        second = await read_complete(await send(client, "r2"))
         await client.close()
         server.close()
         return second
--- a/tests/tier/test_overload.py
+++ b/tests/tier/test_overload.py
@@ -33,7 +33,7 @@
 from tests.tier.simulation.machines import Answer
 from tests.tier.simulation.saturation import SaturationRun, Scenario
 from tests.tier.simulation.world import World
-from tests.tier.test_saturated_uplink import ACK_S, shortcomings
+from tests.tier.test_saturated_uplink import ACK_S, violations
 
 LINK_MBPS = 120.0
 BULK_BYTES_PER_S = BULK_SHARE * LINK_MBPS * BYTES_PER_MEGABIT
@@ -166,7 +166,7 @@
     assert findings.changes and findings.job_acks
     assert findings.terms_in_burst == 0
     assert findings.longest_change_s < ACK_S
-    assert not shortcomings(findings)
+    assert not violations(findings)
 
 
 # Leases
--- a/tests/tier/test_request_path.py
+++ b/tests/tier/test_request_path.py
@@ -16,7 +16,7 @@
 from crowwing.tier.front.service_pool import ServicePool
 from crowwing.tier.platform_list import Sidecar, SidecarList
 from crowwing.tier.settings import Settings
-from tests.tier.exchanges import HOST, Answer, read_answer, serve_front
+from tests.tier.exchanges import HOST, Response, read_response, serve_front
 
 GONE_S = 0.5
 
@@ -130,12 +130,12 @@
     return uvloop.run(run())
 
 
-async def one(port: int, request: bytes) -> tuple[Answer, float]:
+async def one(port: int, request: bytes) -> tuple[Response, float]:
     """One request on a connection of its own, and how long its answer took."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     began = time.monotonic()
     writer.write(request)
-    found = await asyncio.wait_for(read_answer(reader), 10)
+    found = await asyncio.wait_for(read_response(reader), 10)
     writer.close()
     return found, time.monotonic() - began
 
@@ -257,7 +257,7 @@
         statuses = []
         for number in range(20):
             writer.write(encoded(["/safe/x", "/unsafe/x", "/stream/x"][number % 3]))
-            statuses.append((await asyncio.wait_for(read_answer(reader), 5)).status)
+            statuses.append((await asyncio.wait_for(read_response(reader), 5)).status)
         writer.close()
         return statuses
 
@@ -266,7 +266,7 @@
 
 
 def test_denied_a_front_that_knows_no_configuration_promises_that_nothing_has_run() -> None:
-    async def run() -> Answer:
+    async def run() -> Response:
         stop = asyncio.Event()
         port, serving = await serve_front(ServicePool(), stop)
         found, _ = await one(port, encoded("/safe/x"))
--- a/tests/tier/test_saturated_uplink.py
+++ b/tests/tier/test_saturated_uplink.py
@@ -18,34 +18,34 @@
 NAMES = ["5-6", "9-6", "18-1", "18-2-12"]
 
 
-def shortcomings(findings: Findings) -> list[str]:
+def violations(findings: Findings) -> list[str]:
     """What the control side owed its callers in a run and did not give them."""
-    found = []
+    found_violations = []
     if findings.longest_change_s > ACK_S:
-        found.append(f"a change of the configuration took {findings.longest_change_s:.1f} s")
+        found_violations.append(f"a change of the configuration took {findings.longest_change_s:.1f} s")
     if findings.primary_back_s > PRIMARY_BACK_S:
-        found.append(f"the next primary came {findings.primary_back_s:.1f} s after the loss")
+        found_violations.append(f"the next primary came {findings.primary_back_s:.1f} s after the loss")
     if findings.job_back_s > CATCH_UP_S:
-        found.append(f"a job was acknowledged {findings.job_back_s:.1f} s after the loss")
+        found_violations.append(f"a job was acknowledged {findings.job_back_s:.1f} s after the loss")
     if findings.longest_gap_s > ACK_S:
-        found.append(f"nothing was acknowledged for {findings.longest_gap_s:.1f} s of calm")
+        found_violations.append(f"nothing was acknowledged for {findings.longest_gap_s:.1f} s of calm")
     if findings.terms > MAX_TERMS:
-        found.append(f"{findings.terms} terms in a run with one loss")
+        found_violations.append(f"{findings.terms} terms in a run with one loss")
     if findings.lost_jobs is None:
-        found.append("no primary at the end")
+        found_violations.append("no primary at the end")
     elif findings.lost_jobs:
-        found.append(f"{len(findings.lost_jobs)} acknowledged jobs were lost")
-    return found
+        found_violations.append(f"{len(findings.lost_jobs)} acknowledged jobs were lost")
+    return found_violations
 
 
 @pytest.mark.parametrize(("machines", "loads"), CASES, ids=NAMES)
 def test_a_saturated_uplink_stops_neither_elections_nor_changes(
     machines: int, loads: tuple[float, ...]
 ) -> None:
-    found = {}
+    found_violations = {}
     for load in loads:
         scenario = Scenario(machines, load, burst_s=6.0, calm_s=9.0, state_jobs=STATE_JOBS)
         findings = SaturationRun(scenario).play()
         assert findings.changes and findings.submitted > 0
-        found[load] = shortcomings(findings)
-    assert not any(found.values()), found
+        found_violations[load] = violations(findings)
+    assert not any(found_violations.values()), found_violations
