--- a/crowwing/tier/store/decisions.py
+++ b/crowwing/tier/store/decisions.py
@@ -1,6 +1,6 @@
-"""Pure functions from the state and a command to the events and the outcome that the primary decides on.
+"""Pure functions that map the state and a command to events and an outcome.
 
-The node (`node.py`) proposes the events and holds the outcome back until they are committed.
+The primary's node (`node.py`) proposes the events and returns the outcome once they are committed.
 """
 
 from collections.abc import Collection
@@ -12,21 +12,21 @@
 from crowwing.tier.state.tier_state import TierState
 from crowwing.tier.store import commands, outcomes
 
-MAX_PAGE_BYTES = 900_000  # of the results in one page
-RESULT_OVERHEAD_BYTES = 64  # of a result in a page, beside its texts
-UNBOUNDED_ATTEMPTS = 1_000_000  # where no route gives a bound
-MAX_WAIT_MARGIN_S = 5.0  # beyond a route's maxWaitS, for clocks that differ
+MAX_PAGE_BYTES = 900_000  # limit for the results in one page
+RESULT_OVERHEAD_BYTES = 64  # per result in a page, in addition to its strings
+UNBOUNDED_ATTEMPTS = 1_000_000  # used if no route matches
+MAX_WAIT_MARGIN_S = 5.0  # added to a route's maxWaitS to allow for clock skew
 
 
 @dataclass(frozen=True)
 class Decision:
-    """The events that a command makes, and its outcome once they are committed.
+    """The events that a command produces, and its outcome once they are committed.
 
     Attributes:
-        events: What is proposed.
-        outcome: What the caller is told.
-        depends_on_state: False where nothing is done whatever the state is, so that the caller may hear of it
-            at once.
+        events: The events to propose.
+        outcome: The response to the caller.
+        depends_on_state: False if the outcome holds regardless of the state, so that it can be returned
+            without waiting for a commit.
     """
 
     events: tuple[events.Event, ...]
@@ -47,10 +47,10 @@
 
 
 def put_configuration(state: TierState, command: commands.PutConfiguration) -> Decision:
-    """Accepts a valid configuration that was built on the newest one.
+    """Accepts a valid configuration that is based on the newest one.
 
-    A change that was accepted before is acknowledged again, never rejected: the first response may have been
-    lost. Where it is too old to know, the outcome is indeterminate.
+    A change that was already accepted is acknowledged again and never rejected, because the first response
+    may have been lost. If the change is too old to tell, the outcome is indeterminate.
     """
     if state.changes.has_accepted(command.base, command.text):
         return DONE
@@ -69,7 +69,7 @@
 
 
 def get_configuration(state: TierState) -> Decision:
-    """The newest configuration."""
+    """Reads the newest configuration."""
     if state.configuration is None:
         return NOT_FOUND
     return Decision((), outcomes.CurrentConfiguration(state.version, state.configuration))
@@ -82,16 +82,16 @@
     has_disk_capacity: bool,
     has_write_capacity: bool = True,
 ) -> Decision:
-    """Accepts a batch job, once for each id.
+    """Accepts a batch job, once per id.
 
-    One that is rejected for want of capacity has left nothing behind: that is a promise that none of it runs.
+    A rejection for lack of capacity guarantees that nothing was stored and none of the job will run.
 
     Args:
-        state: The state that the decision is made on.
+        state: The current state.
         command: The job.
-        now_ms: The primary's time of day, in milliseconds.
-        has_disk_capacity: Whether the primary's disk may get further jobs.
-        has_write_capacity: Whether the members keep up with what was accepted before.
+        now_ms: The primary's wall-clock time, in milliseconds.
+        has_disk_capacity: Whether the primary's disk has capacity for further jobs.
+        has_write_capacity: Whether the members keep up with the entries proposed so far.
     """
     if command.job_id in state.jobs:
         return DONE
@@ -104,7 +104,7 @@
 
 
 def read_batch_job(state: TierState, command: commands.ReadBatchJob) -> Decision:
-    """Results from a position on, as many as fit in MAX_PAGE_BYTES, but one at least."""
+    """Reads results from a position on: as many as fit in MAX_PAGE_BYTES, but at least one."""
     job = state.jobs.get(command.job_id)
     if job is None:
         return NOT_FOUND
@@ -119,14 +119,14 @@
 
 
 def read_item_body(state: TierState, command: commands.ReadItemBody) -> Decision:
-    """The body of an item that has no result yet."""
+    """Reads the body of an item that has no result yet."""
     job = state.jobs.get(command.job_id)
     item = job.open_items.get(command.item) if job is not None else None
     return NOT_FOUND if item is None else Decision((), outcomes.ItemBody(item.body))
 
 
 def end_batch_job(state: TierState, command: commands.EndBatchJob) -> Decision:
-    """Ends a batch job; its results stay."""
+    """Ends a batch job; its results are kept."""
     job = state.jobs.get(command.job_id)
     if job is None:
         return NOT_FOUND
@@ -136,7 +136,7 @@
 
 
 def register_store(state: TierState, command: commands.RegisterStore) -> Decision:
-    """Registers a store machine's name and address, where the state has not got them."""
+    """Registers the name and address of a store machine unless the state already has them."""
     if state.stores.get(command.node) == command.host:
         return DONE
     return Decision((events.StoreRegistered(command.node, command.host),), outcomes.Done())
@@ -145,13 +145,13 @@
 def retire_store(
     state: TierState, command: commands.RetireStore, available: Collection[str], min_witnesses: int
 ) -> Decision:
-    """Starts the decommissioning of a store machine, if at least `min_witnesses` others can be witnesses.
+    """Starts decommissioning a store machine if at least `min_witnesses` others can be witnesses.
 
     Args:
-        state: The state that the decision is made on.
+        state: The current state.
         command: The machine.
         available: The addresses of the view's witnesses and of the spares that respond.
-        min_witnesses: How many the fault tolerance of the settings needs.
+        min_witnesses: The number of witnesses that the configured fault tolerance requires.
     """
     if command.node in state.retired:
         return DONE
@@ -166,10 +166,10 @@
 def read_retirement(
     state: TierState, node: str, members: Collection[str], witnesses: Collection[str], min_members: int
 ) -> Decision:
-    """Whether a store machine may be switched off.
+    """Reads whether a store machine can be switched off.
 
-    It has left the view, and the data is on as many members as the fault tolerance needs: its own replica was
-    one of them until then.
+    It must have left the view, and the data must be on as many members as the fault tolerance requires,
+    because its own replica counted as one of them until then.
     """
     if node not in state.retired:
         return NOT_FOUND
@@ -180,7 +180,7 @@
 
 
 def report_item(state: TierState, command: commands.ReportItemResult) -> Decision:
-    """Gives an item its one result; a further one changes nothing."""
+    """Records the result of an item; later results for the same item are ignored."""
     if not _is_open(state, command.job_id, command.item):
         return DONE
     return Decision((events.ItemsCompleted(command.job_id, (command.result,)),), outcomes.Done())
@@ -189,7 +189,7 @@
 def report_failure(
     state: TierState, command: commands.ReportItemFailure, configuration: Configuration | None
 ) -> Decision:
-    """Counts a failed attempt once; the last that the job's route allows gives the item its result."""
+    """Counts a failed attempt once; the last one that the job's route allows dead-letters the item."""
     if not _is_open(state, command.job_id, command.item):
         return DONE
     job = state.jobs[command.job_id]
@@ -213,7 +213,7 @@
 
 
 def max_attempts(configuration: Configuration | None, host: str, path: str) -> int:
-    """How many attempts that end with a 500 give an item of a job its result."""
+    """The number of attempts ending with a 500 after which an item of a job is dead-lettered."""
     route = RoutingTable(configuration).find(host, path) if configuration is not None else None
     return route.max_attempts if route is not None else UNBOUNDED_ATTEMPTS
 
@@ -221,13 +221,13 @@
 def expire_jobs(
     state: TierState, configuration: Configuration | None, now_ms: int, retention_s: float
 ) -> Decision:
-    """Removes jobs whose retention is over, and completes items that have waited too long as dead letters.
+    """Removes jobs past their retention, and dead-letters items that have waited too long.
 
     Args:
-        state: The state that the decision is made on.
-        configuration: The routes, whose `maxWaitS` bounds the wait of items.
-        now_ms: The primary's time of day, in milliseconds.
-        retention_s: For how long after its acceptance a completed job may be read.
+        state: The current state.
+        configuration: The configuration whose routes limit the wait of items by `maxWaitS`.
+        now_ms: The primary's wall-clock time, in milliseconds.
+        retention_s: How long a completed job can be read after it was accepted.
     """
     new_events: list[events.Event] = []
     routes = RoutingTable(configuration) if configuration is not None else None
@@ -241,7 +241,7 @@
 
 
 def _has_waited_too_long(job: BatchJob, routes: RoutingTable, age_s: float) -> bool:
-    """Also where the configuration has no route for the job any more: nothing could run it."""
+    """Also true if the configuration no longer has a route for the job, since nothing could run it."""
     route = routes.find(job.host, job.path)
     if route is None:
         return True
--- a/crowwing/tier/store/item_leasing.py
+++ b/crowwing/tier/store/item_leasing.py
@@ -1,4 +1,4 @@
-"""Leases the items of batch jobs to the fronts that ask, in the order in which they asked."""
+"""Leases items of batch jobs to fronts, in the order of their requests."""
 
 import asyncio
 import math
@@ -16,14 +16,14 @@
 from crowwing.tier.store.response_capacity import ResponseCapacity
 from crowwing.tier.wire.egress import EgressPacer
 
-FRONT_TIMEOUT_S = 3.0  # after its last call a front is not counted any more
-LEASE_SCAN_INTERVAL_S = 0.1  # between scans for leases that have expired
-MIN_RUN_MS = 1500.0  # what an item is expected to take, once it is leased
+FRONT_TIMEOUT_S = 3.0  # time since its last call after which a front is no longer counted
+LEASE_SCAN_INTERVAL_S = 0.1  # between scans for expired leases
+MIN_RUN_MS = 1500.0  # expected run time of an item from its lease on
 
 
 @dataclass
 class WaitingFront:
-    """A front that waits for items."""
+    """A front whose request waits for items."""
 
     front: str
     max_items: int
@@ -39,12 +39,12 @@
         configuration: Callable[[], Configuration | None],
         pacer: EgressPacer | None = None,
     ) -> None:
-        """No leases.
+        """Starts without leases.
 
         Args:
-            node: Tells the role and the state of this machine.
-            configuration: Gives the newest configuration, parsed.
-            pacer: Paces the responses to fronts, where they are paced.
+            node: The replica, for the role and the state of this machine.
+            configuration: Returns the newest configuration, parsed.
+            pacer: Paces the responses to fronts; None if they are not paced.
         """
         self._node = node
         self._configuration = configuration
@@ -52,12 +52,12 @@
         self._leases = Leases(self._clock.monotonic())
         self._responses = ResponseCapacity(pacer)
         self._waiting: deque[WaitingFront] = deque()
-        self._uncommitted: deque[tuple[int, str]] = deque()  # index in the log, and the job submitted there
+        self._uncommitted: deque[tuple[int, str]] = deque()  # log index and id of each submitted job
         self._last_call_at: dict[str, float] = {}  # by front
         self._primary_since = self._clock.monotonic()
 
     def on_became_primary(self) -> None:
-        """Starts anew: at this moment all jobs of the state are committed."""
+        """Resets the leases; all jobs in the state are committed at this point."""
         self._leases = Leases(self._clock.monotonic())
         self._uncommitted.clear()
         self._last_call_at.clear()
@@ -66,7 +66,7 @@
             self._leases.add_job(job)
 
     def count_fronts(self) -> int:
-        """How many fronts call this primary; 0 until all have had the time to."""
+        """Counts the fronts that call this primary; 0 until all have had time to call."""
         now = self._clock.monotonic()
         if now - self._primary_since < FRONT_TIMEOUT_S:
             return 0
@@ -78,11 +78,11 @@
         return len(self._last_call_at)
 
     def on_job_proposed(self, index: int, job_id: str) -> None:
-        """A job was proposed at an index of the log; its items may run once that is committed."""
+        """Registers a job proposed at a log index; its items can be leased once that is committed."""
         self._uncommitted.append((index, job_id))
 
     def on_committed(self, index: int) -> None:
-        """The log is committed up to an index."""
+        """Makes the items of committed jobs available; the log is committed up to `index`."""
         if not self._uncommitted or self._uncommitted[0][0] > index:
             return
         while self._uncommitted and self._uncommitted[0][0] <= index:
@@ -98,7 +98,7 @@
     async def lease(
         self, command: commands.LeaseItemsRequest
     ) -> outcomes.LeaseItemsResponse | outcomes.NotPrimary:
-        """Renews a front's leases, and waits until there are items for it or its `wait_ms` is over."""
+        """Renews a front's leases, and waits up to its `wait_ms` for items."""
         if not self._node.replica.holds_lease(self._clock.monotonic()):
             if self._node.replica.role is not Role.FOLLOWER:
                 return outcomes.LeaseItemsResponse((), ())
@@ -109,7 +109,7 @@
         stop = self._leases.renew(state, command.front, command.running, self._clock.monotonic())
         leased: list[JobItem] = []
         if command.max_items:
-            # A front that has something to stop hears of it at once.
+            # A front that has items to stop gets its response at once.
             leased = await self._wait_for_items(command, 0 if stop else command.wait_ms)
         return outcomes.LeaseItemsResponse(tuple(self._to_leased(job, item) for job, item in leased), stop)
 
@@ -126,7 +126,7 @@
             async with asyncio.timeout(wait_ms / 1000):
                 return await future
         except TimeoutError:
-            # The items may have been leased in the same turn of the loop in which the time-out fell.
+            # The items may have been leased in the same event-loop iteration as the time-out.
             return future.result() if future.done() and not future.cancelled() else []
         finally:
             if waiting in self._waiting:
@@ -135,16 +135,16 @@
                 self._responses.release(future.result())
 
     async def run(self) -> None:
-        """Leases out what has expired, or had to wait for the link, for as long as the process runs."""
+        """Leases items whose lease expired or that waited for link capacity; runs until cancelled."""
         while True:
             await asyncio.sleep(LEASE_SCAN_INTERVAL_S)
             if self._waiting:
                 self._lease_to_waiting_fronts()
 
     def _lease_to_waiting_fronts(self) -> None:
-        """Divides the free items evenly among the waiting fronts, the longest waiting first.
+        """Divides the available items evenly among the waiting fronts, longest wait first.
 
-        Where the link is full of items already, the other fronts go on waiting.
+        The remaining fronts keep waiting while the link has no capacity for more items.
         """
         now = self._clock.monotonic()
         if not self._waiting or not self._node.replica.holds_lease(now):
@@ -164,7 +164,7 @@
                 waiting.leased.set_result(leased)
 
     def _deadline_check(self) -> Callable[[BatchJob], bool]:
-        """Whether a job can't be completed any more within the completion SLO of its host."""
+        """Returns a predicate: whether a job can no longer meet the completion SLO of its host."""
         slo_ms = self._completion_slo_ms()
         now_ms = self._clock.now_ms()
 
@@ -174,7 +174,7 @@
         return is_past_deadline
 
     def _completion_slo_ms(self) -> dict[str, float]:
-        """The latency target of batch jobs by host, where a route has one."""
+        """The completion SLO of batch jobs by host, for routes that have one."""
         configuration = self._configuration()
         routes = configuration.routes if configuration is not None else []
         return {
--- a/crowwing/tier/store/leases.py
+++ b/crowwing/tier/store/leases.py
@@ -1,6 +1,6 @@
-"""Which front runs which item, and until when.
+"""Leases of batch items: which front runs which item, and until when.
 
-The primary has it in memory alone: a lost lease only means that an item is run once more.
+Leases are kept only in the primary's memory: losing one just means that its item is run again.
 """
 
 import heapq
@@ -12,7 +12,7 @@
 from crowwing.tier.state.tier_state import TierState
 
 LEASE_S = 1.8
-TAKEOVER_GRACE_S = 0.8  # after a change of primary, for fronts to renew their leases at the new one
+TAKEOVER_GRACE_S = 0.8  # after a change of primary, so that fronts can renew their leases with the new one
 
 ItemKey = tuple[str, str]  # job, item
 JobItem = tuple[BatchJob, BatchItem]
@@ -21,38 +21,38 @@
 class Leases:
     """Leases of items to fronts; owned by `ItemLeasing`.
 
-    What a call costs does not grow with the items that are leased. All times are seconds of one monotonic
+    The cost of a call does not depend on the number of leased items. All times are seconds of one monotonic
     clock.
     """
 
     def __init__(self, now: float) -> None:
-        """No leases, at a machine that became the primary at `now`."""
+        """Creates an empty table for a machine that became the primary at `now`."""
         self._expires_at: dict[ItemKey, float] = {}
         self._owners: dict[ItemKey, str] = {}
-        self._expirations: list[tuple[float, ItemKey]] = []  # a heap; a renewed lease is in it several times
+        self._expirations: list[tuple[float, ItemKey]] = []  # a heap; a renewed lease has several entries
         self._free: dict[str, deque[str]] = {}  # items by job, oldest job first
         self._not_before = now + TAKEOVER_GRACE_S
 
     def add_job(self, job: BatchJob) -> None:
-        """The items of a job may be leased from now on."""
+        """Makes the open items of a job available for leasing."""
         self._free[job.id] = deque(job.open_items)
 
     @property
     def free_count(self) -> int:
-        """About how many items wait for a front; those that have a result by now are counted too."""
+        """Approximate number of unleased items; may include items that already have a result."""
         return sum(len(items) for items in self._free.values())
 
     def renew(
         self, state: TierState, front: str, running: Iterable[ItemKey], now: float
     ) -> tuple[ItemKey, ...]:
-        """Renews the leases of what a front runs.
+        """Renews the leases of the items that a front is running.
 
         Returns:
-            What it is to stop: items that have a result, and those whose lease ended and went to another.
+            The items that it must stop: those that have a result or are now leased to another front.
         """
         stop: list[ItemKey] = []
         for key in running:
-            # Without the second condition two fronts would go on with one item after a time-out of the first.
+            # Without the second check, two fronts could run one item after the first one's lease expired.
             if not _is_open(state, key) or self._is_leased_to_another(key, front, now):
                 stop.append(key)
             else:
@@ -60,9 +60,9 @@
         return tuple(stop)
 
     def give_up(self, state: TierState, front: str, keys: Iterable[ItemKey]) -> None:
-        """Items that a front has stopped without a result may be leased again at once.
+        """Makes items that a front stopped without a result available again at once.
 
-        A retry of the same call may come when another front has the lease by now, which stays.
+        Leases of other fronts are left alone: a retried call may arrive after an item was leased to another.
         """
         for key in keys:
             if self._owners.get(key) == front:
@@ -76,14 +76,14 @@
         now: float,
         is_past_deadline: Callable[[BatchJob], bool],
     ) -> list[JobItem]:
-        """Leases waiting items, oldest job first, but jobs that are past their deadline last.
+        """Leases available items: oldest job first, jobs past their deadline last.
 
         Args:
             state: The state whose items are leased.
             front: The owner of the leases.
-            max_items: How many items at most.
+            max_items: The maximum number of items.
             now: The time on the monotonic clock.
-            is_past_deadline: Whether a job can't be completed in time any more.
+            is_past_deadline: Whether a job can no longer be completed in time.
         """
         self.free_expired(state, now)
         if now < self._not_before:
@@ -98,7 +98,7 @@
     def _jobs_with_free_items(
         self, state: TierState, is_past_deadline: Callable[[BatchJob], bool]
     ) -> list[BatchJob]:
-        """The jobs in the order of leasing; forgets those that have no free items or were removed."""
+        """Returns the jobs in leasing order; drops those that were removed or have no available items."""
         obsolete = [job_id for job_id, items in self._free.items() if not items or job_id not in state.jobs]
         for job_id in obsolete:
             del self._free[job_id]
@@ -110,21 +110,21 @@
         free = self._free[job.id]
         while free and len(leased) < max_items:
             item = job.open_items.get(free.popleft())
-            # A new primary has all open items among the free ones; fronts may have renewed their leases.
+            # A new primary makes all open items available; fronts may have renewed leases on them since.
             if item is None or self._expires_at.get((job.id, item.id), 0.0) > now:
                 continue
             self._grant((job.id, item.id), front, now)
             leased.append((job, item))
 
     def free_expired(self, state: TierState, now: float) -> None:
-        """Items whose lease has expired may be leased again."""
+        """Makes items with expired leases available again."""
         while self._expirations and self._expirations[0][0] <= now:
             _, key = heapq.heappop(self._expirations)
             if self._expires_at.get(key, now + 1) <= now:
                 self.release(state, key)
 
     def release(self, state: TierState, key: ItemKey) -> None:
-        """Ends a lease: the item may be leased again at once, before others, unless it has its result."""
+        """Ends a lease; an item without a result goes to the head of its job's queue."""
         self._expires_at.pop(key, None)
         self._owners.pop(key, None)
         if _is_open(state, key):
--- a/crowwing/tier/store/node.py
+++ b/crowwing/tier/store/node.py
@@ -1,4 +1,4 @@
-"""Runs one replica on a clock, a disk and a network, and decides commands on its state."""
+"""Runs one replica with its clock, disk and connections, and decides commands on its state."""
 
 import asyncio
 import logging
@@ -26,19 +26,19 @@
 TICK_INTERVAL_S = 0.02
 READ_TIMEOUT_S = 1.5  # for the witnesses to confirm a read
 COMMIT_TIMEOUT_S = 3.0  # for the members to commit a decision
-CHANGE_POLL_INTERVAL_S = 0.1  # between looks at the replica, where no step wakes who waits
+CHANGE_POLL_INTERVAL_S = 0.1  # between checks of the replica while no step wakes the waiters
 
 Decide = Callable[[TierState], Decision]
 
 
 @dataclass(frozen=True)
 class ReplicaIdentity:
-    """Which replica of which group this is.
+    """Identifies a replica and its group.
 
     Attributes:
-        address: Its own address.
-        seeds: Addresses of replicas to ask at first.
-        faults: How many machines may fail at once.
+        address: The replica's own address.
+        seeds: Addresses of replicas to contact at startup.
+        faults: The number of machines that may fail at once.
     """
 
     address: str
@@ -49,21 +49,21 @@
 class ReplicaNode:
     """One replica with its disk and its connections; owned by `StoreMachine`.
 
-    The replica itself does no input or output: after each message, tick or proposal `step` carries out what
-    it asks for. Records go to the disk writer, and `run_disk` sends the messages that wait for them.
+    The replica itself does no I/O: after each message, tick or proposal, `step` processes its output. Records
+    go to the disk writer, and `run_disk` sends the messages that depend on them after they are synced.
 
     Attributes:
         clock: The clocks of this incarnation.
-        state: The replicated state, which only the replica changes.
+        state: The replicated state, changed only by the replica.
         replica: The replica.
-        discover_stores: Gives addresses of store machines that are known from elsewhere, with their zones.
-        commit_listeners: Called at the primary with the commit index, when that or the lease has changed.
+        discover_stores: Returns addresses and zones of store machines that are known from other sources.
+        commit_listeners: Called on the primary with the commit index when it or the lease has changed.
     """
 
     def __init__(
         self, identity: ReplicaIdentity, disk: Disk, connections: ReplicaConnections, environment: Environment
     ) -> None:
-        """A replica that does nothing until `start` and the two `run_` tasks."""
+        """Creates a replica that is idle until `start`, `run_clock` and `run_disk` are called."""
         self.clock = environment.clock
         self.connections = connections
         self.state = TierState()
@@ -80,14 +80,14 @@
         self._traffic_log = TrafficLog(self.replica, self._sender.traffic, self._buffered_bytes)
         self._pending = PendingDecisions()
         self._roles = RoleNotifier()
-        self._changed = asyncio.Event()  # replaced at each step that may matter to who waits
+        self._changed = asyncio.Event()  # set and replaced at each step that may concern waiters
         self._last_seen: tuple[Role, int, float] | None = None  # role, commit index, last confirmation
         self.discover_stores: Callable[[], Mapping[str, str]] = dict
         self.commit_listeners: list[Callable[[int], None]] = []
 
     @property
     def role_listeners(self) -> list[RoleListener]:
-        """Called when this replica becomes the primary or ceases to be it."""
+        """Called when this replica becomes the primary or stops being it."""
         return self._roles.listeners
 
     @property
@@ -97,14 +97,14 @@
 
     @property
     def disk_failed(self) -> bool:
-        """Whether this replica neither ticks nor receives, until its disk holds what its memory does."""
+        """Whether this replica is paused (no ticks, no messages) until its disk matches its memory again."""
         return self._writer.has_failed
 
     def start(self, bootstrap: bool, bootstrap_members: tuple[str, ...]) -> None:
-        """Recovers from the disk, or from none.
+        """Recovers from the disk; on an empty disk, bootstraps the group if the settings say so.
 
         Args:
-            bootstrap: Whether the settings ask for the first view to be made.
+            bootstrap: Whether to create the first view.
             bootstrap_members: The members of the first view.
 
         Raises:
@@ -118,7 +118,7 @@
         self.step()
 
     async def run_clock(self) -> None:
-        """Ticks the replica, for as long as the process runs."""
+        """Ticks the replica; runs until cancelled."""
         while True:
             if not self.disk_failed:
                 self.replica.excluded = self.state.retired_hosts()
@@ -132,7 +132,7 @@
             await asyncio.sleep(TICK_INTERVAL_S)
 
     async def run_disk(self) -> None:
-        """Writes what has gathered and then sends what waited for it, for as long as the process runs."""
+        """Writes queued records in batches and then sends the dependent messages; runs until cancelled."""
         while True:
             await self._writer.wait_for_work()
             self.replica.send_entries(self.clock.monotonic())
@@ -148,7 +148,7 @@
             self.step()
 
     async def _recover_disk(self, error: StorageError) -> None:
-        """Resigns, and takes no part until the disk holds all that memory does."""
+        """Resigns, and pauses the replica until the disk holds everything that memory does."""
         log.error("disk_failed error=%r", str(error))
         self.replica.resign(self.clock.monotonic(), "its disk failed")
         self.step()
@@ -158,22 +158,22 @@
         return self.connections.data.buffered_bytes + self.connections.urgent.buffered_bytes
 
     def transfer_leadership(self) -> None:
-        """Asks another member to take over, where this replica is the primary."""
+        """If this replica is the primary, hands leadership over to another member."""
         self.replica.transfer_leadership(self.clock.monotonic())
         self.step()
 
     def receive(self, message: Message) -> None:
-        """Takes in a message of another replica."""
+        """Processes a message from another replica."""
         if not self.disk_failed:
             self.replica.receive(self.clock.monotonic(), message)
             self.step()
 
     def _receive_own(self, message: Message) -> None:
-        """Takes in a message of the replica to itself, which the step that delivers it carries out."""
+        """Processes a message of the replica to itself; the step that delivers it processes the output."""
         self.replica.receive(self.clock.monotonic(), message)
 
     def step(self) -> None:
-        """Carries out what the replica asks for, and notifies who waits for a change of it."""
+        """Processes the replica's output, and notifies listeners and waiters of changes."""
         output = self.replica.take_output()
         self._sender.deliver(output.immediate)
         if output.records or output.durable:
@@ -194,14 +194,14 @@
     def _resolve_pending(self) -> None:
         role = self.replica.role
         if self._roles.is_changing_own_view(role):
-            return  # it may be the primary again in a moment, with the same log
+            return  # it may soon be the primary again with the same log
         if role is Role.PRIMARY:
             self._pending.resolve(self.replica.commit_index)
         else:
             self._pending.abandon()
 
     async def _wait_until_primary(self) -> bool:
-        """Waits out a change of this primary's own view; False where this is not the primary."""
+        """Waits until this primary has finished changing its own view; False if it is not the primary."""
         deadline = self.clock.monotonic() + COMMIT_TIMEOUT_S
         while self._roles.is_changing_own_view(self.replica.role) and self.clock.monotonic() < deadline:
             await self._wait_for_change()
@@ -215,19 +215,19 @@
             pass
 
     async def decide(self, decide: Decide, *, by_heartbeat: bool = False) -> outcomes.Outcome:
-        """Decides a command on the newest state; returns once all that the outcome rests on is committed.
+        """Decides a command on the newest state; returns once everything the outcome depends on is committed.
 
-        A decision without events rests on the state alone, which a later primary may have changed already:
-        its outcome also waits until it is certain that there was none before it. One that does not even rest
-        on the state waits for nothing.
+        A decision without events depends only on the state, which a newer primary may have changed already.
+        Its outcome is therefore also delayed until this replica is confirmed as the only primary. A decision
+        that does not depend on the state is returned at once.
 
         Args:
-            decide: Makes the decision; called once, and only where this replica is the primary.
-            by_heartbeat: Makes that certain by a heartbeat that starts after the decision, whatever the
-                clocks do, and not by the lease.
+            decide: Makes the decision; called once, and only if this replica is the primary.
+            by_heartbeat: Confirms the primary by a heartbeat started after the decision instead of by the
+                lease, so that the result does not depend on clocks.
 
         Returns:
-            The outcome, NotPrimary where nothing was done, or Indeterminate.
+            The outcome, NotPrimary if nothing was done, or Indeterminate.
         """
         if not await self._wait_until_primary():
             return outcomes.NotPrimary(self.leader)
@@ -246,10 +246,10 @@
         return decision.outcome
 
     async def _wait_until_committed(self, index: int) -> bool:
-        """Whether the log is committed up to an index under this primary and in time."""
+        """Whether the log was committed up to an index under this primary within COMMIT_TIMEOUT_S."""
         committed = self._pending.add(index)
         self.step()
-        self._resolve_pending()  # the step does not where nothing has changed, as for a read
+        self._resolve_pending()  # `step` skips this if nothing has changed, as for a read
         try:
             async with asyncio.timeout(COMMIT_TIMEOUT_S):
                 return await committed
@@ -257,15 +257,15 @@
             return False
 
     async def confirm(self) -> bool:
-        """Whether this replica is still the only primary, by its lease or a heartbeat that starts now."""
+        """Whether this replica is still the only primary, by its lease or by a new heartbeat."""
         if self.replica.holds_lease(self.clock.monotonic()):
             return True
         return await self.confirm_by_heartbeat()
 
     async def confirm_by_heartbeat(self) -> bool:
-        """Whether a majority of the witnesses still knows this replica as the primary.
+        """Whether a majority of the witnesses still accepts this replica as the primary.
 
-        Only responses to a heartbeat that starts now count: an earlier one says nothing of this moment.
+        Only responses to a heartbeat started now count; earlier ones do not prove the present state.
         """
         if self.replica.role is not Role.PRIMARY:
             return False
--- a/crowwing/tier/store/service.py
+++ b/crowwing/tier/store/service.py
@@ -1,4 +1,4 @@
-"""Executes commands: at this store machine where it is the primary, else by forwarding them there."""
+"""Executes commands on this store machine if it is the primary, or forwards them to the primary."""
 
 import asyncio
 import logging
@@ -24,14 +24,14 @@
 
 FORWARD_TIMEOUT_S = 3.5
 HOUSEKEEPING_INTERVAL_S = 0.5
-RETENTION_MARGIN_S = 30.0  # beyond the retention of the settings, for clocks that differ
-MAX_DISK_SHARE = 0.7  # of the disk's capacity, beyond which no further jobs are accepted
+RETENTION_MARGIN_S = 30.0  # added to the retention in the settings to allow for clock skew
+MAX_DISK_SHARE = 0.7  # share of the disk's capacity above which jobs are rejected
 
 
 class StoreService:
-    """The commands of one store machine; owned by `StoreMachine`.
+    """Executes the commands sent to one store machine; owned by `StoreMachine`.
 
-    Called by the connections from fronts and other store machines, and by the operator's API.
+    Called for requests from fronts and other store machines, and by the operator's API.
     """
 
     def __init__(
@@ -42,12 +42,12 @@
         connections: ConnectionPool,
         documents: Documents,
     ) -> None:
-        """A service that listens to the node.
+        """Creates the service and registers its listeners with the node.
 
         Args:
-            settings: Name, address and bounds of this machine.
-            node: The replica that commands are decided on.
-            disk: Its disk, whose length bounds what is accepted.
+            settings: Name, address and limits of this machine.
+            node: The replica that decides commands.
+            disk: Its disk, whose usage limits the jobs that are accepted.
             connections: Connections to the other store machines.
             documents: Where committed configurations are published.
         """
@@ -60,7 +60,7 @@
         self.leasing = ItemLeasing(node, lambda: self._publisher.configuration, connections.pacer)
         self._write_capacity = WriteCapacity(node.replica, connections.pacer)
         self._readers = BatchJobReaders()
-        self._is_registered = False  # whether a primary has confirmed it in this incarnation
+        self._is_registered = False  # whether a primary has acknowledged the registration in this incarnation
         node.role_listeners.append(self._on_role_changed)
         node.commit_listeners.append(self._on_committed)
 
@@ -80,12 +80,12 @@
     # Commands
 
     async def execute(self, command: commands.Command, *, may_forward: bool = True) -> outcomes.Outcome:
-        """The outcome of a command.
+        """Executes a command and returns its outcome.
 
         Args:
             command: The command.
-            may_forward: Whether it may be forwarded to the primary, which is done once: two machines that
-                each take the other for the primary would forward it for ever.
+            may_forward: Whether it may be forwarded to the primary. A command is forwarded only once, since
+                two machines that each take the other for the primary would forward it forever.
         """
         outcome = await self._execute_here(command)
         if not isinstance(outcome, outcomes.NotPrimary) or not may_forward:
@@ -155,7 +155,7 @@
                 return self._status()
 
     async def _read_linearizable(self, decide: Decide) -> outcomes.Outcome:
-        """A read that misses nothing that was acknowledged before it, whatever the clocks do."""
+        """Executes a linearizable read: it sees all writes acknowledged before it, even if clocks drift."""
         return await self._node.decide(decide, by_heartbeat=True)
 
     # Configuration
@@ -186,7 +186,7 @@
         return not capacity_bytes or self._disk.size < MAX_DISK_SHARE * capacity_bytes
 
     async def _read_batch_job(self, command: commands.ReadBatchJob) -> outcomes.Outcome:
-        """Waits for a first result as long as the command allows, and then reads."""
+        """Waits up to the command's `wait_ms` for a result, and then reads."""
         deadline = self._clock.monotonic() + command.wait_ms / 1000
         while True:
             job = self._node.state.jobs.get(command.job_id)
@@ -209,14 +209,14 @@
         return self._notify_readers(decision)
 
     def _notify_readers(self, decision: Decision) -> Decision:
-        """Readers of the jobs that a decision changes look again once it is committed."""
+        """Schedules the wake-up of readers of the jobs that a decision changes, once it is committed."""
         for index, event in enumerate(decision.events, self._next_index()):
             if isinstance(event, (events.ItemsCompleted, events.BatchJobEnded)):
                 self._readers.on_job_changed(index, event.job_id)
         return decision
 
     def _next_index(self) -> int:
-        """The index in the log of the first event of the decision that is being made."""
+        """The log index of the first event of the decision in progress."""
         return self._node.replica.log.last[1] + 1
 
     # Store machines
@@ -231,7 +231,7 @@
 
     def _read_retirement(self, state: TierState, command: commands.ReadRetirement) -> Decision:
         view = self._node.replica.view
-        assert view is not None  # decided by a primary, which has one
+        assert view is not None  # only called on a primary, which has a view
         min_members = self._node.replica.limits.min_witnesses
         return decisions.read_retirement(state, command.node, view.members, view.witnesses, min_members)
 
@@ -256,7 +256,7 @@
     # Housekeeping
 
     async def run_housekeeping(self) -> None:
-        """Registers this machine, and expires jobs at the primary, for as long as the process runs."""
+        """Registers this machine and, on the primary, expires jobs; runs until cancelled."""
         while True:
             await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             await self._register()
@@ -264,7 +264,7 @@
                 await self._node.decide(self._expire_jobs)
 
     async def _register(self) -> None:
-        """Registers this machine at the primary; a spare's own state does not show whether it is there."""
+        """Registers this machine with the primary; a spare's own state may not show its registration."""
         if self._is_registered or self._node.state.stores.get(self._settings.node) == self._settings.ip:
             return
         outcome = await self.execute(commands.RegisterStore(self._settings.node, self._settings.ip))
@@ -278,5 +278,5 @@
 
 
 def unknown_command(body: object) -> outcomes.Rejected:
-    """Rejects what another machine sent in the place of a command."""
+    """Rejects a message from another machine that is not a command."""
     return outcomes.Rejected(400, f"unknown command {wire_name(type(body))}")
