--- a/crowwing/tier/store/__init__.py
+++ b/crowwing/tier/store/__init__.py
@@ -1,1 +1,1 @@
-"""The store role: replicated state, commands, the operator's API, leases of items, the platform's list."""
+"""The store role: replicated state, commands, the operator's API, item leases, the platform's list."""
--- a/crowwing/tier/store/commands.py
+++ b/crowwing/tier/store/commands.py
@@ -1,7 +1,7 @@
 """The commands that fronts, store machines and the operator's API send to the primary.
 
-Each is answered with an outcome (`outcomes.py`). The wire names and the order of the fields are the form that
-other versions read, and stay.
+The response to each is an outcome (`outcomes.py`). Wire names and the order of fields must not change, since
+other versions read them.
 """
 
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 @message("PutConfiguration")
 @dataclass(frozen=True)
 class PutConfiguration:
-    """Replaces the configuration of version `base` by this one."""
+    """Replaces the configuration of version `base` with this one."""
 
     base: int
     text: bytes
@@ -40,7 +40,7 @@
 @message("ReadLot")
 @dataclass(frozen=True)
 class ReadBatchJob:
-    """Reads a job's results from position `start` on, and waits up to `wait_ms` for the first of them."""
+    """Reads a job's results from position `start` on, waiting up to `wait_ms` for the first of them."""
 
     job_id: str
     start: int
@@ -59,7 +59,7 @@
 @message("EndLot")
 @dataclass(frozen=True)
 class EndBatchJob:
-    """Ends a batch job: its open items are not run any more."""
+    """Ends a batch job: its open items are no longer run."""
 
     job_id: str
 
@@ -67,7 +67,7 @@
 @message("Retire")
 @dataclass(frozen=True)
 class RetireStore:
-    """Asks for the decommissioning of the store machine with this name."""
+    """Requests the decommissioning of a store machine by name."""
 
     node: str
 
@@ -75,7 +75,7 @@
 @message("ReadRetire")
 @dataclass(frozen=True)
 class ReadRetirement:
-    """Reads how far the decommissioning of a store machine is."""
+    """Reads the progress of the decommissioning of a store machine."""
 
     node: str
 
@@ -83,14 +83,14 @@
 @message("LeaseItems")
 @dataclass(frozen=True)
 class LeaseItemsRequest:
-    """A front renews its leases, gives some up, and asks for up to `max_items` more.
+    """Renews a front's leases, gives some up, and requests up to `max_items` new ones.
 
     Attributes:
         front: The front's name, unique among the incarnations of all fronts.
-        max_items: How many items it can start now.
-        running: The job and the item of each lease to be renewed.
-        wait_ms: How long to wait for items where there are none.
-        given_up: The job and the item of each lease that ended without a result.
+        max_items: The number of items that it can start now.
+        running: The job and item of each lease to renew.
+        wait_ms: How long to wait if no items are available.
+        given_up: The job and item of each lease that was given up without a result.
     """
 
     front: str
@@ -113,7 +113,7 @@
 @message("ReportFailure")
 @dataclass(frozen=True)
 class ReportItemFailure:
-    """Reports an attempt at an item that ended with a 500; it has a name, so that a retry counts once."""
+    """Reports an attempt at an item that ended with a 500; the attempt's name deduplicates retries."""
 
     job_id: str
     item: str
@@ -123,13 +123,13 @@
 @message("ShowStatus")
 @dataclass(frozen=True)
 class GetStatus:
-    """Reads the role, the view and the counts of the store machine that receives it."""
+    """Reads the role, view and counts of the store machine that receives it."""
 
 
 @message("Announce")
 @dataclass(frozen=True)
 class RegisterStore:
-    """Registers the name and the address of a store machine."""
+    """Registers the name and address of a store machine."""
 
     node: str
     host: str
@@ -146,6 +146,6 @@
 @message("Forwarded")
 @dataclass(frozen=True)
 class ForwardedCommand:
-    """A command that another store machine or a front forwards to the primary; not forwarded once more."""
+    """A command forwarded to the primary by a front or another store machine; not forwarded again."""
 
     command: Command
--- a/crowwing/tier/store/configuration_publisher.py
+++ b/crowwing/tier/store/configuration_publisher.py
@@ -1,4 +1,4 @@
-"""Publishes committed configurations to the backends, and holds the newest one in parsed form."""
+"""Publishes committed configurations to the backends, and caches the newest one in parsed form."""
 
 from collections import deque
 
@@ -9,13 +9,13 @@
 
 
 class ConfigurationPublisher:
-    """The configurations of one store machine on their way to the fronts; owned by `StoreService`."""
+    """Publishes the configurations of one store machine to the fronts; owned by `StoreService`."""
 
     def __init__(self, state: TierState, documents: Documents) -> None:
-        """A publisher with nothing to publish.
+        """Creates a publisher with nothing to publish.
 
         Args:
-            state: The state, which has the newest configuration, committed or not.
+            state: The state, with the newest configuration, committed or not.
             documents: Where committed configurations are published.
         """
         self._state = state
@@ -24,11 +24,11 @@
         self._parsed: Configuration | None = None
         self._uncommitted: deque[tuple[int, Document]] = (
             deque()
-        )  # with the index that must be committed first
+        )  # with the log index that must be committed first
 
     @property
     def configuration(self) -> Configuration | None:
-        """The newest configuration, parsed; None without one, or where this release can't read it."""
+        """The newest configuration, parsed; None if there is none or this release can't read it."""
         text, version = self._state.configuration, self._state.version
         if text is not None and self._parsed_version != version:
             parsed = parse_configuration(text)
@@ -37,19 +37,20 @@
         return self._parsed
 
     def on_accepted(self, index: int, accepted: ConfigurationAccepted) -> None:
-        """A configuration was proposed at an index of the log.
+        """Registers a configuration proposed at a log index.
 
-        It is published once that is committed: a backend must not use what a later primary may not have.
+        It is published once that index is committed: a backend must not use a configuration that a later
+        primary may not have.
         """
         self._uncommitted.append((index, Document(CONFIGURATION, (accepted.version,), accepted.text)))
 
     def on_committed(self, index: int) -> None:
-        """The log is committed up to an index."""
+        """Publishes committed configurations; the log is committed up to `index`."""
         while self._uncommitted and self._uncommitted[0][0] <= index:
             self._documents.offer(self._uncommitted.popleft()[1])
 
     def on_role_changed(self, is_primary: bool) -> None:
-        """Forgets what was proposed; a new primary, whose complete log is committed, publishes its newest."""
+        """Drops uncommitted configurations; a new primary (its log is all committed) publishes its newest."""
         self._uncommitted.clear()
         text = self._state.configuration
         if is_primary and text is not None:
--- a/crowwing/tier/store/control_api.py
+++ b/crowwing/tier/store/control_api.py
@@ -16,18 +16,18 @@
 
 
 def json_response(status: int, body: Mapping[str, str]) -> Response[bytes]:
-    """A response in JSON; a 503 says when to come back."""
+    """Makes a JSON response; a 503 has a Retry-After header."""
     headers = RETRY_AFTER if status == 503 else {}
     return Response(json.dumps(body).encode(), status_code=status, media_type=JSON, headers=headers)
 
 
 def error_response(status: int, reason: str) -> Response[bytes]:
-    """A response that says why a command had no success."""
+    """Makes a response with the reason why a command failed."""
     return json_response(status, {"error": reason})
 
 
 def outcome_response(outcome: outcomes.Outcome) -> Response[bytes]:
-    """The HTTP response for the outcome of a command."""
+    """Maps the outcome of a command to an HTTP response."""
     match outcome:
         case outcomes.Done():
             response = json_response(200, {})
@@ -47,7 +47,7 @@
 
 
 def read_outcome_response(outcome: outcomes.Outcome) -> Response[bytes]:
-    """The same for a read of the configuration: one that may be stale is a 503, since it changed nothing."""
+    """Like `outcome_response`, for reads: a result that may be stale is a 503, since nothing was changed."""
     if isinstance(outcome, outcomes.Indeterminate):
         return error_response(503, outcome.reason)
     return outcome_response(outcome)
@@ -55,7 +55,7 @@
 
 @put("/config", status_code=200)
 async def put_config(request: Request[Any, Any, State], state: State) -> Response[bytes]:
-    """Replaces the configuration of the version in `If-Match` by the one in the body."""
+    """Replaces the configuration of the version in `If-Match` with the one in the body."""
     try:
         base = int(request.headers.get("if-match", ""))
     except ValueError:
@@ -67,27 +67,27 @@
 
 @get("/config")
 async def get_config(state: State) -> Response[bytes]:
-    """The newest configuration, complete."""
+    """Returns the newest configuration."""
     service: StoreService = state.service
     return read_outcome_response(await service.execute(commands.GetConfiguration()))
 
 
 @post("/retire/{node:str}", status_code=200)
 async def post_retire(node: str, state: State) -> Response[bytes]:
-    """Starts the decommissioning of a store machine."""
+    """Starts decommissioning a store machine."""
     service: StoreService = state.service
     return outcome_response(await service.execute(commands.RetireStore(node)))
 
 
 @get("/retire/{node:str}")
 async def get_retire(node: str, state: State) -> Response[bytes]:
-    """How far the decommissioning of a store machine is."""
+    """Returns the progress of the decommissioning of a store machine."""
     service: StoreService = state.service
     return outcome_response(await service.execute(commands.ReadRetirement(node)))
 
 
 def make_app(service: StoreService) -> Litestar:
-    """The operator's API of one store machine."""
+    """Creates the ASGI application of the operator's API."""
     return Litestar(
         [put_config, get_config, post_retire, get_retire],
         state=State({"service": service}),
--- a/crowwing/tier/store/disk.py
+++ b/crowwing/tier/store/disk.py
@@ -1,4 +1,4 @@
-"""The replica's records in one file: appended and synced in order, and compacted beside the writes."""
+"""Stores the replica's records in one file: appended and fsynced in order, compacted in the background."""
 
 import contextlib
 import logging
@@ -18,30 +18,30 @@
 log = logging.getLogger("crowwing.disk")
 
 FILE_NAME = "state.log"
-MIN_COMPACTION_BYTES = 8 * 1024 * 1024  # a shorter file is not compacted, but on a crowded disk
-COMPACTION_FACTOR = 3  # times the length after the last compaction
-HIGH_DISK_USAGE_SHARE = 0.4  # of the disk's capacity, from which a file is compacted sooner
-HIGH_USAGE_COMPACTION_FACTOR = 1.5  # times the length that a compaction is expected to give
-COMPACTION_RETRY_S = 2.0  # after a compaction that failed
-USABLE_DISK_SHARE = 0.95  # of the disk's capacity, for the file and its replacement together
+MIN_COMPACTION_BYTES = 8 * 1024 * 1024  # shorter files are compacted only at high disk usage
+COMPACTION_FACTOR = 3  # file size, relative to the size after the last compaction, that triggers the next
+HIGH_DISK_USAGE_SHARE = 0.4  # share of the disk's capacity above which the file is compacted sooner
+HIGH_USAGE_COMPACTION_FACTOR = 1.5  # trigger at high disk usage, relative to the expected compacted size
+COMPACTION_RETRY_S = 2.0  # delay after a failed compaction
+USABLE_DISK_SHARE = 0.95  # share of the disk's capacity for the file and its replacement together
 
 
 @dataclass
 class Compaction:
-    """A replacement of the file that is being written beside it."""
+    """A compaction in progress, which writes a replacement of the file."""
 
     replacement: PendingResult[CompactedFile]
     concurrent_appends: list[
         bytes
-    ]  # what was appended to the file since, and has to follow in the replacement
+    ]  # appended to the file since the start; must also be appended to the replacement
 
 
 class Disk:
-    """Stores records; `write` returns once they outlast a loss of power.
+    """Stores records; `write` returns once they would survive a loss of power.
 
-    Owned by the replica's node, which calls `write` and `replace_all` one at a time. A long file is compacted
-    beside the writes: what is written meanwhile goes to the file and, when the replacement is ready, behind
-    its content too.
+    Owned by the replica's node, which calls `write` and `replace_all` one at a time. Compaction runs
+    concurrently with writes: records written meanwhile go to the file and, once the replacement is ready,
+    are appended to it too.
     """
 
     def __init__(
@@ -52,14 +52,14 @@
         workers: DiskWorkers | None = None,
         clock: Clock = SYSTEM_CLOCK,
     ) -> None:
-        """The records of a folder.
+        """Creates the store of a folder's records.
 
         Args:
-            folder: Where the file is.
-            capacity_bytes: What the disk holds in all; 0 where that is not known.
+            folder: The folder of the file.
+            capacity_bytes: The disk's capacity; 0 if it is not known.
             files: The file operations.
-            workers: Where blocking work is done; two threads by default.
-            clock: The clock for the time between compactions.
+            workers: Run blocking work; two threads by default.
+            clock: Times the delay between compactions.
         """
         self._capacity_bytes = capacity_bytes
         self._clock = clock
@@ -70,9 +70,9 @@
         self._compact_after = 0.0
 
     def open(self) -> list[Record]:
-        """All records of the file, without a torn one at its end; raises StorageError."""
+        """Reads all records of the file, without a torn one at its end; raises StorageError."""
         records: list[Record] = [decode(record) for record in self._file.open()]
-        self._compacted_bytes = self._file.size  # so that no compaction falls in the midst of a start
+        self._compacted_bytes = self._file.size  # so that no compaction runs during startup
         return records
 
     @property
@@ -84,7 +84,7 @@
         """Whether the file should be compacted now.
 
         Args:
-            compacted_bytes: About how much the compacted file takes, beside the present one meanwhile.
+            compacted_bytes: The estimated size of the compacted file, stored beside the present one at first.
         """
         size = self._file.size
         if self._compaction is not None or self._clock.monotonic() < self._compact_after:
@@ -97,7 +97,7 @@
         return is_high_usage and size > HIGH_USAGE_COMPACTION_FACTOR * compacted_bytes
 
     async def write(self, records: list[Record]) -> None:
-        """Appends records and syncs them; raises StorageError."""
+        """Appends records and fsyncs them; raises StorageError."""
         payloads = [encode(record) for record in records]
         compaction = self._compaction
         if compaction is not None and compaction.replacement.done():
@@ -109,33 +109,33 @@
         await self._workers.write(self._file.append, payloads)
 
     def begin_compaction(self, records: Iterable[Record]) -> None:
-        """Starts to write a replacement of the file.
+        """Starts writing a replacement of the file.
 
-        A later `write` puts it in the file's place, so that no write waits for it.
+        A later `write` installs the finished replacement, so that no write waits for it.
 
         Args:
-            records: What stands for everything written so far; iterated by another thread.
+            records: The records that replace everything written so far; iterated by another thread.
         """
         replacement = self._workers.compact(self._prepare_replacement, records)
         self._compaction = Compaction(replacement, [])
 
     async def replace_all(self, records: Iterable[Record]) -> None:
-        """Replaces everything by these records; raises StorageError."""
+        """Replaces the content of the file with these records; raises StorageError."""
         compaction, self._compaction = self._compaction, None
         if compaction is not None:
             await self._workers.write(_discard_replacement, compaction)
         await self._workers.write(self._replace_file, records)
 
-    # What the workers run
+    # Run by the workers
 
     def _prepare_replacement(self, records: Iterable[Record]) -> CompactedFile:
         return self._file.prepare_compaction(encode(record) for record in records)
 
     def _finish_compaction(self, compaction: Compaction, payloads: list[bytes]) -> None:
-        """Switches to the replacement, or goes on with the file where that fails.
+        """Switches to the replacement, or keeps the present file if that fails.
 
-        Until the switch the file has all that was acknowledged, so a crash at any step loses nothing; what
-        was written meanwhile must be in the replacement before it.
+        Until the switch, the file has all acknowledged records, so a crash at any step loses nothing. Records
+        written since the start must be in the replacement before the switch.
         """
         tail = compaction.concurrent_appends
         try:
@@ -157,6 +157,6 @@
 
 
 def _discard_replacement(compaction: Compaction) -> None:
-    """Waits for the end of a compaction whose replacement is not used any more."""
+    """Waits for a compaction to end, and deletes its replacement."""
     with contextlib.suppress(StorageError):
         compaction.replacement.result().discard()
--- a/crowwing/tier/store/disk_writer.py
+++ b/crowwing/tier/store/disk_writer.py
@@ -1,4 +1,4 @@
-"""Writes what a replica puts out to its disk, measures the writes, and gets over a disk that fails."""
+"""Writes the records in a replica's output to disk, times the writes, and recovers from disk failures."""
 
 import asyncio
 import logging
@@ -13,27 +13,27 @@
 
 log = logging.getLogger("crowwing.store")
 
-DISK_RETRY_INTERVAL_S = 0.4  # between attempts at a disk that has failed
-DISK_STALLED_S = 0.6  # a write in flight for so long counts as stalled
-SYNC_SMOOTHING = 0.3  # weight of the newest write in the smoothed time of one
+DISK_RETRY_INTERVAL_S = 0.4  # between attempts to recover a failed disk
+DISK_STALLED_S = 0.6  # time in flight after which a write counts as stalled
+SYNC_SMOOTHING = 0.3  # weight of the newest write in the moving average of write times
 
 
 class DiskWriter:
-    """The queue in front of a replica's disk; owned by `ReplicaNode`, whose disk loop calls it.
+    """The write queue of a replica's disk; owned by `ReplicaNode`, whose disk loop calls it.
 
     Attributes:
-        has_failed: Whether the disk lacks something that the replica's memory has. The replica takes no part
-            until it does not.
+        has_failed: Whether the disk lacks records that the replica's memory has. The replica is paused until
+            the disk has recovered.
     """
 
     def __init__(self, replica: Replica, state: TierState, disk: Disk, clock: Clock) -> None:
-        """An empty queue.
+        """Creates an empty queue.
 
         Args:
             replica: The replica whose records are written.
-            state: The state, whose size tells when compaction pays.
-            disk: Where the records go.
-            clock: The clock that writes are timed by.
+            state: The state, whose size determines when to compact.
+            disk: Stores the records.
+            clock: Times the writes.
         """
         self._replica = replica
         self._state = state
@@ -45,33 +45,33 @@
         self.has_failed = False
 
     def enqueue(self, output: Output) -> None:
-        """Adds an output whose records are to be written before its messages are sent."""
+        """Queues an output, whose records must be written before its messages are sent."""
         self._queue.append(output)
         self._has_work.set()
 
     async def wait_for_work(self) -> None:
-        """Returns when something was added since the last call."""
+        """Returns once something has been queued since the last call."""
         await self._has_work.wait()
         self._has_work.clear()
 
     def take_queue(self) -> list[Output]:
-        """Empties the queue; all that has gathered takes one sync."""
+        """Empties the queue; its content is written as one batch with one fsync."""
         queue, self._queue = self._queue, []
         return queue
 
     def is_stalled(self, now: float) -> bool:
-        """Whether a write is in flight for DISK_STALLED_S or longer."""
+        """Whether a write has been in flight for DISK_STALLED_S or longer."""
         began_at = self._write_began_at
         return began_at is not None and now - began_at >= DISK_STALLED_S
 
     async def write(self, outputs: list[Output]) -> None:
-        """Writes the records of outputs, and begins a compaction if one is due; raises StorageError."""
+        """Writes the records of outputs, and starts a compaction if one is due; raises StorageError."""
         records: list[Record] = [record for output in outputs for record in output.records]
         if not records:
             return
         needs_compaction = self._disk.needs_compaction(self._state.stored_bytes)
-        # The snapshot must be made before the write: at this moment it stands for what the file holds and
-        # `records`, while the replica goes on changing during the write.
+        # The snapshot must be taken before the write: it now covers the file and `records`, while the replica
+        # may change during the write.
         compacted = self._replica.compacted() if needs_compaction else None
         began_at = self._clock.monotonic()
         self._write_began_at = began_at
@@ -86,10 +86,10 @@
             self._disk.begin_compaction(compacted)
 
     async def recover(self) -> None:
-        """Returns once the disk holds all that the replica's memory does.
+        """Returns once the disk holds everything that the replica's memory does.
 
-        What was queued is dropped: the messages that waited for the failed records are never sent, so to the
-        others this replica has stood still, and its records are in the snapshot that is written.
+        Queued outputs are dropped: their records are part of the snapshot that is written, and the messages
+        that depended on the failed records are never sent, so to its peers this replica was merely paused.
         """
         self.has_failed = True
         while self.has_failed:
--- a/crowwing/tier/store/environment.py
+++ b/crowwing/tier/store/environment.py
@@ -1,4 +1,4 @@
-"""What a store machine takes from its process: random numbers, network, clocks; simulated in tests."""
+"""External dependencies of a store machine: random numbers, network and clocks; simulated in tests."""
 
 from dataclasses import dataclass
 from random import Random
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True)
 class Environment:
-    """The surroundings of one incarnation of a store machine.
+    """The dependencies of one incarnation of a store machine.
 
     Attributes:
-        random: The source of all draws.
+        random: The source of all random numbers.
         network: Opens and accepts connections.
         clock: The clocks.
-        started_at: When the process began, in seconds of `clock.monotonic`.
+        started_at: The start time of the process, in seconds of `clock.monotonic`.
     """
 
     random: Random
--- a/crowwing/tier/store/list_reader.py
+++ b/crowwing/tier/store/list_reader.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of sidecars while this machine is the primary, and publishes each change."""
+"""Polls the platform's list of sidecars while this machine is the primary, and publishes changes."""
 
 import asyncio
 import logging
@@ -17,20 +17,20 @@
 
 
 class ListReader:
-    """The one reader of the platform's list: a singleton role that goes with the primary's lease.
+    """Reads the platform's list; only the holder of the primary's lease does so.
 
-    A published list has the primary's term and a number within it as its version, so that a list of a later
-    primary is newer than all of an earlier one's.
+    The version of a published list is the primary's term and a sequence number within it, so that a later
+    primary's lists are newer than all lists of earlier ones.
     """
 
     def __init__(self, read: ReadList, node: ReplicaNode, documents: Documents, random: Random) -> None:
-        """A reader that publishes nothing until `run`.
+        """Creates a reader that is idle until `run` is called.
 
         Args:
             read: Reads the list once.
-            node: Tells the role and the term of this machine.
+            node: The replica, for the role and term of this machine.
             documents: Where lists are published.
-            random: Draws the jitter between reads.
+            random: Source of the jitter between reads.
         """
         self._read_list = read
         self._node = node
@@ -41,7 +41,7 @@
         self._published_number = 0
 
     async def run(self) -> None:
-        """Reads the list again and again, for as long as the process runs."""
+        """Reads the list periodically; runs until cancelled."""
         while True:
             if self._node.replica.holds_lease(self._node.clock.monotonic()):
                 await self._read()
@@ -56,7 +56,7 @@
             log.warning("list_unreadable reason=%r", listed.reason)
             return
         term_number = self._node.replica.promised[0]
-        # The lease may have ended while the list was read: a later primary may have published a newer one.
+        # The lease may have expired during the read, and a later primary may have published a newer list.
         if not self._node.replica.holds_lease(self._node.clock.monotonic()):
             return
         if term_number == self._published_term and listed == self._published:
--- a/crowwing/tier/store/machine.py
+++ b/crowwing/tier/store/machine.py
@@ -1,4 +1,4 @@
-"""One store machine put together: replica, commands, relay of documents, reader of the platform's list."""
+"""Assembles a store machine: replica, command service, document relay, reader of the platform's list."""
 
 import asyncio
 import logging
@@ -36,18 +36,18 @@
 
 
 class StoreMachine:
-    """What a store machine's process runs, without signals and the operator's HTTP server.
+    """The components of a store machine's process, except signal handling and the operator's HTTP server.
 
     Attributes:
-        documents: The newest documents that this machine knows.
+        documents: The newest documents known to this machine.
         node: The replica.
-        service: The commands.
-        relay: The machine's position in the relay tree, whose root is the primary.
-        pacer: Paces what this machine sends; None where the settings don't tell its link's rate.
+        service: Executes commands.
+        relay: The machine's node in the relay tree, whose root is the primary.
+        pacer: Paces outgoing traffic; None if the settings don't give the link's rate.
     """
 
     def __init__(self, settings: Settings, disk: Disk, environment: Environment) -> None:
-        """A machine that does nothing until `start` and its `background_tasks`."""
+        """Creates a machine that is idle until `start` is called and its `background_tasks` are run."""
         self._settings = settings
         self._environment = environment
         self.documents = Documents()
@@ -90,12 +90,12 @@
             self.relay.root_heartbeats.send_now()
 
     def _discover_stores(self) -> dict[str, str]:
-        """The zones of the store machines in the partial view, and this machine's own."""
+        """The zones of the store machines in the partial view and of this machine, by address."""
         zones = {peer.host: peer.zone for peer in self.relay.view.peers(STORE_ROLE)}
         return {**zones, self._settings.ip: self._settings.zone}
 
     async def _handle(self, connection: Connection, body: Any) -> Any:  # noqa: ANN401  whatever the codec reads
-        """Dispatches a request or a notification of another machine, and gives the response."""
+        """Dispatches a request or notification from another machine, and returns the response."""
         if isinstance(body, RELAY_MESSAGES):
             return await self.relay.handle(connection, body)
         if isinstance(body, commands.ForwardedCommand):
@@ -108,17 +108,17 @@
         return None
 
     def update_seeds(self, hosts: tuple[str, ...]) -> None:
-        """Takes over the seeds of changed settings."""
+        """Applies the seeds of changed settings."""
         self.relay.view.seeds = hosts
         self.node.replica.add_peers(hosts)
 
     async def start(self, should_retry: Callable[[], bool] = lambda: True) -> Listener:
-        """Recovers from the disk and listens.
+        """Recovers from the disk and starts listening.
 
-        A disk that can't be opened is tried again, since an operator may free or replace it meanwhile.
+        If the disk can't be opened, this is retried, since an operator may free space or replace the disk.
 
         Args:
-            should_retry: Whether to go on trying; False once the process is to end.
+            should_retry: Whether to keep trying; returns False once the process is shutting down.
         """
         while should_retry():
             error = self._start_node()
@@ -143,10 +143,10 @@
         return None
 
     def background_tasks(self, read_list: ReadList | None) -> list[Coroutine[Any, Any, None]]:
-        """What runs for as long as the process.
+        """Creates the tasks that run for the lifetime of the process.
 
         Args:
-            read_list: Reads the platform's list, where there is one.
+            read_list: Reads the platform's list; None if there is none.
         """
         tasks = [
             self.node.run_disk(),
@@ -163,7 +163,7 @@
         return tasks
 
     def transfer_leadership(self) -> None:
-        """Asks another member to take over, where this machine is the primary."""
+        """If this machine is the primary, hands leadership over to another member."""
         self.node.transfer_leadership()
 
     def close(self) -> None:
--- a/crowwing/tier/store/main.py
+++ b/crowwing/tier/store/main.py
@@ -18,17 +18,17 @@
 log = logging.getLogger("crowwing.store")
 
 DEFAULT_DATA_DIR = Path("data")
-LEADERSHIP_TRANSFER_S = 0.3  # for another member to take over before the connections are closed
+LEADERSHIP_TRANSFER_S = 0.3  # time for another member to take over before connections are closed
 CONTROL_SHUTDOWN_S = 1.0
 CONTROL_KEEP_ALIVE_S = 30
 CONTROL_API_MODULE = "crowwing.tier.store.control_api"
 
 
 async def serve_control(machine: StoreMachine, address: str, stop: asyncio.Event) -> None:
-    """Serves the operator's API until `stop`.
+    """Serves the operator's API until `stop` is set.
 
-    Its library takes a third of a start to load. The machine takes part in elections meanwhile, and an
-    operator who comes early waits in the queue of new connections.
+    Loading its library takes a third of the startup time, so it is loaded in a thread while the machine
+    already takes part in elections. Early requests wait in the listen backlog.
     """
     control_api = await asyncio.to_thread(importlib.import_module, CONTROL_API_MODULE)
     app = control_api.make_app(machine.service)
@@ -37,7 +37,7 @@
 
 
 async def run_store(settings: Settings) -> int:
-    """Runs until SIGTERM; returns the exit status."""
+    """Runs a store machine until SIGTERM; returns the exit status."""
     stop, settings_changed = asyncio.Event(), asyncio.Event()
     watch_signals(stop, settings_changed)
     tasks = Tasks(stop)
--- a/crowwing/tier/store/message_sender.py
+++ b/crowwing/tier/store/message_sender.py
@@ -1,4 +1,4 @@
-"""Delivers the messages of a replica: over connections to the others, and at once to itself."""
+"""Delivers a replica's messages: over connections to its peers, directly to itself."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 from crowwing.tier.store.replication_traffic import SentTraffic
 from crowwing.tier.wire.connection_pool import ConnectionPool
 
-DATA_MESSAGES = (AppendRequest, SyncRequest, RangeDigests, RangesResponse)  # which can be long
+DATA_MESSAGES = (AppendRequest, SyncRequest, RangeDigests, RangesResponse)  # can be long
 
 
 @dataclass(frozen=True)
@@ -23,7 +23,7 @@
 
     Attributes:
         data: For messages that carry data.
-        urgent: For heartbeats and votes, which would come too late behind long messages.
+        urgent: For heartbeats and votes, which long messages on the same connection would delay too much.
     """
 
     data: ConnectionPool
@@ -31,21 +31,21 @@
 
 
 class MessageSender:
-    """Delivers messages in the order in which the replica gave them; owned by `ReplicaNode`.
+    """Delivers messages in the order of the replica's output; owned by `ReplicaNode`.
 
     Attributes:
-        traffic: What was sent to other replicas.
+        traffic: Counts the messages sent to other replicas.
     """
 
     def __init__(
         self, address: str, connections: ReplicaConnections, receive: Callable[[Message], None]
     ) -> None:
-        """A sender for one replica.
+        """Creates a sender for one replica.
 
         Args:
             address: The replica's own address.
-            connections: The connections to the others.
-            receive: Takes in a message of the replica to itself.
+            connections: The connections to the other replicas.
+            receive: Processes a message of the replica to itself.
         """
         self._address = address
         self._connections = connections
@@ -53,7 +53,7 @@
         self.traffic = SentTraffic()
 
     def deliver(self, messages: list[tuple[str, Message]]) -> None:
-        """Delivers messages, each with its receiver; one that goes to several in a row is encoded once."""
+        """Delivers (receiver, message) pairs; consecutive equal messages are encoded once."""
         for message, group in groupby(messages, key=lambda addressed: addressed[1]):
             receivers = [receiver for receiver, _ in group]
             if self._address in receivers:
--- a/crowwing/tier/store/outcomes.py
+++ b/crowwing/tier/store/outcomes.py
@@ -1,6 +1,6 @@
 """The outcomes of commands (`commands.py`).
 
-The wire names and the order of the fields are the form that other versions read, and stay.
+Wire names and the order of fields must not change, since other versions read them.
 """
 
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 @message("NotPrimary")
 @dataclass(frozen=True)
 class NotPrimary:
-    """Nothing was done: another store machine is the primary, `leader` where it is known."""
+    """Nothing was done: this machine is not the primary; `leader` is the primary's address if known."""
 
     leader: str | None
 
@@ -21,7 +21,7 @@
 @message("Unsure")
 @dataclass(frozen=True)
 class Indeterminate:
-    """It is not known whether the command was carried out; it may be sent again."""
+    """It is not known whether the command was executed; it can be retried."""
 
     reason: str
 
@@ -29,19 +29,19 @@
 @message("Done")
 @dataclass(frozen=True)
 class Done:
-    """The command was carried out, and its events are committed."""
+    """The command was executed, and its events are committed."""
 
 
 @message("Missing")
 @dataclass(frozen=True)
 class NotFound:
-    """What the command names certainly does not exist."""
+    """The object that the command refers to does not exist."""
 
 
 @message("Rejected")
 @dataclass(frozen=True)
 class Rejected:
-    """The command was rejected and changed nothing; `status` is the HTTP status for it."""
+    """The command was rejected and changed nothing; `status` is the HTTP status to return."""
 
     status: int
     reason: str
@@ -59,7 +59,7 @@
 @message("LotPage")
 @dataclass(frozen=True)
 class BatchJobPage:
-    """Results of a batch job from the requested position on; `total` is the number of its items."""
+    """Results of a batch job from the requested position on; `total` is the job's number of items."""
 
     total: int
     results: tuple[ItemResult, ...]
@@ -76,7 +76,7 @@
 @message("RetireState")
 @dataclass(frozen=True)
 class RetirementStatus:
-    """Whether the decommissioning of a store machine is completed."""
+    """Whether the decommissioning of a store machine has completed."""
 
     completed: bool
 
@@ -84,7 +84,7 @@
 @message("LeasedItem")
 @dataclass(frozen=True)
 class LeasedItem:
-    """An item to run, with the host of its job, which was accepted `age_ms` ago."""
+    """An item to run, with the host of its job; the job was accepted `age_ms` ago."""
 
     job_id: str
     host: str
@@ -95,7 +95,7 @@
 @message("ItemsLeased")
 @dataclass(frozen=True)
 class LeaseItemsResponse:
-    """Items to run, and the job and the item of each running one that is to be stopped."""
+    """Items to run, and the job and item of each running one that must be stopped."""
 
     items: tuple[LeasedItem, ...]
     stop: tuple[tuple[str, str], ...]
@@ -104,19 +104,19 @@
 @message("Status")
 @dataclass(frozen=True)
 class StoreStatus:
-    """The role, the view and the counts of a store machine.
+    """The role, view and counts of a store machine.
 
     Attributes:
-        node: Its name.
+        node: The machine's name.
         role: Its role in replication.
         term: The term that it has promised: a number, and the replica that proposed it.
         members: The addresses of the view's members.
         witnesses: The addresses of the view's witnesses.
-        index: The index of the last entry of its log.
-        commit: The index up to which the log is committed.
+        index: The index of the last log entry.
+        commit: The commit index.
         version: The version of the configuration.
-        jobs: How many batch jobs the state holds.
-        open_items: How many of their items have no result.
+        jobs: The number of batch jobs in the state.
+        open_items: The number of items without a result.
         stores: The addresses of the store machines by name.
     """
 
@@ -146,4 +146,4 @@
     | LeaseItemsResponse
     | StoreStatus
 )
-RESPONSE_TYPES: tuple[type, ...] = (*get_args(Outcome), LeasedItem)  # none of which is a command
+RESPONSE_TYPES: tuple[type, ...] = (*get_args(Outcome), LeasedItem)  # none of these is a command
--- a/crowwing/tier/store/pending_decisions.py
+++ b/crowwing/tier/store/pending_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions of the primary that wait until the log is committed up to what they rest on."""
+"""Decisions of the primary that wait until the log entries they depend on are committed."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -6,27 +6,27 @@
 
 @dataclass
 class PendingDecision:
-    """A decision whose outcome is held back until the log is committed up to an index."""
+    """A decision whose outcome is returned once the log is committed up to an index."""
 
     index: int
     committed: asyncio.Future[bool] = field(repr=False)
 
 
 class PendingDecisions:
-    """The decisions that are not committed yet; owned by `ReplicaNode`."""
+    """The decisions that wait for a commit; owned by `ReplicaNode`."""
 
     def __init__(self) -> None:
-        """No decisions."""
+        """Creates an empty list."""
         self._pending: list[PendingDecision] = []
 
     def add(self, index: int) -> asyncio.Future[bool]:
-        """A future that tells whether the log was committed up to an index under this primary."""
+        """Returns a future for whether the log was committed up to an index under this primary."""
         committed: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self._pending.append(PendingDecision(index, committed))
         return committed
 
     def resolve(self, commit_index: int) -> None:
-        """Resolves what is committed; decisions that timed out are dropped."""
+        """Resolves committed decisions, and drops those that timed out."""
         remaining: list[PendingDecision] = []
         for pending in self._pending:
             if pending.committed.done():
@@ -38,7 +38,7 @@
         self._pending = remaining
 
     def abandon(self) -> None:
-        """This replica is no primary any more: whether the decisions will be committed is not known."""
+        """Resolves all as unknown: this replica is no longer the primary, and they may still be committed."""
         pending_decisions, self._pending = self._pending, []
         for pending in pending_decisions:
             if not pending.committed.done():
--- a/crowwing/tier/store/replication_traffic.py
+++ b/crowwing/tier/store/replication_traffic.py
@@ -1,4 +1,4 @@
-"""Counts what a replica sends by purpose, and logs it at the primary now and then."""
+"""Counts the traffic that a replica sends by purpose, and logs it periodically on the primary."""
 
 import enum
 import logging
@@ -21,10 +21,10 @@
 
 
 class Purpose(enum.Enum):
-    """What messages between replicas are sent for."""
+    """The purpose of messages between replicas."""
 
     APPEND = "append"  # new entries for the members
-    CATCH_UP = "catch_up"  # data for replicas that are being synchronized or brought up to date
+    CATCH_UP = "catch_up"  # data for replicas that are being synchronized or are catching up
     CONTROL = "control"  # heartbeats, votes, and responses to the other messages
 
 
@@ -37,32 +37,32 @@
 
 
 def purpose_of(message: object) -> Purpose:
-    """Returns what a message between replicas is sent for."""
+    """Returns the purpose of a message between replicas."""
     return _PURPOSES.get(type(message), Purpose.CONTROL)
 
 
 @dataclass
 class SentTraffic:
-    """What a replica has sent since it was last taken; bytes as they go over the connections."""
+    """Bytes (as framed on the wire) and messages that a replica has sent since the last `take`."""
 
     sent_bytes: dict[Purpose, int] = field(default_factory=lambda: dict.fromkeys(Purpose, 0))
     sent_messages: dict[Purpose, int] = field(default_factory=lambda: dict.fromkeys(Purpose, 0))
 
     def count(self, message: Message, frame_bytes: int, receivers: int) -> None:
-        """Counts one message that was sent to some receivers."""
+        """Counts one message sent to a number of receivers."""
         purpose = purpose_of(message)
         self.sent_bytes[purpose] += frame_bytes * receivers
         self.sent_messages[purpose] += receivers
 
     def take(self) -> "SentTraffic":
-        """Returns all that was counted, and begins anew."""
+        """Returns the counts and resets them."""
         taken = SentTraffic(self.sent_bytes, self.sent_messages)
         self.sent_bytes = dict.fromkeys(Purpose, 0)
         self.sent_messages = dict.fromkeys(Purpose, 0)
         return taken
 
     def __str__(self) -> str:
-        """Bytes and messages of each purpose, as they stand in the log."""
+        """Formats bytes and messages of each purpose for the log."""
         return " ".join(
             f"{purpose.value}_bytes={self.sent_bytes[purpose]} "
             f"{purpose.value}_messages={self.sent_messages[purpose]}"
@@ -71,15 +71,15 @@
 
 
 class TrafficLog:
-    """Logs what the primary has sent, and how far the others are behind; owned by `ReplicaNode`."""
+    """Logs the traffic that the primary sent and the lag of its peers; owned by `ReplicaNode`."""
 
     def __init__(self, replica: Replica, traffic: SentTraffic, buffered_bytes: Callable[[], int]) -> None:
-        """A log of one replica.
+        """Creates the log of one replica.
 
         Args:
             replica: The replica.
-            traffic: Counts what it sends.
-            buffered_bytes: Tells how many bytes wait in this process to be sent.
+            traffic: The counts of what it sends.
+            buffered_bytes: Returns the number of bytes in this process that wait to be sent.
         """
         self._replica = replica
         self._traffic = traffic
@@ -87,7 +87,7 @@
         self._due_at = NEVER
 
     def tick(self, now: float) -> None:
-        """Logs a line at the primary where one is due."""
+        """Logs a line on the primary if one is due."""
         if now < self._due_at:
             return
         self._due_at = now + TRAFFIC_LOG_INTERVAL_S
--- a/crowwing/tier/store/traffic_classes.py
+++ b/crowwing/tier/store/traffic_classes.py
@@ -1,4 +1,4 @@
-"""How urgent each message of a store machine is."""
+"""Assigns a traffic class to each message of a store machine."""
 
 from collections.abc import Callable
 
@@ -7,7 +7,7 @@
 from crowwing.tier.store import commands, outcomes
 from crowwing.tier.wire.traffic import Classify, TrafficClass
 
-SYNC_MESSAGES = (SyncRequest, RangeDigests, RangesResponse)  # the data of a candidate or primary
+SYNC_MESSAGES = (SyncRequest, RangeDigests, RangesResponse)  # data from a candidate or primary
 LONG_MESSAGES = (
     commands.SubmitBatchJob,
     outcomes.LeaseItemsResponse,
@@ -17,13 +17,13 @@
 
 
 def make_classify(role: Callable[[], Role]) -> Classify:
-    """Gives the function that tells the class of a message.
+    """Returns the function that determines the class of a message.
 
     A new view waits for the data that its candidate sends; a primary sends the same messages to replicas that
-    catch up, for which nobody waits.
+    are catching up, and nothing waits for these.
 
     Args:
-        role: Tells the role of this machine's replica.
+        role: Returns the role of this machine's replica.
     """
 
     def classify(body: object) -> TrafficClass:
--- a/crowwing/tier/store/workers.py
+++ b/crowwing/tier/store/workers.py
@@ -1,4 +1,4 @@
-"""Where the disk's blocking work is done: two threads, or simulated time in tests."""
+"""Runs the disk's blocking work: in two threads, or in simulated time in tests."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,19 +11,19 @@
 
 
 class PendingResult(Protocol[ResultT_co]):
-    """The result of work that was handed over."""
+    """The future result of submitted work."""
 
     def done(self) -> bool:
         """Whether the work has ended."""
         ...
 
     def result(self) -> ResultT_co:
-        """The result; waits for the end of the work, and raises what it raised."""
+        """Returns the result; waits for the work to end, and raises what it raised."""
         ...
 
 
 class DiskWorkers(Protocol):
-    """Does one write after another, and compaction beside the writes."""
+    """Runs writes one after another, and compactions concurrently with them."""
 
     async def write(self, work: Callable[[*ArgumentTs], ResultT], *arguments: *ArgumentTs) -> ResultT:
         """Does a write, after those before it; raises what it raises."""
@@ -32,15 +32,15 @@
     def compact(
         self, work: Callable[[*ArgumentTs], ResultT], *arguments: *ArgumentTs
     ) -> PendingResult[ResultT]:
-        """Starts a compaction."""
+        """Starts a compaction in the background."""
         ...
 
 
 class ThreadWorkers:
-    """A thread that writes and one that compacts; owned by `Disk`."""
+    """One thread for writes and one for compactions; owned by `Disk`."""
 
     def __init__(self) -> None:
-        """Threads that start with the first work."""
+        """Creates the executors; threads start with the first work."""
         self._writer = ThreadPoolExecutor(1, "disk")
         self._compactor = ThreadPoolExecutor(1, "compaction")
 
@@ -49,5 +49,5 @@
         return await asyncio.get_running_loop().run_in_executor(self._writer, work, *arguments)
 
     def compact(self, work: Callable[[*ArgumentTs], ResultT], *arguments: *ArgumentTs) -> Future[ResultT]:
-        """Starts a compaction."""
+        """Starts a compaction in the background."""
         return self._compactor.submit(work, *arguments)
--- a/crowwing/tier/store/write_capacity.py
+++ b/crowwing/tier/store/write_capacity.py
@@ -1,31 +1,31 @@
-"""How much may wait for its commit before batch jobs are rejected, so that a small change stays quick.
+"""Backpressure: rejects batch jobs while too much of the log is uncommitted, so that small changes stay fast.
 
-All commands share one log, and an entry is committed after those before it. What is proposed and not yet
-committed is therefore bounded by what the link carries to the members within a time.
+All commands share one log, and an entry is committed after those before it. Uncommitted bytes are therefore
+limited to what the link can carry to the members within MAX_COMMIT_QUEUE_S.
 """
 
 from crowwing.tier.replication.replica import Replica
 from crowwing.tier.wire.egress import EgressPacer
 
-MAX_COMMIT_QUEUE_S = 0.5  # of the link's time, for what is not committed; well under the fronts' time-outs
-DEFAULT_MAX_UNCOMMITTED_BYTES = 4 * 1024 * 1024  # where the link's rate is not known
+MAX_COMMIT_QUEUE_S = 0.5  # of link time for uncommitted entries; well below the fronts' time-outs
+DEFAULT_MAX_UNCOMMITTED_BYTES = 4 * 1024 * 1024  # if the link's rate is not known
 
 
 class WriteCapacity:
-    """The bound of what is not committed at a primary; owned by `StoreService`."""
+    """Limits the uncommitted bytes on a primary; owned by `StoreService`."""
 
     def __init__(self, replica: Replica, pacer: EgressPacer | None) -> None:
-        """The bound for one replica.
+        """Creates the limit for one replica.
 
         Args:
             replica: The replica.
-            pacer: Tells the rate of the link; None where it is not known.
+            pacer: Provides the link's rate; None if it is not known.
         """
         self._replica = replica
         self._pacer = pacer
 
     def has_capacity(self) -> bool:
-        """Whether a further batch job may be proposed; always where everything is committed."""
+        """Whether another batch job can be proposed; always true if everything is committed."""
         uncommitted_bytes = self._uncommitted_bytes()
         return uncommitted_bytes == 0 or uncommitted_bytes < self._max_uncommitted_bytes()
 
