--- a/crowwing/tier/wire/__init__.py
+++ b/crowwing/tier/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What backends say to each other: typed messages in CBOR, framed by their length, over TCP."""
+"""The protocol between backends: typed messages in CBOR, in length-prefixed frames over TCP."""
--- a/crowwing/tier/wire/bulk_queue.py
+++ b/crowwing/tier/wire/bulk_queue.py
@@ -1,9 +1,9 @@
-"""The bulk data of all connections that waits for the link, and the order in which it leaves.
+"""The queue of bulk data that waits for the link, for all connections.
 
-The more urgent class goes first, except that each lower class is guaranteed a share while it waits. Within a
-class the connections take turns, a frame each. A frame that is in progress is finished before another begins,
-so that it occupies its connection no longer than it takes to send; where its peer reads too slowly, the
-others go on.
+Classes have strict priority, except that each lower class is guaranteed a share of the link while it waits.
+Within a class, connections are served round-robin, one frame each. A frame in progress is finished before the
+next one starts, so that it blocks its connection no longer than it takes to send; if its peer reads too
+slowly, other connections go on.
 """
 
 from collections import deque
@@ -12,21 +12,21 @@
 from crowwing.tier.wire.paced_flow import PacedFlow
 from crowwing.tier.wire.traffic import BULK_CLASSES, TrafficClass
 
-# Of the bulk data, while frames of the class wait.
+# Shares of the bulk data, while frames of the class wait.
 GUARANTEED_SHARES = {TrafficClass.RESPONSE: 0.25, TrafficClass.CATCH_UP: 0.25}
 
-MAX_CREDIT_BYTES = 128 * 1024  # which a class may go ahead by after others had its share
+MAX_CREDIT_BYTES = 128 * 1024  # limit on the credit that a class can accumulate
 
 
 @dataclass(frozen=True)
 class NextFrame:
-    """The frame that leaves next.
+    """The next frame to send.
 
     Attributes:
         flow: the connection's flow.
         traffic_class: the frame's class.
-        uses_credit: whether a more urgent class waits, past which it goes by its share.
-        is_first_chunk: whether nothing of it has been written yet.
+        uses_credit: whether it is sent ahead of a more urgent class, on the credit of its guaranteed share.
+        is_first_chunk: whether no part of it has been written yet.
     """
 
     flow: PacedFlow
@@ -36,10 +36,10 @@
 
 
 class BulkQueue:
-    """What waits for the link; owned by `EgressPacer`."""
+    """The frames that wait for the link; owned by `EgressPacer`."""
 
     def __init__(self) -> None:
-        """An empty queue."""
+        """Creates an empty queue."""
         self._flows: dict[TrafficClass, deque[PacedFlow]] = {kind: deque() for kind in BULK_CLASSES}
         self._waiting_bytes = dict.fromkeys(BULK_CLASSES, 0)
         self._credit_bytes = dict.fromkeys(GUARANTEED_SHARES, 0.0)
@@ -47,11 +47,11 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing waits."""
+        """Whether no frames wait."""
         return not any(self._flows.values())
 
     def waiting_bytes(self, traffic_class: TrafficClass) -> int:
-        """Bytes of a class that wait."""
+        """Waiting bytes of a class."""
         return self._waiting_bytes[traffic_class]
 
     def add(self, flow: PacedFlow, frame: bytes, traffic_class: TrafficClass, expires_at: float) -> None:
@@ -71,7 +71,7 @@
             self._in_progress = None
 
     def next_frame(self, now: float) -> NextFrame | None:
-        """The frame that leaves next; None where nothing waits, or only peers that read too slowly."""
+        """Returns the next frame to send; None if there is none whose peer reads fast enough."""
         frame = self._in_progress
         if frame is not None and frame.flow.is_ready(frame.traffic_class):
             return frame
@@ -101,7 +101,7 @@
         """Writes the next frame, or a part of it.
 
         Returns:
-            The bytes that were written.
+            The number of bytes written.
         """
         flow, traffic_class = frame.flow, frame.traffic_class
         if frame.is_first_chunk:
@@ -123,7 +123,7 @@
             flows.append(flow)
 
     def _count_credit(self, frame: NextFrame) -> None:
-        """Every class that waits earns its share of what is sent; one that went ahead pays for it."""
+        """Adds each waiting class's share of the frame to its credit; charges a frame sent on credit."""
         length = frame.flow.first_length(frame.traffic_class)
         for traffic_class, share in GUARANTEED_SHARES.items():
             credit_bytes = self._credit_bytes[traffic_class] + share * length
--- a/crowwing/tier/wire/codec.py
+++ b/crowwing/tier/wire/codec.py
@@ -1,4 +1,4 @@
-"""Typed messages to bytes and back: a CBOR tag around the message's name and its fields in order."""
+"""Encodes and decodes typed messages: a CBOR tag around the message's name and its fields in order."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, fields
@@ -11,14 +11,14 @@
 MESSAGE_TAG = 40_000  # the CBOR tag of all messages
 MessageT = TypeVar("MessageT")
 
-# What `decode` returns: a registered message, or plain values that may hold messages. Its type is known only
-# after the bytes have been read, so receivers match on the class. The one untyped place of the package.
+# The result of `decode`: a registered message, or plain values that may contain messages. The type is known
+# only after decoding, so receivers match on the class. This is the only untyped value in the package.
 Decoded: TypeAlias = Any
 
 
 @dataclass(frozen=True)
 class _Registration:
-    """How a class stands in the bytes."""
+    """The encoding of a message class."""
 
     wire_name: str
     field_names: tuple[str, ...]
@@ -29,16 +29,16 @@
 
 
 def message(wire_name: str) -> Callable[[type[MessageT]], type[MessageT]]:
-    """Registers a dataclass as something that is sent to other processes and kept on disk.
+    """Registers a dataclass as a message that is sent to other processes and stored on disk.
 
-    The name and the order of the fields are the form that other versions read and write: both stay when the
-    class or its fields are renamed. Fields hold plain values, tuples or messages.
+    Other versions read and write the name and the order of the fields: both must stay the same if the class
+    or its fields are renamed. Field values are plain values, tuples or messages.
 
     Args:
-        wire_name: the name in the bytes, which no other message has.
+        wire_name: the unique encoded name of the message.
 
     Returns:
-        The decorator, which returns the class as it is.
+        A decorator that returns the class unchanged.
     """
 
     def register(cls: type[MessageT]) -> type[MessageT]:
@@ -52,13 +52,13 @@
 
 
 def wire_name(cls: type) -> str | None:
-    """The name of a message in the bytes; None for a class that is no message."""
+    """The encoded name of a message; None for a class that is not a message."""
     registered = _REGISTERED.get(cls)
     return None if registered is None else registered.wire_name
 
 
 def wire_names() -> frozenset[str]:
-    """The names of all messages that this process knows."""
+    """The encoded names of all messages registered in this process."""
     return frozenset(_CLASSES)
 
 
@@ -89,7 +89,7 @@
         if cls is None:
             raise UnknownMessageError(name)
         return cls(*[_from_plain(item) for item in values])
-    if isinstance(value, (list, tuple)):  # cbor2 gives either
+    if isinstance(value, (list, tuple)):  # cbor2 returns either
         return tuple([_from_plain(item) for item in value])
     if isinstance(value, Mapping):
         return {key: _from_plain(item) for key, item in value.items()}
@@ -97,15 +97,15 @@
 
 
 def encode(value: object) -> bytes:
-    """The bytes of a message or of plain values that may hold messages."""
+    """Encodes a message, or plain values that may contain messages."""
     return cbor2.dumps(_to_plain(value))
 
 
 def decode(data: bytes) -> Decoded:
-    """Reads what `encode` wrote; lists come back as tuples.
+    """Decodes the result of `encode`; lists are returned as tuples.
 
     Raises:
-        MessageError: the bytes are broken, or no message that this version knows.
+        MessageError: the bytes are malformed, or a message that this version does not know.
     """
     try:
         return _from_plain(cbor2.loads(data))
--- a/crowwing/tier/wire/connection.py
+++ b/crowwing/tier/wire/connection.py
@@ -1,4 +1,4 @@
-"""One connection between two backends: calls with a response, and notifications, in both directions."""
+"""A connection between two backends: calls with a response and notifications, in both directions."""
 
 import asyncio
 import itertools
@@ -32,7 +32,7 @@
 
 log = logging.getLogger("crowwing.wire")
 
-MAX_BUFFERED_BYTES = 2 * 1024 * 1024  # notifications to a peer that reads too slowly are dropped beyond
+MAX_BUFFERED_BYTES = 2 * 1024 * 1024  # notifications to a slow peer are dropped above this
 CONNECT_TIMEOUT_S = 0.5
 
 Handler = Callable[["Connection", Decoded], Awaitable[object]]
@@ -41,9 +41,9 @@
 class Connection:
     """One connection between two backends.
 
-    The `ConnectionPool` owns those that this process has opened, `server.serve` those that it has accepted;
-    the owner runs `run` as a task of its own. Anybody may call `call` and `notify`, and keep the connection
-    to send to the same peer later.
+    `ConnectionPool` owns the connections that this process opened, `server.serve` those that it accepted; the
+    owner runs `run` as a separate task. Any code may use `call` and `notify`, and keep the connection to send
+    to the same peer later.
     """
 
     def __init__(
@@ -53,14 +53,14 @@
         handler: Handler | None,
         pacer: EgressPacer | None = None,
     ) -> None:
-        """Makes a connection of an open stream.
+        """Creates a connection from an open stream.
 
         Args:
-            reader: what the peer sends.
-            writer: what is sent to the peer.
-            handler: gets the requests and notifications of the peer and returns the responses; None where
-                the peer's are ignored.
-            pacer: shares the machine's link among all connections; None where nothing is paced.
+            reader: receives from the peer.
+            writer: sends to the peer.
+            handler: receives the peer's requests and notifications and returns the responses; None to ignore
+                them.
+            pacer: shares the machine's link among all connections; None if traffic is not paced.
         """
         self._reader = reader
         self._writer = writer
@@ -77,18 +77,18 @@
 
     @property
     def remote(self) -> str:
-        """The address of the peer; empty where it is not known any more."""
+        """The address of the peer; empty if it is no longer known."""
         peer_name = self._writer.get_extra_info("peername")
         return peer_name[0] if peer_name else ""
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes that wait in this process to be sent."""
+        """Bytes buffered in this process that are not sent yet."""
         in_transport: int = self._writer.transport.get_write_buffer_size()
         return in_transport if self._flow is None else in_transport + self._flow.waiting_bytes
 
     async def run(self) -> None:
-        """Reads frames until the connection ends; then every pending call fails."""
+        """Reads frames until the connection ends; all pending calls fail then."""
         try:
             while True:
                 await self._read_frame()
@@ -123,7 +123,7 @@
     async def _handle(self, handler: Handler, frame: Frame) -> None:
         try:
             result = await handler(self, frame.body)
-        except Exception as error:  # a defect in one handler ends neither the connection nor the process
+        except Exception as error:  # a failing handler must not end the connection or the process
             log.exception("handler_failed message=%s peer=%s", type(frame.body).__name__, self.remote)
             self._write(FrameKind.FAILURE, frame.call_number, str(error))
             return
@@ -148,12 +148,12 @@
             return
         try:
             self._writer.write(chunk)
-        except (RuntimeError, OSError) as error:  # the loop has closed it, and the reader hears of it later
+        except (RuntimeError, OSError) as error:  # closed by the event loop; the reader notices later
             log.debug("write_failed peer=%s error=%s", self.remote, error)
             self.close()
 
     def notify(self, body: object) -> None:
-        """Sends a message that has no response; it is dropped where the peer reads far too slowly.
+        """Sends a message without a response; it is dropped if the peer reads too slowly.
 
         Args:
             body: a message or plain values.
@@ -162,11 +162,11 @@
         self.notify_frame(frame, self._classify(body))
 
     def notify_frame(self, frame: bytes, traffic_class: TrafficClass) -> None:
-        """Sends a notification that is encoded already, as `notify` does.
+        """Sends an encoded notification, like `notify`.
 
         Args:
-            frame: what `encode_frame` made of a notification.
-            traffic_class: how urgent it is.
+            frame: a notification encoded by `encode_frame`.
+            traffic_class: its priority.
         """
         is_control = traffic_class is TrafficClass.CONTROL
         buffered_bytes = self._writer.transport.get_write_buffer_size() if is_control else self.buffered_bytes
@@ -181,10 +181,10 @@
             timeout_s: how long to wait, in seconds.
 
         Returns:
-            The response; its type is an agreement with the handler.
+            The response; its type depends on the handler.
 
         Raises:
-            CallError: no response came; `sent` tells whether the peer may have seen the request.
+            CallError: no response was received; `sent` tells whether the peer may have received the request.
         """
         if self.is_closed:
             raise ConnectionClosedError
@@ -201,7 +201,7 @@
             self._pending_calls.pop(call_number, None)
 
     def close(self) -> None:
-        """Ends the connection at once: pending calls fail, and handlers are cancelled."""
+        """Aborts the connection: pending calls fail, and handlers are cancelled."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -218,17 +218,17 @@
 async def open_connection(
     host: str, port: int, handler: Handler | None, network: Network = TCP, pacer: EgressPacer | None = None
 ) -> Connection:
-    """Connects to another backend. The caller runs `run()` of the connection as a task of its own.
+    """Connects to another backend. The caller runs the connection's `run()` as a separate task.
 
     Args:
         host: the address of the other backend.
         port: its internal port.
-        handler: gets what the peer sends over this connection of its own accord.
-        network: the network to go over.
-        pacer: shares the machine's link among all connections; None where nothing is paced.
+        handler: receives the requests and notifications that the peer sends over this connection.
+        network: the network to use.
+        pacer: shares the machine's link among all connections; None if traffic is not paced.
 
     Raises:
-        ConnectError: there is no connection, or not in time.
+        ConnectError: connecting failed or timed out.
     """
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
--- a/crowwing/tier/wire/connection_pool.py
+++ b/crowwing/tier/wire/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections that a process has opened to other backends."""
+"""The pool of connections that a process opens to other backends."""
 
 import asyncio
 import logging
@@ -16,13 +16,13 @@
 
 
 class ConnectionPool:
-    """One connection for each host, opened when first used and opened anew after it has ended.
+    """One connection per host, opened on first use and reopened after it has ended.
 
-    The process of a front or of a store machine owns its pools and closes them; whatever calls or notifies
+    The process of a front or store machine owns its pools and closes them; everything that calls or notifies
     other backends shares them.
 
     Attributes:
-        pacer: shares the machine's link among all connections; None where nothing is paced.
+        pacer: shares the machine's link among all connections; None if traffic is not paced.
     """
 
     def __init__(
@@ -32,13 +32,13 @@
         network: Network = TCP,
         pacer: EgressPacer | None = None,
     ) -> None:
-        """Makes a pool without connections.
+        """Creates a pool without connections.
 
         Args:
-            port: the internal port, the same at all hosts.
-            handler: gets what peers send over these connections of their own accord.
-            network: the network to go over.
-            pacer: shares the machine's link among all connections; None where nothing is paced.
+            port: the internal port, the same on all hosts.
+            handler: receives the requests and notifications that peers send over these connections.
+            network: the network to use.
+            pacer: shares the machine's link among all connections; None if traffic is not paced.
         """
         self._port = port
         self._handler = handler
@@ -49,10 +49,10 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def get(self, host: str) -> Connection:
-        """The open connection to a host. Callers that ask meanwhile share one attempt to connect.
+        """Returns an open connection to a host. Concurrent callers share one attempt to connect.
 
         Raises:
-            ConnectError: there is no connection, or not in time.
+            ConnectError: connecting failed or timed out.
         """
         connection = self._connections.get(host)
         if connection is not None and not connection.is_closed:
@@ -73,7 +73,7 @@
     def _finish_connecting(self, host: str, task: asyncio.Task[Connection]) -> None:
         self._connecting.pop(host, None)
         if not task.cancelled():
-            task.exception()  # retrieved, so that asyncio warns nobody where no caller waits any more
+            task.exception()  # retrieved so that asyncio does not warn if no caller waits any more
 
     def _start(self, work: Coroutine[object, object, None]) -> None:
         task = asyncio.ensure_future(work)
@@ -86,20 +86,20 @@
         Args:
             host: the address of the other backend.
             body: a message or plain values.
-            timeout_s: how long to wait for the response once there is a connection, in seconds.
+            timeout_s: how long to wait for the response once connected, in seconds.
 
         Raises:
-            CallError: no response came; `sent` tells whether the host may have seen the request.
+            CallError: no response was received; `sent` tells whether the host may have received the request.
         """
         connection = await self.get(host)
         return await connection.call(body, timeout_s)
 
     def notify(self, host: str, body: object) -> None:
-        """Sends a message without a response; it is lost where the host can't be reached."""
+        """Sends a message without a response; it is lost if the host can't be reached."""
         self.notify_all((host,), body)
 
     def notify_all(self, hosts: Iterable[str], body: object) -> int:
-        """Sends the same message, encoded once, to several hosts; returns how many bytes each is sent."""
+        """Sends one message to several hosts, encoding it once; returns the length of its frame in bytes."""
         frame = encode_frame(FrameKind.NOTIFICATION, NO_CALL, body)
         traffic_class = TrafficClass.CONTROL if self.pacer is None else self.pacer.classify(body)
         for host in hosts:
@@ -120,7 +120,7 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes that wait in this process to be sent."""
+        """Bytes buffered in this process that are not sent yet."""
         return sum(
             connection.buffered_bytes for connection in self._connections.values() if not connection.is_closed
         )
--- a/crowwing/tier/wire/egress.py
+++ b/crowwing/tier/wire/egress.py
@@ -1,8 +1,8 @@
-"""Paces what a process sends, so that control traffic never queues behind bulk data at the machine's link.
+"""Paces the traffic a process sends, so that control traffic does not queue behind bulk data on the link.
 
-Control traffic is written at once. Bulk data leaves at a bounded share of the link, in short bursts, so that
-little of it ever stands in front of a control message; what the budget does not cover waits in `BulkQueue`.
-Long frames leave in chunks, between which the control traffic of the other connections passes.
+Control traffic is written at once. Bulk data is sent at a limited share of the link's rate and in short
+bursts, so that a control message never queues behind much of it; what exceeds the budget waits in
+`BulkQueue`. Long frames are sent in chunks, between which control traffic of other connections is sent.
 """
 
 import asyncio
@@ -16,58 +16,58 @@
 
 BYTES_PER_MEGABIT = 1_000_000 / 8
 
-BULK_SHARE = 0.8  # of the link's rate; what control traffic takes is part of it
-BURST_S = 0.02  # of bulk data at its rate, which may stand in front of a control message at the link
-CHUNK_S = 0.005  # of bulk data at its rate: the shortest part of a frame that is worth a write
-MIN_CHUNK_BYTES = 1500  # the same on a slow link
-RETRY_INTERVAL_S = 0.005  # between looks at connections whose peers read too slowly
+BULK_SHARE = 0.8  # of the link's rate; control traffic counts towards it
+BURST_S = 0.02  # burst size in seconds at the bulk rate; it may queue ahead of a control message on the link
+CHUNK_S = 0.005  # minimum chunk size in seconds at the bulk rate; smaller writes don't pay
+MIN_CHUNK_BYTES = 1500  # lower bound of the minimum chunk size on slow links
+RETRY_INTERVAL_S = 0.005  # between checks of connections whose peers read too slowly
 MIN_TIMER_S = 0.001  # the resolution of the event loop's timers
 
-# After which a long response is dropped: its caller has given up (timeouts in front/), and a link that sends
-# responses to nobody never catches up with the calls.
+# A longer wait drops a long response: its caller has timed out (see the time-outs in front/), and a link busy
+# with responses that no caller waits for would never catch up.
 MAX_RESPONSE_WAIT_S = 2.0
 
 
 class EgressPacer:
-    """The budget of a machine's link, shared by all connections of a process; owned by `StoreMachine`."""
+    """A token bucket for the link, shared by all connections of a process; owned by `StoreMachine`."""
 
     def __init__(self, link_mbps: float, clock: Clock, classify: Classify) -> None:
-        """A pacer with a full budget.
+        """Creates a pacer with a full budget.
 
         Args:
-            link_mbps: the link's rate in megabits (10^6) a second.
+            link_mbps: the link's rate in megabits (10^6) per second.
             clock: the process's clock.
-            classify: gives the class of a message by its body.
+            classify: returns the class of a message by its body.
         """
         self.classify = classify
         self.bulk_bytes_per_s = BULK_SHARE * link_mbps * BYTES_PER_MEGABIT
         self._clock = clock
         self._chunk_bytes = max(MIN_CHUNK_BYTES, int(self.bulk_bytes_per_s * CHUNK_S))
         self._burst_bytes = max(self._chunk_bytes, int(self.bulk_bytes_per_s * BURST_S))
-        self._budget_bytes = float(self._burst_bytes)  # negative after control traffic that it did not cover
+        self._budget_bytes = float(self._burst_bytes)  # negative after control traffic exceeded it
         self._refilled_at = clock.monotonic()
         self._queue = BulkQueue()
         self._timer: asyncio.TimerHandle | None = None
 
     def open_flow(self, write: Callable[[Chunk], None], count_buffered_bytes: Callable[[], int]) -> PacedFlow:
-        """The flow of a new connection; the arguments are those of `PacedFlow`."""
+        """Creates the flow of a new connection; for the arguments see `PacedFlow`."""
         return PacedFlow(self, write, count_buffered_bytes)
 
     def waiting_bytes(self, traffic_class: TrafficClass) -> int:
-        """Bytes of a class of bulk data that wait for the link."""
+        """Bytes of a bulk class that wait for the link."""
         return self._queue.waiting_bytes(traffic_class)
 
     # For the flows
 
     def spend(self, length: int) -> None:
-        """Counts bytes of control traffic, which bulk data makes room for later."""
+        """Charges control traffic to the budget; bulk data is delayed accordingly."""
         self._budget_bytes -= length
 
     def send_bulk(self, flow: PacedFlow, frame: bytes, traffic_class: TrafficClass) -> None:
-        """Writes a frame at once where nothing waits and the budget covers it; else it waits.
+        """Writes a frame at once if no frames wait and the budget covers it; otherwise queues it.
 
-        A sender that hears nothing repeats its message. What still waits is not sent twice: the repetitions
-        would fill the link that the message waits for.
+        A frame that is already queued is not queued again: senders retransmit after a time-out, and
+        retransmissions would add to the congestion that delays the first one.
         """
         now = self._clock.monotonic()
         self._refill(now)
@@ -83,7 +83,7 @@
 
     @staticmethod
     def _is_repetition(flow: PacedFlow, frame: bytes, traffic_class: TrafficClass) -> bool:
-        """Whether a frame says what already waits; replicas are brought up to date a message at a time."""
+        """Whether a frame repeats a queued one; catch-up traffic queues one message per connection."""
         if traffic_class is TrafficClass.CATCH_UP:
             return flow.has_frames(traffic_class)
         return flow.has_equal_frame(frame, traffic_class)
@@ -100,7 +100,7 @@
         self._budget_bytes = min(self._burst_bytes, self._budget_bytes + earned_bytes)
 
     def _send_waiting(self, now: float) -> None:
-        """Writes what the budget covers, and comes back for the rest."""
+        """Writes what the budget covers, and schedules a timer for the rest."""
         while (frame := self._queue.next_frame(now)) is not None:
             needed_bytes = min(frame.flow.first_length(frame.traffic_class), self._chunk_bytes)
             if self._budget_bytes < needed_bytes:
--- a/crowwing/tier/wire/errors.py
+++ b/crowwing/tier/wire/errors.py
@@ -1,4 +1,4 @@
-"""The errors of connections between backends. All derive from `WireError`."""
+"""Errors of connections between backends. All derive from `WireError`."""
 
 
 class WireError(Exception):
@@ -6,60 +6,60 @@
 
 
 class MessageError(WireError):
-    """Bytes from another backend, or from disk, that are no message that this version knows."""
+    """Bytes from another backend or from disk can't be decoded as a message known to this version."""
 
 
 class UnknownTagError(MessageError):
-    """A CBOR tag that is not the one that messages have."""
+    """A CBOR tag is not the tag of messages."""
 
     def __init__(self, tag: int) -> None:
         """Describes the error.
 
         Args:
-            tag: the number of the tag.
+            tag: the tag number.
         """
         super().__init__(f"unknown tag {tag}")
 
 
 class UnknownMessageError(MessageError):
-    """A message whose wire name no class is registered for."""
+    """No class is registered for the wire name of a message."""
 
     def __init__(self, wire_name: object) -> None:
         """Describes the error.
 
         Args:
-            wire_name: what stands in the place of the name.
+            wire_name: the decoded name, of any type.
         """
         super().__init__(f"unknown message {wire_name!r}")
 
 
 class FrameTooLongError(MessageError):
-    """A frame announces more bytes than are accepted."""
+    """The length of a frame exceeds the limit."""
 
     def __init__(self, length_bytes: int, max_bytes: int) -> None:
         """Describes the error.
 
         Args:
-            length_bytes: the announced length.
-            max_bytes: the longest frame that is accepted.
+            length_bytes: the frame's length prefix.
+            max_bytes: the maximum length.
         """
-        super().__init__(f"a frame of {length_bytes} bytes, more than {max_bytes}")
+        super().__init__(f"frame of {length_bytes} bytes exceeds the limit of {max_bytes}")
 
 
 class MalformedFrameError(MessageError):
-    """A frame whose content is valid CBOR, but not a kind, the number of a call and a body."""
+    """The content of a frame is valid CBOR, but not a kind, a call number and a body."""
 
     def __init__(self) -> None:
         """Describes the error."""
-        super().__init__("a frame that holds no kind, number and body")
+        super().__init__("malformed frame: expected a kind, a call number and a body")
 
 
 class CallError(WireError):
     """A call got no response.
 
     Attributes:
-        reason: what went wrong. It is forwarded to other processes in outcomes, so its texts are kept.
-        sent: False only if the receiver can't have seen the request, so that it is safe to send it again.
+        reason: the reason; it is forwarded to other processes in outcomes, so its texts must not change.
+        sent: False only if the receiver can't have received the request, so that it is safe to resend it.
     """
 
     def __init__(self, reason: str, sent: bool) -> None:
@@ -76,9 +76,9 @@
         """Describes the error.
 
         Args:
-            host: the address that was tried.
+            host: the address.
             port: its port.
-            cause: what the network said; a `TimeoutError` without a text where it took too long.
+            cause: the network's error; a `TimeoutError` without a text if connecting timed out.
         """
         super().__init__(f"{host}:{port}: {cause or 'no connection in time'}", sent=False)
 
@@ -92,7 +92,7 @@
 
 
 class ConnectionLostError(CallError):
-    """The connection ended before the response came."""
+    """The connection ended before the response was received."""
 
     def __init__(self) -> None:
         """Describes the error."""
@@ -100,10 +100,10 @@
 
 
 class CallTimeoutError(CallError):
-    """The response did not come in time.
+    """The call timed out.
 
     Attributes:
-        timeout_s: how long it was waited for, in seconds.
+        timeout_s: the time-out, in seconds.
     """
 
     def __init__(self, timeout_s: float) -> None:
@@ -112,12 +112,12 @@
         self.timeout_s = timeout_s
 
     def __str__(self) -> str:
-        """The reason with the time that was waited."""
+        """The reason and the time-out."""
         return f"{self.reason} ({self.timeout_s} s)"
 
 
 class RemoteError(CallError):
-    """The handler of the receiver raised an exception."""
+    """The receiver's handler raised an exception."""
 
     def __init__(self, reason: str) -> None:
         """Describes the error.
--- a/crowwing/tier/wire/frames.py
+++ b/crowwing/tier/wire/frames.py
@@ -1,7 +1,7 @@
-"""Frames: the unit that connections exchange.
+"""Frames, the units that connections exchange.
 
-A frame is its length in 4 bytes, little-endian, and that many bytes of CBOR, which hold the kind of the
-frame, the number of the call and the body.
+A frame is a length prefix of 4 bytes, little-endian, and that many bytes of CBOR, which contain the kind of
+the frame, the call number and the body.
 """
 
 import struct
@@ -13,12 +13,12 @@
 
 LENGTH = struct.Struct("<I")
 MAX_FRAME_BYTES = 64 * 1024 * 1024
-NO_CALL = 0  # the number in notifications, which have no response
+NO_CALL = 0  # the call number of notifications, which have no response
 FRAME_VALUES = 3
 
 
 class FrameKind(IntEnum):
-    """What a frame is; the numbers are those on the wire."""
+    """The kind of a frame; the values are used on the wire."""
 
     REQUEST = 0
     RESPONSE = 1
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Frame:
-    """One frame as it was received. Its fields are the parameters of `encode_frame`."""
+    """A received frame. Its fields are the parameters of `encode_frame`."""
 
     kind: FrameKind
     call_number: int
@@ -39,13 +39,13 @@
 
 
 def decode_frame(content: bytes) -> Frame:
-    """Reads a frame.
+    """Decodes a frame.
 
     Args:
-        content: what stands behind the length.
+        content: the bytes after the length prefix.
 
     Raises:
-        MessageError: the content is no frame, or its body no message that this version knows.
+        MessageError: the content is not a frame, or its body not a message known to this version.
     """
     values = decode(content)
     if not isinstance(values, tuple) or len(values) != FRAME_VALUES:
@@ -57,15 +57,15 @@
 
 
 def encode_frame(kind: FrameKind, call_number: int, body: object) -> bytes:
-    """Encodes one frame as it goes over the wire.
+    """Encodes a frame.
 
     Args:
-        kind: what the frame is.
+        kind: the kind of the frame.
         call_number: matches responses to requests on one connection; `NO_CALL` in a notification.
-        body: a message or plain values; the text of the error in a failure.
+        body: a message or plain values; the error text in a failure.
 
     Returns:
-        The length and the content.
+        The length prefix and the content.
     """
     content = encode((int(kind), call_number, body))
     return LENGTH.pack(len(content)) + content
--- a/crowwing/tier/wire/network.py
+++ b/crowwing/tier/wire/network.py
@@ -1,4 +1,4 @@
-"""The network that connections between backends go over: TCP, or a simulated one in tests."""
+"""The network used by connections between backends: TCP, or a simulated network in tests."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -15,7 +15,7 @@
 
 
 class Network(Protocol):
-    """Opens byte streams to other machines and accepts theirs."""
+    """Opens byte streams to other machines, and accepts streams from them."""
 
     async def connect(self, host: str, port: int) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         """Opens a stream; raises OSError."""
--- a/crowwing/tier/wire/server.py
+++ b/crowwing/tier/wire/server.py
@@ -1,4 +1,4 @@
-"""The listening side of connections between backends."""
+"""Accepts connections from other backends."""
 
 import asyncio
 import contextlib
@@ -11,24 +11,24 @@
 async def serve(
     host: str, port: int, handler: Handler, network: Network = TCP, pacer: EgressPacer | None = None
 ) -> Listener:
-    """Accepts connections of other backends. Each is run until it ends.
+    """Accepts connections from other backends, and runs each until it ends.
 
     Args:
-        host: the address to listen at.
+        host: the address to listen on.
         port: the internal port.
-        handler: gets the requests and notifications of all connections and returns the responses.
-        network: the network to listen on.
-        pacer: shares the machine's link among all connections; None where nothing is paced.
+        handler: receives the requests and notifications of all connections and returns the responses.
+        network: the network to use.
+        pacer: shares the machine's link among all connections; None if traffic is not paced.
 
     Returns:
-        The listener, which the caller closes. Connections that are open stay so.
+        The listener, which the caller closes. Closing it leaves open connections open.
 
     Raises:
-        OSError: the address can't be listened at.
+        OSError: the address can't be bound.
     """
 
     async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        with contextlib.suppress(asyncio.CancelledError):  # the process ends
+        with contextlib.suppress(asyncio.CancelledError):  # the process is shutting down
             await Connection(reader, writer, handler, pacer).run()
 
     return await network.listen(host, port, accept)
--- a/crowwing/tier/wire/socket_options.py
+++ b/crowwing/tier/wire/socket_options.py
@@ -1,4 +1,4 @@
-"""Options of the TCP sockets between backends, so that a peer that is gone shows within seconds."""
+"""Options of the TCP sockets between backends, so that a dead peer is detected within seconds."""
 
 import asyncio
 import logging
@@ -6,14 +6,14 @@
 
 log = logging.getLogger("crowwing.wire")
 
-UNACKNOWLEDGED_MS = 1500  # bytes that the peer has not acknowledged for so long end the connection
+UNACKNOWLEDGED_MS = 1500  # the connection ends if sent bytes stay unacknowledged for longer
 
 
 def set_socket_options(writer: asyncio.StreamWriter) -> None:
-    """Sends small frames at once, and bounds how long bytes may stay unacknowledged.
+    """Disables Nagle's algorithm, and limits how long sent bytes may stay unacknowledged.
 
     Args:
-        writer: a stream. One without a socket, as in simulated runs, is left as it is.
+        writer: a stream; one without a socket, as in simulations, is left unchanged.
     """
     tcp_socket = writer.get_extra_info("socket")
     if tcp_socket is None:
--- a/crowwing/tier/wire/traffic.py
+++ b/crowwing/tier/wire/traffic.py
@@ -5,12 +5,12 @@
 
 
 class TrafficClass(IntEnum):
-    """How urgent a frame is; the lower number goes first."""
+    """The priority of a frame; lower numbers are sent first."""
 
-    CONTROL = 0  # heartbeats, votes, acknowledgements, the relay tree: never waits for the others
-    REPLICATION = 1  # what a commit or a new view waits for
-    RESPONSE = 2  # what a caller waits for, and requests that carry data
-    CATCH_UP = 3  # what brings other replicas up to date
+    CONTROL = 0  # heartbeats, votes, acknowledgements, the relay tree; never waits for other classes
+    REPLICATION = 1  # data that a commit or a new view waits for
+    RESPONSE = 2  # responses that a caller waits for, and requests that carry data
+    CATCH_UP = 3  # data for replicas that are catching up
 
 
 BULK_CLASSES = (TrafficClass.REPLICATION, TrafficClass.RESPONSE, TrafficClass.CATCH_UP)
@@ -19,5 +19,5 @@
 
 
 def classify_as_control(_body: object) -> TrafficClass:
-    """Takes every message for control traffic."""
+    """Classifies every message as control traffic."""
     return TrafficClass.CONTROL
