--- a/crowwing/tier/__init__.py
+++ b/crowwing/tier/__init__.py
@@ -1,1 +1,1 @@
-"""The serving tier: fronts take requests, store machines keep its state (docs/serving-tier.md)."""
+"""The serving tier: fronts handle requests, store machines hold the state (docs/serving-tier.md)."""
--- a/crowwing/tier/cli.py
+++ b/crowwing/tier/cli.py
@@ -1,4 +1,4 @@
-"""The tier's command line: one binary, the role as a sub-command."""
+"""The tier's command line: one binary with the role as a sub-command."""
 
 import asyncio
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 from crowwing.tier.roles import FRONT, STORE, run_role
 
 
-@cappa.command(name="front", help="run a front: takes requests and lots, and dispatches them to sidecars")
+@cappa.command(name="front", help="run a front: accepts requests and lots, and dispatches them to sidecars")
 @dataclass
 class Front:
     """The front role."""
@@ -19,7 +19,7 @@
         return run_role(FRONT)
 
 
-@cappa.command(name="store", help="run a store machine: state, operator's API, leases of items")
+@cappa.command(name="store", help="run a store machine: replicated state, operator's API, item leases")
 @dataclass
 class Store:
     """The store role."""
@@ -32,13 +32,13 @@
 @cappa.command(name="crowwing tier", help="the serving tier")
 @dataclass
 class Tier:
-    """All roles, and what an operator asks."""
+    """All roles and operator commands."""
 
     role: cappa.Subcommands[Front | Store | Check | Get | Put | Retire | Show]
 
 
 def main(arguments: list[str]) -> int:
-    """0 done, 1 failed, 2 wrong use."""
+    """Runs the command line; returns 0 for success, 1 for a failure, 2 for incorrect usage."""
     try:
         return cappa.invoke(Tier, argv=arguments) or 0
     except asyncio.CancelledError:
--- a/crowwing/tier/clock.py
+++ b/crowwing/tier/clock.py
@@ -1,4 +1,4 @@
-"""The clocks of a process, handed to whatever needs one so that simulated runs can hand in their own."""
+"""The clocks of a process, injected wherever time is read so that simulations can replace them."""
 
 import time
 from collections.abc import Callable
@@ -11,12 +11,11 @@
 
 @dataclass(frozen=True)
 class Clock:
-    """Two clocks of one process.
+    """The monotonic and the wall clock of a process.
 
     Attributes:
-        monotonic: seconds since some moment; it only goes forward.
-        now_ms: the time of day in milliseconds, which other machines' clocks agree with only roughly, and
-            which may jump.
+        monotonic: seconds since an arbitrary point; never goes backward.
+        now_ms: the wall-clock time in milliseconds; only roughly the same on other machines, and may jump.
     """
 
     monotonic: Callable[[], float] = time.monotonic
--- a/crowwing/tier/configuration.py
+++ b/crowwing/tier/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration: its types, its checks, and the choice of a route."""
+"""The operator's configuration: types, validation and route selection."""
 
 import hashlib
 import json
@@ -11,7 +11,7 @@
 
 
 class NoTargetError(ValueError):
-    """A route leads to no service."""
+    """A route has no target service."""
 
     def __init__(self) -> None:
         """Describes the error."""
@@ -19,7 +19,7 @@
 
 
 class ZeroWeightError(ValueError):
-    """No service of a route gets any traffic."""
+    """The weights of a route's services add up to 0."""
 
     def __init__(self) -> None:
         """Describes the error."""
@@ -27,10 +27,15 @@
 
 
 class UnknownServiceError(ValueError):
-    """A route leads to a service that the configuration does not define."""
+    """A route refers to a service that the configuration does not define."""
 
     def __init__(self, route: str, service: str) -> None:
-        """Describes the error by the names of the route and the service."""
+        """Describes the error.
+
+        Args:
+            route: the name of the route.
+            service: the name of the service.
+        """
         super().__init__(f"route {route}: unknown service {service!r}")
 
 
@@ -38,12 +43,16 @@
     """Two routes have the same host and path prefix."""
 
     def __init__(self, route: str) -> None:
-        """Describes the error by the name of the second route."""
+        """Describes the error.
+
+        Args:
+            route: the name of the second route.
+        """
         super().__init__(f"route {route}: another route has the same host and prefix")
 
 
 class Split(BaseModel):
-    """One share of a route's traffic."""
+    """The share of a route's traffic that goes to one service."""
 
     model_config = ConfigDict(extra="ignore")
     service: str
@@ -51,7 +60,7 @@
 
 
 class Route(BaseModel):
-    """Where requests of one host and path prefix go, and how."""
+    """How requests for one host and path prefix are routed."""
 
     model_config = ConfigDict(extra="ignore")
     name: str
@@ -78,7 +87,7 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a request of this route may run more than once."""
+        """Whether requests of this route can be executed more than once."""
         return self.kind in ("safe", "batch_queue") or (self.kind == "stream" and self.resumable)
 
     @model_validator(mode="after")
@@ -91,7 +100,7 @@
 
 
 class Engine(BaseModel):
-    """What the sidecars of a service are built like."""
+    """The capacity of the sidecars of a service."""
 
     model_config = ConfigDict(extra="ignore")
     slots: int = 8
@@ -99,7 +108,7 @@
 
 
 class Service(BaseModel):
-    """A group of sidecars that can serve the same requests."""
+    """A group of interchangeable sidecars."""
 
     model_config = ConfigDict(extra="ignore")
     name: str
@@ -109,7 +118,7 @@
 
 
 class RequestLimits(BaseModel):
-    """What a client may send, and how long it may take."""
+    """Size limits and time-outs for client requests."""
 
     model_config = ConfigDict(extra="ignore")
     max_header_bytes: int = Field(16384, alias="maxHeaderBytes", gt=0)
@@ -147,8 +156,8 @@
     """Why a configuration is rejected.
 
     Attributes:
-        location: where the first mistake stands: names and indexes with dots between them, or `body`.
-        reason: what is wrong there.
+        location: the path of the first invalid field: names and indexes joined by dots, or `body`.
+        reason: what is wrong with it.
     """
 
     location: str
@@ -156,7 +165,7 @@
 
 
 def parse_configuration(text: bytes) -> Configuration | InvalidConfiguration:
-    """Reads and checks one configuration.
+    """Parses and validates a configuration.
 
     Args:
         text: JSON.
@@ -176,10 +185,10 @@
 
 
 class RoutingTable:
-    """Finds the route of a request: of the routes of its host, the one with the longest matching prefix."""
+    """Finds the route of a request: the one with the longest matching prefix among those of its host."""
 
     def __init__(self, configuration: Configuration) -> None:
-        """Sorts the routes of each host, the longest prefix first."""
+        """Sorts the routes of each host, longest prefix first."""
         self.configuration = configuration
         self.services = {service.name: service for service in configuration.services}
         self._by_host: dict[str, list[Route]] = {}
@@ -189,7 +198,7 @@
             routes.sort(key=lambda route: -len(route.path_prefix))
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route for a `Host` header (a port is ignored) and a path without its query."""
+        """Returns the route for a `Host` header (ignoring a port) and a path without its query."""
         name = host.lower()
         routes = self._by_host.get(name) or self._by_host.get(name.split(":", 1)[0])
         for route in routes or ():
@@ -199,11 +208,11 @@
 
 
 def choose_service(route: Route, key: bytes) -> str:
-    """Chooses the service of a request or item by the weights of its route.
+    """Chooses the service for a request or item by the weights of its route.
 
     Args:
         route: the route.
-        key: the id of the request or item; the same id always gets the same service.
+        key: the id of the request or item; the same id always maps to the same service.
 
     Returns:
         The name of the service.
--- a/crowwing/tier/http_client.py
+++ b/crowwing/tier/http_client.py
@@ -1,7 +1,7 @@
-"""What all HTTP clients of the tier share. Its connections are not encrypted, so no certificates are read.
+"""Shared by all HTTP clients of the tier. Connections are not encrypted, so no CA certificates are loaded.
 
-httpx reads the certificates of the machine for each client that is given no context, which takes tens of
-milliseconds and about a megabyte every time.
+Without an SSL context, httpx loads the system's CA certificates for each client, which takes tens of
+milliseconds and about a megabyte each time.
 """
 
 import ssl
--- a/crowwing/tier/http_server.py
+++ b/crowwing/tier/http_server.py
@@ -1,4 +1,4 @@
-"""uvicorn servers that share one event loop and leave signals to their process."""
+"""uvicorn servers that share one event loop and leave signal handling to the process."""
 
 import asyncio
 import contextlib
@@ -11,11 +11,11 @@
 
 
 class Server(uvicorn.Server):
-    """A server that takes no signals."""
+    """A server that installs no signal handlers."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Signals are the process's own matter."""
+        """Does nothing: the process handles signals."""
         yield
 
 
@@ -26,14 +26,14 @@
     keep_alive_s: float,
     connection: Callable[..., asyncio.Protocol] | None = None,
 ) -> Server:
-    """Makes a server that does not listen yet.
+    """Creates a server that is not listening yet.
 
     Args:
-        app: the application, of ASGI's third version.
+        app: the ASGI 3 application.
         address: `host:port`.
-        grace_s: how long its end waits for open requests, in seconds; at least 1.
+        grace_s: how long shutdown waits for open requests, in seconds; at least 1.
         keep_alive_s: how long an idle connection stays open, in seconds.
-        connection: makes the protocol of each connection; uvicorn's own where it is not given.
+        connection: protocol factory for connections; uvicorn's own by default.
     """
     host, port = address.rsplit(":", 1)
     config = uvicorn.Config(
@@ -41,7 +41,7 @@
         interface="asgi3",
         host=host,
         port=int(port),
-        http=connection or "httptools",  # type: ignore[arg-type]  # uvicorn types a class, and takes any factory
+        http=connection or "httptools",  # type: ignore[arg-type]  # typed as a class, but any factory works
         loop="none",
         lifespan="off",
         ws="none",
@@ -58,14 +58,14 @@
 
 
 async def serve_until(server: Server, stop: asyncio.Event) -> None:
-    """Serves until `stop` is set, then until open requests have ended.
+    """Serves until `stop` is set, then shuts down once open requests have ended.
 
     Args:
-        server: what `make_server` made.
-        stop: asks for the end.
+        server: a server from `make_server`.
+        stop: set to request shutdown.
 
     Raises:
-        OSError: the address can't be listened at.
+        OSError: the address can't be bound.
     """
     listener = take_socket(f"{server.config.host}:{server.config.port}")
     serving = asyncio.ensure_future(server.serve(sockets=[listener]))
--- a/crowwing/tier/operator_commands.py
+++ b/crowwing/tier/operator_commands.py
@@ -1,4 +1,4 @@
-"""The operator's commands: check, read and put configurations, empty and show store machines."""
+"""The operator's commands: check, get and put configurations, decommission and show store machines."""
 
 import asyncio
 import json
@@ -23,12 +23,12 @@
 FAILED = 1
 USAGE_ERROR = 2
 
-ATTEMPT_TIMEOUT_S = 1.5  # of one request to one store machine
-COMMAND_TIMEOUT_S = 20.0  # of all attempts of one command
+ATTEMPT_TIMEOUT_S = 1.5  # for one request to one store machine
+COMMAND_TIMEOUT_S = 20.0  # for all attempts of one command
 RETIREMENT_TIMEOUT_S = 120.0
 RETRY_INTERVAL_S = 0.3
 
-# Responses that another store machine would give too; after any other one the next machine is asked.
+# Responses that do not depend on the store machine; after any other one, the next machine is tried.
 FINAL_STATUSES = frozenset(
     (
         HTTPStatus.OK,
@@ -55,17 +55,17 @@
 def send_request(
     control: list[str], method: str, path: str, body: bytes = b"", headers: dict[str, str] | None = None
 ) -> httpx.Response | None:
-    """Asks one control address after another until one gives a final response.
+    """Tries the control addresses in turn until one returns a final response.
 
     Args:
         control: addresses of store machines, `host:port`.
-        method: of the HTTP request.
-        path: of the HTTP request.
-        body: of the HTTP request.
-        headers: further headers.
+        method: the method of the HTTP request.
+        path: the path of the HTTP request.
+        body: the body of the HTTP request.
+        headers: additional headers.
 
     Returns:
-        The response; None where no machine gave a final one in time.
+        The response; None if no machine returned a final one in time.
     """
     deadline = time.monotonic() + COMMAND_TIMEOUT_S
     with httpx.Client(trust_env=False, follow_redirects=True, timeout=ATTEMPT_TIMEOUT_S) as client:
@@ -84,21 +84,21 @@
 
 
 def _failure_message(response: httpx.Response | None) -> str | None:
-    """What to print of a command that was not carried out for certain; None where it was."""
+    """The error message for a command that failed or whose outcome is unknown; None if it succeeded."""
     if response is None:
-        return "no clear answer; make the same call again"
+        return "no definite response from a store machine; run the same command again"
     return None if response.status_code == HTTPStatus.OK else response.text
 
 
-@cappa.command(name="check", help="check a settings or configuration file without using it")
+@cappa.command(name="check", help="check a settings or configuration file without applying it")
 @dataclass
 class Check:
-    """Checks a file: `.toml` is read as settings, anything else as a configuration."""
+    """Checks a file: settings if its name ends in `.toml`, otherwise a configuration."""
 
     file: Path
 
     def __call__(self) -> int:
-        """0 where the file is valid, 2 with the place of the mistake where not."""
+        """Returns 0 if the file is valid; otherwise prints the location of the error and returns 2."""
         if self.file.suffix == ".toml":
             settings = read_settings(str(self.file))
             return _fail(str(settings), USAGE_ERROR) if isinstance(settings, InvalidSettings) else DONE
@@ -121,26 +121,26 @@
     control: Control
 
     def __call__(self) -> int:
-        """0 with the configuration on standard output."""
+        """Prints the configuration and returns 0."""
         response = send_request(self.control, "GET", "/config")
         if response is None or response.status_code != HTTPStatus.OK:
-            no_response = "no store machine answers for certain"
+            no_response = "no definite response from a store machine"
             return _fail(no_response if response is None else "no configuration")
         print(response.text)
         return DONE
 
 
-@cappa.command(name="put", help="put a configuration that builds on a version")
+@cappa.command(name="put", help="put a configuration that is based on a version")
 @dataclass
 class Put:
-    """Puts a configuration; the same call may be made again until it is acknowledged."""
+    """Puts a configuration; the same command can be repeated until it is acknowledged."""
 
     file: Path
-    base: Annotated[int, cappa.Arg(long=True, help="the version that this one builds on, 0 for the first")]
+    base: Annotated[int, cappa.Arg(long=True, help="the version that this one is based on, 0 for the first")]
     control: Control
 
     def __call__(self) -> int:
-        """0 once it is kept and will be in force everywhere."""
+        """Returns 0 once the configuration is committed and will be applied everywhere."""
         checked = Check(self.file)()
         if checked != DONE:
             return checked
@@ -154,16 +154,16 @@
         return DONE
 
 
-@cappa.command(name="retire", help="empty a store machine, and wait until it can be taken away")
+@cappa.command(name="retire", help="decommission a store machine, and wait until it can be removed")
 @dataclass
 class Retire:
-    """Asks that a store machine be emptied, and waits."""
+    """Requests the decommissioning of a store machine, and waits for it to complete."""
 
     node: str
     control: Control
 
     def __call__(self) -> int:
-        """0 once the machine may be taken away with its disk."""
+        """Returns 0 once the machine can be removed together with its disk."""
         body = json.dumps({"durationS": int(RETIREMENT_TIMEOUT_S)}).encode()
         failure = _failure_message(send_request(self.control, "POST", f"/retire/{self.node}", body))
         if failure is not None:
@@ -175,19 +175,19 @@
                 print("completed")
                 return DONE
             time.sleep(RETRY_INTERVAL_S)
-        return _fail(f"{self.node} is still being emptied")
+        return _fail(f"{self.node} is still being decommissioned")
 
 
 @cappa.command(name="show", help="show role, epoch, view, configuration and lots of each store machine")
 @dataclass
 class Show:
-    """Asks store machines on their internal port."""
+    """Shows the status of store machines, read on their internal port."""
 
     hosts: Annotated[list[str], cappa.Arg(help="addresses of store machines")]
     port: Annotated[int, cappa.Arg(long=True, help="the internal port: the first of portRange")]
 
     def __call__(self) -> int:
-        """0 where all respond."""
+        """Returns 0 if all machines respond."""
         return asyncio.run(self._show())
 
     async def _show(self) -> int:
@@ -205,7 +205,7 @@
 
 
 def describe(status: StoreStatus) -> list[str]:
-    """Lines that tell a person what a store machine says of itself."""
+    """Formats the status of a store machine as lines of text."""
     return [
         f"{status.node}: {status.role}, epoch {status.term[0]} of {status.term[1] or 'nobody'}",
         f"  members {', '.join(status.members) or 'none'}; witnesses {', '.join(status.witnesses) or 'none'}",
--- a/crowwing/tier/platform_list.py
+++ b/crowwing/tier/platform_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of sidecars: its entries, and how they are read."""
+"""The platform's list of sidecars: its entries and their parser."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -11,25 +11,25 @@
 
 
 class AddressError(ValueError):
-    """A sidecar whose address is not `host:port`."""
+    """The address of a sidecar is not `host:port`."""
 
     def __init__(self, address: str) -> None:
-        """Describes the error by the address."""
-        super().__init__(f"the address of a sidecar: {address!r}")
+        """Describes the error."""
+        super().__init__(f"invalid sidecar address: {address!r}")
 
 
 @message("Sidecar")
 @dataclass(frozen=True)
 class Sidecar:
-    """One sidecar as the platform lists it.
+    """A sidecar in the platform's list.
 
     Attributes:
-        id: its identity.
+        id: the sidecar's id.
         service: the service that it belongs to.
         address: `host:port`.
-        zone: its failure domain, empty where it has none.
-        slots: how many requests it runs at once.
-        ready: whether it takes requests.
+        zone: its failure domain; empty if it has none.
+        slots: how many requests it runs concurrently.
+        ready: whether it accepts requests.
     """
 
     id: str
@@ -43,7 +43,7 @@
 @message("SidecarList")
 @dataclass(frozen=True)
 class SidecarList:
-    """All sidecars at one time."""
+    """A snapshot of all sidecars."""
 
     sidecars: tuple[Sidecar, ...]
 
@@ -56,14 +56,14 @@
 
 
 def parse_entry(entry: dict[str, Any]) -> Sidecar:
-    """Reads one entry of the list.
+    """Parses one entry of the list.
 
     Raises:
-        AttributeError: it is no JSON object.
+        AttributeError: it is not a JSON object.
         KeyError: a field is missing.
         OverflowError: a number is infinite.
-        TypeError: a field has another type.
-        ValueError: a number or the address can't be read.
+        TypeError: a field has the wrong type.
+        ValueError: a number or the address is invalid.
     """
     address = str(entry["address"])
     host, _, port = address.rpartition(":")
@@ -83,14 +83,14 @@
 
 
 def make_list_reader(address: str) -> ReadList:
-    """Makes a reader of the list, which loads its HTTP library when it reads for the first time.
+    """Returns a function that reads the list, and loads its HTTP library on first use.
 
     Args:
         address: `host:port` of the platform.
     """
 
     async def read() -> SidecarList | ListUnreadable:
-        # A start does not wait for it: most processes hear of the list from the root.
+        # Loaded lazily to keep startup fast: most processes get the list from the relay tree's root.
         from crowwing.tier import platform_list_client
 
         return await platform_list_client.read_list(address)
--- a/crowwing/tier/platform_list_client.py
+++ b/crowwing/tier/platform_list_client.py
@@ -14,7 +14,7 @@
 
 @functools.cache
 def _client() -> httpx.AsyncClient:
-    """The HTTP client of this process, whose connection to the platform stays open between reads."""
+    """The HTTP client of this process; its connection to the platform stays open between reads."""
     return httpx.AsyncClient(trust_env=False, verify=NO_CERTIFICATES)
 
 
--- a/crowwing/tier/process.py
+++ b/crowwing/tier/process.py
@@ -1,4 +1,4 @@
-"""What every role's process does: logs, signals, and an end in order."""
+"""Common to the processes of all roles: logging, signals and orderly shutdown."""
 
 import asyncio
 import logging
@@ -11,11 +11,11 @@
 
 
 def set_up_logging(node: str, level: int = logging.INFO) -> None:
-    """Writes one line an event to standard output.
+    """Logs one line per event to standard output.
 
     Args:
-        node: the machine's name, which stands in each line.
-        level: events below it are left out.
+        node: the machine's name, which is part of each line.
+        level: the minimum level of events.
     """
     line_format = f"%(asctime)s.%(msecs)03d {node} %(name)s %(levelname)s %(message)s"
     logging.basicConfig(stream=sys.stdout, level=level, format=line_format, datefmt="%H:%M:%S")
@@ -24,11 +24,11 @@
 
 
 def watch_signals(stop: asyncio.Event, settings_changed: asyncio.Event) -> None:
-    """Sets events on signals.
+    """Installs signal handlers that set events.
 
     Args:
-        stop: set by SIGTERM and SIGINT, which ask for the end.
-        settings_changed: set by SIGHUP, after the settings file has changed.
+        stop: set on SIGTERM and SIGINT, to request shutdown.
+        settings_changed: set on SIGHUP, sent after the settings file has changed.
     """
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -37,17 +37,17 @@
 
 
 class Tasks:
-    """Tasks that last as long as the process. One that raises ends the process.
+    """Tasks that run for the lifetime of the process; an exception in one shuts the process down.
 
     Attributes:
-        failed: whether one has raised.
+        failed: whether a task has raised an exception.
     """
 
     def __init__(self, stop: asyncio.Event) -> None:
-        """Starts without tasks.
+        """Creates an empty set of tasks.
 
         Args:
-            stop: set when a task raises, so that the process ends in order.
+            stop: set when a task raises an exception, so that the process shuts down in order.
         """
         self._stop = stop
         self._tasks: set[asyncio.Task[Any]] = set()
@@ -68,6 +68,6 @@
             self._stop.set()
 
     def cancel(self) -> None:
-        """Ends all tasks."""
+        """Cancels all tasks."""
         for task in list(self._tasks):
             task.cancel()
--- a/crowwing/tier/roles.py
+++ b/crowwing/tier/roles.py
@@ -1,4 +1,4 @@
-"""Runs a role's process. Kept apart from the command line, which takes longer to load than a role does."""
+"""Runs the process of a role. Separate from the command line, which takes longer to load than a role."""
 
 import sys
 
--- a/crowwing/tier/settings.py
+++ b/crowwing/tier/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform gives to each process."""
+"""The settings file that the platform provides for each process."""
 
 import os
 import tomllib
@@ -14,7 +14,7 @@
 
 
 class Listen(BaseModel):
-    """Addresses that the process serves to the outside, as `host:port`."""
+    """Addresses that the process serves externally, as `host:port`."""
 
     model_config = ConfigDict(extra="ignore")
     front: str | None = None
@@ -23,17 +23,17 @@
 
 
 class Limits(BaseModel):
-    """What one process may use."""
+    """Resource limits of one process."""
 
     model_config = ConfigDict(extra="ignore")
     max_fds: int = Field(1024, alias="maxFds", gt=0)
     memory_mb: int = Field(256, alias="memoryMb", gt=0)
     disk_mb: int = Field(0, alias="diskMb", ge=0)
-    link_mbps: float = Field(0.0, alias="linkMbps", ge=0)  # megabits (10^6) a second; 0: not known
+    link_mbps: float = Field(0.0, alias="linkMbps", ge=0)  # megabits (10^6) per second; 0 if not known
 
 
 class FaultTolerance(BaseModel):
-    """What may be lost at one time: counted machines, or zones, or regions."""
+    """The number of machines, zones or regions that can fail at the same time."""
 
     model_config = ConfigDict(extra="ignore")
     machines: int = Field(1, ge=0)
@@ -42,12 +42,12 @@
 
     @property
     def store_machines(self) -> int:
-        """How many store machines may be lost at one time, where a zone holds one of them."""
+        """The number of store machines that can fail at the same time, with one machine per zone."""
         return max(self.machines, self.zones, self.regions)
 
 
 class Bounds(BaseModel):
-    """Time bounds of the rules; the unit stands in each name, seconds for names that end in `S`."""
+    """Time limits; the suffix of each name is the unit, `S` for seconds."""
 
     model_config = ConfigDict(extra="ignore")
     contact_ms: float = Field(3000, alias="contactMs")
@@ -60,7 +60,7 @@
 
 
 class Cloud(BaseModel):
-    """The platform's list of sidecars."""
+    """Access to the platform's list of sidecars."""
 
     model_config = ConfigDict(extra="ignore")
     address: str
@@ -68,7 +68,7 @@
 
 
 class Settings(BaseModel):
-    """Everything a process is told at its start. Unknown fields are ignored."""
+    """The settings of a process, read at startup. Unknown fields are ignored."""
 
     model_config = ConfigDict(extra="ignore")
     node: str
@@ -88,23 +88,23 @@
 
     @property
     def internal_port(self) -> int:
-        """The port on which backends speak with each other: the first of the range, at every machine."""
+        """The port for traffic between backends: the first of the range, the same on every machine."""
         return self.port_range[0]
 
     @property
     def seed_hosts(self) -> tuple[str, ...]:
-        """The addresses of the seeds without their ports."""
+        """The hosts of the seeds, without ports."""
         return tuple(seed.rsplit(":", 1)[0] for seed in self.seeds)
 
 
 @dataclass(frozen=True)
 class InvalidSettings:
-    """Why the settings can't be used.
+    """Why the settings are invalid.
 
     Attributes:
         path: the settings file.
-        location: where the mistake stands: `file`, `syntax`, or the name of a field with dots in it.
-        reason: what is wrong there.
+        location: the location of the error: `file`, `syntax`, or the dotted name of a field.
+        reason: what is wrong.
     """
 
     path: str
@@ -112,18 +112,18 @@
     reason: str
 
     def __str__(self) -> str:
-        """One line for a person."""
+        """Formats the error as one line."""
         return f"{self.path}: {self.location}: {self.reason}"
 
 
 def read_settings(path: str | None = None) -> Settings | InvalidSettings:
-    """Reads and checks the settings file.
+    """Reads and validates the settings file.
 
     Args:
-        path: the file; where it is not given, CROWWING_SETTINGS names it.
+        path: the file; by default the value of CROWWING_SETTINGS.
 
     Returns:
-        The settings, or why they can't be used.
+        The settings, or why they are invalid.
     """
     path = path or os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS_PATH)
     try:
--- a/crowwing/tier/settings_watch.py
+++ b/crowwing/tier/settings_watch.py
@@ -1,4 +1,4 @@
-"""Notices that the settings file has changed, by SIGHUP or without a signal."""
+"""Detects changes of the settings file, on SIGHUP or by polling."""
 
 import asyncio
 import contextlib
@@ -11,11 +11,11 @@
 
 log = logging.getLogger("crowwing.settings")
 
-CHECK_INTERVAL_S = 2.0  # between two looks at the file where no signal comes
+CHECK_INTERVAL_S = 2.0  # polling interval
 
 
 def _fingerprint(path: str) -> tuple[int, int] | None:
-    """Time of change and size, which differ between two contents of a file; None where there is no file."""
+    """Modification time and size, used to detect changes; None if the file does not exist."""
     try:
         status = Path(path).stat()
     except OSError:
@@ -24,11 +24,11 @@
 
 
 async def watch_settings(changed: asyncio.Event, apply: Callable[[Settings], None]) -> None:
-    """Hands changed settings over; those that can't be used are logged, and the old ones stay in force.
+    """Applies changed settings; invalid ones are logged, and the previous ones stay in effect.
 
     Args:
-        changed: set by SIGHUP; cleared here.
-        apply: gets the new settings.
+        changed: set on SIGHUP; cleared here.
+        apply: called with the new settings.
     """
     path = os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS_PATH)
     known = _fingerprint(path)
--- a/crowwing/tier/startup.py
+++ b/crowwing/tier/startup.py
@@ -1,7 +1,7 @@
-"""What a process does before its libraries are loaded, which takes longer than all the rest of a start.
+"""The first steps of a process, before it loads its libraries, which takes up most of the startup time.
 
-The listening sockets are bound first: a client that comes while the libraries load waits a moment in the
-queue of new connections, where it would else be refused.
+The listening sockets are bound first, so that clients that connect while the libraries load wait in the
+listen backlog instead of being refused.
 """
 
 import gc
@@ -12,10 +12,10 @@
 import tomllib
 from pathlib import Path
 
-BACKLOG = 512  # connections that wait to be accepted
+BACKLOG = 512  # listen backlog: connections that wait to be accepted
 SETTINGS_VARIABLE = "CROWWING_SETTINGS"
 
-started_at = time.monotonic()  # when this process began, on the monotonic clock
+started_at = time.monotonic()  # start time of this process on the monotonic clock
 _sockets: dict[str, socket.socket] = {}
 
 
@@ -26,7 +26,7 @@
         address: `host:port`.
 
     Raises:
-        OSError: the address can't be listened at.
+        OSError: the address can't be bound.
     """
     host, port = address.rsplit(":", 1)
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -42,7 +42,7 @@
 
 
 def bind_listeners() -> None:
-    """Binds what the settings name under `listen`. Mistakes are left to the full reading of the settings."""
+    """Binds the addresses under `listen` in the settings. Errors are reported later by `read_settings`."""
     try:
         text = Path(os.environ.get(SETTINGS_VARIABLE, "")).read_bytes().decode()
         addresses = tomllib.loads(text).get("listen", {}).values()
@@ -53,35 +53,35 @@
 
 
 def skip_unused_libraries() -> None:
-    """Keeps httpx from loading its own command line, and httpcore a second event loop's library.
+    """Keeps httpx from importing its command line, and httpcore from importing trio.
 
-    Each is a tenth of a start; both go on without.
+    Each takes a tenth of the startup time, and both libraries work without them.
     """
     for name in ("httpx._main", "trio"):
         sys.modules.setdefault(name, None)  # type: ignore[arg-type]  # None makes the import fail
 
 
 def pause_garbage_collection() -> None:
-    """Stops collecting while libraries are loaded: hardly anything that they allocate is garbage.
+    """Disables garbage collection while libraries are loaded, since they allocate hardly any garbage.
 
-    It would be a tenth of a start.
+    Collection would take a tenth of the startup time.
     """
     gc.disable()
 
 
 def resume_garbage_collection() -> None:
-    """Collects garbage from now on, without what the libraries allocated."""
+    """Enables garbage collection, excluding the objects that the libraries have allocated."""
     gc.freeze()
     gc.enable()
 
 
 def take_socket(address: str) -> socket.socket:
-    """The listening socket of an address, bound now if that was not done before.
+    """Returns the listening socket of an address, binding it if it is not bound yet.
 
     Args:
         address: `host:port`.
 
     Raises:
-        OSError: the address can't be listened at.
+        OSError: the address can't be bound.
     """
     return _sockets.pop(address, None) or bind(address)
