--- a/tests/tier/exchanges.py
+++ b/tests/tier/exchanges.py
@@ -1,7 +1,7 @@
 """Clients, a real request path and misbehaving sidecars on loopback: `python -m tests.tier.exchanges`.
 
-Every answer is compared byte by byte with what sidecars made for that very request, and the runs of each
-request are counted.
+Each response is compared byte by byte with what the sidecars produced for its request, and the executions of
+each request are counted.
 """
 
 import argparse
@@ -26,14 +26,14 @@
 from tests.tier.misbehaving_sidecar import EVENTS, Ledger, MisbehavingSidecar, body_of
 
 HOST = "shop.example"
-NEVER_RAN_STATUSES = (408, 421, 429, 503)  # it has not run and never will
+NEVER_RAN_STATUSES = (408, 421, 429, 503)  # the request was not and will not be executed
 KINDS = {"/safe/": ("safe", 3, False), "/unsafe/": ("unsafe", 1, False), "/stream/": ("stream", 3, True)}
 DEADLINE_MS = 400
 
 
 @dataclass
 class Response:
-    """An answer as a client read it."""
+    """A response as read by a client."""
 
     status: int
     headers: dict[str, str]
@@ -43,7 +43,7 @@
 
 @dataclass
 class SentRequest:
-    """A request of a client, and its answer; None where none came or the client left."""
+    """A client's request and its response; None if there was none or the client disconnected."""
 
     id: str
     path: str
@@ -52,7 +52,7 @@
 
 @dataclass
 class Outcome:
-    """What a run found."""
+    """The counts and findings of a run."""
 
     exchanges: int = 0
     served: int = 0
@@ -60,7 +60,7 @@
 
 
 def routing_table() -> RoutingTable:
-    """A safe, an unsafe and a resumable route."""
+    """Returns a safe, an unsafe and a resumable route."""
     routes = [
         {
             "name": prefix, "host": HOST, "pathPrefix": prefix, "kind": kind, "timeoutMs": 2000,
@@ -73,7 +73,7 @@
 
 
 async def serve_front(pool: ServicePool, stop: asyncio.Event) -> tuple[int, "asyncio.Future[None]"]:
-    """Serves a front's request path on loopback until `stop`; gives its port."""
+    """Serves a front's request path on loopback until `stop` is set; returns its port and its task."""
     proxy = Proxy(pool, BatchApi(None))  # type: ignore[arg-type]
     server = make_server(proxy, "127.0.0.1:0", 1.0, 30.0, partial(ClientConnection, ClientLimits()))
     serving = asyncio.ensure_future(serve_until(server, stop))
@@ -83,7 +83,7 @@
 
 
 class ExchangeRun:
-    """One play of a seed."""
+    """A run of one seed."""
 
     def __init__(self, seed: int, exchanges: int, clients: int = 8) -> None:
         self._random = Random(seed)
@@ -91,10 +91,10 @@
         self._number = 0
         self._ledger = Ledger()
         self._sent: list[SentRequest] = []
-        self._unanswered: list[str] = []  # requests whose kept connection was closed without an answer
+        self._unanswered: list[str] = []  # requests whose open connection was closed without a response
 
     async def run(self) -> Outcome:
-        """Plays it."""
+        """Runs all exchanges and checks them."""
         sidecars = [
             MisbehavingSidecar(name, self._ledger, Random(self._random.random()), fault_rate)
             for name, fault_rate in (("a", 0.3), ("b", 0.6), ("c", 0.0))
@@ -110,7 +110,7 @@
         loops = asyncio.ensure_future(pool.run_loops())
         report_requests = asyncio.ensure_future(self._request_reports(pool))
         await asyncio.gather(*(self._client(port) for _ in range(self._clients)))
-        await asyncio.sleep(0.5)  # what still runs, runs
+        await asyncio.sleep(0.5)  # lets requests in progress finish
         loops.cancel()
         report_requests.cancel()
         stop.set()
@@ -120,7 +120,7 @@
         return self._check()
 
     async def _request_reports(self, pool: ServicePool) -> None:
-        """Reports are asked for all the time, on the same connections."""
+        """Requests load reports continuously, on the same connections."""
         while True:
             await asyncio.sleep(0.01)
             for state in pool.sidecars.of_service("s"):
@@ -137,17 +137,17 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         try:
             while self._remaining > 0:
-                count = 2 if self._random.random() < 0.1 else 1  # two requests in a row
+                count = 2 if self._random.random() < 0.1 else 1  # two pipelined requests
                 sent = [self._new_request() for _ in range(count)]
                 writer.write(b"".join(self._encode(one) for one in sent))
                 for one in sent:
-                    if self._random.random() < 0.05:  # leaves at any moment
+                    if self._random.random() < 0.05:  # disconnects at a random time
                         await asyncio.sleep(self._random.uniform(0, 0.02))
                         return
                     try:
                         one.response = await asyncio.wait_for(read_response(reader), 5)
                     except (asyncio.IncompleteReadError, OSError, TimeoutError) as error:
-                        self._unanswered.append(f"{one.path}: no answer: {error!r}")
+                        self._unanswered.append(f"{one.path}: no response: {error!r}")
                         return
                     if not one.response.is_complete or one.response.headers.get("connection") == "close":
                         return
@@ -177,9 +177,7 @@
 
     def _check(self) -> Outcome:
         outcome = Outcome(len(self._sent), findings=list(self._unanswered))
-        outcome.findings += [
-            f"{one} came to a sidecar otherwise than it was sent" for one in self._ledger.spoilt
-        ]
+        outcome.findings += [f"{one} was altered on the way to a sidecar" for one in self._ledger.spoilt]
         known = {one.id for one in self._sent}
         outcome.findings += [f"{one} was never sent" for one in self._ledger.runs if one not in known]
         for one in self._sent:
@@ -196,12 +194,12 @@
     def _check_runs(self, sent: SentRequest) -> str:
         runs = self._ledger.runs[sent.id]
         if sent.path.startswith("/unsafe/") and runs > 1:
-            return f"ran {runs} times"
+            return f"executed {runs} times"
         if runs > 3:
-            return f"ran at {runs} sidecars"
+            return f"executed {runs} times, more than its route allows"
         rejected = sent.response is not None and sent.response.status in NEVER_RAN_STATUSES
         if rejected and runs and sent.path.startswith("/unsafe/"):
-            return f"was refused with {sent.response.status} and ran"  # type: ignore[union-attr]
+            return f"rejected with {sent.response.status} but executed"  # type: ignore[union-attr]
         return ""
 
     def _check_response(self, sent: SentRequest, response: Response) -> str:
@@ -209,7 +207,7 @@
         if response.status != 200:
             return "" if stamp is None or response.status in (500, 504) else f"{response.status} with a stamp"
         if response.headers.get("request-id") != sent.id:
-            return "an answer with another id"
+            return "a response with another request id"
         if not response.is_complete:
             return ""
         if sent.path.startswith("/stream/"):
@@ -218,7 +216,7 @@
         else:
             bodies = self._ledger.bodies.get(sent.id, [])
             is_correct = any(response.body == body and f" {stamp} ".encode() in body for body in bodies)
-        return "" if is_correct else f"a body that is not its own: {response.body[:80]!r}"
+        return "" if is_correct else f"a body of another request: {response.body[:80]!r}"
 
 
 def _base36(number: int) -> str:
@@ -227,10 +225,10 @@
 
 
 async def read_response(reader: asyncio.StreamReader) -> Response:
-    """Reads one answer; raises where not even its head comes."""
+    """Reads one response; raises if its head is incomplete."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     if not head[0].startswith("HTTP/1.1 "):
-        raise AssertionError(f"bytes that are no answer: {head[0]!r}")
+        raise AssertionError(f"not an HTTP response: {head[0]!r}")
     headers = {name.lower(): value.strip() for name, _, value in (x.partition(":") for x in head[1:] if x)}
     status, body = int(head[0].split(" ")[1]), b""
     try:
@@ -248,15 +246,15 @@
 
 
 def run_seed(seed: int, exchanges: int) -> Outcome:
-    """Plays one seed."""
+    """Runs one seed."""
     return uvloop.run(ExchangeRun(seed, exchanges).run())
 
 
 def main() -> int:
-    """The command."""
+    """Runs the seeds of the command line; returns 1 if there are findings."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--count", type=int, default=1_000_000, help="exchanges in all")
-    parser.add_argument("--each", type=int, default=5000, help="exchanges of one seed")
+    parser.add_argument("--count", type=int, default=1_000_000, help="total number of exchanges")
+    parser.add_argument("--each", type=int, default=5000, help="exchanges per seed")
     parser.add_argument("--first", type=int, default=0, help="the first seed")
     parser.add_argument("--jobs", type=int, default=4)
     options = parser.parse_args()
--- a/tests/tier/loopback.py
+++ b/tests/tier/loopback.py
@@ -1,4 +1,4 @@
-"""A tier of real processes on loopback, among stand-ins for the platform's list and for sidecars."""
+"""A tier of real processes on loopback, with fakes of the platform's list and of sidecars."""
 
 import asyncio
 import json
@@ -21,26 +21,26 @@
 
 
 class Sidecar:
-    """A stand-in that streams events, slowly if told to."""
+    """A fake sidecar that streams events with a configurable pause."""
 
     def __init__(self, name: str, host: str) -> None:
         self.name, self.host = name, host
         self.address = ""
-        self.runs: list[str] = []  # request ids in the order in which they began
+        self.runs: list[str] = []  # request ids in order of their start
         self.pause_s = 0.01
         self._server: asyncio.Server | None = None
-        self.padding = 0  # bytes more of each event
-        self.open_requests = 0  # requests under way
+        self.padding = 0  # additional bytes per event
+        self.open_requests = 0  # requests in progress
         self._open: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listens."""
+        """Starts listening."""
         self._server = await asyncio.start_server(self._serve, self.host, 0)
         port = self._server.sockets[0].getsockname()[1]
         self.address = f"{self.host}:{port}"
 
     def stop(self) -> None:
-        """Listens no more."""
+        """Stops listening."""
         if self._server is not None:
             self._server.close()
 
@@ -95,7 +95,7 @@
 
 
 class Platform:
-    """A stand-in for the platform's list."""
+    """A fake server of the platform's list."""
 
     def __init__(self, sidecars: list[Sidecar]) -> None:
         self.sidecars = sidecars
@@ -103,7 +103,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listens."""
+        """Starts listening."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
@@ -127,7 +127,7 @@
 
 
 def configuration(version: int) -> bytes:
-    """Three routes: streams that may be resumed or not, and batch jobs."""
+    """Returns a configuration of three routes: resumable streams, other streams, and batch jobs."""
     common = {"host": HOST_NAME, "service": SERVICE, "maxAttempts": 3, "timeoutMs": 6000, "sloMs": 400}
     routes = [
         {"name": "ask", "pathPrefix": "/ask/", "kind": "stream", "resumable": True, **common},
@@ -141,7 +141,7 @@
 
 
 class Loopback:
-    """Store machines at 127.1.x.1, fronts at 127.2.x.1."""
+    """A tier with store machines at 127.1.x.y and fronts at 127.2.x.y."""
 
     def __init__(self, folder: Path, stores: int = 3, fronts: int = 2) -> None:
         self.folder = folder
@@ -169,7 +169,7 @@
             sidecar.stop()
 
     def launch(self, host: str, bootstrap: bool = False) -> None:
-        """Starts the process of a machine; its disk keeps what an earlier process wrote."""
+        """Starts the process of a machine; its disk keeps the data of earlier processes."""
         role = "store" if host in self.stores else "front"
         listen = (
             f'control = "{host}:{self.port + 1}"'
@@ -211,13 +211,13 @@
             self.processes[host].wait()
 
     def url(self, host: str, path: str) -> str:
-        """Where a machine serves the outside."""
+        """The external URL of a path on a machine."""
         return f"http://{host}:{self.port + 1}{path}"
 
     async def wait_until(
         self, description: str, condition: Callable[[], Awaitable[Any]], limit_s: float = START_LIMIT_S
     ) -> Any:  # noqa: ANN401
-        """Asks again and again until the answer is true; raises AssertionError after the limit."""
+        """Polls until the condition is true, and returns its value; raises AssertionError at the limit."""
         deadline = time.monotonic() + limit_s
         while time.monotonic() < deadline:
             try:
@@ -228,4 +228,4 @@
                 return result
             await asyncio.sleep(POLL_S)
         logs = "\n".join(path.read_text()[-1500:] for path in sorted(self.folder.glob("*.log")))
-        raise AssertionError(f"{description} did not come in {limit_s} s\n{logs}")
+        raise AssertionError(f"{description}: not reached within {limit_s} s\n{logs}")
--- a/tests/tier/test_decisions.py
+++ b/tests/tier/test_decisions.py
@@ -1,4 +1,4 @@
-"""What the primary answers to commands, and the events that it makes."""
+"""The primary's decisions: events and outcomes of commands, and leases of items."""
 
 import json
 from typing import Any
@@ -34,13 +34,13 @@
     return apply_decision(state, decisions.put_configuration(state, commands.PutConfiguration(base, text)))
 
 
-def test_of_two_changes_on_one_version_one_wins() -> None:
+def test_of_two_changes_based_on_one_version_one_wins() -> None:
     state = TierState()
     assert put(state, 0, configuration(3)) == outcomes.Done()
     assert put(state, 3, configuration(5)) == outcomes.Done()
     assert put(state, 3, configuration(6)).status == 412
     assert put(state, 3, configuration(5, limits={"maxBodyBytes": 9})).status == 412, (
-        "the same number, other content"
+        "the same version with other content"
     )
 
 
@@ -49,9 +49,11 @@
     put(state, 0, configuration(3))
     assert put(state, 0, configuration(3)) == outcomes.Done()
     put(state, 3, configuration(5))
-    assert put(state, 0, configuration(3)) == outcomes.Done(), "its answer may have been lost"
+    assert put(state, 0, configuration(3)) == outcomes.Done(), "its response may have been lost"
     assert state.version == 5, "and nothing is accepted twice"
-    assert put(state, 0, configuration(3, limits={"maxBodyBytes": 9})).status == 412, "another one's change"
+    assert put(state, 0, configuration(3, limits={"maxBodyBytes": 9})).status == 412, (
+        "another client's change"
+    )
     assert put(state, 3, configuration(3)).status == 412, "the same text on another base was never accepted"
 
 
@@ -179,7 +181,7 @@
 
 def test_a_failed_attempt_that_is_reported_again_counts_once() -> None:
     state = submitted()
-    for _ in range(5):  # each time without a clear answer
+    for _ in range(5):  # retries whose responses were lost
         assert report_failure(state, "i0", "a") == outcomes.Done()
     assert state.jobs["lot"].failures == {"i0": ["a"]} and not state.jobs["lot"].results
 
@@ -198,7 +200,7 @@
     assert decisions.end_batch_job(state, commands.EndBatchJob("unknown")).outcome == outcomes.NotFound()
 
 
-def test_a_dumped_state_loads_as_it_was() -> None:
+def test_a_state_round_trips_through_freeze_and_replace() -> None:
     state = submitted()
     report(state, "i0", events.ItemResult("i0", events.COMPLETED, "one"))
     report_failure(state, "i2", "a")
@@ -234,7 +236,7 @@
     assert decisions.retire_store(state, commands.RetireStore("store-1"), hosts, 3).outcome.status == 409
 
 
-def test_a_store_that_left_long_ago_keeps_no_other_from_leaving() -> None:
+def test_a_store_decommissioned_earlier_does_not_block_others() -> None:
     state = TierState()
     for number in range(4):
         state.apply_event(events.StoreRegistered(f"store-{number}", f"10.0.0.{number}"))
@@ -256,7 +258,7 @@
     state.apply_event(events.StoreRegistered("store-9", "10.0.0.1"))
     assert state.retired_hosts() == frozenset()
     assert decisions.retire_store(state, commands.RetireStore("store-0"), [], 0).outcome == outcomes.Done(), (
-        "it was accepted, and is never rejected"
+        "it was accepted and must never be rejected"
     )
 
 
@@ -276,7 +278,7 @@
     assert leases.lease(state, "f2", 5, 1.0, never_past_deadline) == []
     assert leases.renew(state, "f1", [("lot", "i0")], 1.0 + LEASE_S / 2) == ()
     again = leases.lease(state, "f2", 5, 1.0 + LEASE_S, never_past_deadline)
-    assert sorted(item.id for _, item in again) == ["i1", "j0"], "what was renewed stays"
+    assert sorted(item.id for _, item in again) == ["i1", "j0"], "the renewed lease is kept"
     assert leases.renew(state, "f1", [("lot", "i1")], 1.1 + LEASE_S) == (("lot", "i1"),)
     state.apply_event(events.BatchJobEnded("lot"))
     assert leases.renew(state, "f1", [("lot", "i0")], 1.1 + LEASE_S) == (("lot", "i0"),)
@@ -294,21 +296,21 @@
     assert leases.free_count == 0
 
 
-def test_what_a_front_gives_up_is_leased_again_at_once_unless_another_has_it_by_now() -> None:
+def test_given_up_items_are_leased_again_at_once_unless_leased_to_another_front() -> None:
     state = submitted(2)
     leases = Leases(0.0)
     leases.add_job(state.jobs["lot"])
     assert len(leases.lease(state, "f1", 5, 1.0, never_past_deadline)) == 2
     leases.give_up(state, "f1", [("lot", "i1")])
     assert [item.id for _, item in leases.lease(state, "f2", 5, 1.1, never_past_deadline)] == ["i1"]
-    leases.give_up(state, "f1", [("lot", "i1")])  # the same call once more, its answer was lost
-    assert leases.lease(state, "f3", 5, 1.2, never_past_deadline) == [], "it is with f2"
+    leases.give_up(state, "f1", [("lot", "i1")])  # a retry of the same call, whose response was lost
+    assert leases.lease(state, "f3", 5, 1.2, never_past_deadline) == [], "it is leased to f2"
     state.apply_event(events.BatchJobEnded("lot"))
     leases.give_up(state, "f2", [("lot", "i1")])
     assert leases.free_count == 0
 
 
-def test_what_a_call_costs_does_not_grow_with_leased_items() -> None:
+def test_the_cost_of_a_call_does_not_grow_with_leased_items() -> None:
     state = TierState()
     for number in range(50):
         items = tuple(events.BatchItem(f"i{number}-{place}", "/p/x", (), b"", 1) for place in range(200))
@@ -325,10 +327,10 @@
     assert len(leases.lease(state, "f1", 10_000, 1.0, is_past_deadline)) == 10_000
     looked_at.clear()
     assert leases.lease(state, "f2", 5, 1.1, is_past_deadline) == []
-    assert looked_at == [], "jobs without free items are not looked at"
+    assert looked_at == [], "jobs without available items are not checked"
 
 
-def test_a_state_is_brought_to_another_one_by_the_ranges_in_which_they_differ() -> None:
+def test_a_state_is_repaired_by_transferring_the_ranges_that_differ() -> None:
     ahead, behind = TierState(), TierState()
     item = events.BatchItem("i", "/p/i", (), b"x", 1)
     history = [
--- a/tests/tier/test_egress.py
+++ b/tests/tier/test_egress.py
@@ -1,4 +1,4 @@
-"""The pacer of a machine's link, in simulated time."""
+"""The egress pacer of a machine's link, in simulated time."""
 
 import asyncio
 import itertools
@@ -19,14 +19,14 @@
 KILOBYTE = 1024
 CONTROL_BYTES = 300
 CONTROL_INTERVAL_S = 0.07
-MAX_CONTROL_DELAY_S = 0.03  # "some tens of milliseconds", far below the time-out of 0.4 s
+MAX_CONTROL_DELAY_S = 0.03  # tens of milliseconds, far below the time-out of 0.4 s
 
 CONTROL, REPLICATION = TrafficClass.CONTROL, TrafficClass.REPLICATION
 RESPONSE, CATCH_UP = TrafficClass.RESPONSE, TrafficClass.CATCH_UP
 
 
 class Link:
-    """One first-in-first-out link that all connections of a machine share."""
+    """The FIFO link shared by all connections of a machine."""
 
     def __init__(self, loop: SimulatedLoop) -> None:
         self.loop = loop
@@ -34,21 +34,21 @@
         self.bytes_sent = 0
 
     def send(self, length: int) -> float:
-        """When bytes that are written now have left the machine."""
+        """Returns when bytes written now have left the machine."""
         self.idle_at = max(self.loop.time(), self.idle_at) + length / LINK_BYTES_PER_S
         self.bytes_sent += length
         return self.idle_at
 
 
 class FakeConnection:
-    """One connection: what was written to it, and when that has left the machine."""
+    """A connection that records the bytes written to it and when they left the machine."""
 
     def __init__(self, link: Link, pacer: EgressPacer) -> None:
         self.link = link
         self.written = bytearray()
         self.chunks: list[tuple[float, int]] = []
         self.sent_at = 0.0
-        self.stalled_bytes = 0  # in its own buffer, as the peer does not read
+        self.stalled_bytes = 0  # in its own buffer while the peer does not read
         self.is_stalled = False
         self.flow: PacedFlow = pacer.open_flow(self._write, lambda: self.stalled_bytes)
 
@@ -62,7 +62,7 @@
 
 
 class PacerHarness:
-    """A pacer with connections, on simulated time."""
+    """A pacer with connections, in simulated time."""
 
     def __init__(self, connections: int) -> None:
         self.loop = SimulatedLoop()
@@ -81,7 +81,7 @@
 
 
 def frame(length: int) -> bytes:
-    """A frame that differs from all others."""
+    """Returns a unique frame."""
     return next(frame_numbers).to_bytes(8, "big") + bytes(length - 8)
 
 
@@ -92,7 +92,7 @@
     rate: float,
     span_s: float,
 ) -> None:
-    """Offers frames of random lengths at a rate in bytes a second, to random connections."""
+    """Sends frames of random lengths at a rate in bytes per second on random connections."""
     random = Random(f"{traffic_class}/{rate}")
     until = harness.loop.time() + span_s
     while harness.loop.time() < until:
@@ -104,7 +104,7 @@
 async def send_control(
     harness: PacerHarness, connections: list[FakeConnection], span_s: float, delays: list[float]
 ) -> None:
-    """Sends a heartbeat to every connection each interval, and notes how long each took to leave."""
+    """Sends a heartbeat on every connection at each interval, and records the delay of each."""
     until = harness.loop.time() + span_s
     while harness.loop.time() < until:
         for connection in connections:
@@ -151,7 +151,7 @@
     assert connection.flow.waiting_bytes == 0
 
 
-def test_what_control_traffic_takes_is_part_of_the_budget() -> None:
+def test_control_traffic_counts_towards_the_budget() -> None:
     harness = PacerHarness(2)
 
     async def work() -> None:
@@ -188,7 +188,7 @@
     assert sent[CATCH_UP] / total == pytest.approx(0.25, abs=0.05)
 
 
-def test_catching_up_has_the_link_to_itself_where_nothing_else_waits() -> None:
+def test_catch_up_traffic_uses_the_full_rate_if_nothing_else_waits() -> None:
     harness = PacerHarness(1)
 
     async def work() -> None:
@@ -212,7 +212,7 @@
             connection.flow.send(frame(128 * KILOBYTE), CATCH_UP)
             while connection.flow.waiting_bytes:
                 await asyncio.sleep(0.005)
-            await asyncio.sleep(0.005)  # the learner asks for the next ranges
+            await asyncio.sleep(0.005)  # the learner requests the next ranges
 
     async def work() -> None:
         load = [
@@ -269,7 +269,7 @@
             for traffic_class in (REPLICATION, RESPONSE):
                 for _ in range(20):
                     connection.flow.send(frame(100 * KILOBYTE), traffic_class)
-        await asyncio.sleep(0.031)  # in the middle of a frame
+        await asyncio.sleep(0.031)  # within a frame
         closed.flow.close()
         before = len(closed.written)
         closed.flow.send(b"late", CONTROL)
@@ -284,7 +284,7 @@
     assert harness.timers() == 0
 
 
-def test_a_connection_that_closes_as_it_is_written_to_harms_no_other() -> None:
+def test_a_connection_closed_during_a_write_does_not_affect_others() -> None:
     harness = PacerHarness(2)
     connection, other = harness.connections
 
@@ -304,7 +304,7 @@
     assert harness.pacer.waiting_bytes(REPLICATION) == 0
 
 
-def test_a_peer_that_does_not_read_holds_up_no_other() -> None:
+def test_a_peer_that_does_not_read_does_not_block_others() -> None:
     harness = PacerHarness(2)
     stalled, other = harness.connections
     stalled.is_stalled = True
@@ -339,7 +339,7 @@
     assert len(connection.chunks) == 100
 
 
-def test_small_responses_are_not_held_up() -> None:
+def test_small_responses_are_not_delayed() -> None:
     harness = PacerHarness(2)
 
     async def work() -> None:
@@ -351,7 +351,7 @@
     harness.run(work())
 
 
-def test_a_response_that_nobody_waits_for_any_more_is_dropped() -> None:
+def test_an_expired_response_is_dropped() -> None:
     harness = PacerHarness(1)
 
     async def work() -> None:
@@ -368,7 +368,7 @@
     assert harness.pacer.waiting_bytes(RESPONSE) == harness.connections[0].flow.waiting_bytes == 0
 
 
-def test_a_repeated_message_to_a_learner_does_not_add_to_the_first() -> None:
+def test_only_one_catch_up_message_per_learner_is_queued() -> None:
     harness = PacerHarness(1)
 
     async def work() -> None:
@@ -382,7 +382,7 @@
     harness.run(work())
 
 
-def test_a_frame_that_is_repeated_while_it_waits_is_sent_once() -> None:
+def test_a_retransmitted_frame_is_queued_once() -> None:
     harness = PacerHarness(2)
     repeated, other = frame(500 * KILOBYTE), frame(500 * KILOBYTE)
 
@@ -395,7 +395,7 @@
         await asyncio.sleep(1.0)
         assert harness.connections[0].written == repeated + other
         assert len(harness.connections[1].written) == 2024 * KILOBYTE
-        harness.connections[0].flow.send(repeated, REPLICATION)  # waits for nothing any more
+        harness.connections[0].flow.send(repeated, REPLICATION)  # not queued any more, so it is sent again
         await asyncio.sleep(1.0)
         assert harness.connections[0].written == repeated + other + repeated
 
--- a/tests/tier/test_exchanges.py
+++ b/tests/tier/test_exchanges.py
@@ -1,4 +1,4 @@
-"""No answer to the wrong caller, and nothing run twice, among sidecars that misbehave on sockets."""
+"""Responses of misbehaving sidecars never reach the wrong caller, and no request is executed twice."""
 
 import asyncio
 import socket
@@ -32,14 +32,14 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_ten_thousand_exchanges_find_no_wrong_caller_and_no_second_run(seed: int) -> None:
+def test_faulty_sidecars_cause_no_misdelivered_response_and_no_second_run(seed: int) -> None:
     outcome = run_seed(seed, 2000)
     assert not outcome.findings, outcome.findings[:5]
     assert outcome.exchanges >= 2000 and outcome.served > 0.8 * outcome.exchanges
 
 
 async def request_with_script(script: Script, body: bytes = b"", max_connections: int = 4) -> Any:  # noqa: ANN401
-    """What becomes of one request to a sidecar that acts as a script says."""
+    """Sends one request to a scripted sidecar, and returns what `read_complete` makes of the outcome."""
     server = await asyncio.start_server(script, "127.0.0.1", 0)
     client = SidecarClient(
         f"127.0.0.1:{server.sockets[0].getsockname()[1]}", ConnectionState(max_connections)
@@ -52,14 +52,14 @@
 
 
 async def send(client: SidecarClient, request_id: str, body: bytes = b"") -> AttemptOutcome:
-    """One request."""
+    """Sends one request."""
     headers: Headers = [(b"Host", b"h"), (b"Request-Id", request_id.encode())]
     headers.append((b"Content-Length", str(len(body)).encode()))
     return await client.send("POST", b"/p", headers, body, request_id.encode())
 
 
 async def read_complete(outcome: AttemptOutcome) -> Any:  # noqa: ANN401
-    """The body of an answer that began, StreamBroken where it broke."""
+    """Returns the body of a response, StreamBrokenError if it broke, or another outcome unchanged."""
     if not isinstance(outcome, ResponseStarted):
         return outcome
     try:
@@ -71,7 +71,7 @@
 
 
 def script_sending(*parts: bytes, resets: bool = False) -> Script:
-    """Reads a head, says some parts, and ends the connection."""
+    """A script that reads a head, sends some parts, and closes or resets the connection."""
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -92,14 +92,14 @@
 
 
 @pytest.mark.parametrize("run", RUNNERS)
-def test_an_answer_without_a_length_is_whole_at_its_end_and_broken_by_a_reset(run: Any) -> None:  # noqa: ANN401
+def test_a_response_without_a_length_is_complete_at_eof_and_broken_by_a_reset(run: Any) -> None:  # noqa: ANN401
     assert run(request_with_script(script_sending(UNFRAMED, b" two"))) == b"part two"
     assert isinstance(run(request_with_script(script_sending(UNFRAMED, resets=True))), StreamBrokenError)
 
 
 @pytest.mark.parametrize("cut", [*range(len(COMPLETE_RESPONSE) - 1)])
 @pytest.mark.parametrize("resets", [False, True])
-def test_an_answer_cut_at_any_byte_is_never_whole_and_may_have_run(cut: int, resets: bool) -> None:
+def test_a_response_truncated_at_any_byte_is_never_complete_and_may_have_run(cut: int, resets: bool) -> None:
     outcome = uvloop.run(request_with_script(script_sending(COMPLETE_RESPONSE[:cut], resets=resets)))
     assert isinstance(outcome, (ResponseLost, StreamBrokenError)), outcome
 
@@ -114,13 +114,13 @@
         b"HTTP/1.1 101 Switching Protocols\r\nRequest-Id: r1\r\n\r\n",
     ],
 )
-def test_what_is_not_this_requests_answer_says_nothing_of_it(response: bytes) -> None:
+def test_a_response_to_another_request_leaves_the_outcome_unknown(response: bytes) -> None:
     assert isinstance(uvloop.run(request_with_script(script_sending(response))), ResponseLost)
 
 
 @pytest.mark.parametrize("cut", range(1, len(TRUNCATED_RESPONSE)))
-def test_a_head_that_runs_on_into_the_next_one_is_nobodys(cut: int) -> None:
-    """Of a surplus answer only a part came, just before the answer to this request."""
+def test_a_truncated_head_followed_by_the_next_response_is_discarded(cut: int) -> None:
+    """Guards against joining a partly received surplus response with the head of the response after it."""
     outcome = uvloop.run(
         request_with_script(
             script_sending(TRUNCATED_RESPONSE[:cut] + COMPLETE_RESPONSE.replace(b"200 OK", b"500 No"))
@@ -133,7 +133,7 @@
     "surplus", [COMPLETE_RESPONSE, COMPLETE_RESPONSE[:7], b"\r\n", COMPLETE_RESPONSE.replace(b"r1", b"r0")]
 )
 @pytest.mark.parametrize("pause_s", [None, 0.0, 0.02])
-def test_a_connection_with_bytes_behind_an_answer_is_not_used_again(
+def test_a_connection_with_surplus_bytes_after_a_response_is_not_reused(
     surplus: bytes, pause_s: float | None
 ) -> None:
     connections = 0
@@ -170,7 +170,7 @@
     assert connections == 2
 
 
-def test_a_whole_answer_leaves_its_connection_to_the_next_request() -> None:
+def test_a_connection_is_reused_after_a_complete_response() -> None:
     connections = 0
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -192,7 +192,7 @@
     assert connections == 1
 
 
-def test_nothing_was_sent_where_nobody_listens_or_no_connection_is_free() -> None:
+def test_a_request_is_not_executed_if_connecting_fails_or_no_connection_is_available() -> None:
     async def rejected() -> AttemptOutcome:
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
@@ -220,10 +220,10 @@
         return second
 
     assert isinstance(uvloop.run(beyond_connection_limit()), NotExecuted)
-    assert heads == 1, "not one byte of the second one came"
+    assert heads == 1, "no byte of the second request was sent"
 
 
-def test_a_connection_whose_request_was_not_sent_to_its_end_is_not_used_again() -> None:
+def test_a_connection_with_a_partially_sent_request_is_not_reused() -> None:
     connections = 0
     size = 8 * 1024 * 1024
 
@@ -235,7 +235,7 @@
             writer.write(
                 b"HTTP/1.1 503 Full\r\nRequest-Id: r1\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
             )
-            await asyncio.sleep(1)  # it does not read on
+            await asyncio.sleep(1)  # without reading the rest of the request
         else:
             writer.write(COMPLETE_RESPONSE.replace(b"r1", b"r2"))
 
@@ -255,7 +255,7 @@
     assert connections == 2
 
 
-def test_headers_that_the_connection_header_lists_are_not_passed_on() -> None:
+def test_headers_that_the_connection_header_lists_are_not_forwarded() -> None:
     headers: Headers = [(b"connection", b"keep-alive, X-Hop, Model"), (b"x-hop", b"1"), (b"model", b"m")]
     assert b"x-hop" in hop_by_hop(headers)
-    assert b"model" not in hop_by_hop(headers), "a sidecar gets the client's"
+    assert b"model" not in hop_by_hop(headers), "the client's header is forwarded to the sidecar"
--- a/tests/tier/test_processes.py
+++ b/tests/tier/test_processes.py
@@ -1,4 +1,4 @@
-"""The tier as real processes: what is acknowledged outlasts kills; a front that leaves ends what it began."""
+"""The tier as real processes: acknowledged data survives kills; a stopping front completes its requests."""
 
 import asyncio
 import base64
@@ -16,7 +16,7 @@
 
 
 def run_on_tier(folder: Path, scenario: Callable[[Loopback, httpx.AsyncClient], Awaitable[None]]) -> None:
-    """Plays a test among running processes."""
+    """Runs a scenario against a running tier."""
 
     async def run() -> None:
         async with Loopback(folder) as tier, httpx.AsyncClient(timeout=8.0, trust_env=False) as client:
@@ -76,13 +76,13 @@
 
 
 async def results(tier: Loopback, client: httpx.AsyncClient, front: str, job_id: str) -> list[dict[str, Any]]:
-    """All results of a lot, once they are there."""
+    """Waits for all results of a batch job, and returns them."""
 
     async def read() -> list[dict[str, Any]] | None:
         response = await client.get(
             tier.url(front, f"/lots/{job_id}?startAfter=0"), headers={"Host": HOST_NAME}
         )
-        assert response.status_code != 404, "a lot that was taken is known"
+        assert response.status_code != 404, "an accepted job is known"
         if response.status_code != 200 or len(response.json()["results"]) < ITEMS:
             return None
         return response.json()["results"]
@@ -94,7 +94,7 @@
     return "\n".join(f"{name}-{number}" for number in range(1, EVENTS + 1))
 
 
-def test_streams_and_jobs_are_served_and_outlast_the_kill_of_each_store_machine(tmp_path: Path) -> None:
+def test_streams_and_jobs_are_served_and_survive_the_kill_of_each_store_machine(tmp_path: Path) -> None:
     async def scenario(tier: Loopback, client: httpx.AsyncClient) -> None:
         response = await post_request(tier, client, tier.fronts[0], "/ask/1", "r1")
         assert response.status_code == 200 and response.headers["server-stamp"] == "s1"
@@ -140,7 +140,7 @@
     run_on_tier(tmp_path, scenario)
 
 
-def test_a_front_that_gets_sigterm_ends_its_streams_and_then_itself(tmp_path: Path) -> None:
+def test_a_front_completes_its_streams_after_sigterm_and_exits(tmp_path: Path) -> None:
     async def scenario(tier: Loopback, client: httpx.AsyncClient) -> None:
         for sidecar in tier.sidecars:
             sidecar.pause_s = 0.2
@@ -159,7 +159,7 @@
     run_on_tier(tmp_path, scenario)
 
 
-def test_a_stream_that_may_be_resumed_goes_on_at_another_sidecar(tmp_path: Path) -> None:
+def test_a_resumable_stream_continues_at_another_sidecar(tmp_path: Path) -> None:
     async def scenario(tier: Loopback, client: httpx.AsyncClient) -> None:
         breaking, other = tier.sidecars
         respond = breaking._respond
@@ -173,7 +173,7 @@
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nServer-Stamp: s1\r\n\r\n")
                 writer.write(b"%x\r\n" % len(event) + event + b"\r\n")
                 await writer.drain()
-                raise OSError("breaks off")
+                raise OSError("response broken off")
             await respond(line, headers, writer)
 
         breaking._respond = break_off_response  # type: ignore[method-assign]
@@ -185,12 +185,12 @@
             if name in breaking.runs:
                 assert name in other.runs
                 return
-        raise AssertionError("no request went to the sidecar that breaks off")
+        raise AssertionError("no request went to the sidecar that breaks off responses")
 
     run_on_tier(tmp_path, scenario)
 
 
-def test_a_front_whose_address_is_taken_says_so_and_ends_with_1(tmp_path: Path) -> None:
+def test_a_front_whose_address_is_in_use_logs_it_and_exits_with_1(tmp_path: Path) -> None:
     async def scenario(tier: Loopback, client: httpx.AsyncClient) -> None:
         front = tier.fronts[0]
         tier.kill(front)
@@ -206,7 +206,7 @@
     return any(sidecar.runs for sidecar in tier.sidecars)
 
 
-def test_an_answer_that_its_sidecar_breaks_off_leaves_a_line_and_no_traceback(tmp_path: Path) -> None:
+def test_a_response_broken_by_its_sidecar_is_logged_without_a_traceback(tmp_path: Path) -> None:
     async def scenario(tier: Loopback, client: httpx.AsyncClient) -> None:
         front = tier.fronts[0]
         for sidecar in tier.sidecars:
@@ -220,7 +220,7 @@
         except httpx.RemoteProtocolError:
             pass
         else:
-            raise AssertionError(f"a whole answer: {response.status_code} {response.text}")
+            raise AssertionError(f"a complete response: {response.status_code} {response.text}")
         log = (tier.folder / f"{front}.log").read_text()
         assert "response_broken sidecar=" in log and "Traceback" not in log
 
@@ -230,7 +230,7 @@
 async def raw_exchange(
     tier: Loopback, front: str, parts: list[bytes], pause_s: float, limit_s: float = 8.0
 ) -> bytes:
-    """What a connection answers to bytes that are sent with pauses, until it is closed."""
+    """Sends bytes with pauses on a connection; returns what it receives until it is closed."""
     reader, writer = await asyncio.open_connection(front, tier.port + 1)
     try:
         for part in parts:
@@ -242,7 +242,7 @@
         writer.close()
 
 
-def test_clients_are_held_to_the_bounds_of_the_configuration(tmp_path: Path) -> None:
+def test_client_limits_of_the_configuration_are_enforced(tmp_path: Path) -> None:
     async def scenario(tier: Loopback, client: httpx.AsyncClient) -> None:
         front = tier.fronts[0]
         start = b"POST /ask/x HTTP/1.1\r\nHost: " + HOST_NAME.encode() + b"\r\nRequest-Id: bound\r\n"
@@ -250,23 +250,23 @@
         assert (await raw_exchange(tier, front, [long_head], 0)).startswith(b"HTTP/1.1 431 ")
         chunks = [start, b"X: " + b"x" * 10_000, b"x" * 10_000]
         assert (await raw_exchange(tier, front, chunks, 0.05)).startswith(b"HTTP/1.1 431 ")
-        assert (await raw_exchange(tier, front, [start], 0)).startswith(b"HTTP/1.1 408 "), "a head that stops"
+        assert (await raw_exchange(tier, front, [start], 0)).startswith(b"HTTP/1.1 408 "), "incomplete head"
         incomplete_body = start + b"Content-Length: 10\r\n\r\nfour"
         assert (await raw_exchange(tier, front, [incomplete_body], 0)).startswith(b"HTTP/1.1 408 "), (
-            "a body that stops"
+            "incomplete body"
         )
-        assert await raw_exchange(tier, front, [], 0) == b"", "a connection that never says anything"
+        assert await raw_exchange(tier, front, [], 0) == b"", "connection without a request"
         request = start + b"Content-Length: 8\r\n\r\nquestion"
         response = await raw_exchange(tier, front, [request], 0)
         assert response.startswith(b"HTTP/1.1 200 ") and response.endswith(b"0\r\n\r\n"), (
-            "then it rests, and is closed"
+            "closed after the idle time-out"
         )
         assert (await post_request(tier, client, front, "/ask/x", "after")).status_code == 200
 
     run_on_tier(tmp_path, scenario)
 
 
-def test_a_client_that_does_not_read_holds_its_place_no_longer_than_its_deadline(tmp_path: Path) -> None:
+def test_a_client_that_does_not_read_is_dropped_at_its_deadline(tmp_path: Path) -> None:
     async def scenario(tier: Loopback, client: httpx.AsyncClient) -> None:
         for sidecar in tier.sidecars:
             sidecar.padding = 8 * 1024 * 1024
@@ -288,5 +288,5 @@
 
 
 async def is_idle(tier: Loopback) -> bool:
-    """Whether no sidecar is answering anything."""
+    """Whether no sidecar has open requests."""
     return not any(sidecar.open_requests for sidecar in tier.sidecars)
--- a/tests/tier/test_saturated_uplink.py
+++ b/tests/tier/test_saturated_uplink.py
@@ -1,6 +1,6 @@
-"""A burst that fills the store machines' uplinks, and the loss of the primary at its end.
+"""A burst saturates the store machines' uplinks, and the primary is lost at its end.
 
-Bounds are those of the settings and of docs/serving-tier.md, not measured ones.
+Limits are taken from the settings and docs/serving-tier.md.
 """
 
 import pytest
@@ -10,7 +10,7 @@
 ACK_S = 6.0  # ackMs of the large sites, for a valid change of the configuration
 CATCH_UP_S = 6.0  # catchUpS of the large sites
 PRIMARY_BACK_S = 2.0
-MAX_TERMS = 5  # that one loss may take, with the machine's return: a handful
+MAX_TERMS = 5  # limit for one loss and the machine's return
 
 STATE_JOBS = 50  # 8.4 MB
 
@@ -19,16 +19,16 @@
 
 
 def violations(findings: Findings) -> list[str]:
-    """What the control side owed its callers in a run and did not give them."""
+    """Lists the limits that a run violated."""
     found_violations = []
     if findings.longest_change_s > ACK_S:
         found_violations.append(f"a change of the configuration took {findings.longest_change_s:.1f} s")
     if findings.primary_back_s > PRIMARY_BACK_S:
-        found_violations.append(f"the next primary came {findings.primary_back_s:.1f} s after the loss")
+        found_violations.append(f"there was no primary until {findings.primary_back_s:.1f} s after the loss")
     if findings.job_back_s > CATCH_UP_S:
-        found_violations.append(f"a job was acknowledged {findings.job_back_s:.1f} s after the loss")
+        found_violations.append(f"no job was acknowledged until {findings.job_back_s:.1f} s after the loss")
     if findings.longest_gap_s > ACK_S:
-        found_violations.append(f"nothing was acknowledged for {findings.longest_gap_s:.1f} s of calm")
+        found_violations.append(f"nothing was acknowledged for {findings.longest_gap_s:.1f} s without load")
     if findings.terms > MAX_TERMS:
         found_violations.append(f"{findings.terms} terms in a run with one loss")
     if findings.lost_jobs is None:
--- a/tests/tier/test_traffic_classes.py
+++ b/tests/tier/test_traffic_classes.py
@@ -1,4 +1,4 @@
-"""Which traffic of a store machine is urgent."""
+"""The traffic classes of a store machine's messages."""
 
 import asyncio
 from typing import Any, cast
@@ -45,17 +45,17 @@
 
 
 @pytest.mark.parametrize("body", [SYNC, DIGESTS, RANGES])
-def test_a_view_waits_for_what_its_candidate_sends_and_nobody_for_learners(body: object) -> None:
+def test_sync_data_is_urgent_from_a_candidate_and_catch_up_from_a_primary(body: object) -> None:
     assert make_classify(lambda: Role.CANDIDATE)(body) is TrafficClass.REPLICATION
     assert make_classify(lambda: Role.PRIMARY)(body) is TrafficClass.CATCH_UP
 
 
-def test_the_link_is_not_known_unless_the_settings_tell_it() -> None:
+def test_the_link_rate_is_unknown_by_default() -> None:
     assert Limits.model_validate({}).link_mbps == 0
     assert Limits.model_validate({"linkMbps": 120.5}).link_mbps == 120.5
 
 
-def test_paced_connections_carry_long_messages_whole_in_both_directions() -> None:
+def test_paced_connections_carry_long_messages_in_both_directions() -> None:
     bodies = [bytes([number]) * (number * 60_000) for number in range(1, 12)]
 
     async def echo(_connection: Connection, body: Any) -> Any:  # noqa: ANN401
