--- a/tests/tier/exchanges.py
+++ b/tests/tier/exchanges.py
@@ -1,7 +1,7 @@
 """Clients, a real request path and misbehaving sidecars on loopback: `python -m tests.tier.exchanges`.
 
-Every answer is compared byte by byte with what sidecars made for that very request, and the runs of each
-request are counted.
+Each response is compared byte by byte with what the sidecars produced for its request, and the executions of
+each request are counted.
 """
 
 import argparse
@@ -26,14 +26,14 @@
 from tests.tier.misbehaving_sidecar import EVENTS, Ledger, MisbehavingSidecar, body_of
 
 HOST = "shop.example"
-NEVER_RAN_STATUSES = (408, 421, 429, 503)  # it has not run and never will
+NEVER_RAN_STATUSES = (408, 421, 429, 503)  # the request was not and will not be executed
 KINDS = {"/safe/": ("safe", 3, False), "/unsafe/": ("unsafe", 1, False), "/stream/": ("stream", 3, True)}
 DEADLINE_MS = 400
 
 
 @dataclass
-class Answer:
-    """An answer as a client read it."""
+class Response:
+    """A response as read by a client."""
 
     status: int
     headers: dict[str, str]
@@ -42,17 +42,17 @@
 
 
 @dataclass
-class Sent:
-    """A request of a client, and its answer; None where none came or the client left."""
+class SentRequest:
+    """A client's request and its response; None if there was none or the client disconnected."""
 
     id: str
     path: str
-    answer: Answer | None = None
+    response: Response | None = None
 
 
 @dataclass
 class Outcome:
-    """What a run found."""
+    """The counts and findings of a run."""
 
     exchanges: int = 0
     served: int = 0
@@ -60,7 +60,7 @@
 
 
 def routing_table() -> RoutingTable:
-    """A safe, an unsafe and a resumable route."""
+    """Returns a safe, an unsafe and a resumable route."""
     routes = [
         {
             "name": prefix, "host": HOST, "pathPrefix": prefix, "kind": kind, "timeoutMs": 2000,
@@ -73,7 +73,7 @@
 
 
 async def serve_front(pool: ServicePool, stop: asyncio.Event) -> tuple[int, "asyncio.Future[None]"]:
-    """Serves a front's request path on loopback until `stop`; gives its port."""
+    """Serves a front's request path on loopback until `stop` is set; returns its port and its task."""
     proxy = Proxy(pool, BatchApi(None))  # type: ignore[arg-type]
     server = make_server(proxy, "127.0.0.1:0", 1.0, 30.0, partial(ClientConnection, ClientLimits()))
     serving = asyncio.ensure_future(serve_until(server, stop))
@@ -82,19 +82,19 @@
     return server.servers[0].sockets[0].getsockname()[1], serving
 
 
-class Play:
-    """One play of a seed."""
+class ExchangeRun:
+    """A run of one seed."""
 
     def __init__(self, seed: int, exchanges: int, clients: int = 8) -> None:
         self._random = Random(seed)
-        self._left, self._clients = exchanges, clients
+        self._remaining, self._clients = exchanges, clients
         self._number = 0
         self._ledger = Ledger()
-        self._sent: list[Sent] = []
-        self._unanswered: list[str] = []  # requests whose kept connection was closed without an answer
+        self._sent: list[SentRequest] = []
+        self._unanswered: list[str] = []  # requests whose open connection was closed without a response
 
     async def run(self) -> Outcome:
-        """Plays it."""
+        """Runs all exchanges and checks them."""
         sidecars = [
             MisbehavingSidecar(name, self._ledger, Random(self._random.random()), fault_rate)
             for name, fault_rate in (("a", 0.3), ("b", 0.6), ("c", 0.0))
@@ -108,26 +108,26 @@
         stop = asyncio.Event()
         port, serving = await serve_front(pool, stop)
         loops = asyncio.ensure_future(pool.run_loops())
-        asking = asyncio.ensure_future(self._ask_reports(pool))
+        report_requests = asyncio.ensure_future(self._request_reports(pool))
         await asyncio.gather(*(self._client(port) for _ in range(self._clients)))
-        await asyncio.sleep(0.5)  # what still runs, runs
+        await asyncio.sleep(0.5)  # lets requests in progress finish
         loops.cancel()
-        asking.cancel()
+        report_requests.cancel()
         stop.set()
         await serving
         for sidecar in sidecars:
             sidecar.stop()
         return self._check()
 
-    async def _ask_reports(self, pool: ServicePool) -> None:
-        """Reports are asked for all the time, on the same connections."""
+    async def _request_reports(self, pool: ServicePool) -> None:
+        """Requests load reports continuously, on the same connections."""
         while True:
             await asyncio.sleep(0.01)
             for state in pool.sidecars.of_service("s"):
                 pool.reports.request(state, 0.0)
 
     async def _client(self, port: int) -> None:
-        while self._left > 0:
+        while self._remaining > 0:
             try:
                 await self._connection(port)
             except (OSError, asyncio.IncompleteReadError, ValueError):
@@ -136,35 +136,35 @@
     async def _connection(self, port: int) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         try:
-            while self._left > 0:
-                count = 2 if self._random.random() < 0.1 else 1  # two requests in a row
+            while self._remaining > 0:
+                count = 2 if self._random.random() < 0.1 else 1  # two pipelined requests
                 sent = [self._new_request() for _ in range(count)]
                 writer.write(b"".join(self._encode(one) for one in sent))
                 for one in sent:
-                    if self._random.random() < 0.05:  # leaves at any moment
+                    if self._random.random() < 0.05:  # disconnects at a random time
                         await asyncio.sleep(self._random.uniform(0, 0.02))
                         return
                     try:
-                        one.answer = await asyncio.wait_for(read_answer(reader), 5)
+                        one.response = await asyncio.wait_for(read_response(reader), 5)
                     except (asyncio.IncompleteReadError, OSError, TimeoutError) as error:
-                        self._unanswered.append(f"{one.path}: no answer: {error!r}")
+                        self._unanswered.append(f"{one.path}: no response: {error!r}")
                         return
-                    if not one.answer.is_complete or one.answer.headers.get("connection") == "close":
+                    if not one.response.is_complete or one.response.headers.get("connection") == "close":
                         return
                 if self._random.random() < 0.02:
                     return
         finally:
             writer.close()
 
-    def _new_request(self) -> Sent:
-        self._left -= 1
+    def _new_request(self) -> SentRequest:
+        self._remaining -= 1
         self._number += 1
         request_id = _base36(self._number) + _base36(self._random.randrange(36**5))
-        sent = Sent(request_id, self._random.choice(list(KINDS)) + request_id)
+        sent = SentRequest(request_id, self._random.choice(list(KINDS)) + request_id)
         self._sent.append(sent)
         return sent
 
-    def _encode(self, sent: Sent) -> bytes:
+    def _encode(self, sent: SentRequest) -> bytes:
         body = body_of(sent.path, sent.id)
         head = (
             f"POST {sent.path} HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {sent.id}\r\nModel: m-{sent.id}\r\n"
@@ -177,44 +177,46 @@
 
     def _check(self) -> Outcome:
         outcome = Outcome(len(self._sent), findings=list(self._unanswered))
-        outcome.findings += [
-            f"{one} came to a sidecar otherwise than it was sent" for one in self._ledger.spoilt
-        ]
+        outcome.findings += [f"{one} was altered on the way to a sidecar" for one in self._ledger.spoilt]
         known = {one.id for one in self._sent}
         outcome.findings += [f"{one} was never sent" for one in self._ledger.runs if one not in known]
         for one in self._sent:
-            finding = self._check_runs(one) or (self._check_answer(one, one.answer) if one.answer else "")
+            finding = self._check_runs(one) or (
+                self._check_response(one, one.response) if one.response else ""
+            )
             if finding:
                 outcome.findings.append(f"{one.path}: {finding}")
-            outcome.served += one.answer is not None and one.answer.status == 200 and one.answer.is_complete
+            outcome.served += (
+                one.response is not None and one.response.status == 200 and one.response.is_complete
+            )
         return outcome
 
-    def _check_runs(self, sent: Sent) -> str:
+    def _check_runs(self, sent: SentRequest) -> str:
         runs = self._ledger.runs[sent.id]
         if sent.path.startswith("/unsafe/") and runs > 1:
-            return f"ran {runs} times"
+            return f"executed {runs} times"
         if runs > 3:
-            return f"ran at {runs} sidecars"
-        refused = sent.answer is not None and sent.answer.status in NEVER_RAN_STATUSES
-        if refused and runs and sent.path.startswith("/unsafe/"):
-            return f"was refused with {sent.answer.status} and ran"  # type: ignore[union-attr]
+            return f"executed {runs} times, more than its route allows"
+        rejected = sent.response is not None and sent.response.status in NEVER_RAN_STATUSES
+        if rejected and runs and sent.path.startswith("/unsafe/"):
+            return f"rejected with {sent.response.status} but executed"  # type: ignore[union-attr]
         return ""
 
-    def _check_answer(self, sent: Sent, answer: Answer) -> str:
-        stamp = answer.headers.get("server-stamp")
-        if answer.status != 200:
-            return "" if stamp is None or answer.status in (500, 504) else f"{answer.status} with a stamp"
-        if answer.headers.get("request-id") != sent.id:
-            return "an answer with another id"
-        if not answer.is_complete:
+    def _check_response(self, sent: SentRequest, response: Response) -> str:
+        stamp = response.headers.get("server-stamp")
+        if response.status != 200:
+            return "" if stamp is None or response.status in (500, 504) else f"{response.status} with a stamp"
+        if response.headers.get("request-id") != sent.id:
+            return "a response with another request id"
+        if not response.is_complete:
             return ""
         if sent.path.startswith("/stream/"):
             events = "".join(f"id: {n}\ndata: {sent.id}-{n}\n\n" for n in range(1, EVENTS + 1)).encode()
-            is_right = answer.body == events
+            is_correct = response.body == events
         else:
             bodies = self._ledger.bodies.get(sent.id, [])
-            is_right = any(answer.body == body and f" {stamp} ".encode() in body for body in bodies)
-        return "" if is_right else f"a body that is not its own: {answer.body[:80]!r}"
+            is_correct = any(response.body == body and f" {stamp} ".encode() in body for body in bodies)
+        return "" if is_correct else f"a body of another request: {response.body[:80]!r}"
 
 
 def _base36(number: int) -> str:
@@ -222,52 +224,52 @@
     return (_base36(number // 36) if number >= 36 else "") + digits[number % 36]
 
 
-async def read_answer(reader: asyncio.StreamReader) -> Answer:
-    """Reads one answer; raises where not even its head comes."""
+async def read_response(reader: asyncio.StreamReader) -> Response:
+    """Reads one response; raises if its head is incomplete."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     if not head[0].startswith("HTTP/1.1 "):
-        raise AssertionError(f"bytes that are no answer: {head[0]!r}")
+        raise AssertionError(f"not an HTTP response: {head[0]!r}")
     headers = {name.lower(): value.strip() for name, _, value in (x.partition(":") for x in head[1:] if x)}
     status, body = int(head[0].split(" ")[1]), b""
     try:
         if "content-length" in headers:
             body = await reader.readexactly(int(headers["content-length"]))
-            return Answer(status, headers, body, True)
+            return Response(status, headers, body, True)
         while True:
             size = int((await reader.readuntil(b"\r\n")).strip(), 16)
             part = await reader.readexactly(size + 2)
             body += part[:size]
             if size == 0:
-                return Answer(status, headers, body, True)
+                return Response(status, headers, body, True)
     except (asyncio.IncompleteReadError, OSError):
-        return Answer(status, headers, body, False)
+        return Response(status, headers, body, False)
 
 
-def play(seed: int, exchanges: int) -> Outcome:
-    """Plays one seed."""
-    return uvloop.run(Play(seed, exchanges).run())
+def run_seed(seed: int, exchanges: int) -> Outcome:
+    """Runs one seed."""
+    return uvloop.run(ExchangeRun(seed, exchanges).run())
 
 
 def main() -> int:
-    """The command."""
+    """Runs the seeds of the command line; returns 1 if there are findings."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--count", type=int, default=1_000_000, help="exchanges in all")
-    parser.add_argument("--each", type=int, default=5000, help="exchanges of one seed")
+    parser.add_argument("--count", type=int, default=1_000_000, help="total number of exchanges")
+    parser.add_argument("--each", type=int, default=5000, help="exchanges per seed")
     parser.add_argument("--first", type=int, default=0, help="the first seed")
     parser.add_argument("--jobs", type=int, default=4)
     options = parser.parse_args()
     seeds = range(options.first, options.first + options.count // options.each)
-    work: Callable[[int], Any] = partial(play, exchanges=options.each)
-    exchanges = served = found = 0
+    work: Callable[[int], Any] = partial(run_seed, exchanges=options.each)
+    exchanges = served = finding_count = 0
     with ProcessPoolExecutor(options.jobs) as pool:
         for seed, outcome in zip(seeds, pool.map(work, seeds), strict=True):
-            exchanges, served, found = (
-                exchanges + outcome.exchanges, served + outcome.served, found + len(outcome.findings)
+            exchanges, served, finding_count = (
+                exchanges + outcome.exchanges, served + outcome.served, finding_count + len(outcome.findings)
             )  # fmt: skip
             for finding in outcome.findings[:5]:
                 print(f"seed {seed}: {finding}", flush=True)
-    print(f"{exchanges} exchanges, {served} served completely, {found} findings")
-    return 1 if found else 0
+    print(f"{exchanges} exchanges, {served} served completely, {finding_count} findings")
+    return 1 if finding_count else 0
 
 
 if __name__ == "__main__":
--- a/tests/tier/loopback.py
+++ b/tests/tier/loopback.py
@@ -1,4 +1,4 @@
-"""A tier of real processes on loopback, among stand-ins for the platform's list and for sidecars."""
+"""A tier of real processes on loopback, with fakes of the platform's list and of sidecars."""
 
 import asyncio
 import json
@@ -21,30 +21,30 @@
 
 
 class Sidecar:
-    """A stand-in that streams events, slowly if told to."""
+    """A fake sidecar that streams events with a configurable pause."""
 
     def __init__(self, name: str, host: str) -> None:
         self.name, self.host = name, host
         self.address = ""
-        self.runs: list[str] = []  # request ids in the order in which they began
+        self.runs: list[str] = []  # request ids in order of their start
         self.pause_s = 0.01
         self._server: asyncio.Server | None = None
-        self.padding = 0  # bytes more of each event
-        self.answering = 0  # requests under way
+        self.padding = 0  # additional bytes per event
+        self.open_requests = 0  # requests in progress
         self._open: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listens."""
+        """Starts listening."""
         self._server = await asyncio.start_server(self._serve, self.host, 0)
         port = self._server.sockets[0].getsockname()[1]
         self.address = f"{self.host}:{port}"
 
     def stop(self) -> None:
-        """Listens no more."""
+        """Stops listening."""
         if self._server is not None:
             self._server.close()
 
-    def break_off(self) -> None:
+    def reset_connections(self) -> None:
         """Resets all connections."""
         for writer in list(self._open):
             writer.transport.abort()
@@ -58,18 +58,18 @@
                     line.split(":", 1)[0].lower(): line.split(":", 1)[1].strip() for line in head[1:] if line
                 }
                 await reader.readexactly(int(headers.get("content-length", "0")))
-                self.answering += 1
+                self.open_requests += 1
                 try:
-                    await self._answer(head[0], headers, writer)
+                    await self._respond(head[0], headers, writer)
                 finally:
-                    self.answering -= 1
+                    self.open_requests -= 1
         except (asyncio.IncompleteReadError, OSError):
             pass
         finally:
             self._open.discard(writer)
             writer.close()
 
-    async def _answer(self, line: str, headers: dict[str, str], writer: asyncio.StreamWriter) -> None:
+    async def _respond(self, line: str, headers: dict[str, str], writer: asyncio.StreamWriter) -> None:
         if line.startswith("GET /report"):
             body = b'{"waiting":0,"running":0}'
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
@@ -95,7 +95,7 @@
 
 
 class Platform:
-    """A stand-in for the platform's list."""
+    """A fake server of the platform's list."""
 
     def __init__(self, sidecars: list[Sidecar]) -> None:
         self.sidecars = sidecars
@@ -103,7 +103,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listens."""
+        """Starts listening."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
@@ -127,7 +127,7 @@
 
 
 def configuration(version: int) -> bytes:
-    """Three routes: streams that may be resumed or not, and batch jobs."""
+    """Returns a configuration of three routes: resumable streams, other streams, and batch jobs."""
     common = {"host": HOST_NAME, "service": SERVICE, "maxAttempts": 3, "timeoutMs": 6000, "sloMs": 400}
     routes = [
         {"name": "ask", "pathPrefix": "/ask/", "kind": "stream", "resumable": True, **common},
@@ -141,7 +141,7 @@
 
 
 class Loopback:
-    """Store machines at 127.1.x.1, fronts at 127.2.x.1."""
+    """A tier with store machines at 127.1.x.y and fronts at 127.2.x.y."""
 
     def __init__(self, folder: Path, stores: int = 3, fronts: int = 2) -> None:
         self.folder = folder
@@ -169,7 +169,7 @@
             sidecar.stop()
 
     def launch(self, host: str, bootstrap: bool = False) -> None:
-        """Starts the process of a machine; its disk keeps what an earlier process wrote."""
+        """Starts the process of a machine; its disk keeps the data of earlier processes."""
         role = "store" if host in self.stores else "front"
         listen = (
             f'control = "{host}:{self.port + 1}"'
@@ -211,21 +211,21 @@
             self.processes[host].wait()
 
     def url(self, host: str, path: str) -> str:
-        """Where a machine serves the outside."""
+        """The external URL of a path on a machine."""
         return f"http://{host}:{self.port + 1}{path}"
 
-    async def until(
-        self, what: str, asked: Callable[[], Awaitable[Any]], limit_s: float = START_LIMIT_S
+    async def wait_until(
+        self, description: str, condition: Callable[[], Awaitable[Any]], limit_s: float = START_LIMIT_S
     ) -> Any:  # noqa: ANN401
-        """Asks again and again until the answer is true; raises AssertionError after the limit."""
+        """Polls until the condition is true, and returns its value; raises AssertionError at the limit."""
         deadline = time.monotonic() + limit_s
         while time.monotonic() < deadline:
             try:
-                found = await asked()
+                result = await condition()
             except httpx.HTTPError:
-                found = None
-            if found:
-                return found
+                result = None
+            if result:
+                return result
             await asyncio.sleep(POLL_S)
         logs = "\n".join(path.read_text()[-1500:] for path in sorted(self.folder.glob("*.log")))
-        raise AssertionError(f"{what} did not come in {limit_s} s\n{logs}")
+        raise AssertionError(f"{description}: not reached within {limit_s} s\n{logs}")
--- a/tests/tier/test_overload.py
+++ b/tests/tier/test_overload.py
@@ -33,7 +33,7 @@
 from tests.tier.simulation.machines import Answer
 from tests.tier.simulation.saturation import SaturationRun, Scenario
 from tests.tier.simulation.world import World
-from tests.tier.test_saturated_uplink import ACK_S, shortcomings
+from tests.tier.test_saturated_uplink import ACK_S, violations
 
 LINK_MBPS = 120.0
 BULK_BYTES_PER_S = BULK_SHARE * LINK_MBPS * BYTES_PER_MEGABIT
@@ -86,7 +86,7 @@
 
 def test_a_job_beyond_the_capacity_is_rejected_and_leaves_nothing_behind() -> None:
     decision = decisions.submit_batch_job(TierState(), job(1), 0, True, has_write_capacity=False)
-    assert decision == decisions.Decision((), OVERLOADED, rests_on_state=False)
+    assert decision == decisions.Decision((), OVERLOADED, depends_on_state=False)
 
 
 def test_a_job_that_was_accepted_before_is_acknowledged_again_whatever_the_capacity() -> None:
@@ -166,7 +166,7 @@
     assert findings.changes and findings.job_acks
     assert findings.terms_in_burst == 0
     assert findings.longest_change_s < ACK_S
-    assert not shortcomings(findings)
+    assert not violations(findings)
 
 
 # Leases
