--- a/benchmarks/cells_scripts.py
+++ b/benchmarks/cells_scripts.py
@@ -8,14 +8,14 @@
 import random
 from collections.abc import Callable, Iterable
 
+from crowwing.fleet.adapters.full_transfer import CONNECT_WITHIN
 from crowwing.fleet.member import Manner
 from crowwing.fleet.membership.cells import Layout
 from crowwing.fleet.membership.swim import DEAD, Timing
-from crowwing.fleet.state.catchup import Patience
-from crowwing.fleet.state.spaces import SPACES
-from crowwing.fleet.state.spread import Pace
-from crowwing.fleet.wires.whole import CONNECT_WITHIN
-from crowwing.fleet.world import StateWorld
+from crowwing.fleet.simulated_fleet import StateWorld
+from crowwing.fleet.state.catch_up import Patience
+from crowwing.fleet.state.dissemination import Pace
+from crowwing.fleet.state.keyspaces import SPACES
 
 S = 1_000_000
 REGIONS, ZONES = 5, 11
--- a/benchmarks/fleet_state.py
+++ b/benchmarks/fleet_state.py
@@ -13,10 +13,10 @@
 
 from crowwing.fleet.member import Manner
 from crowwing.fleet.membership.swim import DEAD, Timing
-from crowwing.fleet.state.catchup import Patience
-from crowwing.fleet.state.copies import Join, Space
-from crowwing.fleet.state.spread import Pace
-from crowwing.fleet.world import StateWorld
+from crowwing.fleet.simulated_fleet import StateWorld
+from crowwing.fleet.state.catch_up import Patience
+from crowwing.fleet.state.dissemination import Pace
+from crowwing.fleet.state.replica import Join, Space
 
 S = 1_000_000
 SPACES = {"said": Space(Join.LATEST, 4096, 3600 * S)}
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -10,7 +10,7 @@
 import statistics
 
 from crowwing.fleet.membership.swim import DEAD, Timing
-from crowwing.fleet.world import World
+from crowwing.fleet.simulated_fleet import World
 
 S = 1_000_000
 
--- a/crowwing/cli/fleet.py
+++ b/crowwing/cli/fleet.py
@@ -14,7 +14,7 @@
 from rich.table import Table
 
 from crowwing.cli.say import failed, wrong_use
-from crowwing.fleet.wires.settings import BadFleet, address
+from crowwing.fleet.adapters.settings import BadFleet, address
 
 app = typer.Typer(no_args_is_help=True, help="A fleet's members and what they keep together.")
 Where = Annotated[str, typer.Argument(help="The fleet socket of a running backend, a.b.c.d:port.")]
--- a/crowwing/emulator/fleet/hollow.py
+++ b/crowwing/emulator/fleet/hollow.py
@@ -23,7 +23,7 @@
 from crowwing.emulator.fleet.hollow_member import Hollow, Tally, now_us, wall_us
 from crowwing.emulator.fleet.places import Between, Ways
 from crowwing.emulator.processes import _end_with_parent
-from crowwing.fleet.state.copies import NotKept
+from crowwing.fleet.state.replica import NotKept
 
 LINE_MOST = 64 << 20  # bytes of one line on standard input: the first names the whole fleet
 LOOK_S = 0.05  # between two looks at how late the loop is
--- a/crowwing/emulator/fleet/hollow_member.py
+++ b/crowwing/emulator/fleet/hollow_member.py
@@ -1,5 +1,5 @@
-"""One hollow member: the pure decider of a real backend, fed from a socket as `fleet/wires/link.py` feeds it,
-without the backend around it.
+"""One hollow member: the pure decider of a real backend, fed from a socket as
+`fleet/adapters/endpoint.py` feeds it, without the backend around it.
 
 Many share a process (hollow.py), each with a UDP socket and a TCP port of its own. What it sends, and what
 real backends send it, is delayed, lost or cut as its region and theirs say (places.py). A member that is off
@@ -15,9 +15,9 @@
 import orjson
 
 from crowwing.emulator.fleet import pure
+from crowwing.fleet.adapters import full_transfer
+from crowwing.fleet.adapters.endpoint import DATAGRAM_MOST, FETCH_WITHIN
 from crowwing.fleet.member import Member
-from crowwing.fleet.wires import whole
-from crowwing.fleet.wires.link import DATAGRAM_MOST, FETCH_WITHIN
 
 if TYPE_CHECKING:
     from crowwing.emulator.fleet.hollow import Host
@@ -75,7 +75,7 @@
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
         self.socket.bind(self.where)
         self.host.loop.add_reader(self.socket.fileno(), self._readable)
-        self.listener = await asyncio.start_server(self._serve, *self.where, limit=whole.LINE_MOST)
+        self.listener = await asyncio.start_server(self._serve, *self.where, limit=full_transfer.LINE_MOST)
 
     # Its lives
 
@@ -217,11 +217,11 @@
         try:
             way = host.between.stream(self.region, host.regions[name])
             if way is None:
-                await asyncio.sleep(whole.CONNECT_WITHIN)
+                await asyncio.sleep(full_transfer.CONNECT_WITHIN)
                 raise TimeoutError
             if name in host.real:  # a hollow one sees to it itself
                 await asyncio.sleep(way)
-            rows = await whole.fetch(host.addresses[name], pure.question(self.member), FETCH_WITHIN)
+            rows = await full_transfer.fetch(host.addresses[name], pure.question(self.member), FETCH_WITHIN)
         except (OSError, TimeoutError):
             host.dropped["fetch"] += 1
         finally:
@@ -236,13 +236,13 @@
         host.serving.add(task)
         try:
             if self.member is None:
-                await asyncio.sleep(whole.SEND_WITHIN)
+                await asyncio.sleep(full_transfer.SEND_WITHIN)
                 return
-            async with asyncio.timeout(whole.ASK_WITHIN):
+            async with asyncio.timeout(full_transfer.ASK_WITHIN):
                 line = await reader.readline()
             asker = orjson.loads(line)["from"]
             way = host.between.stream(host.regions.get(asker, self.region), self.region)
-            await asyncio.sleep(whole.SEND_WITHIN if way is None else way)
+            await asyncio.sleep(full_transfer.SEND_WITHIN if way is None else way)
             if way is None or self.member is None or life != self.life:
                 return
             again, counted = asyncio.StreamReader(), Counted(writer, self.tally)
--- a/crowwing/emulator/fleet/pure.py
+++ b/crowwing/emulator/fleet/pure.py
@@ -10,12 +10,12 @@
 import msgspec
 
 from crowwing.emulator.fleet.places import Place
+from crowwing.fleet.adapters import full_transfer
+from crowwing.fleet.adapters.settings import manner
 from crowwing.fleet.member import Manner, Member
 from crowwing.fleet.membership.cells import Layout, covers
 from crowwing.fleet.membership.swim import GONE
-from crowwing.fleet.state.spaces import SPACES
-from crowwing.fleet.wires import whole
-from crowwing.fleet.wires.settings import manner
+from crowwing.fleet.state.keyspaces import SPACES
 from crowwing.settings.operator import Fleet
 
 Make = Callable[[str, int, random.Random], Member]
@@ -51,8 +51,8 @@
     member.catch_up.was_away = False
 
 
-def server(missing: Callable, known: Callable[[str], bool]) -> whole.Server:
-    return whole.Server(missing, known)
+def server(missing: Callable, known: Callable[[str], bool]) -> full_transfer.Server:
+    return full_transfer.Server(missing, known)
 
 
 def question(member: Member) -> dict:
--- a/crowwing/fleet/wires/asked.py
+++ b/crowwing/fleet/adapters/client_requests.py
@@ -12,13 +12,13 @@
 import orjson
 
 from crowwing.fleet.member import LABELS_MEMBERS_MOST
-from crowwing.fleet.state.copies import NotKept
-from crowwing.fleet.state.spaces import OPERATORS
-from crowwing.fleet.state.spread import Update
-from crowwing.fleet.uses.labels import Claimed
+from crowwing.fleet.state.dissemination import Update
+from crowwing.fleet.state.keyspaces import OPERATORS
+from crowwing.fleet.state.replica import NotKept
+from crowwing.fleet.uses.idempotency_keys import Claimed
 
 if TYPE_CHECKING:
-    from crowwing.fleet.wires.link import Link
+    from crowwing.fleet.adapters.endpoint import Link
 
 PAGE_MOST = 6000  # bytes of rows in one answer
 WAIT_MOST = 30_000  # ms
--- a/crowwing/fleet/wires/link.py
+++ b/crowwing/fleet/adapters/endpoint.py
@@ -15,12 +15,12 @@
 
 import orjson
 
+from crowwing.fleet.adapters import full_transfer
+from crowwing.fleet.adapters.client_requests import Asked
+from crowwing.fleet.adapters.settings import address, folder, manner, peers, places
 from crowwing.fleet.member import Member
 from crowwing.fleet.membership.cells import Layout
-from crowwing.fleet.state.spaces import SPACES
-from crowwing.fleet.wires import whole
-from crowwing.fleet.wires.asked import Asked
-from crowwing.fleet.wires.settings import address, folder, manner, peers, places
+from crowwing.fleet.state.keyspaces import SPACES
 
 DATAGRAM_MOST = 8192  # bytes; a larger one is no message of ours
 FETCH_WITHIN = 10.0  # seconds for a whole copy
@@ -48,10 +48,10 @@
         layout = None if where is None else Layout(where, fleet.cell_most)
         self.member = Member(me, list(self.addresses), self.now(), chance, manner(fleet), SPACES, layout)
         self.asked = Asked(self)
-        self.server = whole.Server(self.member.missing, self.addresses.__contains__)
+        self.server = full_transfer.Server(self.member.missing, self.addresses.__contains__)
         self.disk = None
         if (place := folder(fleet)) is not None:
-            from crowwing.fleet.wires.disk import Disk
+            from crowwing.fleet.adapters.snapshot_writer import Disk
 
             self.disk = Disk(place, me, fleet.snapshot_every_ms / 1000, event)
         self.transport: asyncio.DatagramTransport | None = None
@@ -177,7 +177,7 @@
         self.fetches += 1
         try:
             asked = {"from": self.member.me, **self.member.digests()}
-            rows = await whole.fetch(self.addresses[name], asked, FETCH_WITHIN)
+            rows = await full_transfer.fetch(self.addresses[name], asked, FETCH_WITHIN)
         except (OSError, TimeoutError):
             self.dropped["fetch"] += 1
         finally:
--- a/crowwing/fleet/wires/whole.py
+++ b/crowwing/fleet/adapters/full_transfer.py
@@ -12,7 +12,7 @@
 import orjson
 import xxhash
 
-from crowwing.fleet.state.copies import Row
+from crowwing.fleet.state.replica import Row
 
 LINE_MOST = 16_384  # bytes; 256 sums take 5,400, twice
 ROWS_A_LINE = 20
--- a/crowwing/fleet/wires/settings.py
+++ b/crowwing/fleet/adapters/settings.py
@@ -10,11 +10,11 @@
 
 from crowwing.fleet.member import Manner
 from crowwing.fleet.membership.swim import Timing
-from crowwing.fleet.state.catchup import Patience
-from crowwing.fleet.state.copies import ROOM
-from crowwing.fleet.state.spaces import SPACES
-from crowwing.fleet.state.spread import Pace
-from crowwing.fleet.uses import quota, turned
+from crowwing.fleet.state.catch_up import Patience
+from crowwing.fleet.state.dissemination import Pace
+from crowwing.fleet.state.keyspaces import SPACES
+from crowwing.fleet.state.replica import ROOM
+from crowwing.fleet.uses import quota, rejection_prints
 
 Place = tuple[str, str]  # region, zone
 
@@ -99,8 +99,8 @@
         counted = f"{customers} customers x {size} members x {quota.WINDOWS + 2} windows"
         _check_room("use", customers * size * (quota.WINDOWS + 2), "$.fleet.shares_quota", counted, mend)
     if fleet.shares_prints:
-        counted = f"{size} members x {turned.RING} places"
-        _check_room("turned", size * turned.RING, "$.fleet.shares_prints", counted, mend)
+        counted = f"{size} members x {rejection_prints.RING} places"
+        _check_room("turned", size * rejection_prints.RING, "$.fleet.shares_prints", counted, mend)
 
 
 def _check_room(space: str, entries: int, path: str, counted: str, mend: str) -> None:
--- a/crowwing/fleet/wires/disk.py
+++ b/crowwing/fleet/adapters/snapshot_writer.py
@@ -5,7 +5,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from crowwing.fleet.state.copies import Row
+from crowwing.fleet.state.replica import Row
 from crowwing.memory import snapshot
 
 
--- a/crowwing/fleet/member.py
+++ b/crowwing/fleet/member.py
@@ -14,15 +14,15 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, replace
 
+from crowwing.fleet.membership.cell_reachability import Reach, Told
 from crowwing.fleet.membership.cells import SPEAKERS, Layout
-from crowwing.fleet.membership.reach import Reach, Told
 from crowwing.fleet.membership.swim import Kind, Membership, Message, Timing
-from crowwing.fleet.state.catchup import CatchUp, Patience
-from crowwing.fleet.state.copies import Copies, Row, Space
-from crowwing.fleet.state.spread import Pace, Reached, Spread
-from crowwing.fleet.state.verdicts import LIFE, Verdicts
-from crowwing.fleet.uses.labels import Labels
-from crowwing.fleet.uses.loans import Loans
+from crowwing.fleet.state.catch_up import CatchUp, Patience
+from crowwing.fleet.state.dissemination import Pace, Reached, Spread
+from crowwing.fleet.state.reachability_votes import LIFE, Verdicts
+from crowwing.fleet.state.replica import Copies, Row, Space
+from crowwing.fleet.uses.call_budget_loans import Loans
+from crowwing.fleet.uses.idempotency_keys import Labels
 
 # Kinds of message from here on are the state's, of loans, of labels; those under all of them the
 # membership's.
--- a/crowwing/fleet/world.py
+++ b/crowwing/fleet/simulated_fleet.py
@@ -17,7 +17,7 @@
 from crowwing.fleet.member import Manner, Member
 from crowwing.fleet.membership.cells import Layout
 from crowwing.fleet.membership.swim import DEAD, Membership, Timing
-from crowwing.fleet.state.copies import Row, Space
+from crowwing.fleet.state.replica import Row, Space
 
 PAUSE_STEP = 10_000  # µs between two looks at whether a member that stands still goes on
 
--- a/crowwing/fleet/state/spread.py
+++ b/crowwing/fleet/state/dissemination.py
@@ -35,7 +35,7 @@
 
 import orjson
 
-from crowwing.fleet.state.copies import A_GROUP, GROUPS, LEAVES, Copies, Row, Value
+from crowwing.fleet.state.replica import A_GROUP, GROUPS, LEAVES, Copies, Row, Value
 
 Message = dict
 
--- a/crowwing/fleet/state/spaces.py
+++ b/crowwing/fleet/state/keyspaces.py
@@ -1,6 +1,6 @@
 """Which state the fleet keeps together, and the rule of each (docs/replication.md has the reasons)."""
 
-from crowwing.fleet.state.copies import Join, Space
+from crowwing.fleet.state.replica import Join, Space
 
 SECOND = 1_000_000
 HOUR = 3600 * SECOND
--- a/crowwing/fleet/state/verdicts.py
+++ b/crowwing/fleet/state/reachability_votes.py
@@ -13,7 +13,7 @@
 from collections.abc import Sequence
 
 from crowwing.fleet.membership.cells import Layout, covers
-from crowwing.fleet.state.copies import Copies
+from crowwing.fleet.state.replica import Copies
 
 LIFE = 600_000_000  # µs; said again after half of it, while it holds
 # µs. A cut is seen cell by cell for some seconds, so it is told in few tellings; what came back, soon.
--- a/crowwing/fleet/state/copies.py
+++ b/crowwing/fleet/state/replica.py
@@ -31,7 +31,7 @@
 import orjson
 import xxhash
 
-from crowwing.fleet.state.stamp import Hybrid, Stamp, TooFarAhead
+from crowwing.fleet.state.hybrid_clock import Hybrid, Stamp, TooFarAhead
 
 LEAVES, GROUPS = 256, 16
 A_GROUP = LEAVES // GROUPS
--- a/crowwing/fleet/uses/turned.py
+++ b/crowwing/fleet/uses/rejection_prints.py
@@ -10,8 +10,8 @@
 import random
 from collections.abc import Iterable
 
-from crowwing.fleet.state.copies import Entry
-from crowwing.fleet.state.stamp import Stamp
+from crowwing.fleet.state.hybrid_clock import Stamp
+from crowwing.fleet.state.replica import Entry
 
 PRINTS = 20  # 64-bit numbers that fit one entry
 RING = 16  # places of one member
--- a/crowwing/program/main.py
+++ b/crowwing/program/main.py
@@ -37,7 +37,7 @@
     if operator is None or not getattr(operator, "fleet", None):  # UNSET and None alike are off
         return
     # only where a fleet is switched on
-    from crowwing.fleet.wires.settings import BadFleet, check_size, folder, peers
+    from crowwing.fleet.adapters.settings import BadFleet, check_size, folder, peers
 
     try:
         peers(operator.fleet, configuration.name)
--- a/crowwing/program/together.py
+++ b/crowwing/program/together.py
@@ -13,17 +13,17 @@
 from typing import TYPE_CHECKING
 
 from crowwing.contract import WireNames
-from crowwing.fleet.state.copies import NotKept
-from crowwing.fleet.uses import lesson, quota
-from crowwing.fleet.uses.loans import wanted
-from crowwing.fleet.uses.turned import Turned
+from crowwing.fleet.state.replica import NotKept
+from crowwing.fleet.uses import learned_start, quota
+from crowwing.fleet.uses.call_budget_loans import wanted
+from crowwing.fleet.uses.rejection_prints import Turned
 from crowwing.logic.feedback import MIN_SAMPLES
 from crowwing.logic.load_manager import LoadManager
 from crowwing.routing.dispatcher import Dispatcher
 from crowwing.routing.event_recorder import EventRecorder
 
 if TYPE_CHECKING:
-    from crowwing.fleet.wires.link import Link
+    from crowwing.fleet.adapters.endpoint import Link
 
 EVERY = 0.25  # seconds between two looks
 MEMORY = 8  # looks over which the use of calls is averaged
@@ -124,14 +124,14 @@
         )
         call = manager.usual_call if manager.call_count > 2 * MIN_SAMPLES else 0
         if call or any(kinds):
-            learned = lesson.Lesson(kinds, manager.limit, call)
+            learned = learned_start.Lesson(kinds, manager.limit, call)
             self._put(self.link.wall(), f"lesson/{self.member.me}", learned.told(), LESSON_LIFE)
 
     def _learn(self, manager: LoadManager) -> None:
         """Once, when this member has caught up."""
         self.taught = True
         lessons = (entry.value for _, entry in self.member.copies.under("lesson/"))
-        start = lesson.taken(lessons, len(manager.facts.classes))
+        start = learned_start.taken(lessons, len(manager.facts.classes))
         if start is not None:
             manager.apply_learned(self.dispatcher.now(), start.kinds, start.limit, start.call)
             self.recorder.event("taught", call_ms=start.call / 1000, limit=round(start.limit, 2))
--- a/tests/cellular.py
+++ b/tests/cellular.py
@@ -5,10 +5,10 @@
 from crowwing.fleet.member import Manner, Member
 from crowwing.fleet.membership.cells import Layout
 from crowwing.fleet.membership.swim import Timing
-from crowwing.fleet.state.catchup import Patience
-from crowwing.fleet.state.spaces import SPACES
-from crowwing.fleet.state.spread import Pace
-from crowwing.fleet.world import StateWorld
+from crowwing.fleet.simulated_fleet import StateWorld
+from crowwing.fleet.state.catch_up import Patience
+from crowwing.fleet.state.dissemination import Pace
+from crowwing.fleet.state.keyspaces import SPACES
 
 S = 1_000_000
 FAR = 20_000  # µs between regions: there and back, and once more by way of a third, within a probe's time
--- a/tests/fleet_transcripts.py
+++ b/tests/fleet_transcripts.py
@@ -15,9 +15,9 @@
 
 import orjson
 
-from crowwing.fleet.wires import link as link_module
-from crowwing.fleet.wires import whole
-from crowwing.fleet.wires.link import Link
+from crowwing.fleet.adapters import endpoint as link_module
+from crowwing.fleet.adapters import full_transfer
+from crowwing.fleet.adapters.endpoint import Link
 from crowwing.settings import plain
 
 WALL_START_US = 1_700_000_000_000_000
@@ -103,7 +103,7 @@
 
     def apply(self, step: list[Any], fetch: Fetch) -> list[list[Any]]:
         """Gives the link one input; returns the datagrams that it sends upon it."""
-        with self.clock.patched(), mock.patch.object(whole, "fetch", fetch):
+        with self.clock.patched(), mock.patch.object(full_transfer, "fetch", fetch):
             self._apply(*step)
             self.loop.run_pending()
         sent, self.transport.sent = self.transport.sent, []
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from crowwing.fleet.membership.cell_reachability import CONTACTS, SWEEP_EVERY, Reach
 from crowwing.fleet.membership.cells import KEEPERS, SPEAKERS, Layout, covers
-from crowwing.fleet.membership.reach import CONTACTS, SWEEP_EVERY, Reach
 from crowwing.fleet.membership.swim import ALIVE, DEAD, SUSPECT, Kind, Timing
 
 S = 1_000_000
--- a/tests/test_cells_doubt.py
+++ b/tests/test_cells_doubt.py
@@ -5,8 +5,8 @@
 
 import pytest
 
+from crowwing.fleet.membership.cell_reachability import ASKED_TWICE, DOUBTED, UNHEARD, Reach
 from crowwing.fleet.membership.cells import Layout
-from crowwing.fleet.membership.reach import ASKED_TWICE, DOUBTED, UNHEARD, Reach
 from crowwing.fleet.membership.swim import ALIVE, GONE, SUSPECT, Kind, Timing
 
 PERIOD = 200_000
--- a/tests/test_cells_machine.py
+++ b/tests/test_cells_machine.py
@@ -4,9 +4,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from crowwing.fleet.membership.reach import CONTACTS
+from crowwing.fleet.membership.cell_reachability import CONTACTS
 from crowwing.fleet.membership.swim import SUSPECT
-from crowwing.fleet.world import StateWorld
+from crowwing.fleet.simulated_fleet import StateWorld
 from tests.cellular import S, between, fleet, near_agree, of_cell, places, running, until, update
 
 SIZE = 15
--- a/tests/test_cells_older.py
+++ b/tests/test_cells_older.py
@@ -6,10 +6,10 @@
 from crowwing.fleet.member import Member
 from crowwing.fleet.membership.cells import Layout
 from crowwing.fleet.membership.swim import ALIVE, DEAD, GONE, LEFT, SUSPECT
-from crowwing.fleet.state.spaces import SPACES
-from crowwing.fleet.state.spread import Word
-from crowwing.fleet.uses.labels import Claimed
-from crowwing.fleet.world import StateWorld
+from crowwing.fleet.simulated_fleet import StateWorld
+from crowwing.fleet.state.dissemination import Word
+from crowwing.fleet.state.keyspaces import SPACES
+from crowwing.fleet.uses.idempotency_keys import Claimed
 from tests.cellular import (
     FAR,
     FAST,
--- a/tests/test_cells_starts.py
+++ b/tests/test_cells_starts.py
@@ -10,12 +10,12 @@
 import orjson
 import pytest
 
+from crowwing.fleet.adapters import full_transfer
 from crowwing.fleet.membership.cells import SPEAKERS
-from crowwing.fleet.state.copies import FEW, LEAVES, Copies
-from crowwing.fleet.state.spaces import SPACES
-from crowwing.fleet.state.spread import Pace, Reached, Spread, Word
-from crowwing.fleet.wires import whole
-from crowwing.fleet.world import StateWorld
+from crowwing.fleet.simulated_fleet import StateWorld
+from crowwing.fleet.state.dissemination import Pace, Reached, Spread, Word
+from crowwing.fleet.state.keyspaces import SPACES
+from crowwing.fleet.state.replica import FEW, LEAVES, Copies
 from tests.cellular import S, fleet, of_cell, until
 
 LIFE = 600 * S
@@ -246,7 +246,7 @@
             waiting.append(one)
         began = time.monotonic()
         with pytest.raises(TimeoutError):
-            asyncio.run(whole.fetch(full.getsockname(), {"from": "a"}, 60.0))
+            asyncio.run(full_transfer.fetch(full.getsockname(), {"from": "a"}, 60.0))
         assert time.monotonic() - began < 30, "far from the time for a whole copy"
         for one in waiting:
             one.close()
--- a/tests/test_cells_state.py
+++ b/tests/test_cells_state.py
@@ -4,8 +4,8 @@
 import pytest
 
 from crowwing.fleet.membership.swim import DEAD
-from crowwing.fleet.state.verdicts import GAP_BACK, SETTLE
-from crowwing.fleet.world import StateWorld
+from crowwing.fleet.simulated_fleet import StateWorld
+from crowwing.fleet.state.reachability_votes import GAP_BACK, SETTLE
 from tests.cellular import (
     FAST,
     S,
--- a/tests/test_cells_verdicts.py
+++ b/tests/test_cells_verdicts.py
@@ -3,9 +3,9 @@
 import pytest
 
 from crowwing.fleet.membership.cells import SPEAKERS, Layout
-from crowwing.fleet.state.copies import Copies, NotKept
-from crowwing.fleet.state.spaces import SPACES
-from crowwing.fleet.state.verdicts import GAP_BACK, GAP_OUT, LIFE, SETTLE, WORDS_MOST, Verdicts
+from crowwing.fleet.state.keyspaces import SPACES
+from crowwing.fleet.state.reachability_votes import GAP_BACK, GAP_OUT, LIFE, SETTLE, WORDS_MOST, Verdicts
+from crowwing.fleet.state.replica import Copies, NotKept
 
 S = 1_000_000
 ZONES = [("west", "w1"), ("west", "w2"), ("east", "e1")]
--- a/tests/test_fleet_copies.py
+++ b/tests/test_fleet_copies.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from crowwing.fleet.state.copies import VALUE_MOST, Copies, Join, NotKept, Space
-from crowwing.fleet.state.stamp import Hybrid, TooFarAhead
+from crowwing.fleet.state.hybrid_clock import Hybrid, TooFarAhead
+from crowwing.fleet.state.replica import VALUE_MOST, Copies, Join, NotKept, Space
 
 S = 1_000_000
 SPACES = {
--- a/tests/test_fleet_decides.py
+++ b/tests/test_fleet_decides.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from crowwing.fleet.state.copies import Copies
-from crowwing.fleet.state.spaces import SPACES
-from crowwing.fleet.uses import lesson, quota
-from crowwing.fleet.uses.labels import Claimed, Labels, homes
-from crowwing.fleet.uses.loans import OWED, STARTED, Loans, Terms, wanted
-from crowwing.fleet.uses.turned import PRINTS, Turned
+from crowwing.fleet.state.keyspaces import SPACES
+from crowwing.fleet.state.replica import Copies
+from crowwing.fleet.uses import learned_start, quota
+from crowwing.fleet.uses.call_budget_loans import OWED, STARTED, Loans, Terms, wanted
+from crowwing.fleet.uses.idempotency_keys import Claimed, Labels, homes
+from crowwing.fleet.uses.rejection_prints import PRINTS, Turned
 
 S = 1_000_000
 
@@ -316,12 +316,12 @@
 
 def test_the_median_teaches_and_what_is_no_lesson_is_left_out() -> None:
     told = [
-        lesson.Lesson(((100, 50), (0, 0)), 8.0, 20).told(), lesson.Lesson(((300, 70),
+        learned_start.Lesson(((100, 50), (0, 0)), 8.0, 20).told(), learned_start.Lesson(((300, 70),
         (90, 9)), 2.0, 30).told(),
-        lesson.Lesson(((200, 60), (0, 0)), 6.0, 0).told(), {"kinds": [[1, 1]], "limit": 1, "call": 1},
+        learned_start.Lesson(((200, 60), (0, 0)), 6.0, 0).told(), {"kinds": [[1, 1]], "limit": 1, "call": 1},
         None, 7,
         {"kinds": [[1, 1], [1, 1]], "limit": -1, "call": 1}, {"kinds": "x"},
     ]  # fmt: skip
-    taken = lesson.taken(told, 2)
-    assert taken == lesson.Lesson(((200, 60), (90, 9)), 6.0, 25)
-    assert lesson.taken([None], 2) is None
+    taken = learned_start.taken(told, 2)
+    assert taken == learned_start.Lesson(((200, 60), (90, 9)), 6.0, 25)
+    assert learned_start.taken([None], 2) is None
--- a/tests/test_fleet_scope.py
+++ b/tests/test_fleet_scope.py
@@ -14,8 +14,8 @@
 import orjson
 import pytest
 
-from crowwing.fleet.state.copies import Copies, Join, Space
-from crowwing.fleet.state.spread import Pace, Spread, Word
+from crowwing.fleet.state.dissemination import Pace, Spread, Word
+from crowwing.fleet.state.replica import Copies, Join, Space
 
 SPACES = {"r": Space(Join.LATEST, 8, 10**9), "s": Space(Join.GONE, 8, 10**9)}
 NAMES = ("a", "b", "c")
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -10,7 +10,7 @@
 import pytest
 
 from crowwing.emulator.processes import ROOT
-from crowwing.fleet.wires.settings import BadFleet, check_size, places
+from crowwing.fleet.adapters.settings import BadFleet, check_size, places
 from crowwing.settings import plain
 
 REGIONS = 5
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -12,10 +12,10 @@
 
 from crowwing.fleet.member import Manner, Member
 from crowwing.fleet.membership.swim import Timing
-from crowwing.fleet.state.catchup import CatchUp, Patience
-from crowwing.fleet.state.copies import Join, Space
-from crowwing.fleet.state.spread import Pace, Update
-from crowwing.fleet.world import StateWorld
+from crowwing.fleet.simulated_fleet import StateWorld
+from crowwing.fleet.state.catch_up import CatchUp, Patience
+from crowwing.fleet.state.dissemination import Pace, Update
+from crowwing.fleet.state.replica import Join, Space
 
 S = 1_000_000
 SPACES = {"r": Space(Join.LATEST, 2000, 3600 * S), "s": Space(Join.GONE, 2000, 3600 * S)}
--- a/tests/test_fleet_swim.py
+++ b/tests/test_fleet_swim.py
@@ -8,7 +8,7 @@
 import pytest
 
 from crowwing.fleet.membership.swim import ALIVE, DEAD, LEFT, SUSPECT, Membership, Timing
-from crowwing.fleet.world import World
+from crowwing.fleet.simulated_fleet import World
 
 S = 1_000_000
 FAST = Timing(period=200_000, probe_timeout=60_000)
--- a/tests/test_fleet_world.py
+++ b/tests/test_fleet_world.py
@@ -5,10 +5,10 @@
 from crowwing.fleet.member import Manner
 from crowwing.fleet.membership.cells import Layout
 from crowwing.fleet.membership.swim import DEAD, Timing
-from crowwing.fleet.state.catchup import Patience
-from crowwing.fleet.state.spaces import SPACES
-from crowwing.fleet.state.spread import Pace
-from crowwing.fleet.world import StateWorld, World
+from crowwing.fleet.simulated_fleet import StateWorld, World
+from crowwing.fleet.state.catch_up import Patience
+from crowwing.fleet.state.dissemination import Pace
+from crowwing.fleet.state.keyspaces import SPACES
 
 S = 1_000_000
 FAST = Manner(
--- a/tests/test_recorded_run_bytes.py
+++ b/tests/test_recorded_run_bytes.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from crowwing.fleet.wires import whole
+from crowwing.fleet.adapters import full_transfer
 from crowwing.memory import snapshot
 from crowwing.protocol import agent, below, control, sidecar
 from crowwing.protocol.arrival import Arrival
@@ -154,7 +154,7 @@
         asked.append(digests)
         return cast(list[Any], stream["rows"])
 
-    server = whole.Server(missing, lambda _: True)
+    server = full_transfer.Server(missing, lambda _: True)
     await server.open((LOOPBACK, 0))
     assert server.server is not None
     reader, writer = await asyncio.open_connection(*server.server.sockets[0].getsockname())
@@ -176,7 +176,7 @@
         writer.close()
 
     server = await asyncio.start_server(answer, LOOPBACK, 0)
-    rows = await whole.fetch(server.sockets[0].getsockname(), json.loads(stream["asked"]), 5.0)
+    rows = await full_transfer.fetch(server.sockets[0].getsockname(), json.loads(stream["asked"]), 5.0)
     server.close()
     assert rows == stream["rows"]
     assert lines == [stream["asked"].encode() + b"\n"]
