--- a/benchmarks/cells_scripts.py
+++ b/benchmarks/cells_scripts.py
@@ -8,14 +8,14 @@
 import random
 from collections.abc import Callable, Iterable
 
-from crowwing.fleet.adapters.full_transfer import CONNECT_WITHIN
-from crowwing.fleet.member import Manner
-from crowwing.fleet.membership.cells import Layout
+from crowwing.fleet.adapters.full_transfer import CONNECT_TIMEOUT_S
+from crowwing.fleet.member import MemberSettings
+from crowwing.fleet.membership.cells import CellLayout
 from crowwing.fleet.membership.swim import DEAD, Timing
-from crowwing.fleet.simulated_fleet import StateWorld
-from crowwing.fleet.state.catch_up import Patience
-from crowwing.fleet.state.dissemination import Pace
-from crowwing.fleet.state.keyspaces import SPACES
+from crowwing.fleet.simulated_fleet import SimulatedFleet
+from crowwing.fleet.state.catch_up import CatchUpTiming
+from crowwing.fleet.state.dissemination import DisseminationSettings
+from crowwing.fleet.state.keyspaces import KEYSPACES
 
 S = 1_000_000
 REGIONS, ZONES = 5, 11
@@ -24,7 +24,7 @@
 ENTRIES = 200  # that the fleet holds for all of its members
 LIFE = 23 * 3600 * S
 SAMPLE = 5 * S
-MANNER = Manner(Timing(), Pace(), Patience())
+MANNER = MemberSettings(Timing(), DisseminationSettings(), CatchUpTiming())
 
 
 def places(size: int) -> dict[str, tuple[str, str]]:
@@ -38,12 +38,12 @@
     def __init__(self, size: int, seed: int, in_cells: bool) -> None:
         self.chance = random.Random(f"{seed}/script")
         self.places = places(size)
-        layout = Layout(self.places, 64) if in_cells else None
-        world = StateWorld(size, seed, MANNER, SPACES, layout=layout, far=FAR, in_step=False)
+        layout = CellLayout(self.places, 64) if in_cells else None
+        world = SimulatedFleet(size, seed, MANNER, KEYSPACES, layout=layout, far=FAR, in_step=False)
         self.world, self.layout, self.names = world, layout, world.names
         world.region = {name: place[0] for name, place in self.places.items()}
         world.loss = LOSS
-        world.cut_fetch = round(CONNECT_WITHIN * S)
+        world.failed_fetch_delay = round(CONNECT_TIMEOUT_S * S)
         gc.collect()
         gc.freeze()  # what is there stays; no message holds a cycle
         gc.disable()
@@ -51,10 +51,12 @@
         rows = []
         for n in range(ENTRIES):
             member = world.members[self.chance.choice(self.names)]
-            rows.append(member.wide.copies.put(world.wall(member.me), f"said/kept/{n}", n, LIFE))
+            rows.append(
+                member.wide_dissemination.replica.put(world.wall(member.me), f"said/kept/{n}", n, LIFE)
+            )
         for member in world.members.values():
-            member.catch_up.began, member.was_ready = None, True
-            member.wide.copies.merge(world.wall(member.me), rows)
+            member.catch_up.started_at, member.was_ready = None, True
+            member.wide_dissemination.replica.merge(world.wall(member.me), rows)
         self.spoke: set[str] = set()
         self.samples: list[tuple[list[int], list[int]]] = []  # of each member, all told: payload, datagrams
         self.next_sample = 0
@@ -84,7 +86,9 @@
         traffic = [self.world.traffic[name] for name in self.names]
         self.samples.append(([t[0] + t[2] + t[4] for t in traffic], [t[1] + t[3] for t in traffic]))
         if self.layout is not None:
-            self.spoke.update(name for name, member in self.world.members.items() if member.reach.speaks)
+            self.spoke.update(
+                name for name, member in self.world.members.items() if member.reachability.speaks
+            )
 
     def bytes(self) -> dict[str, float]:
         """B/s sent and read together: of the worst minute of any one member, and the mean of all."""
@@ -111,12 +115,12 @@
     # What there is to see
 
     def say(self, name: str, key: str) -> None:
-        self.world.do(name, lambda member, _, wall: member.wide.put(wall, key, 1, LIFE))
+        self.world.run_on(name, lambda member, _, wall: member.wide_dissemination.put(wall, key, 1, LIFE))
 
     def held(self, keys: Iterable[str]) -> Callable[[], bool]:
         """Whether every member that runs holds them."""
         wanted, left = list(keys), list(self.names)
-        entries = {name: self.world.members[name].wide.copies.entries for name in left}
+        entries = {name: self.world.members[name].wide_dissemination.replica.entries for name in left}
 
         def check() -> bool:
             while left:
@@ -128,7 +132,7 @@
         return check
 
     def told(self, event: str, since: int) -> list[tuple[int, str]]:
-        return [(at, name) for at, name, what, _ in self.world.told if what == event and at >= since]
+        return [(at, name) for at, name, what, _ in self.world.member_events if what == event and at >= since]
 
     def drawn(self, count: int) -> list[str]:
         """Members by chance, in cells each of another one."""
@@ -143,7 +147,7 @@
 
     def restart(self, name: str) -> None:
         self.world.restart(name, disk=False)
-        self.world.do(name, lambda member, now, wall: member.turn(now, wall))
+        self.world.run_on(name, lambda member, now, wall: member.tick(now, wall))
 
     def starts(self, names: list[str], began: dict[str, int]) -> dict[str, list]:
         """Of members that were started at `began`: what they asked, and seconds until ready."""
@@ -155,7 +159,7 @@
                 attempts[name] += 1
         ready: dict[str, float] = {}
         whole = 0
-        for at, name, event, brings in self.world.told:
+        for at, name, event, brings in self.world.member_events:
             if event == "caught_up" and name in began and at >= began[name] and name not in ready:
                 ready[name] = (at - began[name]) / S
                 whole += brings["whole"]
@@ -207,7 +211,7 @@
     while not all(seen.values()) and fleet.world.now - began < 120 * S:
         fleet.run(0.1)
         for name in names:
-            if seen[name] is None and fleet.world.held_dead(name):
+            if seen[name] is None and fleet.world.seen_dead(name):
                 seen[name] = (fleet.world.now - began) / S
     fleet.run_until(max(fleet.world.now, began + 60 * S))
     false = {
@@ -232,9 +236,14 @@
     world, began = fleet.world, fleet.world.now
     for name in names:
         world.kill(name)
-    known = fleet.until(world.agreed, 170, 0.25)
+    known = fleet.until(world.views_agree, 170, 0.25)
     fleet.run_until(max(world.now + 60 * S, began + 60 * S))
-    out = [n for _, _, event, brings in world.told if event == "cells_out" for n in [len(brings["cells"])]]
+    out = [
+        n
+        for _, _, event, brings in world.member_events
+        if event == "cells_out"
+        for n in [len(brings["cells"])]
+    ]
     started, order = {}, sorted(names)
     fleet.chance.shuffle(order)
     for number, name in enumerate(order):
@@ -243,7 +252,7 @@
         fleet.restart(name)
     last = world.now
     whole = fleet.until(lambda: len(world.roots()) == 1, 120, 0.25)
-    back = fleet.until(lambda: world.agreed() and all(world.members[n].ready for n in names), 300, 0.25)
+    back = fleet.until(lambda: world.views_agree() and all(world.members[n].ready for n in names), 300, 0.25)
     again = None if back is None else (world.now - last) / S
     fleet.run_until(max(world.now, last + 60 * S))
     told = fleet.starts(order, started)
@@ -261,19 +270,19 @@
     world = fleet.world
     cut = fleet.chance.choice(sorted(set(world.region.values())))
     side = {name: region == cut for name, region in world.region.items()}
-    before, began = world.cut, world.now
-    world.cut = lambda a, b: side[a] != side[b]
+    before, began = world.is_partitioned, world.now
+    world.is_partitioned = lambda a, b: side[a] != side[b]
     known = {}
     if fleet.layout is not None:
         far = {
             here: frozenset(cell for cell in fleet.layout.rosters if cell.startswith(f"{cut}/") != here)
             for here in (True, False)
         }
-        known["known_s"] = fleet.until(lambda: world.agreed(lambda name: far[side[name]]), 175, 0.25)
+        known["known_s"] = fleet.until(lambda: world.views_agree(lambda name: far[side[name]]), 175, 0.25)
     fleet.run_until(began + 180 * S)
     fetched = len(world.fetches)
-    world.cut, healed = before, world.now
-    right = fleet.until(world.agreed, 300, 0.25)
+    world.is_partitioned, healed = before, world.now
+    right = fleet.until(world.views_agree, 300, 0.25)
     fleet.run_until(max(world.now, healed + 60 * S))
     left = {name for _, name in fleet.told("catching_up", began)}
     held_dead = {who for at, _, who, state in world.changes if at > began and state == DEAD}
@@ -303,7 +312,7 @@
 def lonely(fleet: Played) -> dict:
     """A member restarts and reaches nobody for two minutes."""
     world, name = fleet.world, fleet.chance.choice(fleet.names)
-    world.cut = lambda a, b: name in (a, b)
+    world.is_partitioned = lambda a, b: name in (a, b)
     world.kill(name)
     fleet.run(2)
     began, traffic = world.now, list(world.traffic[name])
@@ -311,8 +320,8 @@
     fleet.run(120)
     sent = world.traffic[name][1] - traffic[1]
     told = fleet.starts([name], {name: began})
-    world.cut, healed = lambda _, __: False, world.now
-    whole = fleet.until(lambda: world.members[name].catch_up.began is None, 60, 0.25)
+    world.is_partitioned, healed = lambda _, __: False, world.now
+    whole = fleet.until(lambda: world.members[name].catch_up.started_at is None, 60, 0.25)
     fleet.run_until(max(world.now, healed + 30 * S))
     return {
         "ready_s": told["ready_s"][0], "attempts": told["attempts"][0],
--- a/benchmarks/fleet_state.py
+++ b/benchmarks/fleet_state.py
@@ -11,19 +11,19 @@
 import sys
 import time
 
-from crowwing.fleet.member import Manner
+from crowwing.fleet.member import MemberSettings
 from crowwing.fleet.membership.swim import DEAD, Timing
-from crowwing.fleet.simulated_fleet import StateWorld
-from crowwing.fleet.state.catch_up import Patience
-from crowwing.fleet.state.dissemination import Pace
-from crowwing.fleet.state.replica import Join, Space
+from crowwing.fleet.simulated_fleet import SimulatedFleet
+from crowwing.fleet.state.catch_up import CatchUpTiming
+from crowwing.fleet.state.dissemination import DisseminationSettings
+from crowwing.fleet.state.replica import Keyspace, MergeRule
 
 S = 1_000_000
-SPACES = {"said": Space(Join.LATEST, 4096, 3600 * S)}
-MANNER = Manner(Timing(), Pace(), Patience())
+KEYSPACES = {"said": Keyspace(MergeRule.LAST_WRITER_WINS, 4096, 3600 * S)}
+MANNER = MemberSettings(Timing(), DisseminationSettings(), CatchUpTiming())
 
 
-def until(world: StateWorld, check: object, most: int, step: int = 50_000) -> float | None:
+def until(world: SimulatedFleet, check: object, most: int, step: int = 50_000) -> float | None:
     """Simulated seconds until it holds."""
     began = world.now
     while not check():
@@ -33,14 +33,14 @@
     return (world.now - began) / S
 
 
-def say(world: StateWorld, name: str, n: int) -> None:
-    world.do(name, lambda member, _, wall: member.spread.put(wall, f"said/{n}", n, 1800 * S))
+def say(world: SimulatedFleet, name: str, n: int) -> None:
+    world.run_on(name, lambda member, _, wall: member.dissemination.put(wall, f"said/{n}", n, 1800 * S))
 
 
 def one(size: int, seed: int, loss: float, entries: int) -> dict[str, float | None]:
-    world = StateWorld(size, seed, MANNER, SPACES)
+    world = SimulatedFleet(size, seed, MANNER, KEYSPACES)
     for member in world.members.values():  # a fleet that has been up: only who starts later catches up
-        member.catch_up.began, member.was_ready = None, True
+        member.catch_up.started_at, member.was_ready = None, True
     world.loss = loss
     chance = random.Random(seed)
     world.run_until(8 * S)
@@ -53,15 +53,15 @@
     say(world, "m0", entries)
     key = f"said/{entries}"
     found["held"] = until(
-        world, lambda: all(key in m.copies.entries for m in world.members.values()), 120 * S
+        world, lambda: all(key in m.replica.entries for m in world.members.values()), 120 * S
     )
     few = set(chance.sample(world.names, max(1, size // 5)))
-    world.cut = lambda a, b: (a in few) != (b in few)
+    world.is_partitioned = lambda a, b: (a in few) != (b in few)
     world.run_until(world.now + 40 * S)
     for n in range(50):
         say(world, chance.choice(world.names), entries + 1 + n)
     world.run_until(world.now + 5 * S)
-    world.cut = lambda _, __: False
+    world.is_partitioned = lambda _, __: False
     found["healed"] = until(world, lambda: len(world.roots()) == 1, 300 * S)
     world.kill("m1")
     world.run_until(world.now + 20 * S)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -10,19 +10,19 @@
 import statistics
 
 from crowwing.fleet.membership.swim import DEAD, Timing
-from crowwing.fleet.simulated_fleet import World
+from crowwing.fleet.simulated_fleet import SimulatedMembership
 
 S = 1_000_000
 
 
 def one(size: int, seed: int, loss: float) -> tuple[float, int, float]:
     """Seconds until every live member holds the killed one dead; false deaths; messages a second a member."""
-    world = World(size, seed, Timing())
+    world = SimulatedMembership(size, seed, Timing())
     world.loss = loss
     world.run_until(20 * S)
     sent, at = world.sent, world.now
     world.kill("m1")
-    while not world.held_dead("m1") and world.now < at + 300 * S:
+    while not world.seen_dead("m1") and world.now < at + 300 * S:
         world.run_until(world.now + 100_000)
     false = sum(1 for _, _, who, state in world.changes if state == DEAD and who != "m1")
     return (world.now - at) / S, false, (world.sent - sent) / ((world.now - at) / S) / size
@@ -30,7 +30,7 @@
 
 def false_deaths(size: int, seed: int, loss: float, paused: bool) -> int:
     """Members held dead that are not, in 60 s; `paused`: one stands still for 5 s of them."""
-    world = World(size, seed, Timing())
+    world = SimulatedMembership(size, seed, Timing())
     world.loss = loss
     world.run_until(10 * S)
     if paused:
--- a/crowwing/cli/fleet.py
+++ b/crowwing/cli/fleet.py
@@ -14,7 +14,7 @@
 from rich.table import Table
 
 from crowwing.cli.say import failed, wrong_use
-from crowwing.fleet.adapters.settings import BadFleet, address
+from crowwing.fleet.adapters.settings import FleetSettingsError, address
 
 app = typer.Typer(no_args_is_help=True, help="A fleet's members and what they keep together.")
 Where = Annotated[str, typer.Argument(help="The fleet socket of a running backend, a.b.c.d:port.")]
@@ -25,7 +25,7 @@
 def _ask(where: str, wait_s: float, **told: object) -> dict:
     try:
         at = address(where, "ADDRESS")
-    except BadFleet as wrong:
+    except FleetSettingsError as wrong:
         wrong_use(wrong)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as asker:
         asker.settimeout(wait_s)
--- a/crowwing/emulator/fleet/hollow.py
+++ b/crowwing/emulator/fleet/hollow.py
@@ -23,7 +23,7 @@
 from crowwing.emulator.fleet.hollow_member import Hollow, Tally, now_us, wall_us
 from crowwing.emulator.fleet.places import Between, Ways
 from crowwing.emulator.processes import _end_with_parent
-from crowwing.fleet.state.replica import NotKept
+from crowwing.fleet.state.replica import EntryRejectedError
 
 LINE_MOST = 64 << 20  # bytes of one line on standard input: the first names the whole fleet
 LOOK_S = 0.05  # between two looks at how late the loop is
@@ -185,7 +185,7 @@
             if (member := self.members.get(name)) is not None:
                 try:
                     pure.put(member.member, wall_us(), key, value, LIFE)
-                except NotKept as wrong:
+                except EntryRejectedError as wrong:
                     refused.append(str(wrong))
                 member.carry_out()
         return {"at": at, "refused": refused}
--- a/crowwing/emulator/fleet/hollow_member.py
+++ b/crowwing/emulator/fleet/hollow_member.py
@@ -16,7 +16,7 @@
 
 from crowwing.emulator.fleet import pure
 from crowwing.fleet.adapters import full_transfer
-from crowwing.fleet.adapters.endpoint import DATAGRAM_MOST, FETCH_WITHIN
+from crowwing.fleet.adapters.endpoint import FETCH_TIMEOUT_S, MAX_DATAGRAM_BYTES
 from crowwing.fleet.member import Member
 
 if TYPE_CHECKING:
@@ -75,7 +75,9 @@
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
         self.socket.bind(self.where)
         self.host.loop.add_reader(self.socket.fileno(), self._readable)
-        self.listener = await asyncio.start_server(self._serve, *self.where, limit=full_transfer.LINE_MOST)
+        self.listener = await asyncio.start_server(
+            self._serve, *self.where, limit=full_transfer.MAX_LINE_BYTES
+        )
 
     # Its lives
 
@@ -93,7 +95,7 @@
     def turn(self) -> None:
         if self.member is not None:
             self.wake = None
-            self.member.turn(now_us(), wall_us())
+            self.member.tick(now_us(), wall_us())
             self.carry_out()
 
     def off(self) -> None:
@@ -120,7 +122,7 @@
     def _readable(self) -> None:
         for _ in range(AT_ONCE):
             try:
-                data = self.socket.recv(DATAGRAM_MOST + 1)
+                data = self.socket.recv(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError:
@@ -131,7 +133,7 @@
     def _came(self, data: bytes) -> None:
         """What the link does, after the way from a real member's region."""
         host = self.host
-        if len(data) > DATAGRAM_MOST:
+        if len(data) > MAX_DATAGRAM_BYTES:
             host.dropped["large"] += 1
             return
         try:
@@ -156,7 +158,7 @@
         self.tally.read += 1
         self.tally.read_bytes += size
         try:
-            self.member.heard(now_us(), wall_us(), message)
+            self.member.receive(now_us(), wall_us(), message)
         except (KeyError, TypeError, ValueError, AttributeError):
             self.host.dropped["unreadable"] += 1
             return
@@ -208,7 +210,7 @@
     # Whole copies
 
     def _missing(self, asker: str, asked: dict) -> list:
-        return self.member.missing(asker, asked) if self.member is not None else []
+        return self.member.missing_rows(asker, asked) if self.member is not None else []
 
     async def _fetch(self, life: int, name: str) -> None:
         rows = None
@@ -217,16 +219,18 @@
         try:
             way = host.between.stream(self.region, host.regions[name])
             if way is None:
-                await asyncio.sleep(full_transfer.CONNECT_WITHIN)
+                await asyncio.sleep(full_transfer.CONNECT_TIMEOUT_S)
                 raise TimeoutError
             if name in host.real:  # a hollow one sees to it itself
                 await asyncio.sleep(way)
-            rows = await full_transfer.fetch(host.addresses[name], pure.question(self.member), FETCH_WITHIN)
+            rows = await full_transfer.fetch(
+                host.addresses[name], pure.question(self.member), FETCH_TIMEOUT_S
+            )
         except (OSError, TimeoutError):
             host.dropped["fetch"] += 1
         finally:
             if self.member is not None and life == self.life:
-                self.member.fetched(now_us(), wall_us(), name, rows)
+                self.member.fetch_completed(now_us(), wall_us(), name, rows)
                 self.carry_out()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -236,13 +240,13 @@
         host.serving.add(task)
         try:
             if self.member is None:
-                await asyncio.sleep(full_transfer.SEND_WITHIN)
+                await asyncio.sleep(full_transfer.SEND_TIMEOUT_S)
                 return
-            async with asyncio.timeout(full_transfer.ASK_WITHIN):
+            async with asyncio.timeout(full_transfer.REQUEST_TIMEOUT_S):
                 line = await reader.readline()
             asker = orjson.loads(line)["from"]
             way = host.between.stream(host.regions.get(asker, self.region), self.region)
-            await asyncio.sleep(full_transfer.SEND_WITHIN if way is None else way)
+            await asyncio.sleep(full_transfer.SEND_TIMEOUT_S if way is None else way)
             if way is None or self.member is None or life != self.life:
                 return
             again, counted = asyncio.StreamReader(), Counted(writer, self.tally)
--- a/crowwing/emulator/fleet/pure.py
+++ b/crowwing/emulator/fleet/pure.py
@@ -11,11 +11,11 @@
 
 from crowwing.emulator.fleet.places import Place
 from crowwing.fleet.adapters import full_transfer
-from crowwing.fleet.adapters.settings import manner
-from crowwing.fleet.member import Manner, Member
-from crowwing.fleet.membership.cells import Layout, covers
+from crowwing.fleet.adapters.settings import member_settings
+from crowwing.fleet.member import Member, MemberSettings
+from crowwing.fleet.membership.cells import CellLayout, covers
 from crowwing.fleet.membership.swim import GONE
-from crowwing.fleet.state.keyspaces import SPACES
+from crowwing.fleet.state.keyspaces import KEYSPACES
 from crowwing.settings.operator import Fleet
 
 Make = Callable[[str, int, random.Random], Member]
@@ -28,27 +28,27 @@
     return SimpleNamespace(**{name: getattr(whole_section, name) for name in Fleet.__struct_fields__})
 
 
-def layout(places: Mapping[str, Place] | None, fleet: Mapping) -> Layout | None:
+def layout(places: Mapping[str, Place] | None, fleet: Mapping) -> CellLayout | None:
     """None for a flat fleet, which has no places."""
-    return None if places is None else Layout(places, settings(fleet).cell_most)
+    return None if places is None else CellLayout(places, settings(fleet).cell_most)
 
 
-def maker(names: Sequence[str], shared: Layout | None, fleet: Mapping) -> Make:
+def maker(names: Sequence[str], shared: CellLayout | None, fleet: Mapping) -> Make:
     """`make(name, now, chance)` for members of one fleet, whose layout all of a process share."""
-    how: Manner = manner(settings(fleet))
+    how: MemberSettings = member_settings(settings(fleet))
 
     def make(name: str, now: int, chance: random.Random) -> Member:
         others = [other for other in names if other != name]
-        return Member(name, others, now, chance, how, SPACES, shared)
+        return Member(name, others, now, chance, how, KEYSPACES, shared)
 
     return make
 
 
 def warm(member: Member) -> None:
     """As one of a fleet that runs long since: caught up."""
-    member.catch_up.began = None
+    member.catch_up.started_at = None
     member.was_ready = True
-    member.catch_up.was_away = False
+    member.catch_up.was_isolated = False
 
 
 def server(missing: Callable, known: Callable[[str], bool]) -> full_transfer.Server:
@@ -62,11 +62,11 @@
 
 def put(member: Member, wall: int, key: str, value: object, life: int) -> None:
     """NotKept where it cannot be."""
-    member.spread_of(key).put(wall, key, value, life)
+    member.dissemination_of(key).put(wall, key, value, life)
 
 
 def holds(member: Member, key: str) -> bool:
-    return key in member.spread_of(key).copies.entries
+    return key in member.dissemination_of(key).replica.entries
 
 
 def changes(member: Member) -> int:
@@ -81,10 +81,10 @@
 
 def speaks(member: Member) -> bool:
     """Whether it speaks for its cell now."""
-    return member.reach is not None and member.reach.speaks
+    return member.reachability is not None and member.reachability.speaks
 
 
-def speak_first(shared: Layout | None) -> frozenset[str]:
+def speak_first(shared: CellLayout | None) -> frozenset[str]:
     """Who speaks for its cell while all are alive."""
     if shared is None:
         return frozenset()
@@ -92,7 +92,7 @@
     return frozenset(name for cell, roster in rosters for name in shared.speakers(cell, set(roster)))
 
 
-def cells(names: Sequence[str], shared: Layout | None) -> list[list[str]]:
+def cells(names: Sequence[str], shared: CellLayout | None) -> list[list[str]]:
     """Groups whose members watch over one another: one group where there are no cells."""
     return [list(names)] if shared is None else [list(roster) for roster in shared.rosters.values()]
 
@@ -102,7 +102,7 @@
     return any(covers(word, cell) for word in brings["cells"])
 
 
-def dead_cells(shared: Layout | None, gone: Collection[str]) -> set[str]:
+def dead_cells(shared: CellLayout | None, gone: Collection[str]) -> set[str]:
     """Cells all of whose members are off."""
     if shared is None:
         return set()
@@ -114,4 +114,4 @@
     out of reach alike (`dead`: those that are)."""
     watched = member.membership.members.values()
     mistakes = sum((one.state in GONE) != (one.name in gone) for one in watched)
-    return mistakes + len(member.out() ^ frozenset(dead))
+    return mistakes + len(member.unreachable_cells() ^ frozenset(dead))
--- a/crowwing/fleet/adapters/__init__.py
+++ b/crowwing/fleet/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet on sockets and on disk."""
+"""Sockets, disk and settings of a fleet member."""
--- a/crowwing/fleet/adapters/client_requests.py
+++ b/crowwing/fleet/adapters/client_requests.py
@@ -1,8 +1,8 @@
-"""What a member answers to whoever asks on its fleet socket: `crowwing fleet ...` and the rig's clients.
+"""Requests of clients on a member's fleet socket: `crowwing fleet ...` and the emulation rig.
 
-One datagram asks, one answers; `n` comes back as it was. What changes something is kept to the operators'
-spaces; the answer to it comes once a majority of all members holds it, or when `wait_ms` is over, and says
-which (`acked`, `held`). A datagram that is none of these is counted by the link, never a crash.
+Each request and each response is one datagram; `n` is echoed. Changes are limited to the operators'
+keyspaces; their response is sent once a majority of all members holds them or `wait_ms` is over, and says
+which (`acked`, `held`). A malformed datagram is counted by the endpoint.
 """
 
 from collections import Counter
@@ -11,150 +11,174 @@
 
 import orjson
 
-from crowwing.fleet.member import LABELS_MEMBERS_MOST
+from crowwing.fleet.member import MAX_MEMBERS_WITH_KEY_CLAIMS
 from crowwing.fleet.state.dissemination import Update
 from crowwing.fleet.state.keyspaces import OPERATORS
-from crowwing.fleet.state.replica import NotKept
-from crowwing.fleet.uses.idempotency_keys import Claimed
+from crowwing.fleet.state.replica import EntryRejectedError
+from crowwing.fleet.uses.idempotency_keys import ClaimResult
 
 if TYPE_CHECKING:
-    from crowwing.fleet.adapters.endpoint import Link
+    from crowwing.fleet.adapters.endpoint import FleetEndpoint
 
-PAGE_MOST = 6000  # bytes of rows in one answer
-WAIT_MOST = 30_000  # ms
+MAX_PAGE_BYTES = 6000  # of rows in one response
+MAX_WAIT_MS = 30_000
 
 
-class Asked:
-    def __init__(self, link: "Link") -> None:
-        self.link = link
+class ClientRequests:
+    def __init__(self, endpoint: "FleetEndpoint") -> None:
+        self.endpoint = endpoint
 
-    def answer(self, told: dict, reply: Callable[[dict], None]) -> None:
-        """KeyError, TypeError or ValueError for what is no question of ours."""
-        kind, n = told["k"], told.get("n")
+    def answer(self, request: dict, reply: Callable[[dict], None]) -> None:
+        """KeyError, TypeError or ValueError for a malformed request."""
+        kind, n = request["k"], request.get("n")
         if kind == "members":
             reply(self._members() | {"n": n})
         elif kind == "counts":
             reply(self._counts() | {"n": n})
         elif kind == "state":
-            reply(self._state(str(told.get("prefix", "")), str(told.get("after", ""))) | {"n": n})
+            reply(self._state(str(request.get("prefix", "")), str(request.get("after", ""))) | {"n": n})
         elif kind in ("put", "add", "take_out"):
-            self._change(kind, told, reply)
+            self._change(kind, request, reply)
         elif kind == "claim":
-            self._claim(told, reply)
+            self._claim(request, reply)
         elif kind in ("over", "never_ran"):
-            labels, label = self.link.member.labels, str(told["label"])
-            if labels is None:
+            keys, key = self.endpoint.member.idempotency_keys, str(request["label"])
+            if keys is None:
                 pass  # nothing was granted in a fleet of this size
             elif kind == "over":
-                labels.over(self.link.now(), label, told.get("answer"))
+                keys.complete(self.endpoint.now(), key, request.get("answer"))
             else:
-                labels.never_ran(self.link.now(), label)
+                keys.release(self.endpoint.now(), key)
             reply({"n": n})
-            self.link.turn()
+            self.endpoint.tick()
         else:
-            raise ValueError(f"{kind}: no question")
-
-    def _claim(self, told: dict, reply: Callable[[dict], None]) -> None:
-        """What a front with labelled traffic types asks before it runs one."""
-        n, window = told.get("n"), int(told.get("window_ms", 60_000)) * 1000
-        if self.link.member.labels is None:
-            reply({"n": n, "why": f"labels are claimed in fleets of up to {LABELS_MEMBERS_MOST} members"})
+            raise ValueError(f"{kind}: unknown request")
+
+    def _claim(self, request: dict, reply: Callable[[dict], None]) -> None:
+        """Claims an idempotency key, as a front does before it runs a keyed request."""
+        n, window = request.get("n"), int(request.get("window_ms", 60_000)) * 1000
+        if self.endpoint.member.idempotency_keys is None:
+            reply(
+                {"n": n, "why": f"keys are claimed in fleets of up to {MAX_MEMBERS_WITH_KEY_CLAIMS} members"}
+            )
             return
 
-        def tell(what: Claimed, answer: str | None) -> None:
-            reply({"n": n, "claimed": what.value, "answer": answer})
+        def on_result(result: ClaimResult, answer: str | None) -> None:
+            reply({"n": n, "claimed": result.value, "answer": answer})
 
         try:
-            self.link.member.labels.claim(self.link.now(), str(told["label"]), window, tell)
-        except ValueError as wrong:
-            reply({"n": n, "why": str(wrong)})
-        self.link.turn()
+            self.endpoint.member.idempotency_keys.claim(
+                self.endpoint.now(), str(request["label"]), window, on_result
+            )
+        except ValueError as error:
+            reply({"n": n, "why": str(error)})
+        self.endpoint.tick()
 
     def _members(self) -> dict:
-        link, m = self.link, self.link.member.membership
+        endpoint, m = self.endpoint, self.endpoint.member.membership
         return {
-            "me": m.me, "incarnation": m.incarnation, "health": m.health, "at": link.now(),
+            "me": m.me, "incarnation": m.incarnation, "health": m.health, "at": endpoint.now(),
             "members": [{"name": n, "state": s, "incarnation": i, "since": t} for n, s, i, t in m.view()],
-            "dropped": dict(link.dropped), **self._counts(), **self._cells(),
+            "dropped": dict(endpoint.dropped), **self._counts(), **self._cells(),
         }  # fmt: skip
 
     def _counts(self) -> dict:
-        """Since the start, datagrams and payload bytes; small at any size of the fleet."""
-        link = self.link
+        """Counters since the start; the response is small at any fleet size."""
+        endpoint = self.endpoint
         return {
-            "sent": link.sent, "sent_bytes": link.sent_bytes, "read": link.read,
-            "read_bytes": link.read_bytes, "fetches": link.fetches,
-            "periods": link.member.membership.periods, "ready": link.member.ready,
-            "whole": link.member.catch_up.whole,
+            "sent": endpoint.sent, "sent_bytes": endpoint.sent_bytes, "read": endpoint.read,
+            "read_bytes": endpoint.read_bytes, "fetches": endpoint.fetches,
+            "periods": endpoint.member.membership.periods, "ready": endpoint.member.ready,
+            "whole": endpoint.member.catch_up.is_current,
         }  # fmt: skip
 
     def _cells(self) -> dict:
-        """Of a fleet in cells: who speaks for ours, and what is known of the others, by name."""
-        member = self.link.member
-        if member.reach is None:
+        """In a fleet with cells: the speakers of our cell and the last known status of each other cell."""
+        member = self.endpoint.member
+        if member.reachability is None:
             return {}
         return {
-            "cell": member.reach.cell, "speakers": list(member.speakers), "out": sorted(member.out()),
-            "cells": {cell: member.reach.told.get(cell) for cell in sorted(member.layout.rosters)},
+            "cell": member.reachability.cell, "speakers": list(member.speakers),
+            "out": sorted(member.unreachable_cells()),
+            "cells": {
+                cell: member.reachability.cell_status.get(cell) for cell in sorted(member.layout.rosters)
+            },
         }  # fmt: skip
 
     def _state(self, prefix: str, after: str) -> dict:
-        member, catch_up = self.link.member, self.link.member.catch_up
-        kept = [one.copies for one in member.keeping]
-        found = sorted((key, one) for one in kept for key, _ in one.under(prefix) if key > after)
+        member, catch_up = self.endpoint.member, self.endpoint.member.catch_up
+        replicas = [dissemination.replica for dissemination in member.disseminations]
+        found = sorted(
+            (key, replica) for replica in replicas for key, _ in replica.with_prefix(prefix) if key > after
+        )
         rows, size = [], 0
-        for key, one in found:
-            row = one.row(key)
+        for key, replica in found:
+            row = replica.row(key)
             size += len(orjson.dumps(row)) + 1
-            if rows and size > PAGE_MOST:
+            if rows and size > MAX_PAGE_BYTES:
                 break
             rows.append(row)
         root = 0
-        for one in kept:
-            root ^= one.root()
+        for replica in replicas:
+            root ^= replica.root()
         return {
             "me": member.me, "rows": rows, "more": len(rows) < len(found),
-            "entries": sum(len(one.entries) for one in kept),
-            "held": {name: held for one in kept for name, held in one.held.items() if held},
+            "entries": sum(len(replica.entries) for replica in replicas),
+            "held": {
+                name: count for replica in replicas for name, count in replica.entry_counts.items() if count
+            },
             "root": f"{root:016x}",
-            "refused": dict(sum((one.refused for one in kept), Counter())), "ready": catch_up.ready,
+            "refused": dict(sum((replica.rejected for replica in replicas), Counter())),
+            "ready": catch_up.ready,
             "caught_up": [
-                {"took_ms": round(took / 1000, 1), "whole": whole} for took, whole in catch_up.took
+                {"took_ms": round(duration / 1000, 1), "whole": current}
+                for duration, current in catch_up.wait_history
             ],
-            "time": member.copies.clock.time(self.link.wall()),
+            "time": member.replica.clock.time(self.endpoint.wall()),
         }  # fmt: skip
 
-    def _change(self, kind: str, told: dict, reply: Callable[[dict], None]) -> None:
-        link, member, n, key = self.link, self.link.member, told.get("n"), str(told["key"])
+    def _change(self, kind: str, request: dict, reply: Callable[[dict], None]) -> None:
+        endpoint, member, n, key = self.endpoint, self.endpoint.member, request.get("n"), str(request["key"])
         if key.partition("/")[0] not in OPERATORS:
             reply({"n": n, "why": f"{key}: is not for operators to change"})
             return
-        spread = member.spread_of(key)
-        wait, life = int(told.get("wait_ms", 2000)), int(told.get("life_ms", 3_600_000)) * 1000
-        now = link.wall()
+        dissemination = member.dissemination_of(key)
+        wait, lifetime = int(request.get("wait_ms", 2000)), int(request.get("life_ms", 3_600_000)) * 1000
+        now = endpoint.wall()
         try:
             if kind == "put":
-                rows = [spread.copies.put(now, key, told.get("value"), life)]
+                rows = [dissemination.replica.put(now, key, request.get("value"), lifetime)]
             elif kind == "add":
-                rows = [spread.copies.add(now, key, life)]
+                rows = [dissemination.replica.add_element(now, key, lifetime)]
             else:
-                rows = spread.copies.take_out(now, key)
-        except NotKept as wrong:
-            reply({"n": n, "why": str(wrong)})
+                rows = dissemination.replica.remove_element(now, key)
+        except EntryRejectedError as error:
+            reply({"n": n, "why": str(error)})
             return
-        spread.changed(row[0] for row in rows)
-        wanted, held = len(rows), []
-
-        def tell(update: Update) -> None:
-            held.append(spread.holders(update))
-            if len(held) == wanted:
-                least = min(held)
-                reply({"n": n, "acked": least >= spread.majority, "held": least, "rows": rows})
+        dissemination.mark_changed(row[0] for row in rows)
+        expected, holder_counts = len(rows), []
+
+        def reply_when_held(update: Update) -> None:
+            holder_counts.append(dissemination.holder_count(update))
+            if len(holder_counts) == expected:
+                min_holders = min(holder_counts)
+                reply(
+                    {
+                        "n": n,
+                        "acked": min_holders >= dissemination.majority,
+                        "held": min_holders,
+                        "rows": rows,
+                    }
+                )
 
         if not rows:
-            reply({"n": n, "acked": True, "held": spread.majority, "rows": []})
+            reply({"n": n, "acked": True, "held": dissemination.majority, "rows": []})
         for row in rows:
-            spread.update(
-                link.now(), row, member.membership.alive(), min(max(0, wait), WAIT_MOST) * 1000, tell
+            dissemination.replicate(
+                endpoint.now(),
+                row,
+                member.membership.alive(),
+                min(max(0, wait), MAX_WAIT_MS) * 1000,
+                reply_when_held,
             )
-        link.turn()
+        endpoint.tick()
--- a/crowwing/fleet/adapters/full_transfer.py
+++ b/crowwing/fleet/adapters/full_transfer.py
@@ -1,9 +1,10 @@
-"""A member's whole copy over a stream, to one that is too far behind: TCP over IPv4, on the fleet's port.
+"""Full transfer of a member's entries over a stream to a member far behind: TCP over IPv4, on the fleet's
+port.
 
-The asker sends one line, `{"from": name, "leaves": [256 sums]}`, in a fleet in cells packed, or empty where
-nothing is held, with `wide` for what is for all; it gets lines of rows from the leaves that differ, then
-`{"end": rows, "sum": checksum}`. Without that last line, or with another sum, nothing is taken: a stream cut
-in the middle would else pass for the whole.
+The requester sends one line, `{"from": name, "leaves": [256 digests]}`; in a fleet with cells the digests are
+encoded, or empty if there are no entries, and `wide` has those of the fleet-wide state. It receives lines of
+rows from the leaves that differ, then `{"end": lines, "sum": checksum}`. Without that last line, or with a
+wrong checksum, nothing is stored: a truncated stream would otherwise pass for a complete one.
 """
 
 import asyncio
@@ -14,28 +15,28 @@
 
 from crowwing.fleet.state.replica import Row
 
-LINE_MOST = 16_384  # bytes; 256 sums take 5,400, twice
-ROWS_A_LINE = 20
-ASK_WITHIN, SEND_WITHIN = 2.0, 20.0  # seconds: for the line that asks; for all that is sent
-CONNECT_WITHIN = 1.0  # seconds; who starts has 5 in all, and asks the next of those that are there
-STREAMS_MOST = 4  # served at once; guards a backend's core and memory while many catch up
+MAX_LINE_BYTES = 16_384  # 256 digests take 5,400 bytes, and there may be two lists
+ROWS_PER_LINE = 20
+REQUEST_TIMEOUT_S, SEND_TIMEOUT_S = 2.0, 20.0  # for the request line; for the whole response
+CONNECT_TIMEOUT_S = 1.0  # a starting member has 5 s in all and tries the next peer after this
+MAX_STREAMS = 4  # served at once; bounds processor and memory use while many members catch up
 
 
-class CutShort(ConnectionError):
-    """The stream ended before all had come, or what came is not what was sent."""
+class TransferTruncatedError(ConnectionError):
+    """The stream ended early, or its checksum does not match."""
 
 
 class Server:
-    """Answers fetches; `missing(asker, asked)` gives the rows, `known` who may ask."""
+    """Serves full transfers; `missing(requester, request)` returns the rows, `known` says who may ask."""
 
     def __init__(self, missing: Callable[[str, dict], Iterable[Row]], known: Callable[[str], bool]) -> None:
         self.missing, self.known = missing, known
         self.server: asyncio.Server | None = None
-        self.serving: set[asyncio.Task] = set()  # emptied by each one's end
-        self.turned_away = 0
+        self.serving: set[asyncio.Task] = set()  # removed at their end
+        self.rejected = 0
 
     async def open(self, listen: tuple[str, int]) -> None:
-        self.server = await asyncio.start_server(self._serve, *listen, limit=LINE_MOST)
+        self.server = await asyncio.start_server(self._serve, *listen, limit=MAX_LINE_BYTES)
 
     def close(self) -> None:
         if self.server is not None:
@@ -46,19 +47,20 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         try:
-            if len(self.serving) >= STREAMS_MOST:
-                self.turned_away += 1
+            if len(self.serving) >= MAX_STREAMS:
+                self.rejected += 1
                 return
             self.serving.add(task)
-            async with asyncio.timeout(ASK_WITHIN):
-                asked = orjson.loads(await reader.readline())
-            if not self.known(asked["from"]):
-                self.turned_away += 1
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
+                request = orjson.loads(await reader.readline())
+            if not self.known(request["from"]):
+                self.rejected += 1
                 return
-            async with asyncio.timeout(SEND_WITHIN):
-                await self._send(writer, self.missing(asked["from"], asked))
+            async with asyncio.timeout(SEND_TIMEOUT_S):
+                await self._send(writer, self.missing(request["from"], request))
         except (OSError, ValueError, KeyError, TypeError, TimeoutError):
-            self.turned_away += 1  # no asker of ours, or gone meanwhile: it sees a stream without an end
+            # Malformed request, or a lost requester, which sees a stream without an end line
+            self.rejected += 1
         finally:
             self.serving.discard(task)
             writer.close()
@@ -66,38 +68,38 @@
     async def _send(self, writer: asyncio.StreamWriter, missing: Iterable[Row]) -> None:
         checksum, count = xxhash.xxh64(), 0
         rows = list(missing)
-        for begin in range(0, len(rows), ROWS_A_LINE):
-            line = orjson.dumps(rows[begin : begin + ROWS_A_LINE]) + b"\n"
+        for begin in range(0, len(rows), ROWS_PER_LINE):
+            line = orjson.dumps(rows[begin : begin + ROWS_PER_LINE]) + b"\n"
             checksum.update(line)
             writer.write(line)
             count += 1
-            await writer.drain()  # the loop goes on between two lines
+            await writer.drain()  # lets the loop run between two lines
         writer.write(orjson.dumps({"end": count, "sum": checksum.intdigest()}) + b"\n")
         await writer.drain()
 
 
-async def fetch(where: tuple[str, int], asked: dict, within: float) -> list[Row]:
-    """What the member there holds and we lack; `asked` is the line that asks. ConnectionError, OSError or
-    TimeoutError where it did not come whole within `within` seconds."""
+async def fetch(where: tuple[str, int], request: dict, within: float) -> list[Row]:
+    """Rows that the member there holds and we lack; `asked` is the request. ConnectionError, OSError or
+    TimeoutError if they do not arrive completely within `within` seconds."""
     rows: list[Row] = []
     checksum, count = xxhash.xxh64(), 0
     async with asyncio.timeout(within):
-        async with asyncio.timeout(CONNECT_WITHIN):
-            reader, writer = await asyncio.open_connection(*where, limit=64 * LINE_MOST)
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
+            reader, writer = await asyncio.open_connection(*where, limit=64 * MAX_LINE_BYTES)
         try:
-            writer.write(orjson.dumps(asked) + b"\n")
+            writer.write(orjson.dumps(request) + b"\n")
             await writer.drain()
             while line := await reader.readline():
-                told = orjson.loads(line)
-                if isinstance(told, dict):
-                    if told.get("end") != count or told.get("sum") != checksum.intdigest():
-                        raise CutShort("not what was sent")
+                item = orjson.loads(line)
+                if isinstance(item, dict):
+                    if item.get("end") != count or item.get("sum") != checksum.intdigest():
+                        raise TransferTruncatedError("full transfer: line count or checksum does not match")
                     return rows
                 checksum.update(line)
                 count += 1
-                rows += told
-        except ValueError as wrong:  # a line that is none, or too long
-            raise CutShort(str(wrong)) from None
+                rows += item
+        except ValueError as error:  # a malformed line, or one that is too long
+            raise TransferTruncatedError(str(error)) from None
         finally:
             writer.close()
-    raise CutShort("no end")
+    raise TransferTruncatedError("full transfer ended without its end line")
--- a/crowwing/fleet/adapters/settings.py
+++ b/crowwing/fleet/adapters/settings.py
@@ -1,6 +1,7 @@
-"""The operator file's `fleet` section as the fleet's own terms, checked beyond what a schema can say.
+"""The operator file's `fleet` section as typed settings, with checks beyond the schema.
 
-Milliseconds become µs here. A mistake is one line with its JSON path (BadFleet), before anything is opened.
+Milliseconds become µs here. A mistake raises FleetSettingsError, one line with its JSON path, before anything
+is opened.
 """
 
 import ipaddress
@@ -8,105 +9,108 @@
 from pathlib import Path
 from types import SimpleNamespace
 
-from crowwing.fleet.member import Manner
+from crowwing.fleet.member import MemberSettings
 from crowwing.fleet.membership.swim import Timing
-from crowwing.fleet.state.catch_up import Patience
-from crowwing.fleet.state.dissemination import Pace
-from crowwing.fleet.state.keyspaces import SPACES
-from crowwing.fleet.state.replica import ROOM
+from crowwing.fleet.state.catch_up import CatchUpTiming
+from crowwing.fleet.state.dissemination import DisseminationSettings
+from crowwing.fleet.state.keyspaces import KEYSPACES
+from crowwing.fleet.state.replica import LOCAL_FILL_LIMIT
 from crowwing.fleet.uses import quota, rejection_prints
 
-Place = tuple[str, str]  # region, zone
+Location = tuple[str, str]  # region, zone
 
-PLACE_MOST = 40  # bytes of a region's or zone's name: a cell is named after both, in keys of 160
-# Members of a flat fleet that may lend each other calls: whoever starts asks all others, eight times in two
-# seconds, until they have answered. The usual buffer of a socket holds 256 answers, so in the worst case, all
-# of a round at once, 1,000 need four of the eight rounds; 2,000 would need all of them.
-LENDERS_MOST = 1000
+MAX_LOCATION_BYTES = 40  # of a region's or zone's name: a cell name contains both, and keys have at most 160
+# Members of a flat fleet that can lend each other calls: one that starts asks all others, eight times in two
+# seconds, until they have answered. The default socket buffer holds 256 answers, so in the worst case, all of
+# a round at once, 1,000 members need four of the eight rounds; 2,000 would need all of them.
+MAX_LENDING_MEMBERS = 1000
 
 
-class BadFleet(ValueError):
-    """One line, with the JSON path of the operator file."""
+class FleetSettingsError(ValueError):
+    """A mistake in the fleet section; one line with its JSON path in the operator file."""
 
 
 def address(text: str, path: str) -> tuple[str, int]:
-    """`a.b.c.d:port` as a pair; BadFleet where it is none, or not IPv4."""
+    """Parses `a.b.c.d:port`; FleetSettingsError for anything but an IPv4 address with a port."""
     host, _, port = text.rpartition(":")
     try:
         if not isinstance(ipaddress.ip_address(host), ipaddress.IPv4Address) or not 0 < int(port) < 65536:
             raise ValueError
     except ValueError:
-        raise BadFleet(f"{path}: {text!r} is no IPv4 address with a port") from None
+        raise FleetSettingsError(f"{path}: {text!r} is not an IPv4 address with a port") from None
     return host, int(port)
 
 
 def peers(fleet: SimpleNamespace, me: str) -> dict[str, tuple[str, int]]:
-    """Each peer's name and address, checked; BadFleet on the first mistake."""
+    """Name and address of each peer; FleetSettingsError on the first mistake."""
     found: dict[str, tuple[str, int]] = {}
-    mine = address(fleet.listen, "$.fleet.listen")
+    own_address = address(fleet.listen, "$.fleet.listen")
     for number, peer in enumerate(fleet.peers):
         path = f"$.fleet.peers[{number}]"
         name = peer["name"]  # items of a list stay as decoded, checked against the schema
         if name == me:
-            raise BadFleet(f"{path}.name: {me!r} names this backend itself")
+            raise FleetSettingsError(f"{path}.name: {me!r} names this backend itself")
         if name in found:
-            raise BadFleet(f"{path}.name: {name!r} is named twice")
+            raise FleetSettingsError(f"{path}.name: {name!r} is listed twice")
         found[name] = address(peer["address"], f"{path}.address")
-        if found[name] == mine:
-            raise BadFleet(f"{path}.address: is this backend's own")
+        if found[name] == own_address:
+            raise FleetSettingsError(f"{path}.address: is this backend's own address")
     if fleet.probe_timeout_ms >= fleet.period_ms:
-        raise BadFleet("$.fleet.probe_timeout_ms: is not under period_ms")
+        raise FleetSettingsError("$.fleet.probe_timeout_ms: must be less than period_ms")
     return found
 
 
-def places(fleet: SimpleNamespace, me: str) -> dict[str, Place] | None:
-    """Where each member stands, this one among them; None where none is named: the fleet is flat. BadFleet
-    where some are named and others are not, or a name cannot be one."""
-    told = [("$.fleet", me, fleet.region or None, fleet.zone or None)]
+def locations(fleet: SimpleNamespace, me: str) -> dict[str, Location] | None:
+    """Region and zone of each member, this one included; None if none is named, for a flat fleet.
+    FleetSettingsError if only some are named or a name is invalid."""
+    named = [("$.fleet", me, fleet.region or None, fleet.zone or None)]
     for number, peer in enumerate(fleet.peers):
-        told.append((f"$.fleet.peers[{number}]", peer["name"], peer.get("region"), peer.get("zone")))
-    if not any(region or zone for _, _, region, zone in told):
+        named.append((f"$.fleet.peers[{number}]", peer["name"], peer.get("region"), peer.get("zone")))
+    if not any(region or zone for _, _, region, zone in named):
         return None
-    found, alike = {}, {}  # one tuple a place, not one a member
-    for path, name, region, zone in told:
-        _check_place(f"{path}.region", region)
-        _check_place(f"{path}.zone", zone)
-        found[name] = alike.setdefault((region, zone), (region, zone))
+    found, shared = {}, {}  # one tuple per location, not per member
+    for path, name, region, zone in named:
+        _check_location(f"{path}.region", region)
+        _check_location(f"{path}.zone", zone)
+        found[name] = shared.setdefault((region, zone), (region, zone))
     return found
 
 
-def _check_place(path: str, name: str | None) -> None:
+def _check_location(path: str, name: str | None) -> None:
     if not name or name.isspace():
-        how = "missing" if name is None else "empty"
-        raise BadFleet(f"{path}: is {how}; name region and zone for every member or for none")
+        problem = "missing" if name is None else "empty"
+        raise FleetSettingsError(f"{path}: is {problem}; name region and zone for every member or for none")
     if "/" in name:
-        raise BadFleet(f"{path}: {name!r} has a slash, which stands between the parts of a cell's name")
-    if len(name.encode()) > PLACE_MOST:
-        raise BadFleet(f"{path}: is over {PLACE_MOST} bytes")
+        raise FleetSettingsError(
+            f"{path}: {name!r} contains a slash, which separates the parts of a cell's name"
+        )
+    if len(name.encode()) > MAX_LOCATION_BYTES:
+        raise FleetSettingsError(f"{path}: is over {MAX_LOCATION_BYTES} bytes")
 
 
 def check_size(fleet: SimpleNamespace, me: str, customers: int) -> None:
-    """BadFleet where something is switched on that a fleet of this size does not carry. The same on every
-    member: in cells the largest one counts that settings allow, not this member's own."""
-    size, mend = len(fleet.peers) + 1, "name region and zone for every member: cells keep it apart"
-    if (at := places(fleet, me)) is None:
-        if fleet.lends_calls and size > LENDERS_MOST:
-            over = f"$.fleet.lends_calls: {size} members, of {LENDERS_MOST} at most"
-            raise BadFleet(f"{over}; {mend}, or leave it off")
+    """FleetSettingsError if a feature is switched on that a fleet of this size does not support. The result
+    is the same on every member: in cells, the largest cell that the settings allow counts, not the own one.
+    """
+    size, remedy = len(fleet.peers) + 1, "name region and zone for every member: cells keep it apart"
+    if (located := locations(fleet, me)) is None:
+        if fleet.lends_calls and size > MAX_LENDING_MEMBERS:
+            over = f"$.fleet.lends_calls: {size} members, of {MAX_LENDING_MEMBERS} at most"
+            raise FleetSettingsError(f"{over}; {remedy}, or leave it off")
     else:
-        size, mend = min(fleet.cell_most, max(Counter(at.values()).values())), "lower cell_most"
+        size, remedy = min(fleet.cell_most, max(Counter(located.values()).values())), "lower cell_most"
     if fleet.shares_quota:
-        counted = f"{customers} customers x {size} members x {quota.WINDOWS + 2} windows"
-        _check_room("use", customers * size * (quota.WINDOWS + 2), "$.fleet.shares_quota", counted, mend)
+        demand = f"{customers} customers x {size} members x {quota.WINDOWS + 2} windows"
+        _check_capacity("use", customers * size * (quota.WINDOWS + 2), "$.fleet.shares_quota", demand, remedy)
     if fleet.shares_prints:
-        counted = f"{size} members x {rejection_prints.RING} places"
-        _check_room("turned", size * rejection_prints.RING, "$.fleet.shares_prints", counted, mend)
+        demand = f"{size} members x {rejection_prints.RING_SLOTS} slots"
+        _check_capacity("turned", size * rejection_prints.RING_SLOTS, "$.fleet.shares_prints", demand, remedy)
 
 
-def _check_room(space: str, entries: int, path: str, counted: str, mend: str) -> None:
-    """What is put is refused from `ROOM` of a space on."""
-    if entries > (room := int(SPACES[space].most * ROOM)):
-        raise BadFleet(f"{path}: {counted} are over {room} entries; {mend}, or leave it off")
+def _check_capacity(keyspace: str, entries: int, path: str, demand: str, remedy: str) -> None:
+    """Local writes are rejected from `LOCAL_FILL_LIMIT` of a keyspace on."""
+    if entries > (capacity := int(KEYSPACES[keyspace].max_entries * LOCAL_FILL_LIMIT)):
+        raise FleetSettingsError(f"{path}: {demand} are over {capacity} entries; {remedy}, or leave it off")
 
 
 def timing(fleet: SimpleNamespace) -> Timing:
@@ -117,26 +121,30 @@
     )  # fmt: skip
 
 
-def manner(fleet: SimpleNamespace) -> Manner:
-    """The settings, their milliseconds in µs."""
+def member_settings(fleet: SimpleNamespace) -> MemberSettings:
+    """Settings of the member, with times in µs."""
     period = fleet.period_ms * 1000
-    return Manner(
+    return MemberSettings(
         timing(fleet),
-        Pace(sync_every=fleet.sync_every_ms * 1000, again=max(20_000, period // 4)),
-        Patience(most=fleet.catch_up_most_ms * 1000, again=max(100_000, period // 2), away=3 * period),
+        DisseminationSettings(sync_every=fleet.sync_every_ms * 1000, resend_after=max(20_000, period // 4)),
+        CatchUpTiming(
+            max_wait=fleet.catch_up_most_ms * 1000,
+            retry_delay=max(100_000, period // 2),
+            isolation_timeout=3 * period,
+        ),
         fleet.clock_drift_most_ms * 1000,
     )
 
 
 def folder(fleet: SimpleNamespace) -> Path | None:
-    """Where snapshots go; BadFleet where none can be written."""
+    """Folder of snapshots; FleetSettingsError if it is not writable."""
     if not fleet.snapshot_folder:
         return None
-    from crowwing.memory import snapshot  # its library only where a folder is named
+    from crowwing.memory import snapshot  # its library is needed only with a folder
 
-    place = Path(fleet.snapshot_folder)
+    path = Path(fleet.snapshot_folder)
     try:
-        snapshot.check_writable(place)
-    except OSError as wrong:
-        raise BadFleet(f"$.fleet.snapshot_folder: {place}: {wrong.strerror}") from None
-    return place
+        snapshot.check_writable(path)
+    except OSError as error:
+        raise FleetSettingsError(f"$.fleet.snapshot_folder: {path}: {error.strerror}") from None
+    return path
--- a/crowwing/fleet/adapters/snapshot_writer.py
+++ b/crowwing/fleet/adapters/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""When this member's copy goes to disk, on a thread of its own: the loop never waits for a disk."""
+"""Writes snapshots on a thread of their own, so that the event loop never waits for the disk."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,34 +9,34 @@
 from crowwing.memory import snapshot
 
 
-class Disk:
-    """One writing at a time; what changes meanwhile waits for the next."""
+class SnapshotWriter:
+    """Writes one snapshot at a time; later changes go into the next one."""
 
-    def __init__(self, folder: Path, me: str, every: float, event: Callable) -> None:
-        """`every`: seconds between two writings."""
-        self.folder, self.me, self.every, self.event = folder, me, every, event
+    def __init__(self, folder: Path, me: str, interval_s: float, event: Callable) -> None:
+        """`interval_s`: between two snapshots."""
+        self.folder, self.me, self.interval_s, self.event = folder, me, interval_s, event
         self.thread = ThreadPoolExecutor(1, thread_name_prefix="snapshot")
         self.written = self.failed = 0
         self.task: asyncio.Task | None = None
 
     def read(self) -> list[Row]:
-        """What was kept when this member last wrote; nothing, and one line, where that cannot be used."""
+        """Rows of the last snapshot; none, and an event, if it cannot be used."""
         try:
             found = snapshot.read(self.folder, self.me)
-        except snapshot.UnusableSnapshotError as wrong:
-            self.event("snapshot_unused", why=str(wrong))
+        except snapshot.UnusableSnapshotError as error:
+            self.event("snapshot_unused", why=str(error))
             return []
         return [] if found is None else found.rows
 
-    def begin(self, loop: asyncio.AbstractEventLoop, now: Callable[[], int], state: Callable) -> None:
+    def start(self, loop: asyncio.AbstractEventLoop, now: Callable[[], int], state: Callable) -> None:
         """`state()`: the rows to write, or None while nothing has changed."""
-        self.task = loop.create_task(self._write_on(loop, now, state))
+        self.task = loop.create_task(self._write_periodically(loop, now, state))
 
-    async def _write_on(
+    async def _write_periodically(
         self, loop: asyncio.AbstractEventLoop, now: Callable[[], int], state: Callable
     ) -> None:
         while True:
-            await asyncio.sleep(self.every)
+            await asyncio.sleep(self.interval_s)
             rows = state()
             if rows is not None:
                 await self._write(loop, now(), rows)
@@ -46,20 +46,20 @@
         try:
             await loop.run_in_executor(self.thread, snapshot.write, self.folder, data, self.me)
             self.written += 1
-        except OSError as wrong:
-            if not self.failed:  # said once until it works again
-                self.event("snapshot_unwritten", why=f"{self.folder}: {wrong.strerror}")
+        except OSError as error:
+            if not self.failed:  # logged once until a write succeeds
+                self.event("snapshot_unwritten", why=f"{self.folder}: {error.strerror}")
             self.failed += 1
         else:
             self.failed = 0
 
-    def end(self, at: int, rows: list[Row]) -> None:
-        """The last words of a drain; the process ends after it, so the loop may wait here."""
+    def close(self, at: int, rows: list[Row]) -> None:
+        """Writes the last snapshot of a drain; the process ends after it, so blocking the loop is fine."""
         if self.task is not None:
             self.task.cancel()
         self.thread.shutdown(wait=True, cancel_futures=True)
         try:
             data = snapshot.pack(snapshot.Snapshot(self.me, at, rows))
             snapshot.write(self.folder, data, self.me)
-        except OSError as wrong:
-            self.event("snapshot_unwritten", why=f"{self.folder}: {wrong.strerror}")
+        except OSError as error:
+            self.event("snapshot_unwritten", why=f"{self.folder}: {error.strerror}")
--- a/crowwing/fleet/member.py
+++ b/crowwing/fleet/member.py
@@ -1,342 +1,379 @@
-"""One member of the fleet, whole and pure: membership, the copies it keeps, how they spread, its catching up.
-
-The same file plays on sockets (link.py), in simulated time (world.py) and under the checkers. Two clocks are
-handed in, in µs: `now` only goes forward and times what is waited for; `wall` is the system's and goes into
-stamps. What is to be done gathers and is emptied by the caller: `outbox` (member, message), `fetches`
-(members whose whole copy is wanted; each is answered by `fetched`), `events` (name, what it brings).
-
-A fleet whose settings name regions and zones is in cells (`layout`): membership and the state of a cell
-(`spread`) are among the cell's members alone; what is for all (`wide`) goes through the speakers. In a flat
-fleet both are the same, among all.
+"""One complete member of the fleet without I/O: failure detection, replicated state, dissemination and
+catch-up.
+
+The same code runs on sockets (adapters/endpoint.py), in simulated time (simulated_fleet.py) and under the
+model checkers. Two clocks are passed in, in µs: `now` is monotonic and used for time-outs; `wall` is the
+system clock and used for timestamps. Output collects for the caller, which empties it: `outbox` (member,
+message), `fetches` (members to request a full transfer from; each is answered by `fetch_completed`), `events`
+(name, fields).
+
+A fleet whose settings name regions and zones is divided into cells (`layout`): membership and the state of a
+cell (`dissemination`) are among the members of the cell; fleet-wide state (`wide_dissemination`) also goes
+through the speakers. In a flat fleet both are the same object, among all members.
 """
 
 import random
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, replace
 
-from crowwing.fleet.membership.cell_reachability import Reach, Told
-from crowwing.fleet.membership.cells import SPEAKERS, Layout
+from crowwing.fleet.membership.cell_reachability import CellReachability, CellStatus
+from crowwing.fleet.membership.cells import SPEAKER_COUNT, CellLayout
 from crowwing.fleet.membership.swim import Kind, Membership, Message, Timing
-from crowwing.fleet.state.catch_up import CatchUp, Patience
-from crowwing.fleet.state.dissemination import Pace, Reached, Spread
-from crowwing.fleet.state.reachability_votes import LIFE, Verdicts
-from crowwing.fleet.state.replica import Copies, Row, Space
-from crowwing.fleet.uses.call_budget_loans import Loans
-from crowwing.fleet.uses.idempotency_keys import Labels
+from crowwing.fleet.state.catch_up import CatchUp, CatchUpTiming
+from crowwing.fleet.state.dissemination import CellScope, Dissemination, DisseminationSettings
+from crowwing.fleet.state.reachability_votes import VOTE_LIFETIME, ReachabilityVotes
+from crowwing.fleet.state.replica import Keyspace, Replica, Row
+from crowwing.fleet.uses.call_budget_loans import CallBudgetLoans
+from crowwing.fleet.uses.idempotency_keys import IdempotencyKeys
 
-# Kinds of message from here on are the state's, of loans, of labels; those under all of them the
-# membership's.
-OF_STATE, OF_LOANS, OF_LABELS = 10, 20, 30
-HELPERS = 3  # asked whether they are whole, by a member that starts empty
-# Each claim ranks all members by a hash: beyond these many it would cost more than a ticket does.
-LABELS_MEMBERS_MOST = 1000
+# First message kinds of the state, of loans and of key claims; lower kinds belong to the membership.
+FIRST_STATE_KIND, FIRST_LOAN_KIND, FIRST_KEY_CLAIM_KIND = 10, 20, 30
+BOOTSTRAP_PEER_COUNT = 3  # asked whether they are current by a member that starts empty
+# Each claim ranks all members by a hash: with more members it would cost more than a request does.
+MAX_MEMBERS_WITH_KEY_CLAIMS = 1000
 
 
 @dataclass(frozen=True, slots=True)
-class Manner:
-    """How one member behaves; times in µs."""
+class MemberSettings:
+    """Settings of one member; times in µs."""
 
     timing: Timing
-    pace: Pace
-    patience: Patience
-    drift_most: int = 10_000_000  # how far ahead of ours another's clock may be and be believed
-    labels_most: int = 2048  # labels that one member knows as a home
-    claim_wait: int = 400_000
+    dissemination: DisseminationSettings
+    catch_up: CatchUpTiming
+    max_clock_drift: int = 10_000_000  # of a timestamp ahead of the own clock
+    max_idempotency_keys: int = 2048  # keys that one member stores as a home
+    claim_timeout: int = 400_000
 
 
 class Member:
     def __init__(
-        self, me: str, peers: Sequence[str], now: int, chance: random.Random, manner: Manner,
-        spaces: dict[str, Space], layout: Layout | None = None,
+        self, me: str, peers: Sequence[str], now: int, chance: random.Random, settings: MemberSettings,
+        keyspaces: dict[str, Keyspace], layout: CellLayout | None = None,
     ) -> None:  # fmt: skip
-        """`peers`: every other member that settings name."""
+        """`peers`: every other member in the settings."""
         self.me, self.layout = me, layout
         everyone = [me, *peers]
         if layout is not None:
             peers = layout.peers(me)
-        self.membership = Membership(me, peers, now, chance, manner.timing)
-        self.reach: Reach | None = None
+        self.membership = Membership(me, peers, now, chance, settings.timing)
+        self.reachability: CellReachability | None = None
         if layout is None:
-            self.copies = Copies(me, spaces, manner.drift_most)
-            self.spread = self.wide = Spread(me, peers, self.copies, now, chance, manner.pace)
-            self.catch_up = CatchUp(len(peers) + 1, now, manner.patience)
+            self.replica = Replica(me, keyspaces, settings.max_clock_drift)
+            self.dissemination = self.wide_dissemination = Dissemination(
+                me, peers, self.replica, now, chance, settings.dissemination
+            )
+            self.catch_up = CatchUp(len(peers) + 1, now, settings.catch_up)
         else:
-            self._in_cells(peers, layout, now, chance, manner, spaces)
-        self.keeping = (self.spread,) if self.wide is self.spread else (self.spread, self.wide)
-        self.loans = Loans(me, peers, now, chance, knows_all=layout is None)
-        self.labels: Labels | None = None  # too many to rank all of them for each label
-        if len(everyone) <= LABELS_MEMBERS_MOST:
-            self.labels = Labels(me, everyone, now, chance, manner.labels_most, manner.claim_wait)
-        self.fetching: set[str] = set()  # emptied by `fetched`
+            self._in_cells(peers, layout, now, chance, settings, keyspaces)
+        self.disseminations = (
+            (self.dissemination,)
+            if self.wide_dissemination is self.dissemination
+            else (self.dissemination, self.wide_dissemination)
+        )
+        self.loans = CallBudgetLoans(me, peers, now, chance, peers_are_fixed=layout is None)
+        self.idempotency_keys: IdempotencyKeys | None = None  # None: too many members to rank for each key
+        if len(everyone) <= MAX_MEMBERS_WITH_KEY_CLAIMS:
+            self.idempotency_keys = IdempotencyKeys(
+                me, everyone, now, chance, settings.max_idempotency_keys, settings.claim_timeout
+            )
+        self.fetching: set[str] = set()  # emptied by `fetch_completed`
         self.outbox: list[tuple[str, Message]] = []
         self.fetches: list[str] = []
         self.events: list[tuple[str, dict]] = []
         self.was_ready = False
 
     def _in_cells(
-        self, peers: Sequence[str], layout: Layout, now: int, chance: random.Random, manner: Manner,
-        spaces: dict[str, Space],
+        self, peers: Sequence[str], layout: CellLayout, now: int, chance: random.Random,
+        settings: MemberSettings, keyspaces: dict[str, Keyspace],
     ) -> None:  # fmt: skip
         me, cell = self.me, layout.cell_of[self.me]
-        keepers = layout.keepers(cell)
-        near = {name: space for name, space in spaces.items() if not space.wide}
-        wide = {name: space for name, space in spaces.items() if space.wide}
-        self.copies = Copies(me, near, manner.drift_most)
-        for_all = Copies(me, wide, manner.drift_most, self.copies.clock)
-        self.reach = Reach(me, layout, now, chance, manner.timing)
-        self.verdicts = Verdicts(me, layout, self.copies, now)
-        self.speakers, self.out_told, self.alive_told = (), frozenset(), (0, 0)
-        in_cell = Reached(frozenset(keepers), frozenset(peers))
-        in_fleet = Reached(in_cell.keepers, layout.cell_of, self._beyond)
-        self.spread = Spread(me, peers, self.copies, now, chance, manner.pace, in_cell)
-        self.wide = Spread(me, peers, for_all, now, chance, manner.pace, in_fleet)
-        patience = replace(manner.patience, at_once=1)  # the second tells what it holds, and gets little
-        self.catch_up = CatchUp(len(peers) + 1, now, patience, len(keepers), chance)
-        # Guards the first of them, who speak besides, against a cell that starts together.
-        order = [name for name in keepers if name != me]
+        quorum_members = layout.quorum_members(cell)
+        local = {name: keyspace for name, keyspace in keyspaces.items() if not keyspace.fleet_wide}
+        wide = {name: keyspace for name, keyspace in keyspaces.items() if keyspace.fleet_wide}
+        self.replica = Replica(me, local, settings.max_clock_drift)
+        wide_replica = Replica(me, wide, settings.max_clock_drift, self.replica.clock)
+        self.reachability = CellReachability(me, layout, now, chance, settings.timing)
+        self.reachability_votes = ReachabilityVotes(me, layout, self.replica, now)
+        self.speakers, self.reported_unreachable, self.reported_alive = (), frozenset(), (0, 0)
+        in_cell = CellScope(frozenset(quorum_members), frozenset(peers))
+        in_fleet = CellScope(in_cell.quorum_members, layout.cell_of, self._contacts_in_other_cells)
+        self.dissemination = Dissemination(
+            me, peers, self.replica, now, chance, settings.dissemination, in_cell
+        )
+        self.wide_dissemination = Dissemination(
+            me, peers, wide_replica, now, chance, settings.dissemination, in_fleet
+        )
+        # One fetch at a time: the second sends the digests after the first, and gets little.
+        catch_up_timing = replace(settings.catch_up, max_concurrent_fetches=1)
+        self.catch_up = CatchUp(len(peers) + 1, now, catch_up_timing, len(quorum_members), chance)
+        # Speakers last, so that a cell that starts together does not load them besides their other work.
+        order = [name for name in quorum_members if name != me]
         chance.shuffle(order)
-        self.fetch_order = sorted(order, key=lambda name: name in keepers[:SPEAKERS])
-        # An empty member reads from one that is whole and answers first, before it asks those whose word
-        # counts. Guards the keepers, some of whom speak, against giving the whole to each of a cell that
-        # starts within seconds.
-        others = [name for name in peers if name not in keepers]
-        self.helpers = chance.sample(others, min(HELPERS, len(others)))
-        self.asked_help: set[str] = set()  # emptied by the end of the reading
-        self.ask_first: str | None = None  # the one that did
-        self.help_until = now + manner.timing.probe_timeout if others else now
-
-    def _beyond(self, cells: int) -> list[str]:
-        """Members of so many other cells, where this one speaks for its cell."""
-        return self.reach.within(cells) if self.reach.speaks else []
+        self.fetch_order = sorted(order, key=lambda name: name in quorum_members[:SPEAKER_COUNT])
+        # An empty member first fetches from the first current member to answer that is no quorum member.
+        # Otherwise the quorum members, some of them speakers, would send everything to each member of a cell
+        # that starts within seconds.
+        others = [name for name in peers if name not in quorum_members]
+        self.bootstrap_peers = chance.sample(others, min(BOOTSTRAP_PEER_COUNT, len(others)))
+        self.pinged_bootstrap_peers: set[str] = set()  # emptied when the bootstrap ends
+        self.bootstrap_source: str | None = None  # the first current one that answered
+        self.bootstrap_until = now + settings.timing.probe_timeout if others else now
+
+    def _contacts_in_other_cells(self, cells: int) -> list[str]:
+        """Members of that many other cells if this member is a speaker, else none."""
+        return self.reachability.contacts_in(cells) if self.reachability.speaks else []
 
     @property
     def ready(self) -> bool:
         return self.catch_up.ready
 
-    def out(self) -> frozenset[str]:
-        """The cells that this member holds out of reach."""
-        return frozenset() if self.reach is None else self.verdicts.out(self.speakers)
+    def unreachable_cells(self) -> frozenset[str]:
+        """The cells that this member considers unreachable."""
+        return (
+            frozenset()
+            if self.reachability is None
+            else self.reachability_votes.unreachable_cells(self.speakers)
+        )
 
-    # What is kept
+    # Replicated state
 
-    def spread_of(self, key: str) -> Spread:
-        """Through which a key's space spreads."""
-        return self.wide if key.partition("/")[0] in self.wide.copies.spaces else self.spread
+    def dissemination_of(self, key: str) -> Dissemination:
+        """The dissemination that a key's keyspace uses."""
+        return (
+            self.wide_dissemination
+            if key.partition("/")[0] in self.wide_dissemination.replica.keyspaces
+            else self.dissemination
+        )
 
-    def every(self) -> list[Row]:
-        """All that is kept here."""
-        return [row for kept in self.keeping for row in kept.copies.every()]
+    def all_rows(self) -> list[Row]:
+        """All entries stored here."""
+        return [row for dissemination in self.disseminations for row in dissemination.replica.all_rows()]
 
     def changes(self) -> int:
-        """Counts what was taken, for whoever writes it down."""
-        return sum(kept.copies.changes for kept in self.keeping)
+        """Number of entries stored so far, for snapshots."""
+        return sum(dissemination.replica.changes for dissemination in self.disseminations)
 
     def merge(self, wall: int, rows: Iterable[Row]) -> list[str]:
-        """Takes what a disk held; the keys whose entry changed. What was read does not spread."""
-        changed, apart = [], self._apart(rows)
-        for kept in self.keeping:
-            changed += kept.copies.merge(wall, apart[kept is self.wide])
+        """Merges the rows of a snapshot and returns the changed keys. They do not spread."""
+        changed, by_scope = [], self._split_rows(rows)
+        for dissemination in self.disseminations:
+            changed += dissemination.replica.merge(wall, by_scope[dissemination is self.wide_dissemination])
         return changed
 
-    def _apart(self, rows: Iterable[Row]) -> dict[bool, list[Row]]:
-        """By whether they are for all. What is no row goes with the others, to be counted there."""
-        apart: dict[bool, list[Row]] = {False: [], True: []}
+    def _split_rows(self, rows: Iterable[Row]) -> dict[bool, list[Row]]:
+        """Splits rows by whether they are fleet-wide. Malformed rows count as not fleet-wide."""
+        by_scope: dict[bool, list[Row]] = {False: [], True: []}
         for row in rows:
             key = row[0] if isinstance(row, list) and row and isinstance(row[0], str) else ""
-            apart[self.spread_of(key) is self.wide].append(row)
-        return apart
+            by_scope[self.dissemination_of(key) is self.wide_dissemination].append(row)
+        return by_scope
 
     def digests(self) -> dict[str, list[int]]:
-        """What a fetch tells of our copies, so that only what differs comes."""
-        if self.reach is None:
-            return {"leaves": list(self.copies.leaves)}
-        near, wide = (kept.copies.packed() for kept in self.keeping)
-        return {"leaves": near, "wide": wide}
-
-    def missing(self, asker: str, told: dict) -> list[Row]:
-        """What a member lacks of ours that told its digests; one of another cell gets what is for all.
-        ValueError, KeyError or TypeError for what are none."""
+        """Digests of our replicas for a full-transfer request, so that only differences come."""
+        if self.reachability is None:
+            return {"leaves": list(self.replica.leaf_digests)}
+        local, wide = (dissemination.replica.encoded_digests() for dissemination in self.disseminations)
+        return {"leaves": local, "wide": wide}
+
+    def missing_rows(self, requester: str, digests: dict) -> list[Row]:
+        """Rows that a member with these digests lacks; a member of another cell gets fleet-wide rows only.
+        ValueError, KeyError or TypeError for malformed digests."""
         rows: list[Row] = []
-        if self.reach is None or asker in self.spread.peers:
-            rows += self.spread.missing(told["leaves"])
-        if self.reach is not None:
-            rows += self.wide.missing(told["wide"])
+        if self.reachability is None or requester in self.dissemination.peers:
+            rows += self.dissemination.missing_rows(digests["leaves"])
+        if self.reachability is not None:
+            rows += self.wide_dissemination.missing_rows(digests["wide"])
         return rows
 
     # Messages and time
 
-    def heard(self, now: int, wall: int, message: Message) -> None:
-        """KeyError, TypeError, ValueError or AttributeError for what is no message of ours."""
-        if message["k"] >= OF_LABELS:
-            if self.labels is None:
-                raise ValueError("labels are not claimed in a fleet of this size")
-            self.labels.heard(now, message)
-        elif message["k"] >= OF_LOANS:
-            self.loans.heard(now, message)
-        elif message["k"] >= OF_STATE:
-            (self.wide if message.get("wide") else self.spread).heard(now, wall, message)
+    def receive(self, now: int, wall: int, message: Message) -> None:
+        """KeyError, TypeError, ValueError or AttributeError for a malformed message."""
+        if message["k"] >= FIRST_KEY_CLAIM_KIND:
+            if self.idempotency_keys is None:
+                raise ValueError("no idempotency keys are claimed in a fleet of this size")
+            self.idempotency_keys.receive(now, message)
+        elif message["k"] >= FIRST_LOAN_KIND:
+            self.loans.receive(now, message)
+        elif message["k"] >= FIRST_STATE_KIND:
+            (self.wide_dissemination if message.get("wide") else self.dissemination).receive(
+                now, wall, message
+            )
         elif message.get("cell"):
-            if self.reach is None:
-                raise ValueError("this fleet is in no cells")
-            self.reach.heard(now, message, self._row(wall))
+            if self.reachability is None:
+                raise ValueError("this fleet has no cells")
+            self.reachability.receive(now, message, self._cell_status(wall))
         elif self.layout is not None and message["from"] not in self.membership.members:
-            self._neighbour(message)
+            self._answer_other_layout(message)
         else:
-            self.membership.heard(now, message)
-            for kept, rows in self._ridden(message):
-                kept.rode(wall, rows)
-            self.catch_up.reaches(now, len(self.membership.alive()))
+            self.membership.receive(now, message)
+            for dissemination, rows in self._piggybacked(message):
+                dissemination.receive_piggybacked(wall, rows)
+            self.catch_up.update_reachable(now, len(self.membership.alive()))
             if message.get("whole"):
-                self.catch_up.heard_whole(now)
-                if self.layout is not None and self.ask_first is None and message["from"] in self.asked_help:
-                    self.ask_first = message["from"]
-        self.turn(now, wall)
-
-    def _ridden(self, message: Message) -> list[tuple[Spread, list[Row]]]:
+                self.catch_up.current_member_seen(now)
+                if (
+                    self.layout is not None
+                    and self.bootstrap_source is None
+                    and message["from"] in self.pinged_bootstrap_peers
+                ):
+                    self.bootstrap_source = message["from"]
+        self.tick(now, wall)
+
+    def _piggybacked(self, message: Message) -> list[tuple[Dissemination, list[Row]]]:
         rows = message.get("rows", ())
-        if self.reach is None:
-            return [(self.spread, rows)]
-        apart = self._apart(rows)
-        return [(self.spread, apart[False]), (self.wide, apart[True])]
-
-    def _neighbour(self, message: Message) -> None:
-        """One whose copy of the settings puts it into our cell, and ours into another: that it is alive is
-        all that we tell each other. Guards it against holding us dead until it has the newer settings."""
+        if self.reachability is None:
+            return [(self.dissemination, rows)]
+        by_scope = self._split_rows(rows)
+        return [(self.dissemination, by_scope[False]), (self.wide_dissemination, by_scope[True])]
+
+    def _answer_other_layout(self, message: Message) -> None:
+        """Answers a member whose copy of the settings puts it into our cell while ours puts it into another.
+        Only liveness is exchanged, so that it does not consider us dead until it has the newer settings."""
         if message["from"] not in self.layout.cell_of or message["k"] != Kind.PING:
-            raise ValueError(f"{message['from']}: is of another cell")
-        told = {
-            "k": int(Kind.ACK),
-            "from": self.me,
-            "inc": self.membership.incarnation,
-            "seq": message["seq"],
-        }
-        self.outbox.append((message["from"], told))
-
-    def turn(self, now: int, wall: int) -> None:
-        self.membership.turn(now)
+            raise ValueError(f"{message['from']}: is a member of another cell")
+        ack = {"k": int(Kind.ACK), "from": self.me, "inc": self.membership.incarnation, "seq": message["seq"]}
+        self.outbox.append((message["from"], ack))
+
+    def tick(self, now: int, wall: int) -> None:
+        self.membership.tick(now)
         alive = self.membership.alive()
-        if self.reach is not None:
-            self._speak(now, wall, alive)
-        for kept in self.keeping:
-            kept.turn(now, wall, alive)
-        if self.labels is not None:
-            self.labels.turn(now)
-        self.catch_up.reaches(now, len(alive))
-        wanted = [*self._to_catch_up(now, alive), *self.spread.far, *self.wide.far]
-        for kept in self.keeping:
-            kept.far.clear()
+        if self.reachability is not None:
+            self._tick_cells(now, wall, alive)
+        for dissemination in self.disseminations:
+            dissemination.tick(now, wall, alive)
+        if self.idempotency_keys is not None:
+            self.idempotency_keys.tick(now)
+        self.catch_up.update_reachable(now, len(alive))
+        wanted = [
+            *self._catch_up_fetches(now, alive),
+            *self.dissemination.full_transfer_peers,
+            *self.wide_dissemination.full_transfer_peers,
+        ]
+        for dissemination in self.disseminations:
+            dissemination.full_transfer_peers.clear()
         self.fetches += [name for name in dict.fromkeys(wanted) if name not in self.fetching]
         self.fetching.update(wanted)
-        self._carry()
+        self._collect_output()
         for name, state, incarnation in self.membership.changes:
             self.events.append(("member", {"name": name, "state": state, "incarnation": incarnation}))
         self.membership.changes.clear()
-        self._tell_ready()
-
-    def _to_catch_up(self, now: int, alive: list[str]) -> list[str]:
-        if self.layout is None or self.catch_up.began is None:
-            return self.catch_up.fetch(now, alive)
-        if self.wide.is_empty and (self.ask_first is not None or now < self.help_until):
-            for name in self.helpers:
+        self._report_readiness()
+
+    def _catch_up_fetches(self, now: int, alive: list[str]) -> list[str]:
+        if self.layout is None or self.catch_up.started_at is None:
+            return self.catch_up.next_fetches(now, alive)
+        if self.wide_dissemination.is_empty and (
+            self.bootstrap_source is not None or now < self.bootstrap_until
+        ):
+            for name in self.bootstrap_peers:
                 self.membership.ping(name)
-            self.asked_help |= set(self.helpers)
-            self.helpers.clear()
-            first = [] if self.ask_first is None else [self.ask_first]
-            return [*first, *self.catch_up.fetch(now, [])]  # which also ends the waiting
+            self.pinged_bootstrap_peers |= set(self.bootstrap_peers)
+            self.bootstrap_peers.clear()
+            first = [] if self.bootstrap_source is None else [self.bootstrap_source]
+            # This call also ends the wait at `max_wait`
+            return [*first, *self.catch_up.next_fetches(now, [])]
         known = set(alive)
-        return self.catch_up.fetch(now, [name for name in self.fetch_order if name in known])
+        return self.catch_up.next_fetches(now, [name for name in self.fetch_order if name in known])
 
-    def _carry(self) -> None:
+    def _collect_output(self) -> None:
         for to, message in self.membership.outbox:
-            rows = self.spread.ride()
-            if self.wide is not self.spread and not rows:
-                rows = self.wide.ride()
+            rows = self.dissemination.piggyback_rows()
+            if self.wide_dissemination is not self.dissemination and not rows:
+                rows = self.wide_dissemination.piggyback_rows()
             if rows:
                 message["rows"] = rows
-            if self.catch_up.whole:
+            if self.catch_up.is_current:
                 message["whole"] = 1
             self.outbox.append((to, message))
         self.membership.outbox.clear()
-        self.outbox += self.spread.outbox
-        self.spread.outbox.clear()
-        if self.reach is not None:
-            self.outbox += [(to, message | {"wide": 1}) for to, message in self.wide.outbox]
-            self.wide.outbox.clear()
-        for part in (self.loans, self.labels, self.reach):
+        self.outbox += self.dissemination.outbox
+        self.dissemination.outbox.clear()
+        if self.reachability is not None:
+            self.outbox += [(to, message | {"wide": 1}) for to, message in self.wide_dissemination.outbox]
+            self.wide_dissemination.outbox.clear()
+        for part in (self.loans, self.idempotency_keys, self.reachability):
             if part is not None:
                 self.outbox += part.outbox
                 part.outbox.clear()
 
     # Cells
 
-    def _speak(self, now: int, wall: int, alive: list[str]) -> None:
-        """What this member does for its cell, and what it believes of others."""
-        self.speakers = self.layout.speakers(self.reach.cell, {self.me, *alive})
+    def _tick_cells(self, now: int, wall: int, alive: list[str]) -> None:
+        """Speaker duties of this member, and its view of other cells."""
+        self.speakers = self.layout.speakers(self.reachability.cell, {self.me, *alive})
         speaks = self.me in self.speakers
-        self.reach.turn(now, speaks, self.out(), self._row(wall))
+        self.reachability.tick(now, speaks, self.unreachable_cells(), self._cell_status(wall))
         if speaks:
-            for key, value in self.verdicts.tell(now, self.reach.out()):
-                self.spread.put(wall, key, value, LIFE)
+            for key, value in self.reachability_votes.due_votes(now, self.reachability.unreachable_cells()):
+                self.dissemination.put(wall, key, value, VOTE_LIFETIME)
         else:
-            self.verdicts.tell_at = None  # what was to be told is the speakers' to tell
-        if (out := self.out()) != self.out_told:
-            self.out_told = out
-            self.events.append(("cells_out", {"cells": self.layout.short(out)}))
-
-    def _row(self, wall: int) -> Told | None:
-        """What a speaker says of its cell."""
-        if not self.reach.speaks:
+            self.reachability_votes.publish_at = None  # only speakers publish votes
+        if (out := self.unreachable_cells()) != self.reported_unreachable:
+            self.reported_unreachable = out
+            self.events.append(("cells_out", {"cells": self.layout.compact(out)}))
+
+    def _cell_status(self, wall: int) -> CellStatus | None:
+        """Status of our cell that a speaker sends."""
+        if not self.reachability.speaks:
             return None
         alive = len(self.membership.alive()) + 1
-        if alive != self.alive_told[0]:
-            self.alive_told = alive, wall // 1000
+        if alive != self.reported_alive[0]:
+            self.reported_alive = alive, wall // 1000
         of = len(self.membership.members) + 1
-        return [alive, of, self.alive_told[1], f"{self.wide.copies.root():016x}"]
+        return [alive, of, self.reported_alive[1], f"{self.wide_dissemination.replica.root():016x}"]
 
-    def fetched(self, now: int, wall: int, name: str, rows: list[Row] | None) -> None:
-        """A whole copy came, or did not (None)."""
+    def fetch_completed(self, now: int, wall: int, name: str, rows: list[Row] | None) -> None:
+        """A full transfer arrived, or failed (None)."""
         self.fetching.discard(name)
         if rows is not None:
-            apart, news = self._apart(rows), 0
-            for kept in self.keeping:
-                news += kept.took(wall, apart[kept is self.wide])
-            self.events.append(("fetched", {"name": name, "rows": len(rows), "news": news}))
-        if self.layout is not None and name == self.ask_first:
-            self.ask_first, self.help_until = None, now
-            self.asked_help.clear()
+            by_scope, new_entries = self._split_rows(rows), 0
+            for dissemination in self.disseminations:
+                new_entries += dissemination.receive_full_transfer(
+                    wall, by_scope[dissemination is self.wide_dissemination]
+                )
+            self.events.append(("fetched", {"name": name, "rows": len(rows), "news": new_entries}))
+        if self.layout is not None and name == self.bootstrap_source:
+            self.bootstrap_source, self.bootstrap_until = None, now
+            self.pinged_bootstrap_peers.clear()
         else:
-            self.catch_up.fetched(now, name, rows is not None)
-        self.turn(now, wall)
+            self.catch_up.fetch_completed(now, name, rows is not None)
+        self.tick(now, wall)
 
     def wake_at(self, now: int) -> int:
-        """The next moment, on `now`'s clock, at which `turn` has something to do."""
-        moments = [self.membership.wake_at(), *(kept.wake_at() for kept in self.keeping)]
+        """The next time, on the clock of `now`, at which `tick` has something to do."""
+        times = [
+            self.membership.wake_at(),
+            *(dissemination.wake_at() for dissemination in self.disseminations),
+        ]
         parts = [self.catch_up.wake_at(now)]
-        if self.labels is not None:
-            parts.append(self.labels.wake_at())
-        if self.reach is not None:
-            parts += [self.reach.wake_at(), self.verdicts.wake_at()]
+        if self.idempotency_keys is not None:
+            parts.append(self.idempotency_keys.wake_at())
+        if self.reachability is not None:
+            parts += [self.reachability.wake_at(), self.reachability_votes.wake_at()]
             parts.append(
-                self.help_until if self.catch_up.began is not None and now < self.help_until else None
+                self.bootstrap_until
+                if self.catch_up.started_at is not None and now < self.bootstrap_until
+                else None
             )
-        return min([*moments, *(at for at in parts if at is not None)])
+        return min([*times, *(at for at in parts if at is not None)])
 
-    def _tell_ready(self) -> None:
+    def _report_readiness(self) -> None:
         if self.ready == self.was_ready:
             return
         self.was_ready = self.ready
         if self.ready:
-            took, whole = self.catch_up.took[-1]
-            brings = {
-                "took_ms": round(took / 1000, 1),
-                "whole": whole,
-                "entries": sum(len(kept.copies.entries) for kept in self.keeping),
+            duration, current = self.catch_up.wait_history[-1]
+            fields = {
+                "took_ms": round(duration / 1000, 1),
+                "whole": current,
+                "entries": sum(len(dissemination.replica.entries) for dissemination in self.disseminations),
             }
-            self.events.append(("caught_up", brings))
+            self.events.append(("caught_up", fields))
         else:
             self.events.append(("catching_up", {}))
 
     def leave(self, now: int, wall: int) -> None:
-        """The notice to drain: the others hear that it leaves, and that it did not die."""
+        """Drains: announces to the others that this member leaves, so that it is not taken for dead."""
         self.membership.leave()
-        self.turn(now, wall)
+        self.tick(now, wall)
--- a/crowwing/fleet/membership/__init__.py
+++ b/crowwing/fleet/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who of the fleet is there: members and, in large fleets, cells."""
+"""Failure detection: members and, in large fleets, cells."""
--- a/crowwing/fleet/membership/cell_reachability.py
+++ b/crowwing/fleet/membership/cell_reachability.py
@@ -1,161 +1,161 @@
-"""Which other cells are in reach, as the speakers of one cell see it. Pure.
-
-SWIM once more, its members being cells (swim.py; the idea of a second tier: Consul's WAN pool, Serf). A cell
-is whoever of its members is asked: each of them answers for it and refutes its death, so a cell is out of
-reach only if nobody of it answers, and a killed speaker is one probe lost. Only speakers probe. A cell's
-incarnation is the highest that any of its members has told; two that raise it alike, or a speaker that has
-none yet, do no harm.
-
-Changed against swim.py's use among members: a death heard of is only a suspicion (one deaf speaker would else
-bury every cell for all), a probe that goes unanswered is sent once more to another of the cell, and whoever
-refutes its death to one that answered it says so at once, so that after a cut both sides know each other by
-three messages. One cell that comes back is a sign for others: a speaker that hears it asks all that it
-suspects or holds out of reach, once in `SWEEP_EVERY`. And one that goes silent is a sign for its neighbours:
-while a cell is suspected a speaker asks the others of its zone, and of its region once a whole zone is
-silent, a few a period beside its probe. Guards against a lost zone or region that each speaker finds cell by
-cell, one a period.
-
-Which members speak for another cell is learned by hearing from them; until then, and after silence, those of
-the roster in turn. Every table here holds at most one entry a cell, or one a probe carried for others, which
-ends by itself.
+"""Failure detector for cells, run by the speakers of one cell. Pure.
+
+It is SWIM with cells as members (swim.py; a second tier as in Consul's WAN pool, Serf). Any member of a cell
+answers for the cell and refutes its death, so a cell is unreachable only if none of its members answers, and
+a killed speaker costs one probe. Only speakers probe. A cell's incarnation is the highest that any of its
+members has sent; two members that raise it alike, or a speaker that does not know it yet, do no harm.
+
+Differences from swim.py among members: a reported death is only a suspicion (one deaf speaker would otherwise
+declare every cell dead for all), an unanswered probe is sent once more to another member of the cell, and a
+cell that learns of its own death from an ack refutes it to that cell at once, so that after a partition both
+sides recognise each other within three messages. A cell that comes back is a sign for others: the speaker
+pings all cells that it suspects or considers unreachable, once per `SWEEP_EVERY`. A cell that goes silent is
+a sign for its neighbours: while it is suspected a speaker pings the other cells of its zone, and of its
+region once a whole zone is silent, a few per period besides its probe. Otherwise each speaker would find a
+lost zone or region cell by cell, one per period.
+
+The speakers of another cell are learned from their messages; before that, and after time-outs, members of its
+roster are tried in turn. Every table holds at most one entry per cell, or one per relayed probe, which
+expires.
 """
 
 import random
 from collections import Counter
 from dataclasses import replace
 
-from crowwing.fleet.membership.cells import SPEAKERS, Layout, covers
+from crowwing.fleet.membership.cells import SPEAKER_COUNT, CellLayout, covers
 from crowwing.fleet.membership.swim import ALIVE, DEAD, GONE, SUSPECT, Kind, Membership, Message, Timing
 
 SWEEP_EVERY = 2_000_000  # µs
-CONTACTS = 3  # of one cell
-DOUBTED = 4  # cells asked in a period beside the probe, while some are suspected
-UNHEARD = 10  # periods without a word from it, after which a neighbour of silent cells is asked
-ASKED_TWICE = 2  # who answers neither time is suspected
-
-Told = (
-    list  # of a cell by its speakers: [alive, of how many, since when (Unix ms), digest of what is for all]
-)
-
-
-def among_cells(timing: Timing) -> Timing:
-    """The pace among cells: as among members, but those held dead are probed sooner and only directly. One
-    other cell is asked to probe for us, since a second member of the cell is asked besides. No local health:
-    where most cells are cut off, probes that go unanswered say nothing of the speaker, and one that is slow
-    is outvoted; for the same reason a suspicion that few confirm stands twice the shortest at most. News is
-    told less often: three speak for each cell, and after a cut each asks for itself.
+MAX_CONTACTS = 3  # per cell
+DOUBT_PINGS_PER_PERIOD = 4  # besides the probe, while some cell is suspected
+SILENT_PERIODS = 10  # without a message, after which a neighbour of silent cells is pinged
+MAX_DOUBT_PINGS = 2  # a cell that answers none is suspected
+
+# Status of a cell from its speakers: [alive, members, since (Unix ms), root digest of fleet-wide state].
+CellStatus = list
+
+
+def timing_among_cells(timing: Timing) -> Timing:
+    """Timing among cells: as among members, but unreachable cells are probed more often and only directly.
+    One other cell probes for us, since a second member of the target cell is probed too. There is no local
+    health: where most cells are partitioned away, unanswered probes say nothing about the speaker, and a slow
+    speaker is outvoted; for the same reason a suspicion with few confirmations lasts at most twice the
+    shortest. Updates are sent fewer times: each cell has three speakers, and after a partition each probes
+    for itself.
     """
     return replace(
         timing, indirect=min(1, timing.indirect), suspect_most_times=min(2.0, timing.suspect_most_times),
-        health_most=0, retransmit=timing.retransmit / 3, revive_every=max(2, timing.revive_every // 4),
-        revive_indirect=False, hearsay=False,
+        max_health=0, retransmit=timing.retransmit / 3, revive_every=max(2, timing.revive_every // 4),
+        revive_indirect=False, trust_reported_deaths=False,
     )  # fmt: skip
 
 
-class Reach:
-    """One member's part; `turn` at `wake_at` or sooner, with whether it speaks now."""
+class CellReachability:
+    """One member's part; call `tick` at `wake_at` or sooner, with whether it is a speaker now."""
 
-    def __init__(self, me: str, layout: Layout, now: int, chance: random.Random, timing: Timing) -> None:
+    def __init__(self, me: str, layout: CellLayout, now: int, chance: random.Random, timing: Timing) -> None:
         self.me, self.layout, self.chance = me, layout, chance
         self.cell = layout.cell_of[me]
         others = [cell for cell in layout.rosters if cell != self.cell]
-        self.swim = Membership(self.cell, others, now, chance, among_cells(timing))
-        # Guards against taking another speaker's answer for one of ours: both speak for the same cell.
+        self.swim = Membership(self.cell, others, now, chance, timing_among_cells(timing))
+        # So that an answer to another speaker of this cell is not taken for one to us.
         self.swim.seq = chance.randrange(1 << 30)
         self.speaks = False
-        self.contacts: dict[str, list[str]] = {}  # who of late spoke for a cell, `CONTACTS` at most
+        self.contacts: dict[str, list[str]] = {}  # recent speakers of a cell, at most `MAX_CONTACTS`
         self.sweep_at = now
-        self.silent: Counter[str] = Counter()  # how many of its roster in turn did not answer
-        # Whom of a roster to ask where nothing is known: one that speaks, since others pass no news on.
-        # Guards its first one against being asked by all.
-        self.first = chance.randrange(SPEAKERS)
-        self.askers: dict[tuple[str, int], str] = {}  # of probes carried for others; emptied by ack or nack
-        self.told: dict[str, Told] = {}  # what each cell says of itself
-        self.heard_at = dict.fromkeys(others, now - UNHEARD * timing.period)
-        self.asked: dict[str, int] = {}  # in doubt -> how often asked; emptied by an answer, or by suspicion
+        self.unanswered_counts: Counter[str] = Counter()  # members of its roster tried without an answer
+        # Where no contact is known, start at one of the speakers, since others do not spread updates. A
+        # random one, so that not all ask the first.
+        self.first_contact = chance.randrange(SPEAKER_COUNT)
+        self.relay_requesters: dict[tuple[str, int], str] = {}  # of relayed probes; removed by ack or nack
+        self.cell_status: dict[str, CellStatus] = {}  # last status received from each cell
+        self.last_heard = dict.fromkeys(others, now - SILENT_PERIODS * timing.period)
+        self.doubt_pings: dict[str, int] = {}  # doubted cell -> pings; removed by an answer or a suspicion
         self.zones = {cell: layout.zone_of(cell) for cell in others}
         self.outbox: list[tuple[str, Message]] = []
 
-    def out(self) -> frozenset[str]:
-        """The cells out of reach, as this member sees it while it speaks."""
+    def unreachable_cells(self) -> frozenset[str]:
+        """The cells that this member cannot reach; meaningful while it is a speaker."""
         return frozenset(cell for cell, seen in self.swim.members.items() if seen.state in GONE)
 
-    def within(self, count: int) -> list[str]:
-        """Members of so many other cells in reach, drawn by chance: one that speaks for each."""
+    def contacts_in(self, count: int) -> list[str]:
+        """One contact each of that many random reachable cells."""
         cells = self.swim.alive()
         return [self._contact(cell) for cell in self.chance.sample(cells, min(count, len(cells)))]
 
     def wake_at(self) -> int | None:
         if self.speaks:
             return self.swim.wake_at()
-        return min((until for _, _, until in self.swim.relayed.values()), default=None)
+        return min((until for _, _, until in self.swim.relayed_probes.values()), default=None)
 
     # Time
 
-    def turn(self, now: int, speaks: bool, out: frozenset[str], row: Told | None = None) -> None:
-        """`out`: what this cell's speakers have said so far, which one that begins to speak starts from;
-        `row`: what to say of our cell."""
+    def tick(self, now: int, speaks: bool, out: frozenset[str], row: CellStatus | None = None) -> None:
+        """`out`: unreachable cells by the votes of this cell's speakers, the start state of a new speaker;
+        `row`: status of our cell to send."""
         if speaks and not self.speaks:
-            self._begin(now, out)
+            self._start_speaking(now, out)
         elif self.speaks and not speaks:
             self.swim.probe = None
         self.speaks = speaks
         if speaks:
             probe, periods = self.swim.probe, self.swim.periods
             direct = probe is not None and probe.helpers is None
-            self.swim.turn(now)
+            self.swim.tick(now)
             if self.swim.periods > periods:
-                self._doubt(now)
+                self._ping_doubted(now)
             if probe is not None and self.swim.probe is not probe:
-                self._unanswered(probe.target)
+                self._on_unanswered(probe.target)
             elif direct and probe.helpers is not None:
-                self._unanswered(probe.target)
+                self._on_unanswered(probe.target)
                 if self.swim.members[probe.target].state not in GONE:
-                    self.swim.ping(probe.target, probe.seq)  # to another of that cell
+                    self.swim.ping(probe.target, probe.seq)  # to another member of that cell
         else:
-            self.swim.end_relays(now)
-        self._carry(row)
+            self.swim.expire_relays(now)
+        self._flush(row)
 
-    def _begin(self, now: int, out: frozenset[str]) -> None:
-        """What was believed while others spoke was heard in passing: not what the cells now are."""
+    def _start_speaking(self, now: int, out: frozenset[str]) -> None:
+        """Resets states, since those seen as a non-speaker are incidental and out of date."""
         swim = self.swim
         for cell, seen in swim.members.items():
             seen.state, seen.since = (DEAD if cell in out else ALIVE), now
             seen.origins.clear()
-        swim.probe, swim.looked = None, now
-        swim.period_at = now - self.chance.randrange(swim.timing.period)  # speakers do not probe in step
+        swim.probe, swim.last_tick = None, now
+        # So that speakers do not probe in step
+        swim.period_at = now - self.chance.randrange(swim.timing.period)
         swim.rumours.clear()
-        swim.round.clear()
-        self.asked.clear()
+        swim.probe_order.clear()
+        self.doubt_pings.clear()
 
-    def _doubt(self, now: int) -> None:
-        """Once a period: who was asked in doubt and did not answer is asked again, or suspected."""
+    def _ping_doubted(self, now: int) -> None:
+        """Once per period: a doubted cell that did not answer is pinged again, or suspected."""
         members, again = self.swim.members, []
-        for cell, times in list(self.asked.items()):
-            self._unanswered(cell)
-            if members[cell].state == ALIVE and times < ASKED_TWICE:
+        for cell, times in list(self.doubt_pings.items()):
+            self._on_unanswered(cell)
+            if members[cell].state == ALIVE and times < MAX_DOUBT_PINGS:
                 again.append(cell)
                 continue
-            del self.asked[cell]
+            del self.doubt_pings[cell]
             if members[cell].state == ALIVE:
                 self.swim.suspect(cell, now)
-        for cell in [*again, *self._in_doubt(now, DOUBTED - len(again))]:
-            self.asked[cell] = self.asked.get(cell, 0) + 1
-            self.swim.ask(cell)
+        for cell in [*again, *self._doubted_cells(now, DOUBT_PINGS_PER_PERIOD - len(again))]:
+            self.doubt_pings[cell] = self.doubt_pings.get(cell, 0) + 1
+            self.swim.ping_without_updates(cell)
 
-    def _in_doubt(self, now: int, count: int) -> list[str]:
-        """Neighbours of silent cells that have not been heard from of late."""
+    def _doubted_cells(self, now: int, count: int) -> list[str]:
+        """Neighbours of silent cells without a recent message."""
         members = self.swim.members
         suspected = {self.zones[cell] for cell, seen in members.items() if seen.state == SUSPECT}
         if not suspected or count <= 0:
             return []
         answer = {self.zones[cell] for cell, seen in members.items() if seen.state == ALIVE}
         silent = {zone.partition("/")[0] for zone in suspected - answer}
-        since = now - UNHEARD * self.swim.timing.period
+        since = now - SILENT_PERIODS * self.swim.timing.period
         able = [
             cell
             for cell, seen in members.items()
-            if seen.state == ALIVE and cell not in self.asked and self.heard_at[cell] <= since
+            if seen.state == ALIVE and cell not in self.doubt_pings and self.last_heard[cell] <= since
             and (self.zones[cell] in suspected or cell.partition("/")[0] in silent)
         ]  # fmt: skip
         return self.chance.sample(able, min(count, len(able)))
@@ -164,12 +164,12 @@
         roster = self.layout.rosters[cell]
         if known := self.contacts.get(cell):
             return self.chance.choice(known)
-        return roster[(self.first + self.silent[cell]) % len(roster)]
+        return roster[(self.first_contact + self.unanswered_counts[cell]) % len(roster)]
 
-    def _unanswered(self, cell: str) -> None:
-        """Whoever was asked: it is not known which of the contacts it was, nor whether the others answer."""
+    def _on_unanswered(self, cell: str) -> None:
+        """Drops all contacts: it is unknown which one was asked, and whether the others answer."""
         self.contacts.pop(cell, None)
-        self.silent[cell] += 1
+        self.unanswered_counts[cell] += 1
 
     def _sweep(self, now: int) -> None:
         if self.speaks and now >= self.sweep_at:
@@ -180,70 +180,70 @@
 
     # Messages
 
-    def heard(self, now: int, message: Message, row: Told | None = None) -> None:
-        """KeyError, TypeError or ValueError for what is no message of another cell; it changes nothing."""
+    def receive(self, now: int, message: Message, row: CellStatus | None = None) -> None:
+        """KeyError, TypeError or ValueError, without effect, for anything but a message of another cell."""
         sender = message["from"]
         cell, kind = self.layout.cell_of[sender], Kind(message["k"])
-        news = [[self._meant(name), *rest] for name, *rest in message.get("news", ())]
+        updates = [[self._canonical_cell(name), *rest] for name, *rest in message.get("news", ())]
         if cell == self.cell:
-            self._neighbour(sender, kind, message["seq"], news)
+            self._answer_same_cell(sender, kind, message["seq"], updates)
             return
-        row_told = message.get("row")
-        if row_told is not None:
-            alive, of, since, digest = row_told
-            row_told = [int(alive), int(of), int(since), str(digest)[:16]]
+        row_heard = message.get("row")
+        if row_heard is not None:
+            alive, of, since, digest = row_heard
+            row_heard = [int(alive), int(of), int(since), str(digest)[:16]]
         before, seen = self.swim.incarnation, self.swim.members[cell]
         gone = seen.state in GONE
-        self.swim.heard(now, message | {"from": cell, "news": news})
+        self.swim.receive(now, message | {"from": cell, "news": updates})
         contacts = self.contacts.setdefault(cell, [])
         if sender not in contacts:
             contacts.append(sender)
-            del contacts[:-CONTACTS]
-        self.silent.pop(cell, None)
-        self.asked.pop(cell, None)
-        self.heard_at[cell] = now
+            del contacts[:-MAX_CONTACTS]
+        self.unanswered_counts.pop(cell, None)
+        self.doubt_pings.pop(cell, None)
+        self.last_heard[cell] = now
         if gone and seen.state not in GONE:
             self._sweep(now)
-        if row_told is not None:
-            self.told[cell] = row_told
+        if row_heard is not None:
+            self.cell_status[cell] = row_heard
         if kind == Kind.PING_REQ:
-            self.askers[(cell, message["seq"])] = sender
+            self.relay_requesters[(cell, message["seq"])] = sender
         elif kind == Kind.ACK and self.swim.incarnation > before:
             self.swim.ping(cell)
-        self._carry(row, sender)
+        self._flush(row, sender)
 
-    def _neighbour(self, sender: str, kind: Kind, seq: int, news: list[list]) -> None:
-        """One of our own cell whose copy of the settings has us in another: we answer its probes for the cell
-        that it takes us for. Guards that one, perhaps of us alone, against passing for gone in our own."""
+    def _answer_same_cell(self, sender: str, kind: Kind, seq: int, updates: list[list]) -> None:
+        """Answers probes of a member of our cell whose copy of the settings has us in another cell, for which
+        we answer. Otherwise that cell, which may consist of us alone, would be considered dead in our own."""
         if kind != Kind.PING or sender == self.me:
-            raise ValueError(f"{sender}: is of our own cell")
-        for name, state, incarnation, _ in news:
+            raise ValueError(f"{sender}: is a member of our own cell")
+        for name, state, incarnation, _ in updates:
             if name == self.cell and state != ALIVE and incarnation >= self.swim.incarnation:
                 self.swim.incarnation = int(incarnation) + 1
-        told = {"k": int(Kind.ACK), "from": self.me, "inc": self.swim.incarnation, "seq": seq, "cell": 1}
-        self.outbox.append((sender, told))
+        ack = {"k": int(Kind.ACK), "from": self.me, "inc": self.swim.incarnation, "seq": seq, "cell": 1}
+        self.outbox.append((sender, ack))
 
-    def _meant(self, cell: object) -> object:
-        """Our own cell where a copy of the settings one change older or newer has another name for it, or
-        for a part of it. Guards against a cell whose members all have the one copy, and which nobody with
-        the other could bring back: it would not know its death for its own, and not refute it."""
+    def _canonical_cell(self, cell: object) -> object:
+        """Maps the name of our cell, or of a part of it, in a copy of the settings one change older or newer
+        to our own name. Otherwise a cell whose members all have one copy would not recognise and refute an
+        update about its own death from members with the other, and would stay dead for them."""
         other = isinstance(cell, str) and cell not in self.swim.members
         return self.cell if other and (covers(cell, self.cell) or covers(self.cell, cell)) else cell
 
-    def _carry(self, row: Told | None, sender: str | None = None) -> None:
-        """From cells to members: an answer to who asked, the rest to who speaks for the cell."""
+    def _flush(self, row: CellStatus | None, sender: str | None = None) -> None:
+        """Addresses messages to members: an answer to the requester, the rest to a contact of the cell."""
         for cell, message in self.swim.outbox:
             to = None
             if message["k"] in (Kind.ACK, Kind.NACK):
-                to = self.askers.pop((cell, message["seq"]), None)
+                to = self.relay_requesters.pop((cell, message["seq"]), None)
             if to is None and sender is not None and self.layout.cell_of[sender] == cell:
                 to = sender
-            told = message | {"from": self.me, "cell": 1}
-            if row is not None and cell not in self.asked:
-                told["row"] = row
-            self.outbox.append((to or self._contact(cell), told))
+            addressed = message | {"from": self.me, "cell": 1}
+            if row is not None and cell not in self.doubt_pings:
+                addressed["row"] = row
+            self.outbox.append((to or self._contact(cell), addressed))
         self.swim.outbox.clear()
         self.swim.changes.clear()
-        if not self.speaks:  # rumours are the speakers' work; but a refutation is anyone's
+        if not self.speaks:  # only speakers spread updates, but any member refutes
             own = self.swim.rumours.get(self.cell)
             self.swim.rumours = {} if own is None else {self.cell: own}
--- a/crowwing/fleet/state/__init__.py
+++ b/crowwing/fleet/state/__init__.py
@@ -1,1 +1,1 @@
-"""What the fleet keeps together, how it spreads and who has caught up."""
+"""The replicated state of the fleet: merge rules, dissemination and catch-up."""
--- a/crowwing/fleet/state/catch_up.py
+++ b/crowwing/fleet/state/catch_up.py
@@ -1,18 +1,18 @@
 """Whether this member has caught up with the fleet, and from whom to fetch next. Pure.
 
-An acknowledged update is held by a majority of all members that settings name, at least half of all besides
-any one. Whoever has lost its memory and fetched from half of all, rounded up, has so met for each update at
-least one other that holds it: that is when it has caught up. Before, it says that it is not ready, but never
-for longer than `most`: a fleet whose members cannot reach each other still has to serve. It goes on fetching
-then, and does not pass for whole until it has met enough.
-
-Catching up begins with a start, and with a return: this member was out of reach of a majority and now hears
-from members that never were. Where no member was whole (a cut into three, all restarted at once), nobody is
-behind anybody, and nobody leaves the list: guards against a fleet that heals and is gone for that.
-
-A fetch that fails makes all further ones wait, longer each time, until one succeeds: what a member asks of a
-fleet that does not answer is bounded for the member, whatever the fleet's size. Guards against a backend
-restarted behind a cut, which spent a whole core on connections refused by a thousand members in turn.
+An acknowledged update is held by a majority of all members in the settings. A member that lost its memory and
+has fetched from half of the members, rounded up, has therefore reached at least one holder of every such
+update: then it has caught up. Until then it reports that it is not ready, but for no longer than `max_wait`,
+because a fleet whose members cannot reach each other still has to serve. After that it goes on fetching, and
+does not count as current until it has fetched from enough members.
+
+Catching up begins at the start, and when a member that could not reach a majority is reached again by members
+that always could. If no member was current (a partition into three, or all restarted at once), nobody is
+behind anybody and nobody becomes unready; otherwise a fleet would heal and be out of service for it.
+
+A failed fetch delays all further ones, longer each time, until one succeeds, so the load of fetching from an
+unresponsive fleet is bounded whatever its size. Without it, a backend restarted behind a partition spent a
+whole core on refused connections to a thousand members in turn.
 """
 
 import heapq
@@ -22,129 +22,139 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Patience:
+class CatchUpTiming:
     """Times in µs."""
 
-    most: int = 5_000_000  # not ready for longer than this, caught up or not
-    again: int = 500_000  # after a fetch that failed, the next; twice as long after each further one
-    again_most: int = 16  # times `again` at most
-    away: int = 3_000_000  # out of reach of a majority for this long counts as away
-    at_once: int = 2  # fetches that are out together
+    max_wait: int = 5_000_000  # ready after this, caught up or not
+    retry_delay: int = 500_000  # after a failed fetch; doubled after each further one
+    max_backoff_factor: int = 16  # times `retry_delay` at most
+    isolation_timeout: int = 3_000_000  # isolated after so long without a majority
+    max_concurrent_fetches: int = 2  # fetches in flight
 
 
 class CatchUp:
-    """One member's; feed it what is reached, fetched and said, and ask `fetch` at every turn."""
+    """Catch-up state of one member; call `next_fetches` at every tick."""
 
     def __init__(
-        self, size: int, now: int, patience: Patience, keepers: int | None = None,
+        self, size: int, now: int, timing: CatchUpTiming, quorum_size: int | None = None,
         chance: random.Random | None = None,
     ) -> None:  # fmt: skip
-        """`size` members, this one too; `keepers` of them, all where none are told, hold what is
-        acknowledged. `fetch` is only to be told of those. `chance`: waits are up to half as long again by it,
+        """`size` members, this one included; `quorum_size` of them (default: all) hold acknowledged updates,
+        and `next_fetches` must be given only those. `chance` adds jitter of up to half to the retry delays,
         so that members that start together do not ask the same few in step.
         """
-        self.patience, self.chance = patience, chance
-        keepers = size if keepers is None else keepers
-        self.others = 0 if size == 1 else (keepers + 1) // 2  # to fetch from
-        self.near = size // 2  # with this member, a majority of all
-        self.began: int | None = now  # of catching up; None: caught up
-        self.waited = False  # long enough for this catching up: ready, though behind
-        self.met: set[str] = set()  # fetched from since then; emptied by the next catching up
-        self.out: dict[str, int] = {}  # fetches that are out -> when they began; emptied by their ends
-        self.failed: dict[str, int] = {}  # when it last failed; emptied by the next catching up
-        self.pause, self.paused_until = patience.again, now  # after the next failure; from the last one
-        self.alone_since: int | None = None  # out of reach of a majority; None: in reach
-        self.back_since: int | None = None  # in reach again after having been away, and no whole member met
-        self.was_away = False
-        self.looked = now
-        self.took: list[
-            tuple[int, bool]
-        ] = []  # of the last few: how long not ready, and whether it then was whole
-        if not self.others:  # alone by its settings: nobody holds what it lacks
-            self._note(now, whole=True)
-            self.began = None
+        self.timing, self.chance = timing, chance
+        quorum_size = size if quorum_size is None else quorum_size
+        self.fetches_needed = 0 if size == 1 else (quorum_size + 1) // 2
+        self.peers_for_majority = size // 2  # a majority together with this member
+        self.started_at: int | None = now  # of the current catch-up; None: caught up
+        self.wait_expired = False  # `max_wait` is over: ready, though behind
+        self.fetched_from: set[str] = set()  # since then; cleared by the next catch-up
+        self.in_flight: dict[str, int] = {}  # member -> start of the fetch; removed at its end
+        self.failed_at: dict[str, int] = {}  # last failure; cleared by the next catch-up
+        self.backoff, self.backoff_until = timing.retry_delay, now
+        self.isolated_since: int | None = None  # None: a majority is reachable
+        # A majority is reachable again after isolation, but no current member was seen yet.
+        self.rejoined_since: int | None = None
+        self.was_isolated = False
+        self.checked_at = now
+        # Of the last few catch-ups: time not ready, and whether the member was current at the end.
+        self.wait_history: list[tuple[int, bool]] = []
+        if not self.fetches_needed:  # a fleet of one: there is nobody to fetch from
+            self._record_wait(now, current=True)
+            self.started_at = None
 
     @property
     def ready(self) -> bool:
-        return self.began is None or self.waited
+        return self.started_at is None or self.wait_expired
 
     @property
-    def whole(self) -> bool:
-        """What a returning member may trust: caught up, and not out of reach of a majority."""
-        return self.began is None and self.alone_since is None and not self.was_away
-
-    def reaches(self, now: int, alive: int) -> None:
-        """`alive`: how many others are held alive. To be told at least once in `away`: a longer gap means
-        that this process stood still, and was away without knowing."""
-        if now - self.looked >= self.patience.away:
-            self.was_away = True
-        self.looked = now
-        if alive < self.near:
-            self.alone_since = now if self.alone_since is None else self.alone_since
-            self.back_since = None
-            if now - self.alone_since >= self.patience.away:
-                self.was_away = True
+    def is_current(self) -> bool:
+        """Caught up and not isolated from a majority; a returning member may rely on it."""
+        return self.started_at is None and self.isolated_since is None and not self.was_isolated
+
+    def update_reachable(self, now: int, alive: int) -> None:
+        """`alive`: number of other members believed alive. Call it at least once per `isolation_timeout`: a
+        longer gap means that this process was stalled, and so isolated without noticing."""
+        if now - self.checked_at >= self.timing.isolation_timeout:
+            self.was_isolated = True
+        self.checked_at = now
+        if alive < self.peers_for_majority:
+            self.isolated_since = now if self.isolated_since is None else self.isolated_since
+            self.rejoined_since = None
+            if now - self.isolated_since >= self.timing.isolation_timeout:
+                self.was_isolated = True
             return
-        self.alone_since = None
-        if self.was_away and self.began is None:
-            self.back_since = now if self.back_since is None else self.back_since
-            if now - self.back_since >= self.patience.most:
-                self.was_away = False  # nobody was whole; the comparing of digests brings all together
-
-    def heard_whole(self, now: int) -> None:
-        """A member that is whole spoke to us."""
-        if self.was_away and self.alone_since is None and self.began is None and self.others:
-            self._begin(now)
-
-    def _begin(self, now: int) -> None:
-        self.began, self.waited = now, False
-        self.met.clear()
-        self.failed.clear()
-        self.pause, self.paused_until = self.patience.again, now
-
-    def fetch(self, now: int, alive: Iterable[str]) -> list[str]:
-        """Whom to fetch from now; also ends the waiting that has had its time."""
-        if self.began is None:
+        self.isolated_since = None
+        if self.was_isolated and self.started_at is None:
+            self.rejoined_since = now if self.rejoined_since is None else self.rejoined_since
+            if now - self.rejoined_since >= self.timing.max_wait:
+                self.was_isolated = False  # nobody was current; anti-entropy makes the replicas agree
+
+    def current_member_seen(self, now: int) -> None:
+        """A message of a current member arrived."""
+        if (
+            self.was_isolated
+            and self.isolated_since is None
+            and self.started_at is None
+            and self.fetches_needed
+        ):
+            self._start(now)
+
+    def _start(self, now: int) -> None:
+        self.started_at, self.wait_expired = now, False
+        self.fetched_from.clear()
+        self.failed_at.clear()
+        self.backoff, self.backoff_until = self.timing.retry_delay, now
+
+    def next_fetches(self, now: int, alive: Iterable[str]) -> list[str]:
+        """Members to fetch from now; also ends a wait that reached `max_wait`."""
+        if self.started_at is None:
             return []
-        if not self.waited and now - self.began >= self.patience.most:
-            self.waited = True
-            self._note(now, whole=False)
-        free = self.patience.at_once - len(self.out)
-        if free <= 0 or now < self.paused_until:
+        if not self.wait_expired and now - self.started_at >= self.timing.max_wait:
+            self.wait_expired = True
+            self._record_wait(now, current=False)
+        free = self.timing.max_concurrent_fetches - len(self.in_flight)
+        if free <= 0 or now < self.backoff_until:
             return []
-        able = [name for name in alive if name not in self.met and name not in self.out]
-        # Those that never failed in the order told, then the ones whose failure lies furthest back.
-        names = heapq.nsmallest(free, able, key=lambda name: self.failed.get(name, -1))
+        able = [name for name in alive if name not in self.fetched_from and name not in self.in_flight]
+        # Members that never failed in the given order, then those with the oldest failure.
+        names = heapq.nsmallest(free, able, key=lambda name: self.failed_at.get(name, -1))
         for name in names:
-            self.out[name] = now
+            self.in_flight[name] = now
         return names
 
-    def fetched(self, now: int, name: str, good: bool) -> None:
-        """A fetch ended. What was begun before this catching up says nothing of it."""
-        began = self.out.pop(name, None)
+    def fetch_completed(self, now: int, name: str, good: bool) -> None:
+        """A fetch ended. One that started before this catch-up does not count for it."""
+        began = self.in_flight.pop(name, None)
         if not good:
-            self.failed[name] = now
+            self.failed_at[name] = now
             stretched = 1.0 if self.chance is None else 1.0 + self.chance.random() / 2
-            self.paused_until = max(self.paused_until, now + round(self.pause * stretched))
-            self.pause = min(2 * self.pause, self.patience.again_most * self.patience.again)
+            self.backoff_until = max(self.backoff_until, now + round(self.backoff * stretched))
+            self.backoff = min(2 * self.backoff, self.timing.max_backoff_factor * self.timing.retry_delay)
             return
-        self.pause = self.patience.again
-        if self.began is not None and began is not None and began >= self.began:
-            self.met.add(name)
-            if len(self.met) >= self.others:
-                if not self.waited:
-                    self._note(now, whole=True)
-                self.began, self.waited, self.was_away, self.back_since = None, False, False, None
-
-    def _note(self, now: int, whole: bool) -> None:
-        self.took.append((now - self.began, whole))
-        del self.took[:-8]
+        self.backoff = self.timing.retry_delay
+        if self.started_at is not None and began is not None and began >= self.started_at:
+            self.fetched_from.add(name)
+            if len(self.fetched_from) >= self.fetches_needed:
+                if not self.wait_expired:
+                    self._record_wait(now, current=True)
+                self.started_at, self.wait_expired, self.was_isolated, self.rejoined_since = (
+                    None,
+                    False,
+                    False,
+                    None,
+                )
+
+    def _record_wait(self, now: int, current: bool) -> None:
+        self.wait_history.append((now - self.started_at, current))
+        del self.wait_history[:-8]
 
     def wake_at(self, now: int) -> int | None:
-        """The next moment at which `fetch` may have something to say."""
-        if self.began is None:
+        """The next time at which `next_fetches` may return something."""
+        if self.started_at is None:
             return None
-        moments = [] if self.waited else [self.began + self.patience.most]
-        if len(self.out) < self.patience.at_once and self.paused_until > now:
-            moments.append(self.paused_until)
-        return min(moments, default=None)
+        times = [] if self.wait_expired else [self.started_at + self.timing.max_wait]
+        if len(self.in_flight) < self.timing.max_concurrent_fetches and self.backoff_until > now:
+            times.append(self.backoff_until)
+        return min(times, default=None)
--- a/crowwing/fleet/state/dissemination.py
+++ b/crowwing/fleet/state/dissemination.py
@@ -1,30 +1,30 @@
-"""How one member's copy meets the others': deltas that ride on membership's messages, a comparing of digests
-now and then, and updates that are told only once a majority holds them. Pure.
-
-Sources: Demers et al., "Epidemic Algorithms for Replicated Database Maintenance" (PODC 1987): rumours while
-they are hot, anti-entropy for what rumours missed.
-
-- What changed here rides on every message of the membership, the least often sent first, a few times log10 of
-  the fleet; then it is cold.
-- Every `sync_every` one member, drawn by chance, is told the sums of our 16 groups of leaves. It answers with
-  its leaf sums of the groups that differ; we send what we hold in leaves that differ and ask for theirs. A
-  round sends `give_most` bytes at most; where most leaves differ and the other holds much, the whole is
-  fetched over a stream instead (`far`): a member too far behind gets a snapshot.
-- An update to be acknowledged is given to every member at once, again each `again` until a majority (this one
-  among them) has said that it holds it, or `wait` is over: then it is kept and spreads, and its caller is
-  told how many hold it.
-
-Where a fleet is in cells, its members have less to say to more of them (`Reached`): what is news goes at once
-to `fan` members drawn by chance and, from a speaker of a state that is for all, to one member each of some
-other cells (rumours pushed and dropped: Eugster, Guerraoui, Kermarrec, Massoulié, "Epidemic Information
-Dissemination in Distributed Systems", Computer 2004); it rides less; copies are compared by one sum first;
-and a few keepers by rule hold what is acknowledged, not a majority of all. What a member far behind reads
-by comparing comes from one other at a time, is not told on as news, and each member gives a bounded part of
-it: guards against a cell or zone that starts whole and reads the same copy from all sides. An empty copy is
-told as that, without its sums.
-
-Times in µs and chance are handed in: `now` only goes forward and times what is waited for, `wall` goes into
-stamps. What is to be sent gathers in `outbox` as (member, message).
+"""Replication of one member's entries to the others: piggybacked deltas, periodic comparison of digests, and
+updates that are acknowledged once a majority holds them. Pure.
+
+Sources: Demers et al., "Epidemic Algorithms for Replicated Database Maintenance" (PODC 1987): rumour
+mongering for hot updates, anti-entropy for what the rumours missed.
+
+- A changed entry is piggybacked on membership messages, the least sent first, until it was sent a few times
+  log10 of the fleet size.
+- Every `sync_every` one random member is sent the digests of our 16 groups of leaves. It answers with its
+  leaf digests of the groups that differ; we send our entries of the leaves that differ and request its
+  entries. A round sends at most `max_sync_bytes`. Where most leaves differ and the other member holds many
+  entries, we request a full transfer over a stream instead (`full_transfer_peers`).
+- An update to be acknowledged is sent to every member at once and again each `resend_after` until a majority
+  (this member included) has acknowledged it or `wait` is over. It stays stored and keeps spreading in both
+  cases; the caller is told how many members hold it.
+
+In a fleet with cells (`CellScope`) each member sends less to more members. Changes are pushed at once to
+`fanout` random members and, from a speaker and for fleet-wide state, to one member each of some other cells
+(Eugster, Guerraoui, Kermarrec, Massoulié, "Epidemic Information Dissemination in Distributed Systems",
+Computer 2004). They are piggybacked fewer times, replicas are first compared by their root digest, and the
+majority is that of a few quorum members instead of all. A member far behind repairs from one peer at a time
+and does not spread what it gets, and each member sends a bounded number of bytes for repairs; otherwise a
+cell or zone that restarts as a whole would read the same replica from all sides. An empty replica is
+announced as such, without digests.
+
+Times in µs and randomness are passed in: `now` is monotonic and used for time-outs, `wall` is used for
+timestamps. Messages to send collect in `outbox` as (member, message).
 """
 
 import math
@@ -35,344 +35,358 @@
 
 import orjson
 
-from crowwing.fleet.state.replica import A_GROUP, GROUPS, LEAVES, Copies, Row, Value
+from crowwing.fleet.state.replica import GROUPS, LEAVES, LEAVES_PER_GROUP, Replica, Row, Value
 
 Message = dict
 
 
-class Word(IntEnum):
-    """Kinds of message; under 10 are the membership's."""
+class StateMessageKind(IntEnum):
+    """Kinds of message; those under 10 belong to the membership protocol."""
 
-    SUMS, SAME, DIFFERS, GIVE, WANTS, GOT = 10, 11, 12, 13, 14, 15
+    DIGESTS, IN_SYNC, LEAF_DIGESTS, ROWS, ROWS_WANTED, ROWS_STORED = 10, 11, 12, 13, 14, 15
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class DisseminationSettings:
     """Times in µs, sizes in bytes."""
 
     sync_every: int = 1_000_000
-    again: int = 150_000  # until an update that is to be acknowledged is given again
-    ride_most: int = 900  # of state on one message of the membership
-    gift_most: int = 1200  # of one datagram of state: one frame of Ethernet
-    give_most: int = 24_000  # of one comparing, each way
-    retransmit: float = 3.0  # a change rides this many times log10 of the fleet
-    far_leaves: int = 3 * LEAVES // 4  # this many leaves differ, and
-    far_entries: int = 400  # so many entries there: fetched as a whole
-    fan: int = 4  # in cells: members of the cell that are given news at once
-    cells_at_once: int = 3  # in cells: other cells that a speaker gives news at once
-    rides_in_cells: int = 2
-    quiet: int = 1_000_000  # in cells: copies are compared this long after the last news,
-    quiet_most: int = 5_000_000  # or this long after the last comparing, if news does not end
-    gather: int = 100_000  # in cells: news that comes so soon after the last goes out together
-    fill: int = 500_000  # in cells: so long what is far behind waits for one other before it asks the next
-    eager: int = 10_000_000  # in cells: after a start, while nothing is kept, copies are compared oftener
-    copies_burst: int = 48_000  # in cells: bytes that one member gives by comparing, at once
-    copies_per_s: int = 200  # and for good; who starts with many others finds others that give
+    resend_after: int = 150_000  # until an unacknowledged update is sent again
+    max_piggyback_bytes: int = 900  # of entries on one membership message
+    max_datagram_bytes: int = 1200  # of entries in one datagram, which has to fit one Ethernet frame
+    max_sync_bytes: int = 24_000  # of entries per sync round, each way
+    retransmit: float = 3.0  # a change is piggybacked this many times log10 of the fleet size
+    full_transfer_leaves: int = 3 * LEAVES // 4  # full transfer if this many leaves differ, and
+    full_transfer_entries: int = 400  # the other member holds this many entries
+    fanout: int = 4  # in cells: members of the cell to which a change is pushed
+    cell_fanout: int = 3  # in cells: other cells to which a speaker pushes a change
+    piggybacks_in_cells: int = 2
+    quiet_period: int = 1_000_000  # in cells: sync starts this long after the last change,
+    max_sync_delay: int = 5_000_000  # or this long after the last sync, if changes do not end
+    push_interval: int = 100_000  # in cells: changes within this time are pushed together
+    repair_timeout: int = 500_000  # in cells: a member far behind waits this long before it asks the next
+    eager_sync_period: int = 10_000_000  # in cells: after a start, while empty, sync runs more often
+    repair_burst_bytes: int = 48_000  # in cells: bytes that one member sends for repairs at once
+    repair_bytes_per_s: int = 200  # and in the long run; members that start together find other sources
 
 
 @dataclass(frozen=True, slots=True)
-class Reached:
-    """In a fleet in cells: whose word counts, and who is told."""
+class CellScope:
+    """In a fleet with cells: whose acknowledgements count, and who gets messages."""
 
-    keepers: frozenset[str]  # of this member's cell, perhaps this one too
-    known: Container[str]  # from whom messages of this state are taken
-    beyond: Callable[[int], list[str]] | None = None  # a speaker's: members of so many other cells; else none
+    quorum_members: frozenset[str]  # of this member's cell, possibly this member too
+    accepted_senders: Container[str]  # whose messages about this state are accepted
+    # Returns members of that many other cells; none unless this member is a speaker.
+    contacts_in_other_cells: Callable[[int], list[str]] | None = None
 
 
 @dataclass(slots=True)
 class Update:
-    """One that waits for a majority; `told` once it has it or its time is over."""
+    """An update that waits for a majority; `on_complete` is called once, at the majority or the deadline."""
 
     row: Row
-    until: int
-    again: int
-    tell: Callable[["Update"], None]
-    held: set[str] = field(default_factory=set)  # members that say they hold it, this one not counted
+    deadline: int
+    resend_at: int
+    on_complete: Callable[["Update"], None]
+    holders: set[str] = field(default_factory=set)  # members that acknowledged it, without this one
 
 
-class Spread:
-    """One member's part; `heard` for each message of its kinds, `turn` at `wake_at` or sooner."""
+class Dissemination:
+    """One member's part; call `receive` for each message of its kinds and `tick` at `wake_at` or sooner."""
 
     def __init__(
-        self, me: str, peers: Sequence[str], copies: Copies, now: int, chance: random.Random, pace: Pace,
-        reached: Reached | None = None,
+        self, me: str, peers: Sequence[str], replica: Replica, now: int, chance: random.Random,
+        settings: DisseminationSettings, scope: CellScope | None = None,
     ) -> None:  # fmt: skip
-        """`peers`: all other members, or those of the cell where `reached` is told."""
-        self.me, self.copies, self.chance, self.pace, self.reached = me, copies, chance, pace, reached
+        """`peers`: all other members, or those of the cell if `scope` is given."""
+        self.me, self.replica, self.chance, self.settings, self.scope = me, replica, chance, settings, scope
         self.peers = frozenset(peers)
-        self.known: Container[str] = self.peers if reached is None else reached.known
-        self.keepers = frozenset((me, *peers)) if reached is None else reached.keepers
-        self.majority = len(self.keepers) // 2 + 1  # of all that keep what is acknowledged, this one too
-        self.fresh: dict[str, None] = {}  # keys whose news is to go out at once; emptied by each turn
-        self.hot: dict[str, int] = {}  # a key that changed -> times sent; emptied as sent often enough
-        self.rides = max(1, math.ceil(pace.retransmit * math.log10(len(self.peers) + 2)))
-        if reached is not None:
-            self.rides = pace.rides_in_cells
-        self.updates: dict[int, Update] = {}  # by number; emptied by a majority or their time
-        self.number = 0
-        self.sync_at = now + chance.randrange(pace.sync_every)
-        self.news_at = self.compared_at = now - pace.quiet
-        self.filling_until, self.eager_until = now, now + pace.eager
-        # Bytes left to give by comparing; keepers give over streams besides.
-        self.burst = pace.copies_burst / (2 if me in self.keepers else 1)
-        self.may_give, self.gave_at = self.burst, now
+        self.accepted_senders: Container[str] = self.peers if scope is None else scope.accepted_senders
+        self.quorum_members = frozenset((me, *peers)) if scope is None else scope.quorum_members
+        self.majority = len(self.quorum_members) // 2 + 1
+        self.unpushed_keys: dict[str, None] = {}  # changed keys to push; emptied by each push
+        self.hot_keys: dict[str, int] = {}  # changed key -> times piggybacked; removed when sent often enough
+        self.max_piggybacks = max(1, math.ceil(settings.retransmit * math.log10(len(self.peers) + 2)))
+        if scope is not None:
+            self.max_piggybacks = settings.piggybacks_in_cells
+        self.pending_updates: dict[int, Update] = {}  # by number; removed at a majority or the deadline
+        self.update_number = 0
+        self.next_sync = now + chance.randrange(settings.sync_every)
+        self.last_push = self.last_sync = now - settings.quiet_period
+        self.repair_until, self.eager_sync_until = now, now + settings.eager_sync_period
+        # Bytes left for repairs; half for quorum members, which also serve full transfers.
+        self.repair_burst = settings.repair_burst_bytes / (2 if me in self.quorum_members else 1)
+        self.repair_budget, self.budget_updated_at = self.repair_burst, now
         self.outbox: list[tuple[str, Message]] = []
-        self.far: set[str] = set()  # members to fetch the whole from; emptied by whoever fetches
-        self.sent = 0  # rows
+        self.full_transfer_peers: set[str] = set()  # to fetch from; emptied by the caller that fetches
+        self.rows_sent = 0
 
     def wake_at(self) -> int:
-        moments = [self.sync_at, *(min(u.again, u.until) for u in self.updates.values())]
-        if self.fresh:
-            moments.append(self.news_at + self.pace.gather)
-        return min(moments)
+        times = [self.next_sync, *(min(u.resend_at, u.deadline) for u in self.pending_updates.values())]
+        if self.unpushed_keys:
+            times.append(self.last_push + self.settings.push_interval)
+        return min(times)
 
-    # Saying something
+    # Local updates
 
-    def put(self, wall: int, key: str, value: Value, life: int) -> Row:
-        """Kept here and spread as it comes; NotKept where it cannot be."""
-        row = self.copies.put(wall, key, value, life)
-        self.changed([row[0]])
+    def put(self, wall: int, key: str, value: Value, lifetime: int) -> Row:
+        """Stores a row and spreads it without acknowledgement; EntryRejectedError if it cannot be stored."""
+        row = self.replica.put(wall, key, value, lifetime)
+        self.mark_changed([row[0]])
         return row
 
-    def update(
-        self, now: int, row: Row, alive: Iterable[str], wait: int, tell: Callable[[Update], None]
+    def replicate(
+        self, now: int, row: Row, alive: Iterable[str], wait: int, on_complete: Callable[[Update], None]
     ) -> Update:
-        """Tells once a majority of all members holds the row, or one that outranks it; or `wait` is over."""
-        self.number += 1
-        update = self.updates[self.number] = Update(row, now + wait, now + self.pace.again, tell)
-        self._give_again(self.number, update, alive)
-        self._settle(now)
+        """Calls `on_complete` once a majority holds the row or one that outranks it, or `wait` is over."""
+        self.update_number += 1
+        update = self.pending_updates[self.update_number] = Update(
+            row, now + wait, now + self.settings.resend_after, on_complete
+        )
+        self._resend(self.update_number, update, alive)
+        self._complete_updates(now)
         return update
 
-    def holders(self, update: Update) -> int:
-        """How many that count are known to hold it."""
-        return len(update.held) + (self.me in self.keepers)
+    def holder_count(self, update: Update) -> int:
+        """Number of quorum members known to hold it."""
+        return len(update.holders) + (self.me in self.quorum_members)
 
-    def is_held(self, update: Update) -> bool:
-        return self.holders(update) >= self.majority
+    def has_majority(self, update: Update) -> bool:
+        return self.holder_count(update) >= self.majority
 
-    def _give_again(self, number: int, update: Update, to: Iterable[str]) -> None:
+    def _resend(self, number: int, update: Update, to: Iterable[str]) -> None:
         for name in to:
-            if name in self.keepers and name not in update.held:
-                self._send(name, Word.GIVE, rows=[update.row], ack=number)
+            if name in self.quorum_members and name not in update.holders:
+                self._send(name, StateMessageKind.ROWS, rows=[update.row], ack=number)
 
-    def _settle(self, now: int) -> None:
-        for number, update in list(self.updates.items()):
-            if self.is_held(update) or now >= update.until:
-                del self.updates[number]
-                update.tell(update)
+    def _complete_updates(self, now: int) -> None:
+        for number, update in list(self.pending_updates.items()):
+            if self.has_majority(update) or now >= update.deadline:
+                del self.pending_updates[number]
+                update.on_complete(update)
 
     # Deltas
 
-    def changed(self, keys: Iterable[str]) -> None:
+    def mark_changed(self, keys: Iterable[str]) -> None:
         for key in keys:
-            self.hot[key] = 0
-            if self.reached is not None:
-                self.fresh[key] = None
+            self.hot_keys[key] = 0
+            if self.scope is not None:
+                self.unpushed_keys[key] = None
 
-    def ride(self) -> list[Row]:
-        """What goes with a message of the membership now."""
+    def piggyback_rows(self) -> list[Row]:
+        """Rows for the next membership message."""
         rows, size = [], 0
-        for key in sorted(self.hot, key=self.hot.__getitem__):
-            if key not in self.copies.entries:
-                del self.hot[key]  # it ran out
+        for key in sorted(self.hot_keys, key=self.hot_keys.__getitem__):
+            if key not in self.replica.entries:
+                del self.hot_keys[key]  # it has expired
                 continue
-            row = self.copies.row(key)
+            row = self.replica.row(key)
             size += len(orjson.dumps(row)) + 1
-            if rows and size > self.pace.ride_most:
+            if rows and size > self.settings.max_piggyback_bytes:
                 break
             rows.append(row)
-            self.hot[key] += 1
-            if self.hot[key] >= self.rides:
-                del self.hot[key]
+            self.hot_keys[key] += 1
+            if self.hot_keys[key] >= self.max_piggybacks:
+                del self.hot_keys[key]
         return rows
 
-    def rode(self, wall: int, rows: Iterable[Row]) -> None:
-        """What came with a message of the membership: what is news here rides on."""
-        self.changed(self.copies.merge(wall, rows))
+    def receive_piggybacked(self, wall: int, rows: Iterable[Row]) -> None:
+        """Merges rows from a membership message; those that changed something here spread further."""
+        self.mark_changed(self.replica.merge(wall, rows))
 
     # Time
 
-    def turn(self, now: int, wall: int, alive: Sequence[str]) -> None:
-        self.copies.turn(wall)
-        for number, update in self.updates.items():
-            if now >= update.again:
-                update.again = now + self.pace.again
-                self._give_again(number, update, alive)
-        self._settle(now)
-        if self.fresh and now - self.news_at >= self.pace.gather:
-            self.news_at = now
+    def tick(self, now: int, wall: int, alive: Sequence[str]) -> None:
+        self.replica.expire(wall)
+        for number, update in self.pending_updates.items():
+            if now >= update.resend_at:
+                update.resend_at = now + self.settings.resend_after
+                self._resend(number, update, alive)
+        self._complete_updates(now)
+        if self.unpushed_keys and now - self.last_push >= self.settings.push_interval:
+            self.last_push = now
             self._push(alive)
-        if now >= self.sync_at and self.reached is not None and self._is_busy(now):
-            self.sync_at = min(self.news_at + self.pace.quiet, self.compared_at + self.pace.quiet_most)
-        if now >= self.sync_at:
-            self.compared_at = now
-            # Within a tenth by chance: members started together do not compare in step.
-            every = self.pace.sync_every // (4 if self.is_empty and now < self.eager_until else 1)
-            self.sync_at = now + round(every * (0.9 + 0.2 * self.chance.random()))
+        if now >= self.next_sync and self.scope is not None and self._has_recent_changes(now):
+            self.next_sync = min(
+                self.last_push + self.settings.quiet_period, self.last_sync + self.settings.max_sync_delay
+            )
+        if now >= self.next_sync:
+            self.last_sync = now
+            # Jitter of a tenth: members started together do not sync in step.
+            every = self.settings.sync_every // (4 if self.is_empty and now < self.eager_sync_until else 1)
+            self.next_sync = now + round(every * (0.9 + 0.2 * self.chance.random()))
             if alive:
-                self.compare(self.chance.choice(list(alive)))
-            for name in self._beyond(1):
-                self.compare(name)
+                self.start_sync(self.chance.choice(list(alive)))
+            for name in self._contacts_in_other_cells(1):
+                self.start_sync(name)
 
     @property
     def is_empty(self) -> bool:
-        """In cells: nothing is kept here, as after a start without a disk."""
-        return self.reached is not None and not self.copies.entries
-
-    def _is_busy(self, now: int) -> bool:
-        """Guards against comparing copies, thousands of bytes where they differ, while news is still on its
-        way to both."""
-        return now < min(self.news_at + self.pace.quiet, self.compared_at + self.pace.quiet_most)
-
-    def _beyond(self, cells: int) -> list[str]:
-        return [] if self.reached is None or self.reached.beyond is None else self.reached.beyond(cells)
+        """In cells: there are no entries, as after a start without a snapshot."""
+        return self.scope is not None and not self.replica.entries
+
+    def _has_recent_changes(self, now: int) -> bool:
+        """Whether sync should wait: comparing replicas that differ takes thousands of bytes, which is wasted
+        while recent changes are still on their way to both."""
+        return now < min(
+            self.last_push + self.settings.quiet_period, self.last_sync + self.settings.max_sync_delay
+        )
+
+    def _contacts_in_other_cells(self, cells: int) -> list[str]:
+        return (
+            []
+            if self.scope is None or self.scope.contacts_in_other_cells is None
+            else self.scope.contacts_in_other_cells(cells)
+        )
 
     def _push(self, alive: Sequence[str]) -> None:
-        """News goes out at once, once."""
-        keys = [key for key in self.fresh if key in self.copies.entries]
-        self.fresh.clear()
+        """Sends each changed row once, to a few members."""
+        keys = [key for key in self.unpushed_keys if key in self.replica.entries]
+        self.unpushed_keys.clear()
         if not keys:
             return
-        to = self.chance.sample(list(alive), min(self.pace.fan, len(alive)))
-        batches = list(self._batches(self.copies.row(key) for key in keys))
-        for name in [*to, *self._beyond(self.pace.cells_at_once)]:
+        to = self.chance.sample(list(alive), min(self.settings.fanout, len(alive)))
+        batches = list(self._batches(self.replica.row(key) for key in keys))
+        for name in [*to, *self._contacts_in_other_cells(self.settings.cell_fanout)]:
             for rows in batches:
-                self._send(name, Word.GIVE, rows=rows)
+                self._send(name, StateMessageKind.ROWS, rows=rows)
 
-    def compare(self, to: str) -> None:
-        if self.reached is None:
-            self._send_sums(to)
+    def start_sync(self, to: str) -> None:
+        if self.scope is None:
+            self._send_group_digests(to)
         else:
-            self._send(to, Word.SUMS, root=self.copies.root())
+            self._send(to, StateMessageKind.DIGESTS, root=self.replica.root())
 
-    def _send_sums(self, to: str) -> None:
-        self._send(to, Word.SUMS, groups=self.copies.groups(), n=len(self.copies.entries))
+    def _send_group_digests(self, to: str) -> None:
+        self._send(
+            to, StateMessageKind.DIGESTS, groups=self.replica.group_digests(), n=len(self.replica.entries)
+        )
 
     # Messages
 
-    def heard(self, now: int, wall: int, message: Message) -> None:
-        """ValueError, KeyError or TypeError for one that is not whole; it changes nothing."""
-        sender, word = message["from"], Word(message["k"])
-        if sender not in self.known:
-            raise ValueError(f"{sender}: no member of this fleet")
-        if word is Word.SUMS and "root" in message:
-            if int(message["root"]) != self.copies.root():
-                self._send_sums(sender)
-        elif word is Word.SUMS:
-            self._sums(now, sender, [int(one) for one in message["groups"]], int(message["n"]))
-        elif word is Word.DIFFERS:
+    def receive(self, now: int, wall: int, message: Message) -> None:
+        """ValueError, KeyError or TypeError for a malformed message, which changes nothing."""
+        sender, kind = message["from"], StateMessageKind(message["k"])
+        if sender not in self.accepted_senders:
+            raise ValueError(f"{sender}: is not a member of this fleet")
+        if kind is StateMessageKind.DIGESTS and "root" in message:
+            if int(message["root"]) != self.replica.root():
+                self._send_group_digests(sender)
+        elif kind is StateMessageKind.DIGESTS:
+            self._on_group_digests(now, sender, [int(one) for one in message["groups"]], int(message["n"]))
+        elif kind is StateMessageKind.LEAF_DIGESTS:
             theirs = {int(leaf): int(one) for leaf, one in message["leaves"]}
             if any(not 0 <= leaf < LEAVES for leaf in theirs):
-                raise ValueError("no leaf")
-            self._differs(now, sender, theirs, int(message["n"]))
-        elif word is Word.WANTS:
+                raise ValueError("leaf number out of range")
+            self._on_leaf_digests(now, sender, theirs, int(message["n"]))
+        elif kind is StateMessageKind.ROWS_WANTED:
             wanted = [int(leaf) for leaf in message["leaves"]]
             if any(not 0 <= leaf < LEAVES for leaf in wanted):
-                raise ValueError("no leaf")
-            self._give(now, sender, wanted)
-        elif word is Word.GIVE:
+                raise ValueError("leaf number out of range")
+            self._send_rows(now, sender, wanted)
+        elif kind is StateMessageKind.ROWS:
             rows = message["rows"]
-            changed = self.copies.merge(wall, rows)
-            # By comparing comes news where it is little, missed on its way; not after one's own start.
-            if not (copied := int(message.get("copy", 0))) or (copied == 1 and now >= self.eager_until):
-                self.changed(changed)
-            if "ack" in message and all(self.copies.holds(row) for row in rows):
-                self._send(sender, Word.GOT, ack=int(message["ack"]))
-        elif word is Word.GOT:
-            update = self.updates.get(int(message["ack"]))
-            if update is not None and sender in self.keepers:
-                update.held.add(sender)
-                self._settle(now)
-
-    def _fills(self, now: int, differ: int, of: int) -> bool:
-        """Whether to read what differs now: much of it from one other at a time."""
-        if self.reached is None or 2 * differ < of:
+            changed = self.replica.merge(wall, rows)
+            # Rows from a sync spread further only if they fit one datagram (updates that were missed),
+            # and not just after the own start.
+            if not (copied := int(message.get("copy", 0))) or (copied == 1 and now >= self.eager_sync_until):
+                self.mark_changed(changed)
+            if "ack" in message and all(self.replica.holds(row) for row in rows):
+                self._send(sender, StateMessageKind.ROWS_STORED, ack=int(message["ack"]))
+        elif kind is StateMessageKind.ROWS_STORED:
+            update = self.pending_updates.get(int(message["ack"]))
+            if update is not None and sender in self.quorum_members:
+                update.holders.add(sender)
+                self._complete_updates(now)
+
+    def _may_request_rows(self, now: int, differ: int, of: int) -> bool:
+        """Whether to request what differs now: large differences from one peer at a time."""
+        if self.scope is None or 2 * differ < of:
             return True
-        if now < self.filling_until:
+        if now < self.repair_until:
             return False
-        self.filling_until = now + self.pace.fill
+        self.repair_until = now + self.settings.repair_timeout
         return True
 
-    def _sums(self, now: int, sender: str, groups: list[int], n: int) -> None:
+    def _on_group_digests(self, now: int, sender: str, groups: list[int], n: int) -> None:
         if len(groups) != GROUPS:
-            raise ValueError("no sums of ours")
-        mine = self.copies.groups()
+            raise ValueError("wrong number of digests")
+        mine = self.replica.group_digests()
         differ = [n for n in range(GROUPS) if groups[n] != mine[n]]
         if not differ:
-            self._send(sender, Word.SAME)
+            self._send(sender, StateMessageKind.IN_SYNC)
             return
-        if self.reached is not None and not n:
-            self._give(now, sender, range(LEAVES))
+        if self.scope is not None and not n:
+            self._send_rows(now, sender, range(LEAVES))
             return
-        if not self._fills(now, len(differ), GROUPS):
+        if not self._may_request_rows(now, len(differ), GROUPS):
             return
         if self.is_empty:
-            self._send(sender, Word.DIFFERS, leaves=[], n=0)
+            self._send(sender, StateMessageKind.LEAF_DIGESTS, leaves=[], n=0)
             return
-        leaves = [leaf for n in differ for leaf in range(n * A_GROUP, (n + 1) * A_GROUP)]
-        told = [[leaf, self.copies.leaves[leaf]] for leaf in leaves]
-        self._send(sender, Word.DIFFERS, leaves=told, n=len(self.copies.entries))
+        leaves = [leaf for n in differ for leaf in range(n * LEAVES_PER_GROUP, (n + 1) * LEAVES_PER_GROUP)]
+        digests = [[leaf, self.replica.leaf_digests[leaf]] for leaf in leaves]
+        self._send(sender, StateMessageKind.LEAF_DIGESTS, leaves=digests, n=len(self.replica.entries))
 
-    def _differs(self, now: int, sender: str, theirs: dict[int, int], n: int) -> None:
-        if self.reached is not None and not n:
-            self._give(now, sender, range(LEAVES))
+    def _on_leaf_digests(self, now: int, sender: str, theirs: dict[int, int], n: int) -> None:
+        if self.scope is not None and not n:
+            self._send_rows(now, sender, range(LEAVES))
             return
-        differ = [leaf for leaf, one in theirs.items() if one != self.copies.leaves[leaf]]
-        if len(differ) >= self.pace.far_leaves and n >= self.pace.far_entries:
-            self.far.add(sender)
+        differ = [leaf for leaf, one in theirs.items() if one != self.replica.leaf_digests[leaf]]
+        if len(differ) >= self.settings.full_transfer_leaves and n >= self.settings.full_transfer_entries:
+            self.full_transfer_peers.add(sender)
             return
-        self.chance.shuffle(differ)  # of what is too much for one round, another part each time
-        self._give(now, sender, differ)
-        if self._fills(now, len(differ), LEAVES):
-            self._send(sender, Word.WANTS, leaves=differ)
-
-    def _give(self, now: int, to: str, leaves: Iterable[int]) -> None:
-        if self.reached is None:
-            for rows in self._batches(self.copies.rows(leaves), self.pace.give_most):
-                self._send(to, Word.GIVE, rows=rows)
+        self.chance.shuffle(differ)  # if it is too much for one round, a different part each time
+        self._send_rows(now, sender, differ)
+        if self._may_request_rows(now, len(differ), LEAVES):
+            self._send(sender, StateMessageKind.ROWS_WANTED, leaves=differ)
+
+    def _send_rows(self, now: int, to: str, leaves: Iterable[int]) -> None:
+        if self.scope is None:
+            for rows in self._batches(self.replica.rows(leaves), self.settings.max_sync_bytes):
+                self._send(to, StateMessageKind.ROWS, rows=rows)
             return
-        came = (now - self.gave_at) * self.pace.copies_per_s / 1e6
-        self.may_give, self.gave_at = min(self.may_give + came, self.burst), now
+        came = (now - self.budget_updated_at) * self.settings.repair_bytes_per_s / 1e6
+        self.repair_budget, self.budget_updated_at = min(self.repair_budget + came, self.repair_burst), now
         order = list(leaves)
-        self.chance.shuffle(order)  # who starts with many others has another part from each
-        batches = list(self._batches(self.copies.rows(order), self.pace.give_most))
+        self.chance.shuffle(order)  # members that start together get a different part from each peer
+        batches = list(self._batches(self.replica.rows(order), self.settings.max_sync_bytes))
         for rows in batches:
-            if self.may_give <= 0 and len(batches) > 1:
+            if self.repair_budget <= 0 and len(batches) > 1:
                 return
-            self.may_give -= len(orjson.dumps(rows))
-            self._send(to, Word.GIVE, rows=rows, copy=len(batches))
+            self.repair_budget -= len(orjson.dumps(rows))
+            self._send(to, StateMessageKind.ROWS, rows=rows, copy=len(batches))
 
-    def _batches(self, every: Iterable[Row], most: int | None = None) -> Iterator[list[Row]]:
-        """Rows as they go into datagrams, up to `most` bytes of them in all."""
-        rows, size, whole = [], 0, 0
-        for row in every:
+    def _batches(self, all_rows: Iterable[Row], max_bytes: int | None = None) -> Iterator[list[Row]]:
+        """Splits rows into datagrams, up to `max_bytes` in total."""
+        rows, size, total = [], 0, 0
+        for row in all_rows:
             more = len(orjson.dumps(row)) + 1
-            if rows and size + more > self.pace.gift_most:
+            if rows and size + more > self.settings.max_datagram_bytes:
                 yield rows
                 rows, size = [], 0
-            if most is not None and whole + more > most:
+            if max_bytes is not None and total + more > max_bytes:
                 break
             rows.append(row)
-            size, whole = size + more, whole + more
+            size, total = size + more, total + more
         if rows:
             yield rows
 
-    def _send(self, to: str, word: Word, **fields: object) -> None:
-        self.sent += len(fields.get("rows", ()))  # type: ignore[arg-type]
-        self.outbox.append((to, {"k": int(word), "from": self.me, **fields}))
+    def _send(self, to: str, kind: StateMessageKind, **fields: object) -> None:
+        self.rows_sent += len(fields.get("rows", ()))  # type: ignore[arg-type]
+        self.outbox.append((to, {"k": int(kind), "from": self.me, **fields}))
 
-    # A whole copy over a stream
+    # Full transfer over a stream
 
-    def missing(self, leaves: Sequence[int] | str) -> Iterable[Row]:
-        """What a member that holds these leaf sums lacks of ours; leaves that agree are left out. In cells
-        they are packed. ValueError for what are none."""
+    def missing_rows(self, leaves: Sequence[int] | str) -> Iterable[Row]:
+        """Rows of the leaves whose digests differ from these, which are encoded in cells. ValueError for
+        malformed digests."""
         if isinstance(leaves, str):
-            return self.copies.rows(self.copies.unlike(leaves))
+            return self.replica.rows(self.replica.differing_leaves(leaves))
         if len(leaves) != LEAVES:
-            raise ValueError("no sums of ours")
-        return self.copies.rows([n for n in range(LEAVES) if int(leaves[n]) != self.copies.leaves[n]])
+            raise ValueError("wrong number of digests")
+        return self.replica.rows([n for n in range(LEAVES) if int(leaves[n]) != self.replica.leaf_digests[n]])
 
-    def took(self, wall: int, rows: Iterable[Row]) -> int:
-        """What came over a stream; how much of it was news. It does not ride: the others have it."""
-        return len(self.copies.merge(wall, rows))
+    def receive_full_transfer(self, wall: int, rows: Iterable[Row]) -> int:
+        """Merges a full transfer; returns the number of changes. They do not spread: the others have them."""
+        return len(self.replica.merge(wall, rows))
--- a/crowwing/fleet/state/hybrid_clock.py
+++ b/crowwing/fleet/state/hybrid_clock.py
@@ -1,49 +1,49 @@
-"""Stamps that order what members say: a hybrid logical clock. Pure.
+"""Hybrid logical clock whose timestamps order the updates of all members. Pure.
 
-Source: Kulkarni, Demirbas, Madappa, Avva, Leone, "Logical Physical Clocks" (OPODIS 2014). A stamp is (µs,
-count, member's name): never behind this member's own clock or any stamp it has heard, so what is said after
-something was heard outranks it whatever the clocks show; the name orders what nobody saw in order.
+Source: Kulkarni, Demirbas, Madappa, Avva, Leone, "Logical Physical Clocks" (OPODIS 2014). A timestamp is (µs,
+counter, member name) and never behind this member's own clock or any timestamp received, so an update made
+after another one was received outranks it whatever the clocks show. The name breaks ties of concurrent
+updates.
 """
 
 from typing import NamedTuple
 
-COUNT_MOST = 1 << 31  # of stamps within one µs; a higher one is no member's of ours
+MAX_COUNTER = 1 << 31  # timestamps within one µs; a higher counter is invalid
 
 
-class Stamp(NamedTuple):
-    at: int  # µs, Unix
-    count: int
-    who: str
+class Timestamp(NamedTuple):
+    time_us: int  # µs, Unix
+    counter: int
+    member: str
 
 
-class TooFarAhead(ValueError):
-    """A stamp further ahead of this member's clock than settings allow."""
+class ClockSkewError(ValueError):
+    """A timestamp is further ahead of this member's clock than the settings allow."""
 
 
-class Hybrid:
-    """One member's clock. `drift_most` (µs): how far ahead of our own clock a stamp may lie and be believed.
+class HybridClock:
+    """One member's clock. A timestamp more than `max_drift` µs ahead of the own clock is rejected.
 
-    Guards against one member with a clock far ahead, whose words would outrank all others' for hours and run
-    out everything that the fleet keeps. Could do harm where this member's own clock is far behind: it then
-    believes nobody, which its counter `ahead` shows.
+    Otherwise one member with a clock far ahead would outrank all others for hours and expire every entry of
+    the fleet. A member whose own clock is far behind rejects everything; its counter `ahead` shows that.
     """
 
-    def __init__(self, me: str, drift_most: int) -> None:
-        self.me, self.drift_most = me, drift_most
-        self.at, self.count = 0, 0
+    def __init__(self, me: str, max_drift: int) -> None:
+        self.me, self.max_drift = me, max_drift
+        self.time_us, self.counter = 0, 0
 
     def time(self, now: int) -> int:
-        """The fleet's time as far as heard, µs: what runs out is judged by it, so alike on all members."""
-        return max(self.at, now)
-
-    def next(self, now: int) -> Stamp:
-        """A stamp above all that were given out or heard."""
-        self.at, self.count = (now, 0) if now > self.at else (self.at, self.count + 1)
-        return Stamp(self.at, self.count, self.me)
-
-    def heard(self, now: int, at: int, count: int) -> None:
-        """TooFarAhead changes nothing."""
-        if at > now + self.drift_most or not 0 <= count < COUNT_MOST:
-            raise TooFarAhead(f"{at - now} µs ahead")
-        if (at, count) > (self.at, self.count):
-            self.at, self.count = at, count
+        """Latest time observed in the fleet, µs. Expiry is judged by it, so that all members expire alike."""
+        return max(self.time_us, now)
+
+    def next_timestamp(self, now: int) -> Timestamp:
+        """Returns a timestamp above all that were issued or observed."""
+        self.time_us, self.counter = (now, 0) if now > self.time_us else (self.time_us, self.counter + 1)
+        return Timestamp(self.time_us, self.counter, self.me)
+
+    def observe(self, now: int, time_us: int, counter: int) -> None:
+        """Raises ClockSkewError, without a change of state, for a timestamp too far ahead."""
+        if time_us > now + self.max_drift or not 0 <= counter < MAX_COUNTER:
+            raise ClockSkewError(f"{time_us - now} µs ahead")
+        if (time_us, counter) > (self.time_us, self.counter):
+            self.time_us, self.counter = time_us, counter
--- a/crowwing/fleet/state/keyspaces.py
+++ b/crowwing/fleet/state/keyspaces.py
@@ -1,18 +1,28 @@
-"""Which state the fleet keeps together, and the rule of each (docs/replication.md has the reasons)."""
+"""The keyspaces of the replicated state and the merge rule of each (reasons: docs/replication.md)."""
 
-from crowwing.fleet.state.replica import Join, Space
+from crowwing.fleet.state.replica import Keyspace, MergeRule
 
 SECOND = 1_000_000
 HOUR = 3600 * SECOND
 
-# A name that stands first in a key: how copies that differ are settled, entries at most, longest life.
-SPACES = {
-    "said": Space(Join.LATEST, 512, 24 * HOUR, wide=True),  # what operators say to all members
-    "mark": Space(Join.GONE, 512, 24 * HOUR, wide=True),  # sets that operators put members or zones into
-    "zone": Space(Join.LATEST, 256, 24 * HOUR, wide=True),  # verdicts on zones
-    "use": Space(Join.MOST, 4096, 60 * SECOND),  # a customer's tickets: by member, life and window
-    "turned": Space(Join.LATEST, 1024, 60 * SECOND),  # prints of what each member turned away of late
-    "reach": Space(Join.LATEST, 512, HOUR),  # which cells each speaker of this cell cannot reach, by zone
-    "lesson": Space(Join.LATEST, 512, 24 * HOUR),  # what each member has learned
+# First component of a key: merge rule, maximum number of entries, maximum lifetime of an entry.
+KEYSPACES = {
+    "said": Keyspace(
+        MergeRule.LAST_WRITER_WINS, 512, 24 * HOUR, fleet_wide=True
+    ),  # messages from operators to all members
+    "mark": Keyspace(
+        MergeRule.REMOVE_WINS, 512, 24 * HOUR, fleet_wide=True
+    ),  # sets of members or zones, edited by operators
+    # State of zones, set by operators
+    "zone": Keyspace(MergeRule.LAST_WRITER_WINS, 256, 24 * HOUR, fleet_wide=True),
+    # Requests of a customer by member, incarnation and window
+    "use": Keyspace(MergeRule.MAXIMUM, 4096, 60 * SECOND),
+    "turned": Keyspace(
+        MergeRule.LAST_WRITER_WINS, 1024, 60 * SECOND
+    ),  # prints of requests that each member rejected recently
+    "reach": Keyspace(
+        MergeRule.LAST_WRITER_WINS, 512, HOUR
+    ),  # cells that each speaker of this cell cannot reach
+    "lesson": Keyspace(MergeRule.LAST_WRITER_WINS, 512, 24 * HOUR),  # learned figures of each member
 }
-OPERATORS = ("said", "mark", "zone")  # what may be put through the fleet's socket
+OPERATORS = ("said", "mark", "zone")  # may be changed through the fleet socket
--- a/crowwing/fleet/state/reachability_votes.py
+++ b/crowwing/fleet/state/reachability_votes.py
@@ -1,86 +1,94 @@
-"""What the speakers of a cell say of other cells, and what its members make of it. Pure.
+"""Votes of a cell's speakers on which other cells are unreachable, and their count by its members. Pure.
 
-Each speaker keeps one entry with the cells that it cannot reach, `reach/speaker`: a whole zone or region in
-one word, or, where those are many (while a cut is still being seen), a bit a cell of this copy of the
-settings, which only members with the same copy can read. A member holds a cell out of reach where most of
-those say so who speak for its cell, as it sees them: one speaker that is deaf, slow or cut off convinces
-nobody, and the words of one that is dead or speaks no longer do not count.
+Each speaker keeps one entry, `reach/speaker`, with the cells it cannot reach: a whole zone or region as one
+prefix or, if the list is long (while a partition is still being detected), one bit per cell of its copy of
+the settings, which only members with the same copy can decode. A member considers a cell unreachable if a
+majority of the speakers of its own cell, as it sees them, say so: one deaf, slow or partitioned speaker
+convinces nobody, and votes of members that died or no longer speak do not count.
 
-In a partition each side says it of the other. Who was away has nothing to believe until it has caught up.
+In a partition each side votes the other unreachable. A member that was away has no votes until it has caught
+up.
 """
 
 from collections import Counter
 from collections.abc import Sequence
 
-from crowwing.fleet.membership.cells import Layout, covers
-from crowwing.fleet.state.replica import Copies
+from crowwing.fleet.membership.cells import CellLayout, covers
+from crowwing.fleet.state.replica import Replica
 
-LIFE = 600_000_000  # µs; said again after half of it, while it holds
-# µs. A cut is seen cell by cell for some seconds, so it is told in few tellings; what came back, soon.
-SETTLE, GAP_OUT, GAP_BACK = 1_000_000, 8_000_000, 2_000_000
-WORDS_MOST = 120  # bytes; more is told by bits
+VOTE_LIFETIME = 600_000_000  # µs; renewed after half of it while it is valid
+# µs. A partition is detected cell by cell over some seconds, so votes against cells are published rarely;
+# that a cell is reachable again is published soon.
+STABILIZATION_DELAY, MIN_INTERVAL_OUT, MIN_INTERVAL_BACK = 1_000_000, 8_000_000, 2_000_000
+MAX_PREFIX_LIST_BYTES = 120  # a longer list is encoded as bits
 
 
-class Verdicts:
-    def __init__(self, me: str, layout: Layout, copies: Copies, now: int) -> None:
-        self.me, self.layout, self.copies = me, layout, copies
-        self.own = layout.cell_of[me]
-        self.others = [cell for cell in layout.cells if cell != self.own]
-        self.tell_at: int | None = None  # where the verdict changed; None: it stands as it was told
-        self.told_at = now - GAP_OUT
-        self.looked: tuple[frozenset[str], int] = frozenset(), now  # the last verdict, and when to look again
-        self.seen: tuple = ()
-        self.cells: frozenset[str] = frozenset()
+class ReachabilityVotes:
+    def __init__(self, me: str, layout: CellLayout, replica: Replica, now: int) -> None:
+        self.me, self.layout, self.replica = me, layout, replica
+        self.own_cell = layout.cell_of[me]
+        self.other_cells = [cell for cell in layout.cells if cell != self.own_cell]
+        self.publish_at: int | None = None  # when to publish a changed vote; None: published
+        self.published_at = now - MIN_INTERVAL_OUT
+        self.last_check: tuple[frozenset[str], int] = (
+            frozenset(),
+            now,
+        )  # the last vote, and when to check it again
+        self.counted_version: tuple = ()
+        self.unreachable: frozenset[str] = frozenset()
 
-    def tell(self, now: int, out: frozenset[str]) -> list[tuple[str, list[str] | dict[str, str]]]:
-        """A speaker's: key and value to put now, if any. `now` only goes forward."""
-        if out == self.looked[0] and self.tell_at is None and now < self.looked[1]:
+    def due_votes(self, now: int, out: frozenset[str]) -> list[tuple[str, list[str] | dict[str, str]]]:
+        """For a speaker: key and value to put now, if any. `now` is monotonic."""
+        if out == self.last_check[0] and self.publish_at is None and now < self.last_check[1]:
             return []
-        self.looked = out, now + LIFE // 4
-        key, words = f"reach/{self.me}", self._said(out)
-        standing = self.copies.look(key) or []
-        old = bool(words) and now - self.told_at >= LIFE // 2
-        if standing == words and not old:
-            self.tell_at = None
+        self.last_check = out, now + VOTE_LIFETIME // 4
+        key, prefixes = f"reach/{self.me}", self._encode(out)
+        published = self.replica.get(key) or []
+        stale = bool(prefixes) and now - self.published_at >= VOTE_LIFETIME // 2
+        if published == prefixes and not stale:
+            self.publish_at = None
             return []
-        back = not out.issuperset(self._meant(standing))
-        due = max(now + SETTLE, self.told_at + (GAP_BACK if back else GAP_OUT))
-        # Sooner where something came back meanwhile; what else changes does not put it off.
-        self.tell_at = due if self.tell_at is None else min(self.tell_at, due)
-        if now < self.tell_at:
+        came_back = not out.issuperset(self._decode(published))
+        due = max(
+            now + STABILIZATION_DELAY,
+            self.published_at + (MIN_INTERVAL_BACK if came_back else MIN_INTERVAL_OUT),
+        )
+        # Earlier if a cell came back meanwhile; other changes do not delay it.
+        self.publish_at = due if self.publish_at is None else min(self.publish_at, due)
+        if now < self.publish_at:
             return []
-        self.tell_at, self.told_at = None, now
-        return [(key, words)]
+        self.publish_at, self.published_at = None, now
+        return [(key, prefixes)]
 
-    def _said(self, out: frozenset[str]) -> list[str] | dict[str, str]:
-        words = self.layout.short(out)
-        if sum(len(word.encode()) + 3 for word in words) <= WORDS_MOST:
-            return words
+    def _encode(self, out: frozenset[str]) -> list[str] | dict[str, str]:
+        prefixes = self.layout.compact(out)
+        if sum(len(prefix.encode()) + 3 for prefix in prefixes) <= MAX_PREFIX_LIST_BYTES:
+            return prefixes
         bits = sum(1 << number for number, cell in enumerate(self.layout.cells) if cell in out)
         return {"of": self.layout.digest, "bits": f"{bits:x}"}
 
-    def _meant(self, said: object) -> list[str]:
-        """The cells that a speaker means; none where that cannot be read here."""
-        if isinstance(said, dict) and said.get("of") == self.layout.digest:
+    def _decode(self, vote: object) -> list[str]:
+        """The cells of a vote; none if it cannot be decoded here."""
+        if isinstance(vote, dict) and vote.get("of") == self.layout.digest:
             try:
-                bits = int(str(said.get("bits")), 16)
+                bits = int(str(vote.get("bits")), 16)
             except ValueError:
                 return []
             cells = self.layout.cells
-            return [cells[n] for n in range(len(cells)) if bits >> n & 1 and cells[n] != self.own]
-        told = [word for word in said if isinstance(word, str)] if isinstance(said, list) else []
-        return [cell for cell in self.others if any(covers(word, cell) for word in told)]
+            return [cells[n] for n in range(len(cells)) if bits >> n & 1 and cells[n] != self.own_cell]
+        prefixes = [prefix for prefix in vote if isinstance(prefix, str)] if isinstance(vote, list) else []
+        return [cell for cell in self.other_cells if any(covers(prefix, cell) for prefix in prefixes)]
 
     def wake_at(self) -> int | None:
-        return self.tell_at
+        return self.publish_at
 
-    def out(self, speakers: Sequence[str]) -> frozenset[str]:
-        """The cells out of reach, by most of the words of these speakers."""
-        if self.seen == (self.copies.version, speakers):
-            return self.cells
-        self.seen = self.copies.version, speakers
+    def unreachable_cells(self, speakers: Sequence[str]) -> frozenset[str]:
+        """Cells that a majority of these speakers cannot reach."""
+        if self.counted_version == (self.replica.version, speakers):
+            return self.unreachable
+        self.counted_version = self.replica.version, speakers
         votes: Counter[str] = Counter()
         for speaker in speakers:
-            votes.update(self._meant(self.copies.look(f"reach/{speaker}")))
-        self.cells = frozenset(cell for cell, count in votes.items() if 2 * count > len(speakers))
-        return self.cells
+            votes.update(self._decode(self.replica.get(f"reach/{speaker}")))
+        self.unreachable = frozenset(cell for cell, count in votes.items() if 2 * count > len(speakers))
+        return self.unreachable
--- a/crowwing/fleet/uses/__init__.py
+++ b/crowwing/fleet/uses/__init__.py
@@ -1,1 +1,1 @@
-"""What is made of the state: loans, quotas, labels, lessons, prints."""
+"""Features built on the replicated state: call loans, quotas, idempotency keys, learned starts, prints."""
