--- a/crowwing/fleet/uses/idempotency_keys.py
+++ b/crowwing/fleet/uses/idempotency_keys.py
@@ -1,20 +1,23 @@
-"""A labelled ticket retried at another backend is not run again while the copies are in reach. Pure.
+"""Idempotency keys across members: a keyed request retried at another backend runs only once. Pure.
 
-Rule 2 is each backend's alone, and stays so; this is more, for installations that want it. Each label has
-three homes among all members that settings name, by rendezvous (Thaler, Ravishankar, 1998), so all agree on
-them without a word. Before a member runs a labelled ticket it claims the label at its homes; a home grants
-it to the first and tells every other who has it and, once it is over, the answer. Two of three grants, and
-it runs: any two claims that both had two would have had a home in common. Otherwise the claim gives its
-grants back and the caller is told to come again, or gets the answer.
+That holds while the home members of its key can be reached.
 
-- A home that started less than a label's window ago may have forgotten a grant: it says what it knows, and
+Each backend already enforces rule 2 for itself; this extends it over the fleet for installations that want
+it. Each key has three home members among all that the settings name, by rendezvous hashing (Thaler,
+Ravishankar, 1998), so all members agree on them without a message. Before a member runs a keyed request it
+claims the key at its homes. A home grants the key to the first claimant and tells every other who owns it
+and, once the request has completed, the answer. With two of three grants the request runs: any two claims
+with two grants share a home. Otherwise the claim releases its grants and the caller is told to retry later,
+or gets the answer.
+
+- A home that started less than a key's window ago may have forgotten a grant: it reports what it knows, and
   its grant does not count.
-- Where two homes are out of reach, nobody can tell: the claim ends `UNSURE`, and what then is the operator's
-  choice (run under rule 2 alone, or dismiss).
-- Each claim has a number, and each life of a member its own name as an owner: a word about an earlier claim,
-  late on the network, neither grants nor gives back a later one, and a member that starts anew does not take
-  what its earlier life ran for its own.
-- A claimant that dies leaves its grant standing until the window is over: the ticket may have run.
+- Where two homes cannot be reached, the claim ends `UNSURE`, and the operator's settings decide whether the
+  request runs under rule 2 alone or is rejected.
+- Each claim has a number and each incarnation of a member its own owner name: a late message about an earlier
+  claim neither grants nor releases a later one, and a restarted member does not take for its own what its
+  earlier incarnation ran.
+- A claimant that dies leaves its grant in place until the window is over: the request may have run.
 """
 
 import random
@@ -24,193 +27,212 @@
 
 import xxhash
 
-CLAIM, TOLD, OVER, BACK = 30, 31, 32, 33  # kinds: a claim, a home's word, it is over, the claim is given back
-HOMES, NEEDED = 3, 2
-LABEL_MOST, ANSWER_MOST = 128, 512  # bytes
+# Message kinds; a home answers a claim with GRANT_STATE.
+CLAIM, GRANT_STATE, COMPLETED, RELEASED = 30, 31, 32, 33
+HOME_COUNT, REQUIRED_GRANTS = 3, 2
+MAX_KEY_BYTES, MAX_ANSWER_BYTES = 128, 512
 
 
-class Claimed(Enum):
-    OURS = "ours"  # run it
-    ELSEWHERE = "elsewhere"  # another member runs it, or may have
-    DONE = "done"  # it has run; here is the answer, if it was small enough
-    UNSURE = "unsure"  # too few homes in reach to tell
+class ClaimResult(Enum):
+    OURS = "ours"  # the caller may run it
+    ELSEWHERE = "elsewhere"  # another member runs it or may have run it
+    DONE = "done"  # it has completed; the answer is given if it was small enough
+    UNSURE = "unsure"  # too few homes answered
 
 
-def homes(label: str, members: Sequence[str]) -> list[str]:
-    ranked = sorted(members, key=lambda name: xxhash.xxh64_intdigest(f"{name}\0{label}".encode()))
-    return ranked[:HOMES]
+def home_members(key: str, members: Sequence[str]) -> list[str]:
+    ranked = sorted(members, key=lambda name: xxhash.xxh64_intdigest(f"{name}\0{key}".encode()))
+    return ranked[:HOME_COUNT]
 
 
 @dataclass(slots=True)
 class Grant:
-    """What a home, or who runs it, knows of a label."""
+    """What a home member or the owner knows about a key."""
 
-    owner: str  # member.life
+    owner: str  # member.incarnation
     until: int
-    number: int  # of the claim
-    over: bool = False
+    claim_number: int
+    completed: bool = False
     answer: str | None = None
 
 
 @dataclass(slots=True)
 class Claim:
-    """One of ours that is out."""
+    """A pending claim of this member."""
 
-    label: str
-    number: int
+    key: str
+    claim_number: int
     window: int
-    homes: list[str]
-    until: int
-    again: int
-    tell: Callable[[Claimed, str | None], None]
-    granted: set[str] = field(default_factory=set)
-    silent: set[str] = field(default_factory=set)  # said that they cannot know
+    home_members: list[str]
+    deadline: int
+    resend_at: int
+    on_result: Callable[[ClaimResult, str | None], None]
+    granted_by: set[str] = field(default_factory=set)
+    uncertain: set[str] = field(default_factory=set)  # homes whose grant does not count
 
 
-class Labels:
-    """One member's part, as claimant and as home. Times in µs on a clock that only goes forward."""
+class IdempotencyKeys:
+    """One member's part, as claimant and as home. Times in µs on a monotonic clock."""
 
     def __init__(
-        self, me: str, members: Sequence[str], now: int, chance: random.Random, most: int, wait: int
+        self,
+        me: str,
+        members: Sequence[str],
+        now: int,
+        chance: random.Random,
+        max_keys: int,
+        claim_timeout: int,
     ) -> None:
-        """`most` labels known here, as a home and as ours; `wait` for the homes' words."""
-        self.me, self.members, self.born, self.most, self.wait = me, list(members), now, most, wait
-        self.owner, self.number = f"{me}.{chance.randrange(1 << 32):08x}", 0
-        self.known: dict[str, Grant] = {}  # as a home; emptied by each label's window
-        self.ours: dict[str, Grant] = {}  # that run or ran here; emptied by each label's window
-        self.claims: dict[str, Claim] = {}  # out, by label; emptied by their ends
-        self.next_sweep = now
-        self.full = 0
+        """`max_keys` known here, as home and as owner each; `claim_timeout` for the answers of the homes."""
+        self.me, self.members, self.started_at, self.max_keys, self.claim_timeout = (
+            me,
+            list(members),
+            now,
+            max_keys,
+            claim_timeout,
+        )
+        self.owner, self.claim_number = f"{me}.{chance.randrange(1 << 32):08x}", 0
+        self.grants: dict[str, Grant] = {}  # as a home; removed after each key's window
+        self.own_grants: dict[str, Grant] = {}  # that run or ran here; removed after each key's window
+        self.claims: dict[str, Claim] = {}  # pending, by key; removed at their end
+        self.next_expiry = now
+        self.rejected_claims = 0
         self.outbox: list[tuple[str, dict]] = []
 
     def wake_at(self) -> int | None:
-        return min((min(claim.again, claim.until) for claim in self.claims.values()), default=None)
+        return min((min(claim.resend_at, claim.deadline) for claim in self.claims.values()), default=None)
 
-    # As a claimant
+    # Claimant
 
-    def claim(self, now: int, label: str, window: int, tell: Callable[[Claimed, str | None], None]) -> None:
-        """Tells once, by `wait` at the latest. ValueError for what is no label."""
-        if not label or len(label.encode()) > LABEL_MOST or window <= 0:
-            raise ValueError(f"label {label[:20]!r}: is empty, too long or without a window")
-        mine = self.ours.get(label)
-        if mine is not None and mine.until > now:
-            tell(Claimed.DONE if mine.over else Claimed.ELSEWHERE, mine.answer)
+    def claim(
+        self, now: int, key: str, window: int, on_result: Callable[[ClaimResult, str | None], None]
+    ) -> None:
+        """Calls `on_result` once, after `claim_timeout` at the latest. ValueError for an invalid key."""
+        if not key or len(key.encode()) > MAX_KEY_BYTES or window <= 0:
+            raise ValueError(f"idempotency key {key[:20]!r}: is empty, too long or without a window")
+        own_grant = self.own_grants.get(key)
+        if own_grant is not None and own_grant.until > now:
+            on_result(ClaimResult.DONE if own_grant.completed else ClaimResult.ELSEWHERE, own_grant.answer)
             return
-        if label in self.claims or len(self.ours) >= self.most:
-            tell(Claimed.ELSEWHERE if label in self.claims else Claimed.UNSURE, None)
+        if key in self.claims or len(self.own_grants) >= self.max_keys:
+            on_result(ClaimResult.ELSEWHERE if key in self.claims else ClaimResult.UNSURE, None)
             return
-        self.number += 1
-        at, again = homes(label, self.members), now + self.wait // 4
-        claim = Claim(label, self.number, window, at, now + self.wait, again, tell)
-        self.claims[label] = claim
-        self._ask(now, claim)
-
-    def _ask(self, now: int, claim: Claim) -> None:
-        for home in claim.homes:
-            if claim.label in self.claims and home not in claim.granted:
-                told = {"k": CLAIM, "label": claim.label, "n": claim.number, "window": claim.window}
-                self._to(now, home, told)
-
-    def over(self, now: int, label: str, answer: str | None) -> None:
-        """The ticket ran to its end; small answers are kept for who retries it."""
-        if answer is not None and len(answer.encode()) > ANSWER_MOST:
+        self.claim_number += 1
+        homes, resend_at = home_members(key, self.members), now + self.claim_timeout // 4
+        claim = Claim(key, self.claim_number, window, homes, now + self.claim_timeout, resend_at, on_result)
+        self.claims[key] = claim
+        self._send_claims(now, claim)
+
+    def _send_claims(self, now: int, claim: Claim) -> None:
+        for home in claim.home_members:
+            if claim.key in self.claims and home not in claim.granted_by:
+                message = {"k": CLAIM, "label": claim.key, "n": claim.claim_number, "window": claim.window}
+                self._send(now, home, message)
+
+    def complete(self, now: int, key: str, answer: str | None) -> None:
+        """The request has completed; small answers are kept for its retries."""
+        if answer is not None and len(answer.encode()) > MAX_ANSWER_BYTES:
             answer = None
-        mine = self.ours.get(label)
-        if mine is None:
+        own_grant = self.own_grants.get(key)
+        if own_grant is None:
             return
-        mine.over, mine.answer = True, answer
-        for home in homes(label, self.members):
-            self._to(now, home, {"k": OVER, "label": label, "n": mine.number, "answer": answer})
-
-    def never_ran(self, now: int, label: str) -> None:
-        """It was granted and then not run: another try may have it."""
-        mine = self.ours.pop(label, None)
-        if mine is not None:
-            self._give_back(now, label, mine.number)
-
-    def _give_back(self, now: int, label: str, number: int) -> None:
-        for home in homes(label, self.members):
-            self._to(now, home, {"k": BACK, "label": label, "n": number})
-
-    def _end(self, now: int, claim: Claim, what: Claimed, answer: str | None = None) -> None:
-        del self.claims[claim.label]
-        if what is Claimed.OURS:
-            self.ours[claim.label] = Grant(self.owner, now + claim.window, claim.number)
+        own_grant.completed, own_grant.answer = True, answer
+        for home in home_members(key, self.members):
+            self._send(
+                now, home, {"k": COMPLETED, "label": key, "n": own_grant.claim_number, "answer": answer}
+            )
+
+    def release(self, now: int, key: str) -> None:
+        """The key was granted but the request did not run: another attempt may claim it."""
+        own_grant = self.own_grants.pop(key, None)
+        if own_grant is not None:
+            self._send_release(now, key, own_grant.claim_number)
+
+    def _send_release(self, now: int, key: str, number: int) -> None:
+        for home in home_members(key, self.members):
+            self._send(now, home, {"k": RELEASED, "label": key, "n": number})
+
+    def _finish(self, now: int, claim: Claim, result: ClaimResult, answer: str | None = None) -> None:
+        del self.claims[claim.key]
+        if result is ClaimResult.OURS:
+            self.own_grants[claim.key] = Grant(self.owner, now + claim.window, claim.claim_number)
         else:
-            self._give_back(now, claim.label, claim.number)  # also what is granted but not told yet
-        claim.tell(what, answer)
+            self._send_release(
+                now, claim.key, claim.claim_number
+            )  # also grants whose message is still on its way
+        claim.on_result(result, answer)
 
     # Time and messages
 
-    def turn(self, now: int) -> None:
+    def tick(self, now: int) -> None:
         for claim in list(self.claims.values()):
-            if now >= claim.until:
-                self._end(now, claim, Claimed.UNSURE)
-            elif now >= claim.again:
-                claim.again = now + self.wait // 4
-                self._ask(now, claim)
-        if now >= self.next_sweep:
-            self.next_sweep = now + 1_000_000
-            self.known = {label: grant for label, grant in self.known.items() if grant.until > now}
-            self.ours = {label: grant for label, grant in self.ours.items() if grant.until > now}
-
-    def heard(self, now: int, message: dict) -> None:
-        """KeyError, TypeError or ValueError for what is no message of ours."""
-        sender, kind, label = message["from"], message["k"], str(message["label"])
+            if now >= claim.deadline:
+                self._finish(now, claim, ClaimResult.UNSURE)
+            elif now >= claim.resend_at:
+                claim.resend_at = now + self.claim_timeout // 4
+                self._send_claims(now, claim)
+        if now >= self.next_expiry:
+            self.next_expiry = now + 1_000_000
+            self.grants = {key: grant for key, grant in self.grants.items() if grant.until > now}
+            self.own_grants = {key: grant for key, grant in self.own_grants.items() if grant.until > now}
+
+    def receive(self, now: int, message: dict) -> None:
+        """KeyError, TypeError or ValueError for a malformed message."""
+        sender, kind, key = message["from"], message["k"], str(message["label"])
         number = int(message["n"])
-        if sender not in self.members or len(label.encode()) > LABEL_MOST:
-            raise ValueError(f"{sender}: no label of this fleet")
+        if sender not in self.members or len(key.encode()) > MAX_KEY_BYTES:
+            raise ValueError(f"{sender}: is not a member of this fleet, or the key is too long")
         if kind == CLAIM:
-            self._claimed(now, sender, str(message["owner"]), label, number, int(message["window"]))
-        elif kind == TOLD:
-            self._told(now, sender, number, message)
-        elif kind in (OVER, BACK):
-            grant = self.known.get(label)
-            mine = grant is not None and (grant.owner, grant.number) == (message["owner"], number)
-            if mine and not grant.over:
-                if kind == BACK:
-                    del self.known[label]
+            self._on_claim(now, sender, str(message["owner"]), key, number, int(message["window"]))
+        elif kind == GRANT_STATE:
+            self._on_grant_state(now, sender, number, message)
+        elif kind in (COMPLETED, RELEASED):
+            grant = self.grants.get(key)
+            matches = grant is not None and (grant.owner, grant.claim_number) == (message["owner"], number)
+            if matches and not grant.completed:
+                if kind == RELEASED:
+                    del self.grants[key]
                 else:
-                    grant.over, grant.answer = True, message["answer"]
+                    grant.completed, grant.answer = True, message["answer"]
 
-    def _claimed(self, now: int, sender: str, owner: str, label: str, number: int, window: int) -> None:
-        """As a home: the first has it."""
-        grant = self.known.get(label)
+    def _on_claim(self, now: int, sender: str, owner: str, key: str, number: int, window: int) -> None:
+        """As a home member: grants the key to the first claimant."""
+        grant = self.grants.get(key)
         if grant is None or grant.until <= now:
-            if len(self.known) >= self.most:
-                self.full += 1
-                self._to(now, sender, {"k": TOLD, "label": label, "n": number, "has": None})
+            if len(self.grants) >= self.max_keys:
+                self.rejected_claims += 1
+                self._send(now, sender, {"k": GRANT_STATE, "label": key, "n": number, "has": None})
                 return
-            grant = self.known[label] = Grant(owner, now + window, number)
-        if grant.owner == owner and not grant.over:
-            if number < grant.number:
-                return  # a late copy of a claim that has ended
-            grant.number = number
-        told = {"k": TOLD, "label": label, "n": number, "has": grant.owner, "over": grant.over}
-        told |= {"answer": grant.answer, "young": now - self.born < window}
-        self._to(now, sender, told)
-
-    def _told(self, now: int, sender: str, number: int, message: dict) -> None:
+            grant = self.grants[key] = Grant(owner, now + window, number)
+        if grant.owner == owner and not grant.completed:
+            if number < grant.claim_number:
+                return  # a late duplicate of a claim that has ended
+            grant.claim_number = number
+        response = {"k": GRANT_STATE, "label": key, "n": number, "has": grant.owner, "over": grant.completed}
+        response |= {"answer": grant.answer, "young": now - self.started_at < window}
+        self._send(now, sender, response)
+
+    def _on_grant_state(self, now: int, sender: str, number: int, message: dict) -> None:
         claim = self.claims.get(message["label"])
-        if claim is None or sender not in claim.homes or number != claim.number:
+        if claim is None or sender not in claim.home_members or number != claim.claim_number:
             return
         owner = message["has"]
         if owner is not None and message["over"]:
-            self._end(now, claim, Claimed.DONE, message["answer"])
+            self._finish(now, claim, ClaimResult.DONE, message["answer"])
         elif owner is not None and owner != self.owner:
-            self._end(now, claim, Claimed.ELSEWHERE)
+            self._finish(now, claim, ClaimResult.ELSEWHERE)
         elif owner is None or message["young"]:
-            claim.silent.add(sender)
-            if len(claim.silent) > HOMES - NEEDED:
-                self._end(now, claim, Claimed.UNSURE)
+            claim.uncertain.add(sender)
+            if len(claim.uncertain) > HOME_COUNT - REQUIRED_GRANTS:
+                self._finish(now, claim, ClaimResult.UNSURE)
         else:
-            claim.granted.add(sender)
-            if len(claim.granted) >= NEEDED:
-                self._end(now, claim, Claimed.OURS)
+            claim.granted_by.add(sender)
+            if len(claim.granted_by) >= REQUIRED_GRANTS:
+                self._finish(now, claim, ClaimResult.OURS)
 
-    def _to(self, now: int, home: str, message: dict) -> None:
+    def _send(self, now: int, home: str, message: dict) -> None:
         message |= {"from": self.me, "owner": self.owner}
         if home == self.me:
-            self.heard(now, message)
+            self.receive(now, message)
         else:
             self.outbox.append((home, message))
--- a/crowwing/fleet/uses/learned_start.py
+++ b/crowwing/fleet/uses/learned_start.py
@@ -1,7 +1,9 @@
-"""What members have learned and one that starts lacks: its start, never over what it measures itself. Pure.
+"""Start values for a member that has just started, learned from the others and never used over its own
+measurements. Pure.
 
-Each member says now and then what it has learned (`lesson/member`); one that has started takes, figure by
-figure, the median of what the others said, so that one sick or slow member does not teach its sickness.
+Each member publishes from time to time what it has learned (`lesson/member`). One that has started takes,
+figure by figure, the median of what the others published, so that one unhealthy or slow member does not
+spread its figures.
 """
 
 from collections.abc import Iterable, Sequence
@@ -9,53 +11,64 @@
 from typing import NamedTuple
 
 
-class Lesson(NamedTuple):
-    """Times in µs. `kinds`: for each traffic type its queue timeout and the median of its runs, (0, 0) where
-    too few have run; `limit` of inflight work; `call`: the usual time of a call below, 0 where none was
-    made.
+class LearnedStart(NamedTuple):
+    """Times in µs. `request_classes`: for each request class its queue time-out and the median of its runs,
+    (0, 0) where too few have run; `concurrency_limit` of requests in flight; `call_time`: the usual time of a
+    downstream call, 0 where none was made.
     """
 
-    kinds: tuple[tuple[int, int], ...]
-    limit: float
-    call: int
+    request_classes: tuple[tuple[int, int], ...]
+    concurrency_limit: float
+    call_time: int
 
-    def told(self) -> dict:
+    def as_dict(self) -> dict:
         return {
-            "kinds": [list(kind) for kind in self.kinds],
-            "limit": round(self.limit, 2),
-            "call": self.call,
+            "kinds": [list(kind) for kind in self.request_classes],
+            "limit": round(self.concurrency_limit, 2),
+            "call": self.call_time,
         }
 
 
-def read(told: object) -> Lesson:
-    """ValueError, KeyError or TypeError for what is no lesson."""
-    kinds = tuple((int(timeout), int(middle)) for timeout, middle in told["kinds"])
-    lesson = Lesson(kinds, float(told["limit"]), int(told["call"]))
-    if any(timeout < 0 or middle < 0 for timeout, middle in kinds) or lesson.call < 0 or not lesson.limit > 0:
-        raise ValueError("no lesson")
-    return lesson
+def parse(encoded: object) -> LearnedStart:
+    """Decodes a published entry; ValueError, KeyError or TypeError for a malformed one."""
+    request_classes = tuple((int(timeout), int(middle)) for timeout, middle in encoded["kinds"])
+    start = LearnedStart(request_classes, float(encoded["limit"]), int(encoded["call"]))
+    if (
+        any(timeout < 0 or middle < 0 for timeout, middle in request_classes)
+        or start.call_time < 0
+        or not start.concurrency_limit > 0
+    ):
+        raise ValueError("time or limit out of range")
+    return start
 
 
-def taken(lessons: Iterable[object], types: int) -> Lesson | None:
-    """From what the others said; None where nobody has anything to teach. What is none is left out."""
-    good: list[Lesson] = []
-    for told in lessons:
+def combine(encoded_starts: Iterable[object], class_count: int) -> LearnedStart | None:
+    """Combines what the others published; None if there is nothing. Malformed entries are skipped."""
+    readable: list[LearnedStart] = []
+    for encoded in encoded_starts:
         try:
-            lesson = read(told)
+            start = parse(encoded)
         except (ValueError, KeyError, TypeError):
             continue
-        if len(lesson.kinds) == types:
-            good.append(lesson)
-    if not good:
+        if len(start.request_classes) == class_count:
+            readable.append(start)
+    if not readable:
         return None
-    kinds = tuple(
-        (_middle(one.kinds[n][0] for one in good), _middle(one.kinds[n][1] for one in good))
-        for n in range(types)
+    request_classes = tuple(
+        (
+            _median_of_known(one.request_classes[n][0] for one in readable),
+            _median_of_known(one.request_classes[n][1] for one in readable),
+        )
+        for n in range(class_count)
+    )
+    return LearnedStart(
+        request_classes,
+        median(one.concurrency_limit for one in readable),
+        _median_of_known(one.call_time for one in readable),
     )
-    return Lesson(kinds, median(one.limit for one in good), _middle(one.call for one in good))
 
 
-def _middle(figures: Iterable[int]) -> int:
-    """Of those that are known."""
+def _median_of_known(figures: Iterable[int]) -> int:
+    """Median of the positive figures; 0 if there are none."""
     known: Sequence[int] = [figure for figure in figures if figure > 0]
     return round(median(known)) if known else 0
--- a/crowwing/fleet/uses/quota.py
+++ b/crowwing/fleet/uses/quota.py
@@ -1,51 +1,50 @@
-"""A customer's use against its quota across the fleet, by window. Pure.
+"""Division of a customer's quota among the members by use. Pure.
 
-Settings give each member an even part of a customer's quota. Where a customer's tickets come to few members,
-those parts are spent while the others' lie idle. Each member counts what came of each customer in a window
-and says so when the window is over, under a key of its own (`use/customer/window/member.life`): counters
-never differ, and a member that starts anew counts under another life. Of the quota, members held dead keep
-their even part (they may serve behind a cut, so the two sides of a partition never pass the quota together);
-the rest goes by use.
+The settings give each member an equal part of a customer's quota. If a customer's requests reach only a few
+members, those parts are spent while the others stay unused. Each member counts the requests of each customer
+in a window and publishes the count when the window is over, under its own key
+(`use/customer/window/member.incarnation`), so counters never conflict, and a restarted member counts under
+another incarnation. Members believed dead keep their equal part of the quota (they may serve behind a
+partition, and the two sides must not exceed the quota together); the rest is divided by use.
 
-A window says how much came, not how much was within the share: the part follows what is asked for.
+A window counts all requests that arrived, not only those within the quota: the part follows the demand.
 """
 
 from collections import Counter
 from collections.abc import Iterable
 
-WINDOWS = 3  # the last whole ones, which the parts are taken from
-LEAST = 0.1  # of an even part, for who has had none: its next tickets are not all beyond the share
+WINDOWS = 3  # the last complete ones, which the parts are computed from
+MIN_PART = 0.1  # of an equal part, for a member without use: its next requests are not all over quota
 
 
-def key(customer: str, window: int, member: str, life: str) -> str:
-    return f"use/{customer}/{window}/{member}.{life}"
+def usage_key(customer: str, window: int, member: str, incarnation: str) -> str:
+    return f"use/{customer}/{window}/{member}.{incarnation}"
 
 
 def window_of(at: int, span: int) -> int:
     return at // span
 
 
-def counted(rows: Iterable[tuple[str, float]], now: int, span: int) -> dict[str, Counter[str]]:
-    """Use by customer and member over the last whole windows, from (key, count); what is no such key is left
-    out."""
+def usage_by_customer(rows: Iterable[tuple[str, float]], now: int, span: int) -> dict[str, Counter[str]]:
+    """Use by customer and member over the last complete windows, from (key, count); skips other keys."""
     last = window_of(now, span) - 1
-    use: dict[str, Counter[str]] = {}
+    usage: dict[str, Counter[str]] = {}
     for name, count in rows:
         parts = name.split("/")
         if len(parts) != 4 or not parts[2].isdigit() or not last - WINDOWS < int(parts[2]) <= last:
             continue
         member = parts[3].rpartition(".")[0]
-        use.setdefault(parts[1], Counter())[member] += count
-    return use
+        usage.setdefault(parts[1], Counter())[member] += count
+    return usage
 
 
-def part(use: Counter[str], me: str, alive: Iterable[str], size: int) -> float:
-    """Of one customer's quota, in even parts, what this member may take as within the share. `alive`: the
-    other members held alive; `size`: all that settings name. Over all members that see the same, the parts
-    add up to `size` less those held dead."""
+def quota_part(usage: Counter[str], me: str, alive: Iterable[str], size: int) -> float:
+    """This member's part of a customer's quota, as a multiple of the equal part. `alive`: other members
+    believed alive; `size`: all members in the settings. If all members see the same, their parts add up to
+    `size` minus the members believed dead."""
     members = [me, *alive]
-    total = sum(use[name] for name in members)
+    total = sum(usage[name] for name in members)
     if total <= 0:
         return 1.0
-    floor = LEAST * len(members)
-    return LEAST + (len(members) - floor) * use[me] / total
+    floor = MIN_PART * len(members)
+    return MIN_PART + (len(members) - floor) * usage[me] / total
--- a/crowwing/fleet/uses/rejection_prints.py
+++ b/crowwing/fleet/uses/rejection_prints.py
@@ -1,56 +1,56 @@
-"""Prints of what each member turned away of late, told to the others: a repeat that comes to another backend
-is known there too. Pure.
+"""Shared prints (fingerprints) of requests that each member rejected recently. Pure.
 
-A member tells at most `PRINTS` a look, drawn by chance from all that it turned away since the last, under
-keys of a ring of its own (`turned/member/place`); so what the fleet keeps and sends of it is bounded
-whatever the storm. In a partition each side knows its own; what a member missed is gone with its life of
-seconds.
+With them a repeat that reaches another backend is recognised there.
+
+At a time a member publishes at most `MAX_PRINTS`, a random sample of all that it rejected since the last one,
+under the keys of its own ring of slots (`turned/member/slot`), so the fleet stores and sends a bounded amount
+in any storm. In a partition each side knows its own prints; a missed one expires within seconds.
 """
 
 import random
 from collections.abc import Iterable
 
-from crowwing.fleet.state.hybrid_clock import Stamp
+from crowwing.fleet.state.hybrid_clock import Timestamp
 from crowwing.fleet.state.replica import Entry
 
-PRINTS = 20  # 64-bit numbers that fit one entry
-RING = 16  # places of one member
-SAMPLE = 400  # kept until the next look, of all that were turned away
+MAX_PRINTS = 20  # 64-bit numbers; they fit one entry
+RING_SLOTS = 16  # keys of one member
+SAMPLE_SIZE = 400  # of all rejected requests since the last publication
 
 
-class Turned:
+class RejectionPrints:
     def __init__(self, me: str, chance: random.Random) -> None:
         self.me, self.chance = me, chance
-        self.fresh: list[int] = []  # a fair sample since the last telling, which empties it
-        self.count = self.place = 0
-        self.seen: dict[str, Stamp] = {}  # one a place of each member in the ring; emptied with the entries
+        self.sample: list[int] = []  # uniform sample since the last publication
+        self.seen_count = self.slot = 0
+        self.known_timestamps: dict[str, Timestamp] = {}  # by key; bounded by the entries
 
     def add(self, print_: int) -> None:
-        """One turned away here (reservoir sampling)."""
-        self.count += 1
-        if len(self.fresh) < SAMPLE:
-            self.fresh.append(print_)
-        elif (place := self.chance.randrange(self.count)) < SAMPLE:
-            self.fresh[place] = print_
-
-    def tell(self) -> tuple[str, list[int]] | None:
-        """Key and value to put now; None where nothing was turned away."""
-        if not self.fresh:
+        """Adds the print of a request rejected here (reservoir sampling)."""
+        self.seen_count += 1
+        if len(self.sample) < SAMPLE_SIZE:
+            self.sample.append(print_)
+        elif (slot := self.chance.randrange(self.seen_count)) < SAMPLE_SIZE:
+            self.sample[slot] = print_
+
+    def next_entry(self) -> tuple[str, list[int]] | None:
+        """Key and value to publish now; None if nothing was rejected."""
+        if not self.sample:
             return None
-        told = self.chance.sample(self.fresh, min(PRINTS, len(self.fresh)))
-        self.fresh, self.count = [], 0
-        self.place = (self.place + 1) % RING
-        return f"turned/{self.me}/{self.place}", told
+        chosen = self.chance.sample(self.sample, min(MAX_PRINTS, len(self.sample)))
+        self.sample, self.seen_count = [], 0
+        self.slot = (self.slot + 1) % RING_SLOTS
+        return f"turned/{self.me}/{self.slot}", chosen
 
-    def heard(self, entries: Iterable[tuple[str, Entry]]) -> list[int]:
-        """Of all entries under `turned/`, the prints of others that are new since the last look."""
+    def new_prints(self, entries: Iterable[tuple[str, Entry]]) -> list[int]:
+        """From all entries under `turned/`: prints of other members that are new since the last call."""
         prints: list[int] = []
-        now: dict[str, Stamp] = {}
+        now: dict[str, Timestamp] = {}
         for key, entry in entries:
-            now[key] = entry.stamp
-            if key.split("/")[1] == self.me or self.seen.get(key) == entry.stamp:
+            now[key] = entry.timestamp
+            if key.split("/")[1] == self.me or self.known_timestamps.get(key) == entry.timestamp:
                 continue
             if isinstance(entry.value, list):
-                prints += [one for one in entry.value[:PRINTS] if type(one) is int and 0 <= one < 1 << 64]
-        self.seen = now
+                prints += [one for one in entry.value[:MAX_PRINTS] if type(one) is int and 0 <= one < 1 << 64]
+        self.known_timestamps = now
         return prints
--- a/crowwing/program/backend.py
+++ b/crowwing/program/backend.py
@@ -69,9 +69,9 @@
             self.dispatcher.storm_monitor = self._make_storm_monitor(operator.storm)
         self.fleet = None
         if operator is not None and getattr(operator, "fleet", None):  # UNSET and None alike are off
-            from crowwing.fleet.adapters.endpoint import Link  # only where a fleet is switched on
+            from crowwing.fleet.adapters.endpoint import FleetEndpoint  # only where a fleet is switched on
 
-            self.fleet = Link(
+            self.fleet = FleetEndpoint(
                 loop,
                 operator.fleet,
                 configuration.name,
--- a/crowwing/program/main.py
+++ b/crowwing/program/main.py
@@ -37,15 +37,17 @@
     if operator is None or not getattr(operator, "fleet", None):  # UNSET and None alike are off
         return
     # only where a fleet is switched on
-    from crowwing.fleet.adapters.settings import BadFleet, check_size, folder, peers
+    from crowwing.fleet.adapters.settings import FleetSettingsError, check_size, folder, peers
 
     try:
         peers(operator.fleet, configuration.name)
         check_size(operator.fleet, configuration.name, len(configuration.names.customers))
         folder(operator.fleet)
         if operator.fleet.shares_prints and operator.storm is None:
-            raise BadFleet("$.fleet.shares_prints: there is no storm section whose prints could be shared")
-    except BadFleet as wrong:
+            raise FleetSettingsError(
+                "$.fleet.shares_prints: there is no storm section whose prints could be shared"
+            )
+    except FleetSettingsError as wrong:
         raise BadConfiguration(f"{os.environ['CROWWING_OPERATOR']}: {wrong}") from None
 
 
--- a/crowwing/program/together.py
+++ b/crowwing/program/together.py
@@ -13,17 +13,17 @@
 from typing import TYPE_CHECKING
 
 from crowwing.contract import WireNames
-from crowwing.fleet.state.replica import NotKept
+from crowwing.fleet.state.replica import EntryRejectedError
 from crowwing.fleet.uses import learned_start, quota
-from crowwing.fleet.uses.call_budget_loans import wanted
-from crowwing.fleet.uses.rejection_prints import Turned
+from crowwing.fleet.uses.call_budget_loans import desired_part
+from crowwing.fleet.uses.rejection_prints import RejectionPrints
 from crowwing.logic.feedback import MIN_SAMPLES
 from crowwing.logic.load_manager import LoadManager
 from crowwing.routing.dispatcher import Dispatcher
 from crowwing.routing.event_recorder import EventRecorder
 
 if TYPE_CHECKING:
-    from crowwing.fleet.adapters.endpoint import Link
+    from crowwing.fleet.adapters.endpoint import FleetEndpoint
 
 EVERY = 0.25  # seconds between two looks
 MEMORY = 8  # looks over which the use of calls is averaged
@@ -34,7 +34,7 @@
 class Together:
     def __init__(
         self,
-        link: "Link",
+        link: "FleetEndpoint",
         dispatcher: Dispatcher,
         names: WireNames,
         fleet: SimpleNamespace,
@@ -54,9 +54,9 @@
         self.looks, self.taught = 0, False
         self.parts = [1.0] * len(names.customers)
         self.counted_to = quota.window_of(link.wall(), self.window)
-        self.turned: Turned | None = None
+        self.turned: RejectionPrints | None = None
         if fleet.shares_prints and dispatcher.storm_monitor is not None:
-            self.turned = Turned(self.member.me, random.Random(f"{life}/turned"))
+            self.turned = RejectionPrints(self.member.me, random.Random(f"{life}/turned"))
             dispatcher.storm_monitor.share_rejection = self.turned.add
         if self.shares:
             dispatcher.arrivals_by_customer = Counter()  # by customer's place; emptied by each window
@@ -78,7 +78,7 @@
         if self.turned is not None and self.dispatcher.storm_monitor is not None:
             self._tell_turned(self.turned)
         manager.set_fleet_scale(self._borrow(manager) if self.lends else 1.0, self.parts)
-        self.link.turn()
+        self.link.tick()
 
     def _borrow(self, manager: LoadManager) -> float:
         now, loans = self.link.now(), self.member.loans
@@ -87,8 +87,8 @@
             used = (manager.call_total - spent) / (now - at) / manager.call_rate
             self.used += (used - self.used) / MEMORY
         starved = bool(manager.call_queue) and manager.spent > manager.call_burst / 2
-        want = wanted(self.used, loans.part(now), starved)
-        loans.turn(now, self.member.membership.alive(), self.used, want)
+        want = desired_part(self.used, loans.part(now), starved)
+        loans.tick(now, self.member.membership.alive(), self.used, want)
         return loans.part(now)
 
     def _share(self) -> None:
@@ -97,22 +97,22 @@
         if window > self.counted_to:
             came, self.dispatcher.arrivals_by_customer = self.dispatcher.arrivals_by_customer, Counter()
             for team, count in came.items():
-                key = quota.key(self.names.customers[team], self.counted_to, self.member.me, self.life)
+                key = quota.usage_key(self.names.customers[team], self.counted_to, self.member.me, self.life)
                 self._put(wall, key, count, (quota.WINDOWS + 2) * self.window)
             self.counted_to = window
-        rows = ((key, entry.value) for key, entry in self.member.copies.under("use/"))
-        use = quota.counted(rows, wall, self.window)
+        rows = ((key, entry.value) for key, entry in self.member.replica.with_prefix("use/"))
+        use = quota.usage_by_customer(rows, wall, self.window)
         alive, size = self.member.membership.alive(), len(self.member.membership.members) + 1
         empty: Counter[str] = Counter()
         self.parts = [
-            quota.part(use.get(customer, empty), self.member.me, alive, size)
+            quota.quota_part(use.get(customer, empty), self.member.me, alive, size)
             for customer in self.names.customers
         ]
 
-    def _tell_turned(self, turned: Turned) -> None:
-        if (told := turned.tell()) is not None:
+    def _tell_turned(self, turned: RejectionPrints) -> None:
+        if (told := turned.next_entry()) is not None:
             self._put(self.link.wall(), *told, TURNED_LIFE)
-        if prints := turned.heard(self.member.copies.under("turned/")):
+        if prints := turned.new_prints(self.member.replica.with_prefix("turned/")):
             self.dispatcher.storm_monitor.record_remote_rejections(prints)
             self.recorder.count("prints_heard", len(prints))
 
@@ -124,29 +124,33 @@
         )
         call = manager.usual_call if manager.call_count > 2 * MIN_SAMPLES else 0
         if call or any(kinds):
-            learned = learned_start.Lesson(kinds, manager.limit, call)
-            self._put(self.link.wall(), f"lesson/{self.member.me}", learned.told(), LESSON_LIFE)
+            learned = learned_start.LearnedStart(kinds, manager.limit, call)
+            self._put(self.link.wall(), f"lesson/{self.member.me}", learned.as_dict(), LESSON_LIFE)
 
     def _learn(self, manager: LoadManager) -> None:
         """Once, when this member has caught up."""
         self.taught = True
-        lessons = (entry.value for _, entry in self.member.copies.under("lesson/"))
-        start = learned_start.taken(lessons, len(manager.facts.classes))
+        lessons = (entry.value for _, entry in self.member.replica.with_prefix("lesson/"))
+        start = learned_start.combine(lessons, len(manager.facts.classes))
         if start is not None:
-            manager.apply_learned(self.dispatcher.now(), start.kinds, start.limit, start.call)
-            self.recorder.event("taught", call_ms=start.call / 1000, limit=round(start.limit, 2))
+            manager.apply_learned(
+                self.dispatcher.now(), start.request_classes, start.concurrency_limit, start.call_time
+            )
+            self.recorder.event(
+                "taught", call_ms=start.call_time / 1000, limit=round(start.concurrency_limit, 2)
+            )
 
     def _put(self, wall: int, key: str, value: object, life: int) -> None:
         try:
-            self.member.spread.put(wall, key, value, life)
-        except NotKept as wrong:
+            self.member.dissemination.put(wall, key, value, life)
+        except EntryRejectedError as wrong:
             self.recorder.count("not_kept")
             if self.recorder.counts["not_kept"] == 1:  # said once; counted from then on
                 self.recorder.event("fleet_full", why=str(wrong))
 
     def figures(self) -> dict:
         """For the line of figures."""
-        told: dict = {"fleet_entries": sum(len(kept.copies.entries) for kept in self.member.keeping)}
+        told: dict = {"fleet_entries": sum(len(kept.replica.entries) for kept in self.member.disseminations)}
         if self.lends:
             told |= {
                 "call_part": round(self.member.loans.part(self.link.now()), 2),
--- a/tests/cellular.py
+++ b/tests/cellular.py
@@ -2,19 +2,20 @@
 
 from collections.abc import Callable
 
-from crowwing.fleet.member import Manner, Member
-from crowwing.fleet.membership.cells import Layout
+from crowwing.fleet.member import Member, MemberSettings
+from crowwing.fleet.membership.cells import CellLayout
 from crowwing.fleet.membership.swim import Timing
-from crowwing.fleet.simulated_fleet import StateWorld
-from crowwing.fleet.state.catch_up import Patience
-from crowwing.fleet.state.dissemination import Pace
-from crowwing.fleet.state.keyspaces import SPACES
+from crowwing.fleet.simulated_fleet import SimulatedFleet
+from crowwing.fleet.state.catch_up import CatchUpTiming
+from crowwing.fleet.state.dissemination import DisseminationSettings
+from crowwing.fleet.state.keyspaces import KEYSPACES
 
 S = 1_000_000
 FAR = 20_000  # µs between regions: there and back, and once more by way of a third, within a probe's time
-FAST = Manner(
-    Timing(period=200_000, probe_timeout=100_000), Pace(sync_every=200_000, again=50_000),
-    Patience(most=2 * S, again=100_000, away=600_000),
+FAST = MemberSettings(
+    Timing(period=200_000, probe_timeout=100_000),
+    DisseminationSettings(sync_every=200_000, resend_after=50_000),
+    CatchUpTiming(max_wait=2 * S, retry_delay=100_000, isolation_timeout=600_000),
 )  # fmt: skip
 ZONES = [("west", "w1"), ("east", "e1"), ("east", "e2")]
 
@@ -24,20 +25,22 @@
     return {f"m{n}": ZONES[n % 3] for n in range(size)}
 
 
-def fleet(size: int, seed: int, most: int, up: bool = True, **more: object) -> StateWorld:
+def fleet(size: int, seed: int, most: int, up: bool = True, **more: object) -> SimulatedFleet:
     """A world in cells of up to `most`, all ready and in agreement where it is to be `up`."""
-    layout = Layout(places(size), most)
-    world = StateWorld(size, seed, FAST, SPACES, layout=layout, far=FAR, in_step=False, **more)
+    layout = CellLayout(places(size), most)
+    world = SimulatedFleet(size, seed, FAST, KEYSPACES, layout=layout, far=FAR, in_step=False, **more)
     if up:
         members = world.members.values()
-        assert until(world, lambda: all(m.catch_up.whole for m in members) and world.agreed(), 20 * S)
-        world.told.clear()
+        assert until(
+            world, lambda: all(m.catch_up.is_current for m in members) and world.views_agree(), 20 * S
+        )
+        world.member_events.clear()
         world.fetches.clear()
         world.changes.clear()
     return world
 
 
-def until(world: StateWorld, check: Callable[[], bool], most: int) -> bool:
+def until(world: SimulatedFleet, check: Callable[[], bool], most: int) -> bool:
     end = world.now + most
     while world.now < end:
         if check():
@@ -46,45 +49,47 @@
     return check()
 
 
-def update(world: StateWorld, name: str, key: str, value: object = 1, wait: int = S) -> list[bool]:
+def update(world: SimulatedFleet, name: str, key: str, value: object = 1, wait: int = S) -> list[bool]:
     """Puts something for all (or for the cell, by its space) and asks for acknowledgement; the list gets one
     bool once it is told."""
     told: list[bool] = []
 
     def put(member: Member, now: int, wall: int) -> None:
-        spread = member.spread_of(key)
+        spread = member.dissemination_of(key)
         row = spread.put(wall, key, value, 600 * S)
-        spread.update(now, row, member.membership.alive(), wait, lambda one: told.append(spread.is_held(one)))
-        member.turn(now, wall)
+        spread.replicate(
+            now, row, member.membership.alive(), wait, lambda one: told.append(spread.has_majority(one))
+        )
+        member.tick(now, wall)
 
-    world.do(name, put)
+    world.run_on(name, put)
     return told
 
 
-def running(world: StateWorld) -> list[Member]:
+def running(world: SimulatedFleet) -> list[Member]:
     return [member for name, member in world.members.items() if name not in world.paused]
 
 
-def hold(world: StateWorld, *keys: str) -> bool:
+def hold(world: SimulatedFleet, *keys: str) -> bool:
     """Every member that runs holds these."""
-    return all(key in m.spread_of(key).copies.entries for m in running(world) for key in keys)
+    return all(key in m.dissemination_of(key).replica.entries for m in running(world) for key in keys)
 
 
-def near_agree(world: StateWorld) -> bool:
+def near_agree(world: SimulatedFleet) -> bool:
     """What is kept in a cell is alike on all of it that run."""
     for member in running(world):
-        member.copies.turn(world.wall(member.me))
+        member.replica.expire(world.wall(member.me))
     return all(
-        len({world.members[n].copies.root() for n in roster if n not in world.paused}) <= 1
+        len({world.members[n].replica.root() for n in roster if n not in world.paused}) <= 1
         for roster in world.layout.rosters.values()
     )
 
 
-def told(world: StateWorld, event: str) -> list[tuple[str, dict]]:
-    return [(name, brings) for _, name, what, brings in world.told if what == event]
+def told(world: SimulatedFleet, event: str) -> list[tuple[str, dict]]:
+    return [(name, brings) for _, name, what, brings in world.member_events if what == event]
 
 
-def of_cell(world: StateWorld, name: str) -> tuple[str, ...]:
+def of_cell(world: SimulatedFleet, name: str) -> tuple[str, ...]:
     """The roster of a member's cell, by rank."""
     return world.layout.rosters[world.layout.cell_of[name]]
 
--- a/tests/fleet_transcripts.py
+++ b/tests/fleet_transcripts.py
@@ -17,7 +17,7 @@
 
 from crowwing.fleet.adapters import endpoint as link_module
 from crowwing.fleet.adapters import full_transfer
-from crowwing.fleet.adapters.endpoint import Link
+from crowwing.fleet.adapters.endpoint import FleetEndpoint
 from crowwing.settings import plain
 
 WALL_START_US = 1_700_000_000_000_000
@@ -91,7 +91,7 @@
         self.loop, self.transport = SimulatedLoop(), Transport()
         self.ready: list[bool] = []
         with clock.patched():
-            self.link = Link(
+            self.link = FleetEndpoint(
                 cast(asyncio.AbstractEventLoop, self.loop),
                 plain.read(path).fleet,
                 name,
@@ -115,15 +115,15 @@
             text, where = values
             self.link.datagram_received(text.encode(), tuple(where))
         elif kind == "timer":
-            self.link.turn()
+            self.link.tick()
         elif kind == "put":
             key, value, life_us = values
-            member.spread_of(key).put(self.link.wall(), key, value, life_us)
-            self.link.turn()
+            member.dissemination_of(key).put(self.link.wall(), key, value, life_us)
+            self.link.tick()
         elif kind == "load":
             use, want = values
-            member.loans.turn(self.link.now(), member.membership.alive(), use, want)
-            self.link.turn()
+            member.loans.tick(self.link.now(), member.membership.alive(), use, want)
+            self.link.tick()
         elif kind == "leave":
             self.link.leave()
         else:
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from crowwing.fleet.membership.cell_reachability import CONTACTS, SWEEP_EVERY, Reach
-from crowwing.fleet.membership.cells import KEEPERS, SPEAKERS, Layout, covers
+from crowwing.fleet.membership.cell_reachability import MAX_CONTACTS, SWEEP_EVERY, CellReachability
+from crowwing.fleet.membership.cells import QUORUM_MEMBER_COUNT, SPEAKER_COUNT, CellLayout, covers
 from crowwing.fleet.membership.swim import ALIVE, DEAD, SUSPECT, Kind, Timing
 
 S = 1_000_000
@@ -28,13 +28,13 @@
 def test_every_member_is_in_one_cell_of_its_own_zone_and_none_is_larger_than_it_may_be(
     places: dict[str, tuple[str, str]], most: int
 ) -> None:
-    layout = Layout(places, most)
+    layout = CellLayout(places, most)
     assert sorted(name for roster in layout.rosters.values() for name in roster) == sorted(places)
     for cell, roster in layout.rosters.items():
         assert 1 <= len(roster) <= most
         assert {places[name] for name in roster} == {tuple(cell.split("/")[:2])}
         assert all(layout.cell_of[name] == cell for name in roster)
-        assert layout.keepers(cell) == roster[:KEEPERS]
+        assert layout.quorum_members(cell) == roster[:QUORUM_MEMBER_COUNT]
     for name in places:
         assert {name, *layout.peers(name)} == set(layout.rosters[layout.cell_of[name]])
 
@@ -46,7 +46,7 @@
 ) -> None:
     order = list(places)
     chance.shuffle(order)
-    one, other = Layout(places, most), Layout({name: places[name] for name in order}, most)
+    one, other = CellLayout(places, most), CellLayout({name: places[name] for name in order}, most)
     assert one.cell_of == other.cell_of
     assert list(one.rosters.items()) == list(other.rosters.items()), "in one order, so that words are alike"
 
@@ -57,8 +57,8 @@
     places: dict[str, tuple[str, str]], most: int, which: int, zone: tuple[str, str]
 ) -> None:
     """One that is added; read backwards, one that is taken out. Who stays hears of no other cell's change."""
-    before = Layout(places, most)
-    after = Layout(places | {f"new{which}": zone}, most)
+    before = CellLayout(places, most)
+    after = CellLayout(places | {f"new{which}": zone}, most)
     moved = [name for name in places if before.cell_of[name] != after.cell_of[name]]
     assert len({before.cell_of[name] for name in moved}) <= 1
     assert len(moved) <= most + 1
@@ -72,43 +72,43 @@
 
 def test_members_of_one_place_are_one_cell_while_they_fit_and_two_when_they_do_not() -> None:
     places = {f"m{n}": ("west", "w1") for n in range(50)}
-    assert set(Layout(places, 50).rosters) == {"west/w1/"}
-    split = Layout(places | {"m50": ("west", "w1")}, 50)
+    assert set(CellLayout(places, 50).rosters) == {"west/w1/"}
+    split = CellLayout(places | {"m50": ("west", "w1")}, 50)
     assert set(split.rosters) == {"west/w1/0", "west/w1/1"}
 
 
 def test_speakers_are_the_first_of_those_alive_and_the_same_for_all_that_see_alike() -> None:
-    layout = Layout({f"m{n}": ("west", "w1") for n in range(8)}, 8)
+    layout = CellLayout({f"m{n}": ("west", "w1") for n in range(8)}, 8)
     roster = layout.rosters["west/w1/"]
-    assert layout.speakers("west/w1/", set(roster)) == roster[:SPEAKERS]
-    assert layout.speakers("west/w1/", list(roster[2:])) == roster[2 : 2 + SPEAKERS]
+    assert layout.speakers("west/w1/", set(roster)) == roster[:SPEAKER_COUNT]
+    assert layout.speakers("west/w1/", list(roster[2:])) == roster[2 : 2 + SPEAKER_COUNT]
     assert layout.speakers("west/w1/", {roster[7]}) == (roster[7],)
     assert layout.speakers("west/w1/", ()) == ()
-    assert layout.keepers("west/w1/") == roster[:KEEPERS], "whoever is alive"
+    assert layout.quorum_members("west/w1/") == roster[:QUORUM_MEMBER_COUNT], "whoever is alive"
 
 
 def test_cells_out_of_reach_are_told_in_as_few_words_as_can_be() -> None:
     places = {f"m{n}": ZONES[n % 3] for n in range(60)}
-    layout = Layout(places, 8)
+    layout = CellLayout(places, 8)
     east = [cell for cell in layout.rosters if cell.startswith("east/")]
     w1 = [cell for cell in layout.rosters if cell.startswith("west/w1/")]
     w2 = [cell for cell in layout.rosters if cell.startswith("west/w2/")]
     assert min(len(east), len(w1), len(w2)) > 1
-    assert layout.short([]) == []
-    assert layout.short(reversed(east)) == ["east/"]
-    assert layout.short([*w1, w2[0]]) == ["west/w1/", w2[0]]
-    assert layout.short(layout.rosters) == ["east/", "west/"]
-    assert layout.short(w2[:-1]) == sorted(w2[:-1])
+    assert layout.compact([]) == []
+    assert layout.compact(reversed(east)) == ["east/"]
+    assert layout.compact([*w1, w2[0]]) == ["west/w1/", w2[0]]
+    assert layout.compact(layout.rosters) == ["east/", "west/"]
+    assert layout.compact(w2[:-1]) == sorted(w2[:-1])
 
 
 # Which cells are in reach
 
 
-def reach(cell: str = "a", seed: int = 1, speaks: bool = True) -> tuple[Reach, Layout]:
+def reach(cell: str = "a", seed: int = 1, speaks: bool = True) -> tuple[CellReachability, CellLayout]:
     places = {f"{zone}{n}": ("r", zone) for zone in "abc" for n in range(4)}
-    layout = Layout(places, 4)
-    one = Reach(layout.rosters[f"r/{cell}/"][0], layout, 0, random.Random(seed), TIMING)
-    one.turn(0, speaks, frozenset())
+    layout = CellLayout(places, 4)
+    one = CellReachability(layout.rosters[f"r/{cell}/"][0], layout, 0, random.Random(seed), TIMING)
+    one.tick(0, speaks, frozenset())
     return one, layout
 
 
@@ -116,7 +116,7 @@
     return {"k": int(Kind.PING), "from": sender, "inc": 0, "seq": seq, "cell": 1} | fields
 
 
-def state(one: Reach) -> dict[str, tuple]:
+def state(one: CellReachability) -> dict[str, tuple]:
     return {cell: (seen.state, seen.incarnation) for cell, seen in one.swim.members.items()}
 
 
@@ -140,10 +140,16 @@
 def test_what_is_no_message_of_another_cell_changes_nothing(message: dict) -> None:
     one, _ = reach()
     one.outbox.clear()
-    before = state(one), dict(one.contacts), dict(one.told), dict(one.askers), one.swim.incarnation
+    before = (
+        state(one),
+        dict(one.contacts),
+        dict(one.cell_status),
+        dict(one.relay_requesters),
+        one.swim.incarnation,
+    )
     with pytest.raises((KeyError, TypeError, ValueError)):
-        one.heard(S, message, [4, 4, 0, ""])
-    assert (state(one), one.contacts, one.told, one.askers, one.swim.incarnation) == before
+        one.receive(S, message, [4, 4, 0, ""])
+    assert (state(one), one.contacts, one.cell_status, one.relay_requesters, one.swim.incarnation) == before
     assert one.outbox == []
 
 
@@ -152,7 +158,7 @@
     one, _ = reach()
     one.outbox.clear()
     before = state(one), dict(one.contacts)
-    one.heard(S, ping("a1", news=[["r/a/0", DEAD, 3, "r/a/1"], ["r/b/", DEAD, 9, "r/a/1"]]), [4, 4, 0, ""])
+    one.receive(S, ping("a1", news=[["r/a/0", DEAD, 3, "r/a/1"], ["r/b/", DEAD, 9, "r/a/1"]]), [4, 4, 0, ""])
     assert (state(one), one.contacts) == before, "nothing else is taken from it"
     assert one.outbox == [("a1", {"k": int(Kind.ACK), "from": one.me, "inc": 4, "seq": 7, "cell": 1})]
 
@@ -160,40 +166,40 @@
 def test_news_of_a_cell_that_is_none_of_the_fleet_changes_nothing_and_its_message_counts() -> None:
     one, _ = reach()
     told = [["r/z/", DEAD, 3, "r/b/"], ["q/a/", SUSPECT, 0, "r/b/"], ["r/b/0", DEAD, 9, "r/b/"]]
-    one.heard(S, ping("b1", news=told))
-    assert state(one) == {"r/b/": (ALIVE, 0), "r/c/": (ALIVE, 0)} and one.out() == frozenset()
+    one.receive(S, ping("b1", news=told))
+    assert state(one) == {"r/b/": (ALIVE, 0), "r/c/": (ALIVE, 0)} and one.unreachable_cells() == frozenset()
     assert one.contacts == {"r/b/": ["b1"]}
 
 
 def test_a_row_is_kept_a_cell_and_what_is_too_long_is_cut() -> None:
     one, _ = reach()
-    one.heard(S, ping("b1", row=[3, 4, 1000, "f" * 5000]))
-    one.heard(S, ping("b2", row=[2, 4, 2000, "e"]))
-    assert one.told == {"r/b/": [2, 4, 2000, "e"]}
-    one.heard(S, ping("b1", row=[3, 4, 1000, "f" * 5000]))
-    assert one.told["r/b/"][3] == "f" * 16
+    one.receive(S, ping("b1", row=[3, 4, 1000, "f" * 5000]))
+    one.receive(S, ping("b2", row=[2, 4, 2000, "e"]))
+    assert one.cell_status == {"r/b/": [2, 4, 2000, "e"]}
+    one.receive(S, ping("b1", row=[3, 4, 1000, "f" * 5000]))
+    assert one.cell_status["r/b/"][3] == "f" * 16
 
 
 def test_every_member_answers_for_its_cell_and_says_its_row_and_only_speakers_probe() -> None:
     silent, layout = reach(speaks=False)
     assert silent.wake_at() is None
     for at in range(1, 40):
-        silent.turn(at * 100_000, False, frozenset())
+        silent.tick(at * 100_000, False, frozenset())
     assert silent.outbox == []
-    silent.heard(5 * S, ping("b3"), None)
+    silent.receive(5 * S, ping("b3"), None)
     [(to, told)] = silent.outbox
     assert to == "b3" and told["k"] == Kind.ACK and told["cell"] == 1 and "row" not in told
     speaker, _ = reach()
-    speaker.heard(S, ping("b3"), [4, 4, 0, "d"])
+    speaker.receive(S, ping("b3"), [4, 4, 0, "d"])
     acks = [(to, told["row"]) for to, told in speaker.outbox if told["k"] == Kind.ACK]
     assert acks == [("b3", [4, 4, 0, "d"])]
 
 
 def test_a_death_heard_of_is_a_suspicion_that_an_answer_lifts() -> None:
     one, _ = reach()
-    one.heard(S, ping("c0", news=[["r/b/", DEAD, 0, "r/c/"]]))
-    assert state(one)["r/b/"] == (SUSPECT, 0) and one.out() == frozenset()
-    one.heard(S + 1, ping("b2", inc=1))
+    one.receive(S, ping("c0", news=[["r/b/", DEAD, 0, "r/c/"]]))
+    assert state(one)["r/b/"] == (SUSPECT, 0) and one.unreachable_cells() == frozenset()
+    one.receive(S + 1, ping("b2", inc=1))
     assert state(one)["r/b/"] == (ALIVE, 1)
 
 
@@ -201,13 +207,13 @@
     one, _ = reach(speaks=False)
     one.outbox.clear()
     # A probe carried for others is the only thing that one who does not speak is answered.
-    one.heard(S, ping("b1", news=[["r/a/", DEAD, 4, "r/b/"]]))
+    one.receive(S, ping("b1", news=[["r/a/", DEAD, 4, "r/b/"]]))
     [(to, told)] = one.outbox
     assert to == "b1" and told["inc"] == 5 and ["r/a/", ALIVE, 5, "r/a/"] in told["news"]
     speaker, _ = reach()
     speaker.outbox.clear()
     ack = {"k": int(Kind.ACK), "from": "b1", "inc": 0, "seq": 0, "cell": 1}
-    speaker.heard(S, ack | {"news": [["r/a/", DEAD, 4, "r/b/"]]})
+    speaker.receive(S, ack | {"news": [["r/a/", DEAD, 4, "r/b/"]]})
     assert [(to, told["k"], told["inc"]) for to, told in speaker.outbox] == [("b1", Kind.PING, 5)]
 
 
@@ -217,16 +223,16 @@
         now = 0
         while one.swim.probe is None:
             now = one.wake_at()
-            one.turn(now, True, frozenset())
+            one.tick(now, True, frozenset())
         asked = one.swim.probe.target
         (first,) = [to for to, told in one.outbox if told["k"] == Kind.PING and layout.cell_of[to] == asked]
         one.outbox.clear()
-        one.turn(now + TIMING.probe_timeout, True, frozenset())
+        one.tick(now + TIMING.probe_timeout, True, frozenset())
         second = [to for to, told in one.outbox if told["k"] == Kind.PING]
         assert len(second) == 1 and layout.cell_of[second[0]] == asked
         assert second[0] != first, "not the one that did not answer"
         acked = {"k": int(Kind.ACK), "from": second[0], "inc": 0, "seq": one.swim.probe.seq, "cell": 1}
-        one.heard(now + 70_000, acked)
+        one.receive(now + 70_000, acked)
         assert one.swim.probe is None
 
 
@@ -238,7 +244,7 @@
 
     def back(at: int) -> list[str]:
         one.swim.members["r/b/"].state = DEAD
-        one.heard(at, ping("b1", inc=at))
+        one.receive(at, ping("b1", inc=at))
         pinged = [layout.cell_of[to] for to, told in one.outbox if told["k"] == Kind.PING]
         one.outbox.clear()
         return pinged
@@ -246,43 +252,43 @@
     assert back(S) == ["r/c/"]
     assert back(S + SWEEP_EVERY - 1) == []
     assert back(S + SWEEP_EVERY) == ["r/c/"]
-    one.turn(9 * S, False, frozenset())
+    one.tick(9 * S, False, frozenset())
     assert back(19 * S) == [], "only speakers ask"
 
 
 def test_one_that_begins_to_speak_starts_from_what_its_cell_believes_not_from_what_it_overheard() -> None:
     one, _ = reach(speaks=False)
-    one.heard(S, ping("b1", news=[["r/c/", SUSPECT, 0, "r/b/"]]))
-    one.turn(2 * S, True, frozenset({"r/b/"}))
+    one.receive(S, ping("b1", news=[["r/c/", SUSPECT, 0, "r/b/"]]))
+    one.tick(2 * S, True, frozenset({"r/b/"}))
     assert {cell: seen for cell, (seen, _) in state(one).items()} == {"r/b/": DEAD, "r/c/": ALIVE}
-    one.turn(3 * S, False, frozenset())
-    one.turn(4 * S, True, frozenset())
-    assert one.out() == frozenset()
+    one.tick(3 * S, False, frozenset())
+    one.tick(4 * S, True, frozenset())
+    assert one.unreachable_cells() == frozenset()
 
 
 def test_what_is_known_of_who_speaks_is_bounded_and_forgotten_with_their_silence() -> None:
     one, layout = reach()
     for n in range(4):
-        one.heard(S + n, ping(f"b{n}"))
-    assert one.contacts == {"r/b/": ["b1", "b2", "b3"]} and len(one.contacts["r/b/"]) == CONTACTS
-    one._unanswered("r/b/")
+        one.receive(S + n, ping(f"b{n}"))
+    assert one.contacts == {"r/b/": ["b1", "b2", "b3"]} and len(one.contacts["r/b/"]) == MAX_CONTACTS
+    one._on_unanswered("r/b/")
     roster = layout.rosters["r/b/"]
     asked = []
     for _ in range(8):
         asked.append(one._contact("r/b/"))
-        one._unanswered("r/b/")
+        one._on_unanswered("r/b/")
     assert set(asked) == set(roster) and asked[:4] == asked[4:], "in turn"
-    one.heard(2 * S, ping("b0"))
+    one.receive(2 * S, ping("b0"))
     assert one._contact("r/b/") == "b0"
 
 
 def test_probes_carried_for_others_are_answered_to_who_asked_and_leave_nothing_behind() -> None:
     one, _ = reach(speaks=False)
     for n in range(50):
-        one.heard(S, ping(f"b{n % 4}", seq=n) | {"k": int(Kind.PING_REQ), "target": "r/c/"})
-    assert len(one.askers) == 50 and one.wake_at() is not None
+        one.receive(S, ping(f"b{n % 4}", seq=n) | {"k": int(Kind.PING_REQ), "target": "r/c/"})
+    assert len(one.relay_requesters) == 50 and one.wake_at() is not None
     one.outbox.clear()
-    one.turn(2 * S, False, frozenset())
+    one.tick(2 * S, False, frozenset())
     assert [told["k"] for _, told in one.outbox] == [Kind.NACK] * 50
     assert {to for to, _ in one.outbox} == {"b0", "b1", "b2", "b3"}
-    assert not one.askers and not one.swim.relayed and one.wake_at() is None
+    assert not one.relay_requesters and not one.swim.relayed_probes and one.wake_at() is None
--- a/tests/test_cells_doubt.py
+++ b/tests/test_cells_doubt.py
@@ -5,14 +5,19 @@
 
 import pytest
 
-from crowwing.fleet.membership.cell_reachability import ASKED_TWICE, DOUBTED, UNHEARD, Reach
-from crowwing.fleet.membership.cells import Layout
+from crowwing.fleet.membership.cell_reachability import (
+    DOUBT_PINGS_PER_PERIOD,
+    MAX_DOUBT_PINGS,
+    SILENT_PERIODS,
+    CellReachability,
+)
+from crowwing.fleet.membership.cells import CellLayout
 from crowwing.fleet.membership.swim import ALIVE, GONE, SUSPECT, Kind, Timing
 
 PERIOD = 200_000
 TIMING = Timing(period=PERIOD, probe_timeout=60_000)
 PLACES = {f"m{n}": (f"r{n % 4 // 2}", f"z{n % 4}") for n in range(240)} | {"me": ("home", "h")}
-LAYOUT = Layout(PLACES, 8)
+LAYOUT = CellLayout(PLACES, 8)
 LOST_ZONE = frozenset(cell for cell in LAYOUT.rosters if cell.startswith("r1/z3/"))
 LOST_REGION = frozenset(cell for cell in LAYOUT.rosters if cell.startswith("r1/"))
 
@@ -21,22 +26,22 @@
     """One speaker, and cells that answer each message for them at once, or are lost; it hears nobody else."""
 
     def __init__(self, seed: int) -> None:
-        self.reach = Reach("me", LAYOUT, 0, random.Random(seed), TIMING)
+        self.reachability = CellReachability("me", LAYOUT, 0, random.Random(seed), TIMING)
         self.now, self.lost, self.deaf = 0, frozenset(), Counter()
         self.asked: Counter[str] = Counter()
         self.bare = 0
 
     def period(self) -> None:
         """To the end of the next period; `bare` counts the pings beside the probe."""
-        self.bare, before = 0, self.reach.swim.periods
-        while self.reach.swim.periods == before:
-            self.now = max(self.now + 1, self.reach.wake_at() or 0)
-            self.reach.turn(self.now, True, frozenset(), [1, 1, 0, "0"])
+        self.bare, before = 0, self.reachability.swim.periods
+        while self.reachability.swim.periods == before:
+            self.now = max(self.now + 1, self.reachability.wake_at() or 0)
+            self.reachability.tick(self.now, True, frozenset(), [1, 1, 0, "0"])
             self._answer()
 
     def _answer(self) -> None:
-        while self.reach.outbox:
-            to, told = self.reach.outbox.pop()
+        while self.reachability.outbox:
+            to, told = self.reachability.outbox.pop()
             cell = LAYOUT.cell_of[to]
             if told["k"] != Kind.PING:
                 continue
@@ -46,10 +51,10 @@
                 self.deaf[cell] -= 1
             elif cell not in self.lost:
                 ack = {"k": int(Kind.ACK), "from": to, "inc": 0, "seq": told["seq"], "cell": 1}
-                self.reach.heard(self.now + 1, ack, [1, 1, 0, "0"])
+                self.reachability.receive(self.now + 1, ack, [1, 1, 0, "0"])
 
     def states(self, *wanted: str) -> set[str]:
-        return {cell for cell, seen in self.reach.swim.members.items() if seen.state in wanted}
+        return {cell for cell, seen in self.reachability.swim.members.items() if seen.state in wanted}
 
     def periods_until(self, check: object, most: int) -> int:
         for count in range(most):
@@ -65,13 +70,13 @@
     seed: int, lost: frozenset[str]
 ) -> None:
     one = Alone(seed)
-    for _ in range(UNHEARD + 1):
+    for _ in range(SILENT_PERIODS + 1):
         one.period()
     one.lost = lost
     one.periods_until(lambda: one.states(SUSPECT), 4 * len(LAYOUT.rosters))
     took = one.periods_until(lambda: one.states(SUSPECT, *GONE) >= lost, len(LAYOUT.rosters))
     # A probe a period alone finds the last of them at the end of a round of all cells at the soonest.
-    assert took <= ASKED_TWICE * len(lost) / DOUBTED + 12
+    assert took <= MAX_DOUBT_PINGS * len(lost) / DOUBT_PINGS_PER_PERIOD + 12
     for _ in range(40):
         one.period()
     assert one.states(ALIVE) == set(LAYOUT.rosters) - lost - {LAYOUT.cell_of["me"]}
@@ -87,17 +92,21 @@
     for _ in range(80):
         one.period()
         most = max(most, one.bare)
-        assert one.bare <= DOUBTED and len(one.reach.asked) <= DOUBTED
-    assert most == DOUBTED
+        assert (
+            one.bare <= DOUBT_PINGS_PER_PERIOD and len(one.reachability.doubt_pings) <= DOUBT_PINGS_PER_PERIOD
+        )
+    assert most == DOUBT_PINGS_PER_PERIOD
     one.periods_until(lambda: one.states(*GONE) == LOST_REGION, 200)
     for _ in range(20):
         one.period()
-        assert one.bare == 0 and not one.reach.asked, "who is held out of reach is the probes' to look for"
+        assert one.bare == 0 and not one.reachability.doubt_pings, (
+            "who is held out of reach is the probes' to look for"
+        )
 
 
 def test_a_neighbour_is_suspected_only_after_a_second_silence() -> None:
     one = Alone(3)
-    for _ in range(UNHEARD + 1):
+    for _ in range(SILENT_PERIODS + 1):
         one.period()
     gone, *others = sorted(LOST_ZONE)
     one.lost = frozenset({gone})
@@ -113,7 +122,7 @@
 def test_one_that_begins_to_speak_again_has_nobody_in_doubt() -> None:
     one = Alone(5)
     one.lost = LOST_ZONE
-    one.periods_until(lambda: one.reach.asked, 4 * len(LAYOUT.rosters))
-    one.reach.turn(one.now + 1, False, frozenset())
-    one.reach.turn(one.now + 2, True, frozenset())
-    assert not one.reach.asked
+    one.periods_until(lambda: one.reachability.doubt_pings, 4 * len(LAYOUT.rosters))
+    one.reachability.tick(one.now + 1, False, frozenset())
+    one.reachability.tick(one.now + 2, True, frozenset())
+    assert not one.reachability.doubt_pings
--- a/tests/test_cells_machine.py
+++ b/tests/test_cells_machine.py
@@ -4,9 +4,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from crowwing.fleet.membership.cell_reachability import CONTACTS
+from crowwing.fleet.membership.cell_reachability import MAX_CONTACTS
 from crowwing.fleet.membership.swim import SUSPECT
-from crowwing.fleet.simulated_fleet import StateWorld
+from crowwing.fleet.simulated_fleet import SimulatedFleet
 from tests.cellular import S, between, fleet, near_agree, of_cell, places, running, until, update
 
 SIZE = 15
@@ -23,7 +23,7 @@
     member of a cell keeps its disk, whoever else could hold what it acknowledged is elsewhere.
     """
 
-    world: StateWorld | None = None
+    world: SimulatedFleet | None = None
 
     @initialize(seed=st.integers(0, 10_000), most=st.sampled_from([4, 4, 5]))
     def begin(self, seed: int, most: int) -> None:
@@ -48,15 +48,15 @@
     def cut_place(self, which: int, place: tuple[str, str], ways: str) -> None:
         """A region (0) or a zone from the rest."""
         inside = {name for name, one in PLACES.items() if one[: which + 1] == place[: which + 1]}
-        self.world.cut = between(inside, set(NAMES) - inside, ways)
+        self.world.is_partitioned = between(inside, set(NAMES) - inside, ways)
 
     @rule(few=st.sets(some, min_size=1, max_size=4), ways=WAYS)
     def cut_members(self, few: set[str], ways: str) -> None:
-        self.world.cut = between(few, set(NAMES) - few, ways)
+        self.world.is_partitioned = between(few, set(NAMES) - few, ways)
 
     @rule()
     def heal(self) -> None:
-        self.world.cut = lambda _, __: False
+        self.world.is_partitioned = lambda _, __: False
 
     @rule(loss=st.sampled_from([0.0, 0.1, 0.3]))
     def lose(self, loss: float) -> None:
@@ -65,18 +65,18 @@
     @rule(name=some)
     def write(self, name: str) -> None:
         if name not in self.world.paused:
-            self.world.write(name)
+            self.world.write_snapshot(name)
 
     def _may_go(self, name: str) -> bool:
         roster = of_cell(self.world, name)
-        whole = all(self.world.members[other].catch_up.began is None for other in roster)
+        whole = all(self.world.members[other].catch_up.started_at is None for other in roster)
         return whole and not self.world.paused.intersection(roster)
 
     @rule(name=some)
     def kill(self, name: str) -> None:
         if self._may_go(name):
             if len(of_cell(self.world, name)) == 1:
-                self.world.write(name)
+                self.world.write_snapshot(name)
             self.world.kill(name)
 
     @rule(name=some)
@@ -100,45 +100,55 @@
     @invariant()
     def tables_are_bounded(self) -> None:
         for member in [] if self.world is None else self.world.members.values():
-            reach, cells = member.reach, len(self.world.layout.rosters)
-            for kept in member.keeping:
-                assert len(kept.hot) <= max(1, len(kept.copies.entries)) and len(kept.updates) <= self.number
+            reach, cells = member.reachability, len(self.world.layout.rosters)
+            for kept in member.disseminations:
+                assert (
+                    len(kept.hot_keys) <= max(1, len(kept.replica.entries))
+                    and len(kept.pending_updates) <= self.number
+                )
             assert len(member.fetching) <= 4
-            assert len(reach.told) < cells and len(reach.contacts) < cells and len(reach.silent) < cells
-            assert all(1 <= len(known) <= CONTACTS for known in reach.contacts.values())
-            assert len(reach.swim.rumours) <= cells and len(reach.askers) <= 200
+            assert (
+                len(reach.cell_status) < cells
+                and len(reach.contacts) < cells
+                and len(reach.unanswered_counts) < cells
+            )
+            assert all(1 <= len(known) <= MAX_CONTACTS for known in reach.contacts.values())
+            assert len(reach.swim.rumours) <= cells and len(reach.relay_requesters) <= 200
             assert not reach.outbox
-            mine = [key for key, _ in member.copies.under("reach/")]
+            mine = [key for key, _ in member.replica.with_prefix("reach/")]
             assert len(mine) <= len(of_cell(self.world, member.me))
 
     def teardown(self) -> None:
         world = self.world
-        world.cut, world.loss = lambda _, __: False, 0.0
+        world.is_partitioned, world.loss = lambda _, __: False, 0.0
         self._all_go_on(True)
         assert until(world, lambda: len(world.roots()) == 1, 30 * S), "copies of what is for all differ"
-        agree = lambda: near_agree(world) and world.agreed() and nobody_suspected(world)  # noqa: E731
+        agree = lambda: near_agree(world) and world.views_agree() and nobody_suspected(world)  # noqa: E731
         assert until(world, agree, 60 * S), "views or copies differ"
         lost = []
         for where, told in self.acked.items():
             cell, key = where.split()
             holders = world.layout.rosters[cell] if key.startswith("lesson/") else world.names
             for name in holders if told == [True] else ():
-                if key not in world.members[name].spread_of(key).copies.entries:
+                if key not in world.members[name].dissemination_of(key).replica.entries:
                     lost.append(f"{key} at {name}")
         assert not lost, f"acknowledged and lost: {lost}"
-        assert until(world, lambda: all(m.catch_up.whole for m in running(world)), 20 * S), "not whole"
+        assert until(world, lambda: all(m.catch_up.is_current for m in running(world)), 20 * S), "not whole"
         end = world.now + 10 * S
         while world.now < end:
             world.run_until(world.now + 200_000)
-            assert world.agreed(), "it stays so"
-        assert not any(m.reach.askers or any(kept.updates for kept in m.keeping) for m in running(world))
+            assert world.views_agree(), "it stays so"
+        assert not any(
+            m.reachability.relay_requesters or any(kept.pending_updates for kept in m.disseminations)
+            for m in running(world)
+        )
 
 
-def nobody_suspected(world: StateWorld) -> bool:
+def nobody_suspected(world: SimulatedFleet) -> bool:
     """A suspicion of before may still end in a death that is then refuted: agreement with one cannot stay.
     Of cells, those that speak look for themselves."""
     every = [m.membership.members for m in running(world)]
-    every += [m.reach.swim.members for m in running(world) if m.reach.speaks]
+    every += [m.reachability.swim.members for m in running(world) if m.reachability.speaks]
     return not any(seen.state == SUSPECT for members in every for seen in members.values())
 
 
--- a/tests/test_cells_older.py
+++ b/tests/test_cells_older.py
@@ -4,12 +4,12 @@
 import pytest
 
 from crowwing.fleet.member import Member
-from crowwing.fleet.membership.cells import Layout
+from crowwing.fleet.membership.cells import CellLayout
 from crowwing.fleet.membership.swim import ALIVE, DEAD, GONE, LEFT, SUSPECT
-from crowwing.fleet.simulated_fleet import StateWorld
-from crowwing.fleet.state.dissemination import Word
-from crowwing.fleet.state.keyspaces import SPACES
-from crowwing.fleet.uses.idempotency_keys import Claimed
+from crowwing.fleet.simulated_fleet import SimulatedFleet
+from crowwing.fleet.state.dissemination import StateMessageKind
+from crowwing.fleet.state.keyspaces import KEYSPACES
+from crowwing.fleet.uses.idempotency_keys import ClaimResult
 from tests.cellular import (
     FAR,
     FAST,
@@ -26,25 +26,25 @@
 )
 
 # Twelve members are three cells of four. The thirteenth splits its zone's into m0 and m12, m6, m9, m3.
-FEW, MANY = Layout(places(12), 4), Layout(places(13), 4)
+FEW, MANY = CellLayout(places(12), 4), CellLayout(places(13), 4)
 HALF = [f"m{n}" for n in range(0, 12, 2)]
 
 
-def differing(older: list[str], change: str, seed: int = 1) -> StateWorld:
+def differing(older: list[str], change: str, seed: int = 1) -> SimulatedFleet:
     """Most have the copy after the change; `older` the one before it. Who is taken out has stopped."""
     before, after = (FEW, MANY) if change == "added" else (MANY, FEW)
     layouts = dict.fromkeys(older, before)
     if change == "taken out":
         layouts["m12"] = before
-    world = StateWorld(
-        13, seed, FAST, SPACES, layout=after, layouts=layouts, far=FAR, in_step=False,
+    world = SimulatedFleet(
+        13, seed, FAST, KEYSPACES, layout=after, layouts=layouts, far=FAR, in_step=False,
     )  # fmt: skip
     if change == "taken out":
         world.kill("m12")
     return world
 
 
-def of_after(world: StateWorld) -> list[Member]:
+def of_after(world: SimulatedFleet) -> list[Member]:
     """Members that run and have the newer copy."""
     return [m for name, m in world.members.items() if m.layout is world.layout and name not in world.paused]
 
@@ -66,7 +66,7 @@
     names = [name for name in world.names if name not in world.paused]
     assert until(world, lambda: all(world.members[name].ready for name in names), 10 * S)
     world.run_until(world.now + 5 * S)
-    world.told.clear()
+    world.member_events.clear()
     acked = {f"said/{name}": update(world, name, f"said/{name}") for name in names}
     end = world.now + 30 * S
     while world.now < end:
@@ -74,7 +74,9 @@
         for member in of_after(world):
             gone = [n for n, seen in member.membership.members.items() if seen.state in GONE]
             assert gone == [], f"{member.me} holds {gone} dead"
-            assert not member.out(), f"{member.me} holds {member.out()} out of reach"
+            assert not member.unreachable_cells(), (
+                f"{member.me} holds {member.unreachable_cells()} out of reach"
+            )
     assert hold(world, *acked), "what is for all reaches all"
     assert [name for name, _ in told(world, "catching_up")] == []
     few_know_it = {"m12"} if older == ["m6", "m9"] and change == "added" else set()  # two of its four keepers
@@ -86,8 +88,8 @@
         world.run_until(world.now + S)
         world.restart(name, disk=False)
         world.run_until(world.now + S)
-    assert until(world, lambda: world.agreed() and near_agree(world) and len(world.roots()) == 1, 30 * S)
-    assert until(world, lambda: all(m.catch_up.whole for m in of_after(world)), 5 * S)
+    assert until(world, lambda: world.views_agree() and near_agree(world) and len(world.roots()) == 1, 30 * S)
+    assert until(world, lambda: all(m.catch_up.is_current for m in of_after(world)), 5 * S)
     assert len(of_after(world)) == len(names)
 
 
@@ -97,29 +99,29 @@
     assert until(world, lambda: all(m.ready for m in world.members.values()), 10 * S)
     world.run_until(world.now + 3 * S)
     west = {name for name in world.names if world.region[name] == "west"}
-    world.cut = between(west, set(world.names) - west)
+    world.is_partitioned = between(west, set(world.names) - west)
     world.run_until(world.now + 20 * S)
-    assert all(m.out() for m in of_after(world))
-    world.cut = lambda _, __: False
+    assert all(m.unreachable_cells() for m in of_after(world))
+    world.is_partitioned = lambda _, __: False
 
     def right() -> bool:
-        return not any(m.out() for m in of_after(world))
+        return not any(m.unreachable_cells() for m in of_after(world))
 
-    assert until(world, right, 30 * S), {m.me: m.out() for m in of_after(world)}
+    assert until(world, right, 30 * S), {m.me: m.unreachable_cells() for m in of_after(world)}
     assert told(world, "catching_up") == []
 
 
 # Messages that are none of the fleet's
 
 
-def seen(world: StateWorld) -> list[tuple]:
+def seen(world: SimulatedFleet) -> list[tuple]:
     """All that members hold of each other, of cells, and keep; not the seconds."""
     found = []
     for name, member in world.members.items():
         near = [(n, s.state, s.incarnation) for n, s in member.membership.members.items()]
-        cells = [(c, s.state, s.incarnation) for c, s in member.reach.swim.members.items()]
-        kept = [one.copies.root() for one in member.keeping]
-        told_it = member.out(), dict(member.reach.told)
+        cells = [(c, s.state, s.incarnation) for c, s in member.reachability.swim.members.items()]
+        kept = [one.replica.root() for one in member.disseminations]
+        told_it = member.unreachable_cells(), dict(member.reachability.cell_status)
         found.append((name, member.membership.incarnation, near, cells, kept, told_it))
     return found
 
@@ -138,33 +140,35 @@
     {"k": 1, "from": "m1", "inc": "x", "seq": 1, "cell": 1},
     {"k": 0, "from": "m1", "inc": 1, "seq": 1, "cell": 1, "news": [["east/e1/0", "gone", 9, "east/e1/1"]]},
     {"k": 0, "from": "m1", "inc": 0, "seq": 1, "cell": 1, "news": [["north/n1/", DEAD, 9, "east/e1/1"]]},
-    {"k": int(Word.GIVE), "from": "m1", "rows": [SAID]},  # not for all: of another cell
-    {"k": int(Word.GIVE), "from": "x", "wide": 1, "rows": [SAID]},
-    {"k": int(Word.SUMS), "from": "m1", "root": 7},
-    {"k": int(Word.GIVE), "from": "m1", "wide": 1, "rows": [["lesson/m6", 1, *SAID[2:]], ["said/x"], 7]},
-    {"k": int(Word.GIVE), "from": "m6", "rows": [SAID]},  # for all, but said to be of the cell
-    {"k": int(Word.GOT), "from": "m1", "wide": 1, "ack": 1}, {"k": 20, "from": "m1", "n": 1, "part": 0.5},
+    {"k": int(StateMessageKind.ROWS), "from": "m1", "rows": [SAID]},  # not for all: of another cell
+    {"k": int(StateMessageKind.ROWS), "from": "x", "wide": 1, "rows": [SAID]},
+    {"k": int(StateMessageKind.DIGESTS), "from": "m1", "root": 7},
+    {"k": int(StateMessageKind.ROWS), "from": "m1", "wide": 1,
+     "rows": [["lesson/m6", 1, *SAID[2:]], ["said/x"], 7]},
+    {"k": int(StateMessageKind.ROWS), "from": "m6", "rows": [SAID]},  # for all, but said to be of the cell
+    {"k": int(StateMessageKind.ROWS_STORED), "from": "m1", "wide": 1, "ack": 1},
+    {"k": 20, "from": "m1", "n": 1, "part": 0.5},
     {"k": 0}, {"k": 99, "from": "m1"}, {"k": "x", "from": "m1"},
     {"k": 12, "from": "m6", "leaves": [[999, 1]], "n": 1},
 ]  # fmt: skip
 
 
 def test_messages_that_are_none_of_the_fleets_change_nothing() -> None:
-    world = fleet(15, 1, 4, layouts={"m3": Layout(places(15), 4)})  # and counts what is not taken
+    world = fleet(15, 1, 4, layouts={"m3": CellLayout(places(15), 4)})  # and counts what is not taken
     for told_it in TO_M3:
         before = seen(world)
 
         def hear(member: Member, now: int, wall: int, told_it: dict = told_it) -> None:
             try:
-                member.heard(now, wall, dict(told_it))
+                member.receive(now, wall, dict(told_it))
             except (KeyError, TypeError, ValueError, AttributeError):
                 pass  # as link.py counts it
 
-        world.do("m3", hear)
+        world.run_on("m3", hear)
         assert seen(world) == before, told_it
         world.run_until(world.now + S)
-        assert world.agreed() and not told(world, "catching_up")
-    assert not any("said/evil" in m.wide.copies.entries for m in world.members.values())
+        assert world.views_agree() and not told(world, "catching_up")
+    assert not any("said/evil" in m.wide_dissemination.replica.entries for m in world.members.values())
 
 
 def test_a_probe_of_a_neighbour_is_answered_and_takes_nothing_of_what_it_says() -> None:
@@ -173,7 +177,7 @@
     before = seen(world)
     ping = {"k": 0, "from": "m1", "inc": 9, "seq": 5, "news": MEMBERS_NEWS, "rows": [SAID]}
     member = world.members["m3"]
-    member.heard(world.now, world.wall("m3"), ping)
+    member.receive(world.now, world.wall("m3"), ping)
     told_it = [message for to, message in member.outbox if to == "m1" and message["k"] == 1]
     assert told_it == [{"k": 1, "from": "m3", "inc": member.membership.incarnation, "seq": 5}]
     assert seen(world) == before
@@ -194,10 +198,10 @@
 
             def turn(member: Member, now: int, wall: int, name: str = name) -> None:
                 loans = member.loans
-                loans.turn(now, member.membership.alive(), min(use[name], loans.part(now)), use[name])
-                member.turn(now, wall)
+                loans.tick(now, member.membership.alive(), min(use[name], loans.part(now)), use[name])
+                member.tick(now, wall)
 
-            world.do(name, turn)
+            world.run_on(name, turn)
             parts[name] = member.loans.part(world.now)
         assert sum(parts.values()) <= len(world.names) + 1e-9
         assert all(sum(parts[n] for n in r) <= len(r) + 1e-9 for r in world.layout.rosters.values())
@@ -209,14 +213,14 @@
 def test_a_label_is_granted_once_across_cells_and_not_twice_through_a_cut() -> None:
     world = fleet(15, 1, 4)
 
-    def claim(name: str, label: str) -> list[Claimed]:
-        got: list[Claimed] = []
+    def claim(name: str, label: str) -> list[ClaimResult]:
+        got: list[ClaimResult] = []
 
         def ask(member: Member, now: int, wall: int) -> None:
-            member.labels.claim(now, label, 3 * S, lambda what, _: got.append(what))
-            member.turn(now, wall)
+            member.idempotency_keys.claim(now, label, 3 * S, lambda what, _: got.append(what))
+            member.tick(now, wall)
 
-        world.do(name, ask)
+        world.run_on(name, ask)
         return got
 
     west = {name for name in world.names if world.region[name] == "west"}
@@ -224,10 +228,10 @@
     world.run_until(world.now + 4 * S)  # no home is young any more
     for n in range(20):
         cut = n >= 10
-        world.cut = between(west, set(world.names) - west) if cut else lambda _, __: False
+        world.is_partitioned = between(west, set(world.names) - west) if cut else lambda _, __: False
         asked = [claim(name, f"label{n}") for name in ("m0", "m3", "m1", "m8")]
         world.run_until(world.now + 2 * S)
-        ours = [one for one in asked if one == [Claimed.OURS]]
+        ours = [one for one in asked if one == [ClaimResult.OURS]]
         assert all(len(one) == 1 for one in asked) and len(ours) <= 1
         granted += len(ours)
     assert granted >= 10
@@ -238,11 +242,15 @@
     update(world, "m3", "said/x")
     update(world, "m3", "lesson/x")
     world.run_until(world.now + S)
-    world.write("m3")
+    world.write_snapshot("m3")
     world.kill("m3")
-    world.cut = lambda a, b: True
+    world.is_partitioned = lambda a, b: True
     world.restart("m3", disk=True)
     member = world.members["m3"]
-    assert "said/x" in member.wide.copies.entries and "lesson/x" in member.copies.entries
-    assert "lesson/x" not in member.wide.copies.entries and "said/x" not in member.copies.entries
-    assert member.reach.swim.members and all(s.state == ALIVE for s in member.reach.swim.members.values())
+    assert "said/x" in member.wide_dissemination.replica.entries and "lesson/x" in member.replica.entries
+    assert (
+        "lesson/x" not in member.wide_dissemination.replica.entries and "said/x" not in member.replica.entries
+    )
+    assert member.reachability.swim.members and all(
+        s.state == ALIVE for s in member.reachability.swim.members.values()
+    )
--- a/tests/test_cells_processes.py
+++ b/tests/test_cells_processes.py
@@ -11,7 +11,7 @@
 
 from crowwing.emulator.fleet.rig import FleetRig
 from crowwing.emulator.processes import ROOT
-from crowwing.fleet.membership.cells import Layout
+from crowwing.fleet.membership.cells import CellLayout
 
 FAST = {
     "period_ms": 200, "probe_timeout_ms": 100, "sync_every_ms": 250, "catch_up_most_ms": 3000, "cell_most": 8,
@@ -19,7 +19,7 @@
 MOST = 40  # s, of any wait
 # Two cells of four in two regions, and a cell of one beside the first.
 PLACES = {f"m{n}": ("west", "w1") if n < 4 else ("east", "e1") for n in range(8)} | {"m8": ("west", "w2")}
-LAYOUT = Layout(PLACES, 8)
+LAYOUT = CellLayout(PLACES, 8)
 WEST, EAST, ALONE = "west/w1/", "east/e1/", "west/w2/"
 
 
@@ -235,7 +235,7 @@
     not know it yet.
     """
     places = {f"m{n}": ("west", "w1") if n < 9 else ("east", "e1") for n in range(11)}
-    layout, older = Layout(places, 8), {"m0", "m1"}
+    layout, older = CellLayout(places, 8), {"m0", "m1"}
     assert set(layout.rosters["west/w1/0"]) == {"m0", "m4", "m5", "m7"}
     first_eight = {f"m{n}" for n in range(8)}
     with FleetRig(tmp_path, 11, 46, [], places, **FAST) as rig:
--- a/tests/test_cells_starts.py
+++ b/tests/test_cells_starts.py
@@ -11,38 +11,43 @@
 import pytest
 
 from crowwing.fleet.adapters import full_transfer
-from crowwing.fleet.membership.cells import SPEAKERS
-from crowwing.fleet.simulated_fleet import StateWorld
-from crowwing.fleet.state.dissemination import Pace, Reached, Spread, Word
-from crowwing.fleet.state.keyspaces import SPACES
-from crowwing.fleet.state.replica import FEW, LEAVES, Copies
+from crowwing.fleet.membership.cells import SPEAKER_COUNT
+from crowwing.fleet.simulated_fleet import SimulatedFleet
+from crowwing.fleet.state.dissemination import (
+    CellScope,
+    Dissemination,
+    DisseminationSettings,
+    StateMessageKind,
+)
+from crowwing.fleet.state.keyspaces import KEYSPACES
+from crowwing.fleet.state.replica import FEW_ENTRIES, LEAVES, Replica
 from tests.cellular import S, fleet, of_cell, until
 
 LIFE = 600 * S
 WALL = 3_600 * S
 
 
-def filled(world: StateWorld, count: int) -> None:
+def filled(world: SimulatedFleet, count: int) -> None:
     """Everybody holds so many entries for all."""
-    kept = world.members["m0"].wide.copies
+    kept = world.members["m0"].wide_dissemination.replica
     rows = [kept.put(world.wall("m0"), f"said/{n}", "x" * 60, LIFE) for n in range(count)]
     for member in world.members.values():
-        member.wide.copies.merge(world.wall(member.me), rows)
+        member.wide_dissemination.replica.merge(world.wall(member.me), rows)
 
 
-def counted(world: StateWorld, given: Counter, told_on: Counter) -> None:
+def counted(world: SimulatedFleet, given: Counter, told_on: Counter) -> None:
     """By member: bytes of rows that it gives by comparing, more than a datagram at a time, and as news."""
-    carry = world._carry
+    carry = world._flush
 
     def watched(name: str) -> None:
         for _, message in world.members[name].outbox:
-            if message["k"] == Word.GIVE:
+            if message["k"] == StateMessageKind.ROWS:
                 copied, rows = message.get("copy", 0), len(orjson.dumps(message["rows"]))
                 given[name] += rows if copied > 1 else 0
                 told_on[name] += rows if not copied else 0
         carry(name)
 
-    world._carry = watched
+    world._flush = watched
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -59,11 +64,13 @@
         world.restart(name, disk=False)
     began = world.now
     members = [world.members[name] for name in cell]
-    assert until(world, lambda: all(m.ready and m.catch_up.whole for m in members), 5 * S)
-    assert until(world, lambda: all(len(m.wide.copies.entries) >= count for m in members), 15 * S)
+    assert until(world, lambda: all(m.ready and m.catch_up.is_current for m in members), 5 * S)
+    assert until(
+        world, lambda: all(len(m.wide_dissemination.replica.entries) >= count for m in members), 15 * S
+    )
     world.run_until(began + 20 * S)
-    pace = world.manner.pace
-    most = pace.copies_burst + pace.copies_per_s * 20 + pace.gift_most
+    pace = world.settings.dissemination
+    most = pace.repair_burst_bytes + pace.repair_bytes_per_s * 20 + pace.max_datagram_bytes
     assert max(given.values()) <= most
     assert sum(told_on[name] for name in cell) < sum(given.values()) / 4, "a copy that is read is no news"
     asked = Counter(name for _, name, _ in world.fetches)
@@ -77,11 +84,13 @@
     keepers = of_cell(world, "m0")[:5]
     world.kill(name)
     world.restart(name, disk=False)
-    assert until(world, lambda: world.members[name].catch_up.whole, 2 * S)
+    assert until(world, lambda: world.members[name].catch_up.is_current, 2 * S)
     first, *others = [other for _, who, other in world.fetches if who == name]
     assert first not in keepers and first in of_cell(world, "m0")
-    assert set(others[:2]) == set(keepers[SPEAKERS:]) and others[2] in keepers[:SPEAKERS]
-    rows = [brings["rows"] for _, who, event, brings in world.told if (who, event) == (name, "fetched")]
+    assert set(others[:2]) == set(keepers[SPEAKER_COUNT:]) and others[2] in keepers[:SPEAKER_COUNT]
+    rows = [
+        brings["rows"] for _, who, event, brings in world.member_events if (who, event) == (name, "fetched")
+    ]
     assert rows[0] >= 50 and sum(rows[1:]) <= 5, "the others have little to add"
 
 
@@ -89,10 +98,10 @@
     world = fleet(45, 2, 15)
     filled(world, 50)
     name = of_cell(world, "m0")[-1]
-    world.write(name)
+    world.write_snapshot(name)
     world.kill(name)
     world.restart(name, disk=True)
-    assert until(world, lambda: world.members[name].catch_up.whole, 2 * S)
+    assert until(world, lambda: world.members[name].catch_up.is_current, 2 * S)
     asked = [other for _, who, other in world.fetches if who == name]
     assert len(asked) == 3 and set(asked) <= set(of_cell(world, "m0")[:5])
 
@@ -102,55 +111,55 @@
     name = of_cell(world, "m0")[-1]
     world.kill(name)
     world.run_until(world.now + S // 10)
-    world.cut = lambda a, b: name in (a, b)
-    world.cut_fetch = 60 * S
+    world.is_partitioned = lambda a, b: name in (a, b)
+    world.failed_fetch_delay = 60 * S
     world.restart(name, disk=False)
     began = world.now
     assert until(world, lambda: world.members[name].ready, 10 * S)
-    assert world.now - began <= world.manner.patience.most + 50_000
+    assert world.now - began <= world.settings.catch_up.max_wait + 50_000
 
 
 # What is told of a copy
 
 
-def copy(count: int, first: int = 0) -> Copies:
-    kept = Copies("a", {name: space for name, space in SPACES.items() if space.wide}, 10 * S)
+def copy(count: int, first: int = 0) -> Replica:
+    kept = Replica("a", {name: space for name, space in KEYSPACES.items() if space.fleet_wide}, 10 * S)
     for n in range(first, first + count):
         kept.put(WALL, f"said/{n}", n, LIFE)
     return kept
 
 
-@pytest.mark.parametrize("count", [0, 1, FEW, FEW + 1, 440])
+@pytest.mark.parametrize("count", [0, 1, FEW_ENTRIES, FEW_ENTRIES + 1, 440])
 def test_packed_sums_tell_just_what_differs(count: int) -> None:
     kept, other = copy(count), copy(0)
-    other.merge(WALL, list(kept.every()))
-    told = kept.packed()
-    assert len(told) <= (0 if not count else 88 if count <= FEW else 1368)
-    assert other.unlike(told) == (list(range(LEAVES)) if not count else [])
+    other.merge(WALL, list(kept.all_rows()))
+    told = kept.encoded_digests()
+    assert len(told) <= (0 if not count else 88 if count <= FEW_ENTRIES else 1368)
+    assert other.differing_leaves(told) == (list(range(LEAVES)) if not count else [])
     row = other.put(WALL, "said/new", 1, LIFE)
-    assert row in list(other.rows(other.unlike(told)))
-    if count > FEW:
-        assert len(other.unlike(told)) == 1
+    assert row in list(other.rows(other.differing_leaves(told)))
+    if count > FEW_ENTRIES:
+        assert len(other.differing_leaves(told)) == 1
 
 
 @pytest.mark.parametrize("junk", ["x", "AAAA", "!" * 88, "é", "A" * 1372])
 def test_sums_that_are_none_are_refused(junk: str) -> None:
     with pytest.raises(ValueError):
-        copy(3).unlike(junk)
+        copy(3).differing_leaves(junk)
 
 
 # News
 
 
-def spread(pace: Pace | None = None) -> Spread:
+def spread(pace: DisseminationSettings | None = None) -> Dissemination:
     """Of m0, which is no keeper of its cell of eight."""
     peers = [f"m{n}" for n in range(1, 8)]
-    reached = Reached(frozenset(peers[:5]), frozenset(peers))
-    return Spread("m0", peers, copy(0), 0, random.Random(1), pace or Pace(), reached)
+    reached = CellScope(frozenset(peers[:5]), frozenset(peers))
+    return Dissemination("m0", peers, copy(0), 0, random.Random(1), pace or DisseminationSettings(), reached)
 
 
-def pushed(one: Spread) -> list[list[str]]:
-    told = [[row[0] for row in m["rows"]] for _, m in one.outbox if m["k"] == Word.GIVE]
+def pushed(one: Dissemination) -> list[list[str]]:
+    told = [[row[0] for row in m["rows"]] for _, m in one.outbox if m["k"] == StateMessageKind.ROWS]
     one.outbox.clear()
     return told
 
@@ -159,79 +168,93 @@
     one = spread()
     alive = sorted(one.peers)
     one.put(WALL, "said/0", 0, LIFE)
-    one.turn(0, WALL, alive)
-    assert pushed(one) == [["said/0"]] * one.pace.fan
+    one.tick(0, WALL, alive)
+    assert pushed(one) == [["said/0"]] * one.settings.fanout
     for n in range(1, 6):
         one.put(WALL, f"said/{n}", n, LIFE)
-        one.turn(n * 10_000, WALL, alive)
+        one.tick(n * 10_000, WALL, alive)
         assert not pushed(one)
-    assert one.wake_at() == one.pace.gather
-    one.turn(one.pace.gather, WALL, alive)
-    assert pushed(one) == [[f"said/{n}" for n in range(1, 6)]] * one.pace.fan
-    assert not one.fresh
+    assert one.wake_at() == one.settings.push_interval
+    one.tick(one.settings.push_interval, WALL, alive)
+    assert pushed(one) == [[f"said/{n}" for n in range(1, 6)]] * one.settings.fanout
+    assert not one.unpushed_keys
 
 
 def test_what_comes_by_comparing_much_is_no_news_and_a_little_is() -> None:
-    rows = list(copy(40).every())
+    rows = list(copy(40).all_rows())
     much, little = spread(), spread()
-    much.heard(0, WALL, {"k": int(Word.GIVE), "from": "m1", "rows": rows, "copy": 4})
-    little.heard(0, WALL, {"k": int(Word.GIVE), "from": "m1", "rows": rows[:1]})
-    assert len(much.copies.entries) == 40 and not much.fresh and not much.hot
-    assert list(little.fresh) == list(little.hot) == [rows[0][0]]
+    much.receive(0, WALL, {"k": int(StateMessageKind.ROWS), "from": "m1", "rows": rows, "copy": 4})
+    little.receive(0, WALL, {"k": int(StateMessageKind.ROWS), "from": "m1", "rows": rows[:1]})
+    assert len(much.replica.entries) == 40 and not much.unpushed_keys and not much.hot_keys
+    assert list(little.unpushed_keys) == list(little.hot_keys) == [rows[0][0]]
 
 
 def test_a_little_that_comes_by_comparing_is_news_but_not_to_one_that_has_just_started() -> None:
-    rows, one = list(copy(2).every()), spread()
-    give = {"k": int(Word.GIVE), "from": "m1", "copy": 1}
-    one.heard(one.pace.eager - 1, WALL, give | {"rows": rows[:1]})
-    assert len(one.copies.entries) == 1 and not one.fresh
-    one.heard(one.pace.eager, WALL, give | {"rows": rows[1:]})
-    assert list(one.fresh) == [rows[1][0]]
+    rows, one = list(copy(2).all_rows()), spread()
+    give = {"k": int(StateMessageKind.ROWS), "from": "m1", "copy": 1}
+    one.receive(one.settings.eager_sync_period - 1, WALL, give | {"rows": rows[:1]})
+    assert len(one.replica.entries) == 1 and not one.unpushed_keys
+    one.receive(one.settings.eager_sync_period, WALL, give | {"rows": rows[1:]})
+    assert list(one.unpushed_keys) == [rows[1][0]]
 
 
 def test_much_that_differs_is_read_from_one_other_at_a_time() -> None:
     one, far = spread(), copy(300, first=1000)
     one.put(WALL, "said/mine", 1, LIFE)
-    sums = {"k": int(Word.SUMS), "groups": far.groups(), "n": 300}
+    sums = {"k": int(StateMessageKind.DIGESTS), "groups": far.group_digests(), "n": 300}
     for name in ("m1", "m2", "m3"):
-        one.heard(0, WALL, sums | {"from": name})
-    assert [to for to, told in one.outbox if told["k"] == Word.DIFFERS] == ["m1"]
+        one.receive(0, WALL, sums | {"from": name})
+    assert [to for to, told in one.outbox if told["k"] == StateMessageKind.LEAF_DIGESTS] == ["m1"]
     one.outbox.clear()
-    one.heard(one.pace.fill, WALL, sums | {"from": "m2"})
-    assert [to for to, told in one.outbox if told["k"] == Word.DIFFERS] == ["m2"]
+    one.receive(one.settings.repair_timeout, WALL, sums | {"from": "m2"})
+    assert [to for to, told in one.outbox if told["k"] == StateMessageKind.LEAF_DIGESTS] == ["m2"]
 
 
 def test_an_empty_copy_is_told_without_its_sums_and_given_all() -> None:
     one, full = spread(), spread()
-    full.copies.merge(WALL, list(copy(30).every()))
-    one.heard(0, WALL, {"k": int(Word.SUMS), "from": "m1", "groups": full.copies.groups(), "n": 30})
+    full.replica.merge(WALL, list(copy(30).all_rows()))
+    one.receive(
+        0,
+        WALL,
+        {"k": int(StateMessageKind.DIGESTS), "from": "m1", "groups": full.replica.group_digests(), "n": 30},
+    )
     [(to, told)] = one.outbox
-    assert (to, told["k"], told["leaves"]) == ("m1", Word.DIFFERS, [])
-    full.heard(0, WALL, told | {"from": "m1"})
+    assert (to, told["k"], told["leaves"]) == ("m1", StateMessageKind.LEAF_DIGESTS, [])
+    full.receive(0, WALL, told | {"from": "m1"})
     given = [row for _, message in full.outbox for row in message["rows"]]
     assert len(given) == 30
     full.outbox.clear()
-    full.heard(0, WALL, {"k": int(Word.SUMS), "from": "m2", "groups": one.copies.groups(), "n": 0})
+    full.receive(
+        0,
+        WALL,
+        {"k": int(StateMessageKind.DIGESTS), "from": "m2", "groups": one.replica.group_digests(), "n": 0},
+    )
     assert sum(len(message["rows"]) for _, message in full.outbox) == 30
 
 
 def test_what_one_gives_by_comparing_is_bounded_and_comes_back_slowly() -> None:
     one = spread()
-    one.copies.merge(WALL, list(copy(400).every()))
+    one.replica.merge(WALL, list(copy(400).all_rows()))
 
     def gives(now: int) -> int:
         for n in range(30):
-            one.heard(
-                now, WALL, {"k": int(Word.WANTS), "from": f"m{1 + n % 7}", "leaves": list(range(LEAVES))}
+            one.receive(
+                now,
+                WALL,
+                {
+                    "k": int(StateMessageKind.ROWS_WANTED),
+                    "from": f"m{1 + n % 7}",
+                    "leaves": list(range(LEAVES)),
+                },
             )
         size = sum(len(orjson.dumps(message["rows"])) for _, message in one.outbox)
         one.outbox.clear()
         return size
 
-    pace = one.pace
-    assert pace.copies_burst <= gives(0) <= pace.copies_burst + pace.gift_most
-    assert gives(S) <= pace.copies_per_s + pace.gift_most
-    assert gives(61 * S) <= 61 * pace.copies_per_s + pace.gift_most
+    pace = one.settings
+    assert pace.repair_burst_bytes <= gives(0) <= pace.repair_burst_bytes + pace.max_datagram_bytes
+    assert gives(S) <= pace.repair_bytes_per_s + pace.max_datagram_bytes
+    assert gives(61 * S) <= 61 * pace.repair_bytes_per_s + pace.max_datagram_bytes
 
 
 def test_a_fetch_gives_up_a_connection_that_is_not_taken() -> None:
--- a/tests/test_cells_state.py
+++ b/tests/test_cells_state.py
@@ -4,8 +4,8 @@
 import pytest
 
 from crowwing.fleet.membership.swim import DEAD
-from crowwing.fleet.simulated_fleet import StateWorld
-from crowwing.fleet.state.reachability_votes import GAP_BACK, SETTLE
+from crowwing.fleet.simulated_fleet import SimulatedFleet
+from crowwing.fleet.state.reachability_votes import MIN_INTERVAL_BACK, STABILIZATION_DELAY
 from tests.cellular import (
     FAST,
     S,
@@ -26,15 +26,15 @@
 # Of 45 in cells of 9: six of six to nine, all with members beyond the keepers and the speakers.
 
 
-def in_region(world: StateWorld, region: str) -> set[str]:
+def in_region(world: SimulatedFleet, region: str) -> set[str]:
     return {name for name in world.names if world.region[name] == region}
 
 
-def cells_of(world: StateWorld, region: str) -> frozenset[str]:
+def cells_of(world: SimulatedFleet, region: str) -> frozenset[str]:
     return frozenset(cell for cell in world.layout.rosters if cell.startswith(f"{region}/"))
 
 
-def nobody_noticed(world: StateWorld) -> None:
+def nobody_noticed(world: SimulatedFleet) -> None:
     """No member left the list, none was told of as one, and nobody fetched."""
     assert told(world, "catching_up") == [] and told(world, "member") == [] and world.fetches == []
 
@@ -48,7 +48,7 @@
     assert until(world, lambda: len(world.roots()) == 1, 5 * S)
     world.run_until(world.now + 2 * S)
     assert all(one == [True] for one in acked.values())
-    assert not any(m.wide.updates for m in world.members.values())
+    assert not any(m.wide_dissemination.pending_updates for m in world.members.values())
 
 
 def test_what_is_acknowledged_is_held_by_a_majority_of_the_cells_keepers_and_no_other_counts() -> None:
@@ -58,26 +58,26 @@
         assert len(roster) > 5, cell
         one = update(world, roster[-1], key)
         assert until(world, lambda one=one: bool(one), S) and one == [True]
-        assert sum(key in world.members[k].wide.copies.entries for k in keepers) >= 3
+        assert sum(key in world.members[k].wide_dissemination.replica.entries for k in keepers) >= 3
     roster = of_cell(world, "m3")
     assert len(roster) == 9
     keepers, rest = set(roster[:5]), set(roster[5:])
     three = set(roster[:3])
     # Three keepers are out of reach: two and all others of the cell, and of the fleet, are no majority.
-    world.cut = between(three, set(world.names) - three)
+    world.is_partitioned = between(three, set(world.names) - three)
     one = update(world, min(rest), "said/few")
     world.run_until(world.now + 3 * S)
     assert one == [False] and hold_all(world, "said/few", set(world.names) - three)
-    world.cut = lambda _, __: False
-    assert until(world, world.agreed, 20 * S)
+    world.is_partitioned = lambda _, __: False
+    assert until(world, world.views_agree, 20 * S)
     for name in (*rest, roster[4]):  # four of nine are left, and four of the five keepers
         world.kill(name)
     one = update(world, roster[0], "said/keepers")
     assert until(world, lambda: one == [True], S), "who is no keeper is not waited for"
 
 
-def hold_all(world: StateWorld, key: str, names: set[str]) -> bool:
-    return all(key in world.members[name].wide.copies.entries for name in names)
+def hold_all(world: SimulatedFleet, key: str, names: set[str]) -> bool:
+    return all(key in world.members[name].wide_dissemination.replica.entries for name in names)
 
 
 def test_what_is_kept_in_a_cell_stays_there() -> None:
@@ -88,9 +88,9 @@
     world.run_until(world.now + 5 * S)
     assert near_agree(world)
     for name, member in world.members.items():
-        held = {key for key, _ in member.copies.under("lesson/")}
+        held = {key for key, _ in member.replica.with_prefix("lesson/")}
         assert held == {f"lesson/{other}" for other in of_cell(world, name)}
-        assert not set(member.wide.copies.spaces) & set(member.copies.spaces)
+        assert not set(member.wide_dissemination.replica.keyspaces) & set(member.replica.keyspaces)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -102,20 +102,20 @@
     west, east = in_region(world, "west"), in_region(world, "east")
     world.loss = 0.01
     seen = {name: cells_of(world, "east" if name in west else "west") for name in world.names}
-    world.cut = between(west, east)
-    assert until(world, lambda: world.agreed(seen.__getitem__), 30 * S)
+    world.is_partitioned = between(west, east)
+    assert until(world, lambda: world.views_agree(seen.__getitem__), 30 * S)
     words = {name: brings["cells"] for name, brings in told(world, "cells_out")}
     assert words == {name: ["east/" if name in west else "west/"] for name in world.names}
     one, other = update(world, min(west), "said/west"), update(world, min(east), "said/east")
     world.run_until(world.now + 20 * S)
     assert one == [True] and other == [True], "each side goes on by itself"
     assert hold_all(world, "said/west", west) and not hold_all(world, "said/west", east)
-    assert world.agreed(seen.__getitem__), "it stays so while the cut lasts"
-    world.cut = lambda _, __: False
+    assert world.views_agree(seen.__getitem__), "it stays so while the cut lasts"
+    world.is_partitioned = lambda _, __: False
     healed = world.now
-    assert until(world, lambda: world.agreed() and hold(world, "said/west", "said/east"), 10 * S)
+    assert until(world, lambda: world.views_agree() and hold(world, "said/west", "said/east"), 10 * S)
     world.run_until(healed + 20 * S)
-    assert world.agreed()
+    assert world.views_agree()
     assert told(world, "catching_up") == [] and world.fetches == []
     assert not [1 for _, brings in told(world, "member") if brings["state"] == DEAD]
     own = [(name, brings["name"]) for name, brings in told(world, "member")]
@@ -124,12 +124,12 @@
 
 def test_a_cut_that_nothing_is_lost_in_besides_is_no_news_of_any_member() -> None:
     world = fleet(15, 4, 4)
-    world.cut = between(in_region(world, "west"), in_region(world, "east"))
+    world.is_partitioned = between(in_region(world, "west"), in_region(world, "east"))
     world.run_until(world.now + 30 * S)
-    world.cut = lambda _, __: False
+    world.is_partitioned = lambda _, __: False
     world.run_until(world.now + 20 * S)
     nobody_noticed(world)
-    assert world.agreed()
+    assert world.views_agree()
 
 
 def test_a_cut_one_way_is_known_on_both_sides_and_heals() -> None:
@@ -137,10 +137,10 @@
     world = fleet(15, 5, 4)
     west, east = in_region(world, "west"), in_region(world, "east")
     seen = {name: cells_of(world, "east" if name in west else "west") for name in world.names}
-    world.cut = between(west, east, "there")
-    assert until(world, lambda: world.agreed(seen.__getitem__), 40 * S)
-    world.cut = lambda _, __: False
-    assert until(world, world.agreed, 20 * S)
+    world.is_partitioned = between(west, east, "there")
+    assert until(world, lambda: world.views_agree(seen.__getitem__), 40 * S)
+    world.is_partitioned = lambda _, __: False
+    assert until(world, world.views_agree, 20 * S)
     nobody_noticed(world)
 
 
@@ -154,7 +154,7 @@
     assert first == [[True]] * 3
     for name in roster:
         world.kill(name)
-    assert until(world, world.agreed, 30 * S)
+    assert until(world, world.views_agree, 30 * S)
     assert world.dead_cells() == {cell}
     assert {tuple(brings["cells"]) for _, brings in told(world, "cells_out")} == {(cell,)}
     assert told(world, "member") == [], "nobody was told of by name"
@@ -163,7 +163,7 @@
     assert told_late == [True]
     for name in roster:
         world.restart(name, disk=False)
-    assert until(world, world.agreed, 30 * S)
+    assert until(world, world.views_agree, 30 * S)
     assert until(world, lambda: hold(world, "said/m0", "said/m1", "said/m2", "said/late"), 10 * S)
     assert until(world, lambda: all(m.ready for m in world.members.values()), 10 * S)
     assert {name for name, _ in told(world, "catching_up")} <= set(roster)
@@ -183,16 +183,16 @@
     while world.now < died + 30 * S:
         world.run_until(world.now + 50_000)
         for member in running(world):
-            if member.out():
+            if member.unreachable_cells():
                 held_out[member.me] = held_out.get(member.me, 0) + 50_000
     assert hold(world, "said/in", "said/out")
     assert acked[0] == [True]
-    assert max(held_out.values(), default=0) <= SETTLE + GAP_BACK + 3 * S, (
+    assert max(held_out.values(), default=0) <= STABILIZATION_DELAY + MIN_INTERVAL_BACK + 3 * S, (
         "no longer than a telling and its end"
     )
     assert all(world.members[name].speakers == roster[3:6] for name in roster[3:])
-    assert all(world.members[name].reach.speaks for name in roster[3:6])
-    assert world.agreed()
+    assert all(world.members[name].reachability.speaks for name in roster[3:6])
+    assert world.views_agree()
 
 
 def test_of_a_cell_of_four_whose_speakers_die_the_last_one_speaks() -> None:
@@ -202,11 +202,11 @@
         world.kill(name)
     update(world, last, "said/last")
     update(world, "m1", "said/elsewhere")
-    assert until(world, lambda: world.agreed() and hold(world, "said/last", "said/elsewhere"), 30 * S)
+    assert until(world, lambda: world.views_agree() and hold(world, "said/last", "said/elsewhere"), 30 * S)
     assert world.members[last].speakers == (last,)
     for name in speakers:
         world.restart(name, disk=False)
-    assert until(world, lambda: world.agreed() and hold(world, "said/last", "said/elsewhere"), 30 * S)
+    assert until(world, lambda: world.views_agree() and hold(world, "said/last", "said/elsewhere"), 30 * S)
 
 
 @pytest.mark.parametrize("how", ["killed", "slow", "deaf", "cut off", "far"])
@@ -221,28 +221,30 @@
     elif how == "slow":
         world.paused.add(speaker)
     elif how == "far":
-        plain = world._apart
-        world._apart = lambda a, b: 400_000 if speaker in (a, b) and {a, b} & others else plain(a, b)
+        plain = world._region_delay
+        world._region_delay = lambda a, b: 400_000 if speaker in (a, b) and {a, b} & others else plain(a, b)
     else:
-        world.cut = between(others, {speaker}, "there" if how == "deaf" else "both")
+        world.is_partitioned = between(others, {speaker}, "there" if how == "deaf" else "both")
     end = world.now + 25 * S
     acked = update(world, "m1", "said/in"), update(world, of_cell(world, "m0")[1], "said/out")
     while world.now < end:
         world.run_until(world.now + 100_000)
         for member in running(world):
-            assert not member.out(), f"{member.me} holds {member.out()} out of reach"
+            assert not member.unreachable_cells(), (
+                f"{member.me} holds {member.unreachable_cells()} out of reach"
+            )
     assert acked == ([True], [True])
     assert until(world, lambda: hold(world, "said/in", "said/out"), 5 * S)
     if how in ("deaf", "cut off"):
-        assert world.members[speaker].reach.out(), "it says so itself, and is outvoted"
-    world.cut = lambda _, __: False
+        assert world.members[speaker].reachability.unreachable_cells(), "it says so itself, and is outvoted"
+    world.is_partitioned = lambda _, __: False
     world.paused.discard(speaker)
     if how == "killed":
         world.restart(speaker, disk=False)
     elif how == "far":
-        world._apart = plain
-    assert until(world, lambda: world.agreed() and hold(world, "said/in", "said/out"), 20 * S)
-    assert until(world, lambda: not world.members[speaker].reach.out(), 20 * S)
+        world._region_delay = plain
+    assert until(world, lambda: world.views_agree() and hold(world, "said/in", "said/out"), 20 * S)
+    assert until(world, lambda: not world.members[speaker].reachability.unreachable_cells(), 20 * S)
     others_told = [name for name, _ in told(world, "catching_up") if name != speaker]
     assert others_told == [] and all(m.ready for m in world.members.values())
 
@@ -252,52 +254,52 @@
     cell = of_cell(world, "m0")
     first, second, third = cell[:3]
     rest, far = set(world.names) - set(cell), frozenset(world.layout.rosters) - {world.layout.cell_of["m0"]}
-    world.cut = between({first}, rest)
+    world.is_partitioned = between({first}, rest)
     world.run_until(world.now + 20 * S)
-    assert world.members[first].reach.out() == far
-    assert world.members[second].reach.out() == frozenset()
-    assert all(not member.out() for member in running(world))
-    world.cut = between({first, second}, rest)
+    assert world.members[first].reachability.unreachable_cells() == far
+    assert world.members[second].reachability.unreachable_cells() == frozenset()
+    assert all(not member.unreachable_cells() for member in running(world))
+    world.is_partitioned = between({first, second}, rest)
     seen = dict.fromkeys(world.names, frozenset()) | dict.fromkeys(cell, far)
-    assert until(world, lambda: world.agreed(seen.__getitem__), 30 * S), "two of three"
+    assert until(world, lambda: world.views_agree(seen.__getitem__), 30 * S), "two of three"
     world.kill(third)
-    world.cut = between({first}, rest)
-    assert until(world, world.agreed, 40 * S), "one of the three that speak now"
+    world.is_partitioned = between({first}, rest)
+    assert until(world, world.views_agree, 40 * S), "one of the three that speak now"
 
 
 def test_a_cell_of_one_takes_part_and_its_death_is_a_cells() -> None:
     world = fleet(15, 7, 4)
     assert of_cell(world, "m0") == ("m0",)
     one = world.members["m0"]
-    assert one.ready and one.reach.speaks
+    assert one.ready and one.reachability.speaks
     assert update(world, "m0", "said/alone") == [True]
     update(world, "m5", "said/to-it")
     assert until(world, lambda: hold(world, "said/alone", "said/to-it"), 3 * S)
-    world.cut = lambda a, b: "m0" in (a, b)
+    world.is_partitioned = lambda a, b: "m0" in (a, b)
     seen = dict.fromkeys(world.names, frozenset({world.layout.cell_of["m0"]}))
     seen["m0"] = frozenset(world.layout.rosters) - seen["m0"]
-    assert until(world, lambda: world.agreed(seen.__getitem__), 30 * S)
+    assert until(world, lambda: world.views_agree(seen.__getitem__), 30 * S)
     assert one.ready, "it serves"
-    world.cut = lambda _, __: False
-    assert until(world, world.agreed, 20 * S)
+    world.is_partitioned = lambda _, __: False
+    assert until(world, world.views_agree, 20 * S)
     nobody_noticed(world)
     world.kill("m0")
-    assert until(world, world.agreed, 30 * S)
+    assert until(world, world.views_agree, 30 * S)
     world.restart("m0", disk=False)
-    assert until(world, lambda: world.agreed() and hold(world, "said/alone", "said/to-it"), 30 * S)
+    assert until(world, lambda: world.views_agree() and hold(world, "said/alone", "said/to-it"), 30 * S)
 
 
 def test_a_member_that_drains_is_known_in_its_cell_and_one_of_its_speakers_is_followed() -> None:
     world = fleet(45, 8, 9)
     roster = of_cell(world, "m0")
     sent = world.traffic[roster[0]][1]
-    world.do(roster[0], lambda member, now, wall: member.leave(now, wall))
+    world.run_on(roster[0], lambda member, now, wall: member.leave(now, wall))
     assert world.traffic[roster[0]][1] - sent <= 2 * len(roster), "it tells its cell, not the fleet"
     world.run_until(world.now + S)
     assert all(world.members[name].speakers == roster[1:4] for name in roster[1:])
     world.kill(roster[0])
     world.run_until(world.now + 10 * S)
-    assert all(not member.out() for member in running(world))
+    assert all(not member.unreachable_cells() for member in running(world))
 
 
 # A start
@@ -319,9 +321,9 @@
     world.restart(name, disk=False)
     member, began = world.members[name], world.now
     assert not member.ready
-    assert until(world, lambda: member.ready, 2 * S) and member.catch_up.whole
-    assert not [key for key in acked if key not in member.wide.copies.entries]
-    assert not [key for key in near if key not in member.copies.entries]
+    assert until(world, lambda: member.ready, 2 * S) and member.catch_up.is_current
+    assert not [key for key in acked if key not in member.wide_dissemination.replica.entries]
+    assert not [key for key in near if key not in member.replica.entries]
     asked = [other for at, who, other in world.fetches if who == name and at >= began]
     keepers = set(of_cell(world, "m0")[:5]) - {name}
     helper = [other for other in asked if other not in keepers]  # one that is none, and is asked first
@@ -332,14 +334,14 @@
 def test_a_majority_of_keepers_wiped_one_after_the_other_loses_nothing_acknowledged() -> None:
     world = fleet(45, 9, 9)
     roster = of_cell(world, "m0")
-    world.cut = between(set(roster), set(world.names) - set(roster))  # nobody else holds it
+    world.is_partitioned = between(set(roster), set(world.names) - set(roster))  # nobody else holds it
     told_it = [update(world, roster[0], f"said/{n}", n) for n in range(10)]
     assert until(world, lambda: all(told_it), S) and all(one == [True] for one in told_it)
     for name in roster:
         world.kill(name)
         world.restart(name, disk=False)
-        assert until(world, lambda name=name: world.members[name].catch_up.began is None, 20 * S)
-        assert all(f"said/{n}" in world.members[name].wide.copies.entries for n in range(10))
+        assert until(world, lambda name=name: world.members[name].catch_up.started_at is None, 20 * S)
+        assert all(f"said/{n}" in world.members[name].wide_dissemination.replica.entries for n in range(10))
 
 
 @pytest.mark.parametrize("size", [15, 45])
@@ -347,35 +349,35 @@
     world = fleet(size, 1, 4 if size == 15 else 9)
     name = of_cell(world, "m3")[0]
     world.kill(name)
-    world.cut = lambda a, b: name in (a, b)
+    world.is_partitioned = lambda a, b: name in (a, b)
     world.run_until(world.now + S)
     world.fetches.clear()
-    world.cut_fetch = 500  # refused at once
+    world.failed_fetch_delay = 500  # refused at once
     world.restart(name, disk=False)
     began, sent = world.now, world.traffic[name][1]
-    world.run_until(began + FAST.patience.most - 100_000)
+    world.run_until(began + FAST.catch_up.max_wait - 100_000)
     assert not world.members[name].ready
-    world.run_until(began + FAST.patience.most + 100_000)
-    assert world.members[name].ready and not world.members[name].catch_up.whole
+    world.run_until(began + FAST.catch_up.max_wait + 100_000)
+    assert world.members[name].ready and not world.members[name].catch_up.is_current
     world.run_until(began + 60 * S)
     mine = [other for _, who, other in world.fetches if who == name]
     assert len(mine) <= 20 and set(mine[1:]) <= set(of_cell(world, name)[:5]), "a helper once, then keepers"
     assert world.traffic[name][1] - sent <= 60 * 25, "datagrams: some of each period, whatever the fleet"
-    world.cut = lambda _, __: False
-    assert until(world, lambda: world.members[name].catch_up.whole and world.agreed(), 30 * S)
+    world.is_partitioned = lambda _, __: False
+    assert until(world, lambda: world.members[name].catch_up.is_current and world.views_agree(), 30 * S)
 
 
 def test_one_cut_off_from_its_own_cell_only_is_behind_and_catches_up_from_keepers() -> None:
     world = fleet(45, 2, 9)
     roster = of_cell(world, "m0")
-    world.cut = between({roster[0]}, set(roster[1:]))
+    world.is_partitioned = between({roster[0]}, set(roster[1:]))
     world.run_until(world.now + 15 * S)
     one = update(world, roster[1], "said/x")
     world.run_until(world.now + 3 * S)
     assert one == [True] and world.members[roster[0]].ready
-    world.cut = lambda _, __: False
-    assert until(world, lambda: world.agreed() and near_agree(world), 30 * S)
-    assert until(world, lambda: world.members[roster[0]].catch_up.whole, 10 * S)
+    world.is_partitioned = lambda _, __: False
+    assert until(world, lambda: world.views_agree() and near_agree(world), 30 * S)
+    assert until(world, lambda: world.members[roster[0]].catch_up.is_current, 10 * S)
     assert {name for name, _ in told(world, "catching_up")} == {roster[0]}
 
 
--- a/tests/test_cells_wake.py
+++ b/tests/test_cells_wake.py
@@ -7,11 +7,11 @@
     """Guards against a member that wakes without end for a telling that is no more its own."""
     world = fleet(12, 1, 4)
     world.run_until(5 * S)
-    member = next(m for m in world.members.values() if m.reach.speaks)
-    member.speakers, member.verdicts.tell_at = (), world.now - S
+    member = next(m for m in world.members.values() if m.reachability.speaks)
+    member.speakers, member.reachability_votes.publish_at = (), world.now - S
     member.layout = StillLayout(member.layout)
-    member.turn(world.now, world.wall(member.me))
-    assert not member.reach.speaks and member.wake_at(world.now) > world.now
+    member.tick(world.now, world.wall(member.me))
+    assert not member.reachability.speaks and member.wake_at(world.now) > world.now
 
 
 class StillLayout:
--- a/tests/test_fleet_copies.py
+++ b/tests/test_fleet_copies.py
@@ -9,28 +9,28 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from crowwing.fleet.state.hybrid_clock import Hybrid, TooFarAhead
-from crowwing.fleet.state.replica import VALUE_MOST, Copies, Join, NotKept, Space
+from crowwing.fleet.state.hybrid_clock import ClockSkewError, HybridClock
+from crowwing.fleet.state.replica import MAX_VALUE_BYTES, EntryRejectedError, Keyspace, MergeRule, Replica
 
 S = 1_000_000
-SPACES = {
-    "r": Space(Join.LATEST, 64, 100 * S), "c": Space(Join.MOST, 64, 100 * S),
-    "s": Space(Join.GONE, 64, 100 * S),
-    "few": Space(Join.LATEST, 8, 100 * S),
+KEYSPACES = {
+    "r": Keyspace(MergeRule.LAST_WRITER_WINS, 64, 100 * S), "c": Keyspace(MergeRule.MAXIMUM, 64, 100 * S),
+    "s": Keyspace(MergeRule.REMOVE_WINS, 64, 100 * S),
+    "few": Keyspace(MergeRule.LAST_WRITER_WINS, 8, 100 * S),
 }  # fmt: skip
 
 
-def copies(me: str = "a") -> Copies:
-    return Copies(me, SPACES, 10 * S)
+def copies(me: str = "a") -> Replica:
+    return Replica(me, KEYSPACES, 10 * S)
 
 
 def test_a_stamp_outranks_what_was_heard_whatever_the_clock_shows() -> None:
-    slow, fast = Hybrid("slow", 10 * S), Hybrid("fast", 10 * S)
-    theirs = fast.next(5 * S)
-    slow.heard(1 * S, theirs.at, theirs.count)
-    assert slow.next(1 * S) > theirs
-    with pytest.raises(TooFarAhead):
-        slow.heard(1 * S, 12 * S, 0)
+    slow, fast = HybridClock("slow", 10 * S), HybridClock("fast", 10 * S)
+    theirs = fast.next_timestamp(5 * S)
+    slow.observe(1 * S, theirs.time_us, theirs.counter)
+    assert slow.next_timestamp(1 * S) > theirs
+    with pytest.raises(ClockSkewError):
+        slow.observe(1 * S, 12 * S, 0)
     assert slow.time(1 * S) == 5 * S, "one far ahead moves nothing"
 
 
@@ -39,26 +39,26 @@
     first, second = a.put(S, "r/x", 1, 9 * S), b.put(S, "r/x", 2, 9 * S)
     for one in (a, b):
         one.merge(S, [first, second])
-        assert one.look("r/x") == 2  # the same µs and count: b's name is the greater
+        assert one.get("r/x") == 2  # the same µs and count: b's name is the greater
     later = a.put(S, "r/x", 3, 9 * S)
     b.merge(S, [later])
-    assert b.look("r/x") == 3 and a.root() == b.root()
+    assert b.get("r/x") == 3 and a.root() == b.root()
 
 
 def test_counters_take_the_most_and_an_adding_that_nobody_saw_survives_the_taking_out() -> None:
     a, b = copies("a"), copies("b")
     a.merge(S, [b.put(S, "c/b/w1", 7, 9 * S)])
     a.merge(S, [["c/b/w1", 5, S, 9, "b", 10 * S]])
-    assert a.look("c/b/w1") == 7, "an older count of a greater stamp changes nothing"
-    added = a.add(S, "s/set/m1", 9 * S)
+    assert a.get("c/b/w1") == 7, "an older count of a greater stamp changes nothing"
+    added = a.add_element(S, "s/set/m1", 9 * S)
     b.merge(S, [added])
-    out = b.take_out(2 * S, "s/set/m1")
-    again = a.add(2 * S, "s/set/m1", 9 * S)  # before it heard of the taking out
+    out = b.remove_element(2 * S, "s/set/m1")
+    again = a.add_element(2 * S, "s/set/m1", 9 * S)  # before it heard of the taking out
     a.merge(2 * S, out)
     b.merge(2 * S, [again])
-    assert a.has("s/set/m1") and b.has("s/set/m1") and a.root() == b.root()
-    b.take_out(3 * S, "s/set/m1")
-    assert not b.has("s/set/m1")
+    assert a.contains("s/set/m1") and b.contains("s/set/m1") and a.root() == b.root()
+    b.remove_element(3 * S, "s/set/m1")
+    assert not b.contains("s/set/m1")
 
 
 def test_what_replaces_an_entry_never_runs_out_before_it() -> None:
@@ -67,9 +67,9 @@
     new = a.put(2 * S, "r/x", "new", 1)
     assert new[5] >= old[5]
     b.merge(3 * S, [new])
-    b.turn(40 * S)
+    b.expire(40 * S)
     b.merge(40 * S, [old])
-    assert b.look("r/x") == "new"
+    assert b.get("r/x") == "new"
 
 
 def test_entries_run_out_alike_and_what_ran_out_is_not_taken_back() -> None:
@@ -77,15 +77,15 @@
     row = a.put(S, "r/x", 1, 2 * S)
     b.merge(S, [row])
     for one in (a, b):
-        one.turn(4 * S)
-        assert not one.entries and not any(one.leaves) and not one.keys
-    assert b.merge(4 * S, [row]) == [] and b.refused["out"] == 1
+        one.expire(4 * S)
+        assert not one.entries and not any(one.leaf_digests) and not one.keys_by_leaf
+    assert b.merge(4 * S, [row]) == [] and b.rejected["out"] == 1
 
 
 def test_a_full_space_refuses_what_is_put_here_and_keeps_alike_what_others_put() -> None:
     a = copies("a")
     rows = [a.put(S, f"few/{n}", n, (n + 1) * S) for n in range(7)]
-    with pytest.raises(NotKept):
+    with pytest.raises(EntryRejectedError):
         a.put(S, "few/more", 0, S)
     a.put(S, "few/3", "again", S)  # what is there already can be said anew
     others = [[f"few/o{n}", n, S, n, "b", 20 * S + n] for n in range(7)]
@@ -101,7 +101,7 @@
     [
         ["r/x", 1, "soon", 0, "b", 9 * S], ["nowhere/x", 1, S, 0, "b", 9 * S], ["r/x", 1, S, -1, "b", 9 * S],
         ["c/x", "many", S, 0, "b", 9 * S], ["s/x", 1, S, 0, "b", 9 * S],
-        ["r/x", "z" * VALUE_MOST, S, 0, "b", 9 * S],
+        ["r/x", "z" * MAX_VALUE_BYTES, S, 0, "b", 9 * S],
         ["r/x", 1, S, 0, "b"], 7, ["r/x", 1, True, 0, "b", 9 * S], [1, 1, S, 0, "b", 9 * S],
         ["r/x", 1, S, 0, "b", 10**18], ["r/x", 1, 99 * S, 0, "b", 100 * S],
     ],
@@ -109,7 +109,7 @@
 def test_a_row_that_is_none_is_counted_and_the_others_are_taken(row: object) -> None:
     a = copies()
     assert a.merge(S, [row, ["r/good", 1, S, 0, "b", 9 * S]]) == ["r/good"]
-    assert sum(a.refused.values()) == 1
+    assert sum(a.rejected.values()) == 1
 
 
 ROWS = st.lists(
@@ -137,7 +137,7 @@
     for part in range(parts):  # through copies of copies
         between = copies(f"z{part}")
         between.merge(S, mixed[part::parts])
-        shuffled.merge(S, between.every())
+        shuffled.merge(S, between.all_rows())
     assert straight.root() == shuffled.root()
     assert {k: e.value for k, e in straight.entries.items()} == {
         k: e.value for k, e in shuffled.entries.items()
@@ -150,9 +150,9 @@
     a, b = copies("x"), copies("y")
     a.merge(S, first)
     b.merge(S, second)
-    rows_a, rows_b = list(a.every()), list(b.every())
+    rows_a, rows_b = list(a.all_rows()), list(b.all_rows())
     assert (a.root() == b.root()) == (rows_a == rows_b)
-    differ = [n for n in range(256) if a.leaves[n] != b.leaves[n]]
+    differ = [n for n in range(256) if a.leaf_digests[n] != b.leaf_digests[n]]
     b.merge(S, a.rows(differ))
     a.merge(S, b.rows(differ))
     assert a.root() == b.root()
@@ -160,7 +160,7 @@
 
 def test_an_entry_takes_little_over_its_own_bytes() -> None:
     """The packed value once held the buffer that it was written into: 4 kB an entry."""
-    one = Copies("a", {"r": Space(Join.LATEST, 2000, 100 * S)}, 10 * S)
+    one = Replica("a", {"r": Keyspace(MergeRule.LAST_WRITER_WINS, 2000, 100 * S)}, 10 * S)
     tracemalloc.start()
     try:
         for n in range(1000):
--- a/tests/test_fleet_decides.py
+++ b/tests/test_fleet_decides.py
@@ -6,12 +6,18 @@
 
 import pytest
 
-from crowwing.fleet.state.keyspaces import SPACES
-from crowwing.fleet.state.replica import Copies
+from crowwing.fleet.state.keyspaces import KEYSPACES
+from crowwing.fleet.state.replica import Replica
 from crowwing.fleet.uses import learned_start, quota
-from crowwing.fleet.uses.call_budget_loans import OWED, STARTED, Loans, Terms, wanted
-from crowwing.fleet.uses.idempotency_keys import Claimed, Labels, homes
-from crowwing.fleet.uses.rejection_prints import PRINTS, Turned
+from crowwing.fleet.uses.call_budget_loans import (
+    OUTSTANDING,
+    RESTARTED,
+    CallBudgetLoans,
+    LoanTerms,
+    desired_part,
+)
+from crowwing.fleet.uses.idempotency_keys import ClaimResult, IdempotencyKeys, home_members
+from crowwing.fleet.uses.rejection_prints import MAX_PRINTS, RejectionPrints
 
 S = 1_000_000
 
@@ -44,7 +50,7 @@
             if self.still.get(to, 0) > self.now:
                 self.flying.append((self.still[to], to, message))
             elif to in self.parts:
-                self.parts[to].heard(self.time(to), message)
+                self.parts[to].receive(self.time(to), message)
                 self.carry(to)
 
 
@@ -59,7 +65,9 @@
     def born(name: str) -> None:
         lives[name] += 1
         others = [other for other in names if other != name]
-        net.parts[name] = Loans(name, others, net.time(name), random.Random(f"{seed}{name}{lives[name]}"))
+        net.parts[name] = CallBudgetLoans(
+            name, others, net.time(name), random.Random(f"{seed}{name}{lives[name]}")
+        )
 
     for name in names:
         born(name)
@@ -76,7 +84,7 @@
         for name, loans in net.parts.items():
             if net.still.get(name, 0) <= net.now:
                 part = loans.part(net.time(name))
-                loans.turn(net.time(name), [o for o in names if o != name], min(use[name], part), use[name])
+                loans.tick(net.time(name), [o for o in names if o != name], min(use[name], part), use[name])
                 net.carry(name)
         parts = [loans.part(net.time(name)) for name, loans in net.parts.items()]
         assert sum(parts) <= len(names) + 1e-9, parts
@@ -89,7 +97,7 @@
     net = Net(1, 0.0, {})
     net.chance.choice = lambda _: 1000  # a quiet wire
     for name in names:
-        net.parts[name] = Loans(name, [o for o in names if o != name], 0, random.Random(name))
+        net.parts[name] = CallBudgetLoans(name, [o for o in names if o != name], 0, random.Random(name))
     use = {"a": 3.0, "b": 0.1, "c": 0.1, "d": 0.9}
 
     def run(seconds: float) -> None:
@@ -97,7 +105,7 @@
             net.step(10_000)
             for name, loans in net.parts.items():
                 part = loans.part(net.now)
-                loans.turn(net.now, [o for o in names if o != name], min(use[name], part), use[name])
+                loans.tick(net.now, [o for o in names if o != name], min(use[name], part), use[name])
                 net.carry(name)
 
     run(6)
@@ -108,52 +116,52 @@
 
 
 def test_a_member_that_starts_spends_no_more_than_is_never_lent_until_old_loans_are_out() -> None:
-    terms = Terms()
-    loans = Loans("a", ["b"], 0, random.Random(1), terms)
-    assert loans.part(0) == terms.keep and loans.idle(0) == 0.0
-    assert loans.part(round(terms.span * 1.11)) == 1.0
+    terms = LoanTerms()
+    loans = CallBudgetLoans("a", ["b"], 0, random.Random(1), terms)
+    assert loans.part(0) == terms.reserved_part and loans.lendable_part(0) == 0.0
+    assert loans.part(round(terms.duration * 1.11)) == 1.0
 
 
 def test_one_that_starts_learns_what_it_had_lent_and_a_grant_under_way_then_no_longer_counts() -> None:
-    started = Loans("a", ["b", "c"], 0, random.Random(1))
-    b, c = (Loans(name, ["a"], -9 * S, random.Random(name)) for name in "bc")
+    started = CallBudgetLoans("a", ["b", "c"], 0, random.Random(1))
+    b, c = (CallBudgetLoans(name, ["a"], -9 * S, random.Random(name)) for name in "bc")
     b.borrowed[("a", 5)] = 0.4, S
-    c.asked[("a", 6)] = 0  # granted by the earlier life, and still on its way
-    started.turn(0, ["b", "c"], 0.0, 0.0)
+    c.requested[("a", 6)] = 0  # granted by the earlier life, and still on its way
+    started.tick(0, ["b", "c"], 0.0, 0.0)
     for to, message in started.outbox:
-        {"b": b, "c": c}[to].heard(0, message)
+        {"b": b, "c": c}[to].receive(0, message)
     started.outbox.clear()
     for other in (b, c):
         for _, message in other.outbox:
-            started.heard(1000, message)
+            started.receive(1000, message)
     assert started.part(1000) == pytest.approx(0.6) and started.part(2 * S) == 1.0
-    c.heard(1000, {"k": 21, "from": "a", "n": 6, "part": 0.5, "idle": 0.0})
+    c.receive(1000, {"k": 21, "from": "a", "n": 6, "part": 0.5, "idle": 0.0})
     assert c.part(1000) == 1.0
 
 
 def test_one_whose_earlier_life_may_have_lent_elsewhere_waits_its_loans_out() -> None:
     """In cells: it may have been of another one, whose members still spend what it lent."""
     for knows_all in (True, False):
-        member = Loans("a", ["b"], 0, random.Random(1), knows_all=knows_all)
-        member.turn(0, ["b"], 0.0, 0.0)
-        number = next(told["n"] for _, told in member.outbox if told["k"] == STARTED)
-        member.heard(1000, {"k": OWED, "from": "b", "n": number, "part": 0, "left": 0})
+        member = CallBudgetLoans("a", ["b"], 0, random.Random(1), peers_are_fixed=knows_all)
+        member.tick(0, ["b"], 0.0, 0.0)
+        number = next(told["n"] for _, told in member.outbox if told["k"] == RESTARTED)
+        member.receive(1000, {"k": OUTSTANDING, "from": "b", "n": number, "part": 0, "left": 0})
         assert (member.part(2000) == 1.0) is knows_all
         assert member.part(2_200_001) == 1.0, "every loan of an earlier life has run out"
 
 
 def test_a_grant_that_comes_late_counts_from_the_asking_and_a_stranger_gets_none() -> None:
-    loans = Loans("a", ["b"], 0, random.Random(1))
-    loans.turn(3 * S, ["b"], 1.0, 2.0)
+    loans = CallBudgetLoans("a", ["b"], 0, random.Random(1))
+    loans.tick(3 * S, ["b"], 1.0, 2.0)
     _, ask = loans.outbox.pop()
     told = {"k": 21, "from": "b", "n": ask["n"], "part": 0.5, "idle": 0.0}
-    loans.heard(4 * S, told)
+    loans.receive(4 * S, told)
     assert loans.part(4 * S) == 1.5 and loans.part(5 * S) == 1.0
-    loans.heard(4 * S, told)
+    loans.receive(4 * S, told)
     assert loans.part(4 * S) == 1.5, "a copy lends nothing twice"
     with pytest.raises(ValueError):
-        loans.heard(0, {"k": 20, "from": "z", "n": 1, "part": 0.5})
-    assert wanted(0.4, 1.0, False) == 0.5 and wanted(0.4, 1.0, True) == 1.5
+        loans.receive(0, {"k": 20, "from": "z", "n": 1, "part": 0.5})
+    assert desired_part(0.4, 1.0, False) == 0.5 and desired_part(0.4, 1.0, True) == 1.5
 
 
 MEMBERS = ["a", "b", "c", "d", "e"]
@@ -163,7 +171,7 @@
     net = Net(seed, loss, {})
     net.now = 1000 * S
     for name in MEMBERS:
-        net.parts[name] = Labels(name, MEMBERS, 0, random.Random(f"{seed}{name}"), 1000, 400_000)
+        net.parts[name] = IdempotencyKeys(name, MEMBERS, 0, random.Random(f"{seed}{name}"), 1000, 400_000)
     return net
 
 
@@ -179,7 +187,7 @@
         net.step(10_000)
         for name, labels in net.parts.items():
             if net.still.get(name, 0) <= net.now:
-                labels.turn(net.now)
+                labels.tick(net.now)
                 net.carry(name)
 
 
@@ -188,56 +196,56 @@
     net.chance.choice = lambda _: 1000
     first = claim(net, "a")
     run_labels(net, 0.1)
-    assert first == [(Claimed.OURS, None)]
+    assert first == [(ClaimResult.OURS, None)]
     second = claim(net, "d")
     run_labels(net, 0.1)
-    assert second == [(Claimed.ELSEWHERE, None)]
-    net.parts["a"].over(net.now, "L", "answer")
+    assert second == [(ClaimResult.ELSEWHERE, None)]
+    net.parts["a"].complete(net.now, "L", "answer")
     net.carry("a")
     run_labels(net, 0.1)
-    assert claim(net, "a") == [(Claimed.DONE, "answer")]
+    assert claim(net, "a") == [(ClaimResult.DONE, "answer")]
     third = claim(net, "e")
     run_labels(net, 0.1)
-    assert third == [(Claimed.DONE, "answer")]
+    assert third == [(ClaimResult.DONE, "answer")]
 
 
 def test_with_two_homes_out_of_reach_it_says_so_and_what_never_ran_can_run_elsewhere() -> None:
     net = label_net(2)
     net.chance.choice = lambda _: 1000
-    asker = next(name for name in MEMBERS if name not in homes("L", MEMBERS))
-    for home in homes("L", MEMBERS)[:2]:
+    asker = next(name for name in MEMBERS if name not in home_members("L", MEMBERS))
+    for home in home_members("L", MEMBERS)[:2]:
         net.still[home] = net.now + 2 * S
     told = claim(net, asker)
     run_labels(net, 0.6)
-    assert told == [(Claimed.UNSURE, None)]
+    assert told == [(ClaimResult.UNSURE, None)]
     run_labels(net, 3)
     other = next(name for name in MEMBERS if name != asker)
     got = claim(net, other)
     run_labels(net, 0.2)
-    assert got == [(Claimed.OURS, None)], "the grants were given back"
-    net.parts[other].never_ran(net.now, "L")
+    assert got == [(ClaimResult.OURS, None)], "the grants were given back"
+    net.parts[other].release(net.now, "L")
     net.carry(other)
     run_labels(net, 0.1)
     again = claim(net, asker)
     run_labels(net, 0.2)
-    assert again == [(Claimed.OURS, None)]
+    assert again == [(ClaimResult.OURS, None)]
 
 
 def test_a_home_that_has_just_started_may_have_forgotten_and_does_not_count() -> None:
     net = label_net(3)
     net.chance.choice = lambda _: 1000
-    young, old = homes("L", MEMBERS)[:2], homes("L", MEMBERS)[2]
-    net.parts[young[0]] = Labels(young[0], MEMBERS, net.now, random.Random(9), 1000, 400_000)
+    young, old = home_members("L", MEMBERS)[:2], home_members("L", MEMBERS)[2]
+    net.parts[young[0]] = IdempotencyKeys(young[0], MEMBERS, net.now, random.Random(9), 1000, 400_000)
     told = claim(net, old)
     run_labels(net, 0.2)
-    assert told == [(Claimed.OURS, None)], "the two others suffice"
+    assert told == [(ClaimResult.OURS, None)], "the two others suffice"
     for name in young:
-        net.parts[name] = Labels(name, MEMBERS, net.now, random.Random(10), 1000, 400_000)
+        net.parts[name] = IdempotencyKeys(name, MEMBERS, net.now, random.Random(10), 1000, 400_000)
     net.still[old] = net.now + S
     asker = next(name for name in MEMBERS if name not in (old, *young))
     told = claim(net, asker)
     run_labels(net, 0.6)
-    assert told == [(Claimed.UNSURE, None)], "who may have forgotten cannot grant"
+    assert told == [(ClaimResult.UNSURE, None)], "who may have forgotten cannot grant"
 
 
 @pytest.mark.parametrize("seed", range(10))
@@ -256,72 +264,80 @@
             net.still[chance.choice(MEMBERS)] = net.now + chance.randrange(S)
         if chance.random() < 0.003:
             name = chance.choice(MEMBERS)
-            net.parts[name] = Labels(name, MEMBERS, net.now, random.Random(f"{seed}{net.now}"), 1000, 400_000)
+            net.parts[name] = IdempotencyKeys(
+                name, MEMBERS, net.now, random.Random(f"{seed}{net.now}"), 1000, 400_000
+            )
             tries = [one for one in tries if one[0] != name]
         for one in [one for one in tries if one[2]]:
             tries.remove(one)
             name, label, told = one
             assert len(told) == 1
-            if told[0][0] is Claimed.OURS:
+            if told[0][0] is ClaimResult.OURS:
                 ran[label] += 1
                 if chance.random() < 0.5:
-                    net.parts[name].over(net.now, label, "done")
+                    net.parts[name].complete(net.now, label, "done")
                     net.carry(name)
     assert ran and max(ran.values()) == 1, ran
 
 
 def test_parts_of_a_quota_follow_use_add_up_and_leave_the_dead_theirs() -> None:
     use = Counter({"a": 90, "b": 10})
-    parts = {me: quota.part(use, me, [n for n in "abcd" if n != me], 5) for me in "abcd"}  # e is held dead
+    parts = {
+        me: quota.quota_part(use, me, [n for n in "abcd" if n != me], 5) for me in "abcd"
+    }  # e is held dead
     assert (
         sum(parts.values()) == pytest.approx(4)
         and parts["a"] > 3
-        and parts["c"] == pytest.approx(quota.LEAST)
+        and parts["c"] == pytest.approx(quota.MIN_PART)
     )
-    assert quota.part(Counter(), "a", ["b"], 2) == 1.0
-    left = [quota.part(use, me, [n for n in "ab" if n != me], 4) for me in "ab"]
-    right = [quota.part(use, me, [n for n in "cd" if n != me], 4) for me in "cd"]
+    assert quota.quota_part(Counter(), "a", ["b"], 2) == 1.0
+    left = [quota.quota_part(use, me, [n for n in "ab" if n != me], 4) for me in "ab"]
+    right = [quota.quota_part(use, me, [n for n in "cd" if n != me], 4) for me in "cd"]
     assert sum(left) + sum(right) == pytest.approx(4), "two sides of a cut never pass the quota together"
 
 
 def test_use_is_counted_by_whole_windows_and_another_life_adds_to_the_member() -> None:
     rows = [
-        (quota.key("x", 9, "m.1", "aa"), 4), (quota.key("x", 9, "m.1", "bb"), 2),
-        (quota.key("x", 8, "n", "cc"), 5),
-        (quota.key("x", 10, "n", "cc"), 99), (quota.key("x", 5, "n", "cc"), 99), ("use/odd", 1),
+        (quota.usage_key("x", 9, "m.1", "aa"), 4), (quota.usage_key("x", 9, "m.1", "bb"), 2),
+        (quota.usage_key("x", 8, "n", "cc"), 5),
+        (quota.usage_key("x", 10, "n", "cc"), 99), (quota.usage_key("x", 5, "n", "cc"), 99), ("use/odd", 1),
         ("use/x/no/m.a", 1),
     ]  # fmt: skip
-    assert quota.counted(rows, 10 * S, S) == {"x": Counter({"m.1": 6, "n": 5})}
+    assert quota.usage_by_customer(rows, 10 * S, S) == {"x": Counter({"m.1": 6, "n": 5})}
 
 
 def test_prints_turned_away_are_sampled_told_in_a_ring_and_heard_once() -> None:
-    there, here = Turned("a", random.Random(1)), Turned("b", random.Random(2))
-    a, b = (Copies(name, SPACES, 10 * S) for name in "ab")
-    assert there.tell() is None
+    there, here = RejectionPrints("a", random.Random(1)), RejectionPrints("b", random.Random(2))
+    a, b = (Replica(name, KEYSPACES, 10 * S) for name in "ab")
+    assert there.next_entry() is None
     heard = []
     for look in range(40):
         for print_ in range(look * 1000, look * 1000 + 1000):
             there.add(print_)
-        assert len(there.fresh) <= 400
-        key, value = there.tell()
+        assert len(there.sample) <= 400
+        key, value = there.next_entry()
         row = a.put((look + 1) * S // 4, key, value, 8 * S)
         b.merge((look + 1) * S // 4, [row])
-        heard += here.heard(b.under("turned/"))
-        assert here.heard(b.under("turned/")) == [] and there.heard(a.under("turned/")) == []
-    assert len(heard) == 40 * PRINTS and len(set(heard)) == len(heard) and len(a.entries) == 16
+        heard += here.new_prints(b.with_prefix("turned/"))
+        assert (
+            here.new_prints(b.with_prefix("turned/")) == []
+            and there.new_prints(a.with_prefix("turned/")) == []
+        )
+    assert len(heard) == 40 * MAX_PRINTS and len(set(heard)) == len(heard) and len(a.entries) == 16
     assert min(one // 1000 for one in heard) == 0 and max(one // 1000 for one in heard) == 39
     b.merge(11 * S, [["turned/c/1", ["x", -1, True, 5], 11 * S, 0, "c", 12 * S]])
-    assert here.heard(b.under("turned/")) == [5]
+    assert here.new_prints(b.with_prefix("turned/")) == [5]
 
 
 def test_the_median_teaches_and_what_is_no_lesson_is_left_out() -> None:
     told = [
-        learned_start.Lesson(((100, 50), (0, 0)), 8.0, 20).told(), learned_start.Lesson(((300, 70),
-        (90, 9)), 2.0, 30).told(),
-        learned_start.Lesson(((200, 60), (0, 0)), 6.0, 0).told(), {"kinds": [[1, 1]], "limit": 1, "call": 1},
+        learned_start.LearnedStart(((100, 50), (0, 0)), 8.0, 20).as_dict(),
+        learned_start.LearnedStart(((300, 70), (90, 9)), 2.0, 30).as_dict(),
+        learned_start.LearnedStart(((200, 60), (0, 0)), 6.0, 0).as_dict(),
+        {"kinds": [[1, 1]], "limit": 1, "call": 1},
         None, 7,
         {"kinds": [[1, 1], [1, 1]], "limit": -1, "call": 1}, {"kinds": "x"},
     ]  # fmt: skip
-    taken = learned_start.taken(told, 2)
-    assert taken == learned_start.Lesson(((200, 60), (90, 9)), 6.0, 25)
-    assert learned_start.taken([None], 2) is None
+    taken = learned_start.combine(told, 2)
+    assert taken == learned_start.LearnedStart(((200, 60), (90, 9)), 6.0, 25)
+    assert learned_start.combine([None], 2) is None
--- a/tests/test_fleet_scope.py
+++ b/tests/test_fleet_scope.py
@@ -14,24 +14,32 @@
 import orjson
 import pytest
 
-from crowwing.fleet.state.dissemination import Pace, Spread, Word
-from crowwing.fleet.state.replica import Copies, Join, Space
+from crowwing.fleet.state.dissemination import Dissemination, DisseminationSettings, StateMessageKind
+from crowwing.fleet.state.replica import Keyspace, MergeRule, Replica
 
-SPACES = {"r": Space(Join.LATEST, 8, 10**9), "s": Space(Join.GONE, 8, 10**9)}
+KEYSPACES = {
+    "r": Keyspace(MergeRule.LAST_WRITER_WINS, 8, 10**9),
+    "s": Keyspace(MergeRule.REMOVE_WINS, 8, 10**9),
+}
 NAMES = ("a", "b", "c")
 NOW = 10**6
 Saying = tuple[str, str, str, int]  # who, how, key, value
 
 
-def twin(spread: Spread) -> Spread:
+def twin(spread: Dissemination) -> Dissemination:
     """A copy that shares nothing that changes; `copy.deepcopy` takes a hundred times as long."""
-    other, held, clock = copy.copy(spread), copy.copy(spread.copies), copy.copy(spread.copies.clock)
-    held.clock, held.entries, held.held = clock, dict(held.entries), copy.copy(held.held)
-    held.leaves, held.keys = list(held.leaves), {leaf: set(keys) for leaf, keys in held.keys.items()}
-    held.ends = {name: list(heap) for name, heap in held.ends.items()}
-    held.refused = copy.copy(held.refused)
-    other.copies, other.hot, other.outbox = held, dict(other.hot), []
-    other.updates = {n: replace(update, held=set(update.held)) for n, update in other.updates.items()}
+    other, held, clock = copy.copy(spread), copy.copy(spread.replica), copy.copy(spread.replica.clock)
+    held.clock, held.entries, held.entry_counts = clock, dict(held.entries), copy.copy(held.entry_counts)
+    held.leaf_digests, held.keys_by_leaf = (
+        list(held.leaf_digests),
+        {leaf: set(keys) for leaf, keys in held.keys_by_leaf.items()},
+    )
+    held.expiries = {name: list(heap) for name, heap in held.expiries.items()}
+    held.rejected = copy.copy(held.rejected)
+    other.replica, other.hot_keys, other.outbox = held, dict(other.hot_keys), []
+    other.pending_updates = {
+        n: replace(update, holders=set(update.holders)) for n, update in other.pending_updates.items()
+    }
     return other
 
 
@@ -42,8 +50,10 @@
         self.spreads = {}
         for name in NAMES:
             others = [other for other in NAMES if other != name]
-            held = Copies(name, SPACES, 10**9)
-            self.spreads[name] = Spread(name, others, held, NOW, random.Random(1), Pace())
+            held = Replica(name, KEYSPACES, 10**9)
+            self.spreads[name] = Dissemination(
+                name, others, held, NOW, random.Random(1), DisseminationSettings()
+            )
         self.flying: list[bytes] = []  # [to, message], packed
         self.sayings = sayings
         self.acked: tuple[int, ...] = ()  # numbers of sayings that were acknowledged
@@ -61,8 +71,8 @@
         """What tells this state from others: all that later steps can depend on."""
         told = tuple(
             (
-                tuple(map(orjson.dumps, s.copies.every())),
-                tuple(sorted((n, *sorted(u.held)) for n, u in s.updates.items())),
+                tuple(map(orjson.dumps, s.replica.all_rows())),
+                tuple(sorted((n, *sorted(u.holders)) for n, u in s.pending_updates.items())),
             )
             for s in self.spreads.values()
         )
@@ -71,7 +81,7 @@
     def collect(self) -> None:
         for spread in self.spreads.values():
             for to, message in spread.outbox:
-                if message["k"] in (Word.GIVE, Word.GOT):
+                if message["k"] in (StateMessageKind.ROWS, StateMessageKind.ROWS_STORED):
                     packed = orjson.dumps([to, message])
                     if packed not in self.flying:
                         self.flying.append(packed)
@@ -81,11 +91,11 @@
         (who, how, key, value), *rest = self.sayings
         number, self.sayings = len(self.rows), tuple(rest)
         spread = self.spreads[who]
-        row = spread.copies.put(NOW + number, key, value if how == "put" else how == "add", 10**8)
+        row = spread.replica.put(NOW + number, key, value if how == "put" else how == "add", 10**8)
         self.rows[number] = row
-        update = spread.update(NOW, row, spread.peers, 10**8, lambda _: None)
-        self.numbers = {**getattr(self, "numbers", {}), (who, spread.number): number}
-        assert not spread.is_held(update)
+        update = spread.replicate(NOW, row, spread.peers, 10**8, lambda _: None)
+        self.numbers = {**getattr(self, "numbers", {}), (who, spread.update_number): number}
+        assert not spread.has_majority(update)
         self.collect()
 
     def deliver(self, packed: bytes, keep: bool) -> None:
@@ -93,19 +103,19 @@
             self.flying.remove(packed)
         to, message = orjson.loads(packed)
         spread = self.spreads[to]
-        waiting = {(to, n) for n in spread.updates}
-        spread.heard(NOW, NOW + 10, message)
-        for one in waiting - {(to, n) for n in spread.updates}:
+        waiting = {(to, n) for n in spread.pending_updates}
+        spread.receive(NOW, NOW + 10, message)
+        for one in waiting - {(to, n) for n in spread.pending_updates}:
             self.acked = (*self.acked, self.numbers[one])
         self.collect()
 
     def forget(self, who: str) -> None:
         """Its memory is lost, and it has caught up from the two others before anything else happens."""
         others = [name for name in NAMES if name != who]
-        held = Copies(who, SPACES, 10**9)
-        self.spreads[who] = Spread(who, others, held, NOW, random.Random(1), Pace())
+        held = Replica(who, KEYSPACES, 10**9)
+        self.spreads[who] = Dissemination(who, others, held, NOW, random.Random(1), DisseminationSettings())
         for other in others:
-            held.merge(NOW + 20, self.spreads[other].missing(list(held.leaves)))
+            held.merge(NOW + 20, self.spreads[other].missing_rows(list(held.leaf_digests)))
         self.flying = [one for one in self.flying if orjson.loads(one)[0] != who]
         self.forgot = True
 
@@ -134,19 +144,19 @@
         for _ in range(3):
             for one in NAMES:
                 for other in healed.spreads[one].peers:
-                    healed.spreads[one].compare(other)
+                    healed.spreads[one].start_sync(other)
                     pending = deque((one, *sent) for sent in healed.spreads[one].outbox)
                     healed.spreads[one].outbox.clear()
                     while pending:
                         _, to, message = pending.popleft()
                         spread = healed.spreads[to]
-                        spread.heard(NOW, NOW + 30, orjson.loads(orjson.dumps(message)))
+                        spread.receive(NOW, NOW + 30, orjson.loads(orjson.dumps(message)))
                         pending += [(to, *sent) for sent in spread.outbox]
                         spread.outbox.clear()
-        roots = {spread.copies.root() for spread in healed.spreads.values()}
+        roots = {spread.replica.root() for spread in healed.spreads.values()}
         assert len(roots) == 1, "copies differ"
         for number in self.acked:
-            assert healed.spreads["a"].copies.holds(self.rows[number]), (
+            assert healed.spreads["a"].replica.holds(self.rows[number]), (
                 f"acknowledged and lost: {self.rows[number]}"
             )
 
@@ -189,7 +199,7 @@
     begin.spreads["a"].majority = 1  # the defect
     state = begin.copy()
     state.numbers = {}
-    row = state.spreads["a"].copies.put(NOW, "r/x", 1, 10**8)
+    row = state.spreads["a"].replica.put(NOW, "r/x", 1, 10**8)
     state.rows[0], state.acked = row, (0,)
     state.forget("a")
     with pytest.raises(AssertionError, match="acknowledged and lost"):
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -10,7 +10,7 @@
 import pytest
 
 from crowwing.emulator.processes import ROOT
-from crowwing.fleet.adapters.settings import BadFleet, check_size, places
+from crowwing.fleet.adapters.settings import FleetSettingsError, check_size, locations
 from crowwing.settings import plain
 
 REGIONS = 5
@@ -50,13 +50,13 @@
 
 
 def test_a_fleet_that_names_no_place_is_flat(tmp_path: Path) -> None:
-    assert places(read(tmp_path, section(20, in_cells=False)), "n0") is None
+    assert locations(read(tmp_path, section(20, in_cells=False)), "n0") is None
     told = changed(section(20, in_cells=False), 3, region="", zone="")
-    assert places(read(tmp_path, told), "n0") is None, "an empty name is none, as the default says"
+    assert locations(read(tmp_path, told), "n0") is None, "an empty name is none, as the default says"
 
 
 def test_each_member_stands_where_the_file_says(tmp_path: Path) -> None:
-    found = places(read(tmp_path, section(30, in_cells=True)), "n0")
+    found = locations(read(tmp_path, section(30, in_cells=True)), "n0")
     assert len(found) == 30
     assert found["n0"] == found["n11"] == ("r0", "z0") and found["n7"] == ("r2", "z7")
     assert len(set(found.values())) == ZONES
@@ -81,11 +81,11 @@
         (section(20, in_cells=True) | {"zone": "\t"}, f"$.fleet.zone: is empty; {NAMED}"),
         (
             changed(section(20, in_cells=True), 18, zone="a/b"),
-            "$.fleet.peers[18].zone: 'a/b' has a slash, which stands between the parts of a cell's name",
+            "$.fleet.peers[18].zone: 'a/b' contains a slash, which separates the parts of a cell's name",
         ),
         (
             section(20, in_cells=True) | {"region": "/"},
-            "$.fleet.region: '/' has a slash, which stands between the parts of a cell's name",
+            "$.fleet.region: '/' contains a slash, which separates the parts of a cell's name",
         ),
         (
             changed(section(20, in_cells=True), 2, region="é" * 21),
@@ -94,14 +94,14 @@
     ],
 )
 def test_a_place_that_cannot_be_is_named_with_its_path(tmp_path: Path, fleet: dict, line: str) -> None:
-    with pytest.raises(BadFleet) as wrong:
-        places(read(tmp_path, fleet), "n0")
+    with pytest.raises(FleetSettingsError) as wrong:
+        locations(read(tmp_path, fleet), "n0")
     assert str(wrong.value) == line
 
 
 def test_a_name_of_forty_bytes_is_one(tmp_path: Path) -> None:
     told = changed(section(20, in_cells=True), 2, region="é" * 20)
-    assert places(read(tmp_path, told), "n0")["n3"] == ("é" * 20, "z3")
+    assert locations(read(tmp_path, told), "n0")["n3"] == ("é" * 20, "z3")
 
 
 @pytest.mark.parametrize(
@@ -116,7 +116,7 @@
         (56, False, 4, {"shares_prints": True}, None),
         (
             57, False, 4, {"shares_prints": True},
-            f"$.fleet.shares_prints: 57 members x 16 places are over 896 entries; {APART}",
+            f"$.fleet.shares_prints: 57 members x 16 slots are over 896 entries; {APART}",
         ),
         (1000, False, 4, {"lends_calls": True}, None),
         (
@@ -135,14 +135,14 @@
         (5200, True, 12, {"shares_quota": True, "cell_most": 32}, None),
         (
             5200, True, 4, {"shares_prints": True},
-            "$.fleet.shares_prints: 64 members x 16 places are over 896 entries; "
+            "$.fleet.shares_prints: 64 members x 16 slots are over 896 entries; "
             "lower cell_most, or leave it off",
         ),
         (5200, True, 4, {"shares_prints": True, "cell_most": 56}, None),
         (616, True, 4, {"shares_prints": True}, None),  # 56 in each zone: no cell has more
         (
             617, True, 4, {"shares_prints": True},
-            "$.fleet.shares_prints: 57 members x 16 places are over 896 entries; "
+            "$.fleet.shares_prints: 57 members x 16 slots are over 896 entries; "
             "lower cell_most, or leave it off",
         ),
     ],
@@ -154,7 +154,7 @@
     if line is None:
         check_size(fleet, "n0", customers)
         return
-    with pytest.raises(BadFleet) as wrong:
+    with pytest.raises(FleetSettingsError) as wrong:
         check_size(fleet, "n0", customers)
     assert str(wrong.value) == line
 
@@ -164,7 +164,7 @@
     told = section(200, in_cells=True, shares_prints=True, cell_most=128) | {"region": "r9", "zone": "alone"}
     for peer in told["peers"]:
         peer |= {"region": "r1", "zone": "full"}
-    with pytest.raises(BadFleet, match="128 members x 16 places"):
+    with pytest.raises(FleetSettingsError, match="128 members x 16 slots"):
         check_size(read(tmp_path, told), "n0", 1)
 
 
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -10,39 +10,43 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from crowwing.fleet.member import Manner, Member
+from crowwing.fleet.member import Member, MemberSettings
 from crowwing.fleet.membership.swim import Timing
-from crowwing.fleet.simulated_fleet import StateWorld
-from crowwing.fleet.state.catch_up import CatchUp, Patience
-from crowwing.fleet.state.dissemination import Pace, Update
-from crowwing.fleet.state.replica import Join, Space
+from crowwing.fleet.simulated_fleet import SimulatedFleet
+from crowwing.fleet.state.catch_up import CatchUp, CatchUpTiming
+from crowwing.fleet.state.dissemination import DisseminationSettings, Update
+from crowwing.fleet.state.replica import Keyspace, MergeRule
 
 S = 1_000_000
-SPACES = {"r": Space(Join.LATEST, 2000, 3600 * S), "s": Space(Join.GONE, 2000, 3600 * S)}
-FAST = Manner(
-    Timing(period=200_000, probe_timeout=60_000), Pace(sync_every=200_000, again=50_000),
-    Patience(most=2 * S, again=100_000, away=600_000),
+KEYSPACES = {
+    "r": Keyspace(MergeRule.LAST_WRITER_WINS, 2000, 3600 * S),
+    "s": Keyspace(MergeRule.REMOVE_WINS, 2000, 3600 * S),
+}
+FAST = MemberSettings(
+    Timing(period=200_000, probe_timeout=60_000),
+    DisseminationSettings(sync_every=200_000, resend_after=50_000),
+    CatchUpTiming(max_wait=2 * S, retry_delay=100_000, isolation_timeout=600_000),
 )  # fmt: skip
 
 
-def update(world: StateWorld, name: str, key: str, value: object, wait: int = S) -> list[bool]:
+def update(world: SimulatedFleet, name: str, key: str, value: object, wait: int = S) -> list[bool]:
     """Puts and asks for acknowledgement; the list gets one bool once it is told."""
     told: list[bool] = []
 
     def put(member: Member, now: int, wall: int) -> None:
-        row = member.spread.put(wall, key, value, 600 * S)
+        row = member.dissemination.put(wall, key, value, 600 * S)
 
         def tell(one: Update) -> None:
-            told.append(member.spread.is_held(one))
+            told.append(member.dissemination.has_majority(one))
 
-        member.spread.update(now, row, member.membership.alive(), wait, tell)
-        member.turn(now, wall)
+        member.dissemination.replicate(now, row, member.membership.alive(), wait, tell)
+        member.tick(now, wall)
 
-    world.do(name, put)
+    world.run_on(name, put)
     return told
 
 
-def until(world: StateWorld, check: object, most: int) -> bool:
+def until(world: SimulatedFleet, check: object, most: int) -> bool:
     end = world.now + most
     while world.now < end:
         if check():
@@ -52,51 +56,51 @@
 
 
 def test_an_update_is_told_once_a_majority_holds_it_and_soon_all_do() -> None:
-    world = StateWorld(5, 1, FAST, SPACES)
+    world = SimulatedFleet(5, 1, FAST, KEYSPACES)
     assert until(world, lambda: all(m.ready for m in world.members.values()), 2 * S)
     told = update(world, "m0", "r/x", 1)
     assert until(world, lambda: told == [True], S)
     assert until(world, lambda: len(world.roots()) == 1, 2 * S)
-    assert all(m.copies.look("r/x") == 1 for m in world.members.values())
-    assert not world.members["m0"].spread.updates
+    assert all(m.replica.get("r/x") == 1 for m in world.members.values())
+    assert not world.members["m0"].dissemination.pending_updates
 
 
 def test_a_minority_acknowledges_nothing_and_both_sides_agree_after_the_heal() -> None:
-    world = StateWorld(5, 2, FAST, SPACES)
+    world = SimulatedFleet(5, 2, FAST, KEYSPACES)
     until(world, lambda: all(m.ready for m in world.members.values()), 2 * S)
     left = {"m0", "m1"}
-    world.cut = lambda a, b: (a in left) != (b in left)
+    world.is_partitioned = lambda a, b: (a in left) != (b in left)
     world.run_until(world.now + 5 * S)
     few, many = update(world, "m0", "r/x", "few"), update(world, "m3", "r/x", "many")
     other = update(world, "m1", "r/y", "kept")
     world.run_until(world.now + 2 * S)
     assert few == [False] and other == [False] and many == [True]
     assert world.members["m0"].ready, "one cut off goes on serving"
-    world.cut = lambda _, __: False
-    assert until(world, lambda: len(world.roots()) == 1 and world.agreed(), 20 * S)
-    assert {m.copies.look("r/y") for m in world.members.values()} == {"kept"}
-    left_list = [name for _, name, event, _ in world.told if event == "catching_up"]
+    world.is_partitioned = lambda _, __: False
+    assert until(world, lambda: len(world.roots()) == 1 and world.views_agree(), 20 * S)
+    assert {m.replica.get("r/y") for m in world.members.values()} == {"kept"}
+    left_list = [name for _, name, event, _ in world.member_events if event == "catching_up"]
     assert set(left_list) <= left, "only who was out of reach of a majority is behind"
     assert left_list, "who comes back is off the list until it has caught up"
     assert all(m.ready for m in world.members.values())
 
 
 def test_a_fleet_cut_into_three_heals_without_leaving_the_list() -> None:
-    world = StateWorld(6, 3, FAST, SPACES)
+    world = SimulatedFleet(6, 3, FAST, KEYSPACES)
     until(world, lambda: all(m.ready for m in world.members.values()), 2 * S)
     part = {name: n // 2 for n, name in enumerate(world.names)}
-    world.cut = lambda a, b: part[a] != part[b]
+    world.is_partitioned = lambda a, b: part[a] != part[b]
     world.run_until(world.now + 6 * S)
     for n, name in enumerate(world.names):
         update(world, name, f"r/{n}", n)
-    world.cut = lambda _, __: False
-    assert until(world, lambda: len(world.roots()) == 1 and world.agreed(), 20 * S)
-    assert not [1 for _, _, event, _ in world.told if event == "catching_up"]
-    assert all(len(m.copies.entries) == 6 for m in world.members.values())
+    world.is_partitioned = lambda _, __: False
+    assert until(world, lambda: len(world.roots()) == 1 and world.views_agree(), 20 * S)
+    assert not [1 for _, _, event, _ in world.member_events if event == "catching_up"]
+    assert all(len(m.replica.entries) == 6 for m in world.members.values())
 
 
 def test_a_member_that_comes_back_empty_is_not_ready_until_it_holds_what_was_acknowledged() -> None:
-    world = StateWorld(5, 4, FAST, SPACES)
+    world = SimulatedFleet(5, 4, FAST, KEYSPACES)
     until(world, lambda: all(m.ready for m in world.members.values()), 2 * S)
     world.kill("m2")
     told = [update(world, "m0", f"r/{n}", n) for n in range(40)]
@@ -106,31 +110,36 @@
     began = world.now
     assert not world.members["m2"].ready
     assert until(world, lambda: world.members["m2"].ready, 3 * S)
-    assert len(world.members["m2"].copies.entries) == 40 and world.now - began < S
-    assert world.members["m2"].catch_up.took[-1][1]
+    assert len(world.members["m2"].replica.entries) == 40 and world.now - began < S
+    assert world.members["m2"].catch_up.wait_history[-1][1]
 
 
 def test_one_that_reaches_too_few_serves_after_the_bound_and_does_not_pass_for_whole() -> None:
-    world = StateWorld(5, 5, FAST, SPACES)
-    world.cut = lambda a, b: "m0" in (a, b)
+    world = SimulatedFleet(5, 5, FAST, KEYSPACES)
+    world.is_partitioned = lambda a, b: "m0" in (a, b)
     world.run_until(S)
     assert not world.members["m0"].ready
     world.run_until(3 * S)
-    assert world.members["m0"].ready and not world.members["m0"].catch_up.whole
-    world.cut = lambda _, __: False
-    assert until(world, lambda: world.members["m0"].catch_up.whole, 20 * S)
+    assert world.members["m0"].ready and not world.members["m0"].catch_up.is_current
+    world.is_partitioned = lambda _, __: False
+    assert until(world, lambda: world.members["m0"].catch_up.is_current, 20 * S)
 
 
 def test_a_member_far_behind_fetches_the_whole_and_a_near_one_only_what_differs() -> None:
-    far = replace(FAST, pace=replace(FAST.pace, far_entries=300, far_leaves=150, give_most=2000))
-    world = StateWorld(3, 6, far, SPACES)
+    far = replace(
+        FAST,
+        dissemination=replace(
+            FAST.dissemination, full_transfer_entries=300, full_transfer_leaves=150, max_sync_bytes=2000
+        ),
+    )
+    world = SimulatedFleet(3, 6, far, KEYSPACES)
     until(world, lambda: all(m.ready for m in world.members.values()), 2 * S)
-    world.cut = lambda a, b: "m2" in (a, b)
+    world.is_partitioned = lambda a, b: "m2" in (a, b)
     world.run_until(world.now + S // 5)
     for n in range(600):
-        world.do("m0", lambda m, _, wall, n=n: m.spread.put(wall, f"r/{n}", n, 600 * S))
+        world.run_on("m0", lambda m, _, wall, n=n: m.dissemination.put(wall, f"r/{n}", n, 600 * S))
     world.run_until(world.now + 2 * S)
-    world.cut = lambda _, __: False
+    world.is_partitioned = lambda _, __: False
     before = world.fetched_rows
     assert until(world, lambda: len(world.roots()) == 1, 10 * S)
     assert world.fetched_rows - before >= 500
@@ -138,29 +147,29 @@
 
 @pytest.mark.parametrize("offset", [-2 * S, 2 * S])
 def test_a_member_with_its_clock_two_seconds_off_neither_loses_nor_overrules(offset: int) -> None:
-    world = StateWorld(5, 7, FAST, SPACES, offsets={"m1": offset})
+    world = SimulatedFleet(5, 7, FAST, KEYSPACES, offsets={"m1": offset})
     until(world, lambda: all(m.ready for m in world.members.values()), 2 * S)
     for n in range(20):
         name = world.names[n % 5]
         told = update(world, name, "r/x", n)
         assert until(world, lambda told=told: told == [True], S)
         assert until(world, lambda: len(world.roots()) == 1, 2 * S)
-        assert world.members["m4"].copies.look("r/x") == n, "the later one of what was heard wins"
+        assert world.members["m4"].replica.get("r/x") == n, "the later one of what was heard wins"
 
 
 def test_one_with_its_clock_an_hour_ahead_is_not_believed() -> None:
-    world = StateWorld(5, 8, FAST, SPACES, offsets={"m1": 3600 * S})
+    world = SimulatedFleet(5, 8, FAST, KEYSPACES, offsets={"m1": 3600 * S})
     world.run_until(2 * S)
     update(world, "m1", "r/x", "ahead")
     told = update(world, "m0", "r/x", "now")
     world.run_until(world.now + 2 * S)
-    assert told == [True] and world.members["m3"].copies.look("r/x") == "now"
-    assert world.members["m3"].copies.refused["ahead"]
+    assert told == [True] and world.members["m3"].replica.get("r/x") == "now"
+    assert world.members["m3"].replica.rejected["ahead"]
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_loss_of_three_in_ten_delays_but_loses_nothing(seed: int) -> None:
-    world = StateWorld(5, seed, FAST, SPACES)
+    world = SimulatedFleet(5, seed, FAST, KEYSPACES)
     world.loss = 0.3
     world.run_until(2 * S)
     chance, acked = random.Random(seed), {}
@@ -173,69 +182,69 @@
 
 
 def test_a_pause_of_the_process_counts_as_away() -> None:
-    decider = CatchUp(5, 0, Patience(most=2 * S, away=S))
+    decider = CatchUp(5, 0, CatchUpTiming(max_wait=2 * S, isolation_timeout=S))
     for name in "abc":
-        decider.fetch(0, "abc")
-        decider.fetched(10, name, True)
-    assert decider.ready and decider.whole
-    decider.reaches(100_000, 4)
-    decider.reaches(5 * S, 4)  # it stood still for five seconds
-    assert not decider.whole
-    decider.heard_whole(5 * S)
+        decider.next_fetches(0, "abc")
+        decider.fetch_completed(10, name, True)
+    assert decider.ready and decider.is_current
+    decider.update_reachable(100_000, 4)
+    decider.update_reachable(5 * S, 4)  # it stood still for five seconds
+    assert not decider.is_current
+    decider.current_member_seen(5 * S)
     assert not decider.ready
-    assert decider.fetch(5 * S, "abcd") == ["a", "b"], "two at once"
+    assert decider.next_fetches(5 * S, "abcd") == ["a", "b"], "two at once"
 
 
 def test_a_fetch_from_before_the_absence_does_not_count_and_a_failed_one_is_tried_later() -> None:
-    decider = CatchUp(3, 0, Patience(most=5 * S, again=S, away=S))
-    assert decider.fetch(0, ["a", "b"]) == ["a", "b"]
-    decider.fetched(1, "a", False)
-    assert decider.fetch(2, ["a", "b"]) == [] and decider.fetch(S + 2, ["a", "b"]) == ["a"]
-    decider.fetched(S + 3, "b", True)
+    decider = CatchUp(3, 0, CatchUpTiming(max_wait=5 * S, retry_delay=S, isolation_timeout=S))
+    assert decider.next_fetches(0, ["a", "b"]) == ["a", "b"]
+    decider.fetch_completed(1, "a", False)
+    assert decider.next_fetches(2, ["a", "b"]) == [] and decider.next_fetches(S + 2, ["a", "b"]) == ["a"]
+    decider.fetch_completed(S + 3, "b", True)
     assert not decider.ready
-    decider.fetched(S + 4, "a", True)
-    assert decider.ready and decider.whole
+    decider.fetch_completed(S + 4, "a", True)
+    assert decider.ready and decider.is_current
 
 
 @pytest.mark.parametrize("peers", [4, 100, 1000])
 def test_attempts_are_bounded_for_the_member_whatever_the_fleets_size(peers: int) -> None:
     """Nobody answers: what is asked in a minute is the same, and what each turn costs hardly grows."""
-    patience, names = Patience(), [f"m{n}" for n in range(peers)]
+    patience, names = CatchUpTiming(), [f"m{n}" for n in range(peers)]
     decider, now, attempts = CatchUp(peers + 1, 0, patience), 0, []
     while now < 60 * S:
-        asked = decider.fetch(now, names)
+        asked = decider.next_fetches(now, names)
         attempts += [(now, name) for name in asked]
         for name in asked:
-            decider.fetched(now + 500, name, False)  # refused at once
+            decider.fetch_completed(now + 500, name, False)  # refused at once
         now = max(now + 1000, decider.wake_at(now) or now + 60 * S)
-    assert decider.ready and not decider.whole, "it serves meanwhile"
+    assert decider.ready and not decider.is_current, "it serves meanwhile"
     assert 10 <= len(attempts) <= 2 * (5 + 60 / 8), f"{len(attempts)} attempts"
     assert len({name for _, name in attempts}) == min(peers, len(attempts)), "others get their turn"
     gaps = [b - a for (a, _), (b, _) in zip(attempts, attempts[2:], strict=False)]
-    assert min(gaps) >= patience.again and max(gaps) <= 16 * patience.again + 2000
+    assert min(gaps) >= patience.retry_delay and max(gaps) <= 16 * patience.retry_delay + 2000
 
 
 def test_a_fetch_that_succeeds_ends_the_waiting_after_failures() -> None:
-    decider = CatchUp(9, 0, Patience(most=60 * S, again=S, away=S))
+    decider = CatchUp(9, 0, CatchUpTiming(max_wait=60 * S, retry_delay=S, isolation_timeout=S))
     names, now = list("abcdefgh"), 0
     for _ in range(4):
-        for name in decider.fetch(now, names):
-            decider.fetched(now, name, False)
-        now = decider.paused_until
-    first, second = decider.fetch(now, names)
-    decider.fetched(now, first, True)
-    decider.fetched(now, second, False)
-    assert decider.fetch(now + S - 1, names) == [], "one failure waits as the first did"
+        for name in decider.next_fetches(now, names):
+            decider.fetch_completed(now, name, False)
+        now = decider.backoff_until
+    first, second = decider.next_fetches(now, names)
+    decider.fetch_completed(now, first, True)
+    decider.fetch_completed(now, second, False)
+    assert decider.next_fetches(now + S - 1, names) == [], "one failure waits as the first did"
     for _ in range(2):
         now += S
-        for name in decider.fetch(now, names):
-            decider.fetched(now, name, True)
-    assert decider.ready and decider.whole
+        for name in decider.next_fetches(now, names):
+            decider.fetch_completed(now, name, True)
+    assert decider.ready and decider.is_current
 
 
 def test_one_named_alone_has_nothing_to_wait_for() -> None:
-    decider = CatchUp(1, 0, Patience())
-    assert decider.ready and decider.whole and decider.fetch(0, []) == []
+    decider = CatchUp(1, 0, CatchUpTiming())
+    assert decider.ready and decider.is_current and decider.next_fetches(0, []) == []
 
 
 class Fleet(RuleBasedStateMachine):
@@ -246,7 +255,7 @@
 
     @initialize(seed=st.integers(0, 10_000))
     def begin(self, seed: int) -> None:
-        self.world = StateWorld(5, seed, FAST, SPACES, offsets={"m1": 400_000, "m3": -400_000})
+        self.world = SimulatedFleet(5, seed, FAST, KEYSPACES, offsets={"m1": 400_000, "m3": -400_000})
         self.acked: dict[str, list[bool]] = {}
         self.number = 0
         self.world.run_until(S)
@@ -263,13 +272,13 @@
 
     @rule(left=st.sets(st.sampled_from(["m0", "m1", "m2", "m3", "m4"]), max_size=2), one_way=st.booleans())
     def cut(self, left: set[str], one_way: bool) -> None:
-        self.world.cut = lambda a, b: (
+        self.world.is_partitioned = lambda a, b: (
             a in left and b not in left or (not one_way and b in left and a not in left)
         )
 
     @rule()
     def heal(self) -> None:
-        self.world.cut = lambda _, __: False
+        self.world.is_partitioned = lambda _, __: False
 
     @rule(loss=st.sampled_from([0.0, 0.1, 0.3]))
     def lose(self, loss: float) -> None:
@@ -278,7 +287,7 @@
     @rule(name=st.sampled_from(["m0", "m1", "m2", "m3", "m4"]))
     def write(self, name: str) -> None:
         if name not in self.world.paused:
-            self.world.write(name)
+            self.world.write_snapshot(name)
 
     @precondition(lambda self: not self.world.paused and all(self.whole()))
     @rule(name=st.sampled_from(["m0", "m1", "m2", "m3", "m4"]))
@@ -286,7 +295,7 @@
         self.world.kill(name)
 
     def whole(self) -> list[bool]:
-        return [member.catch_up.began is None for member in self.world.members.values()]
+        return [member.catch_up.started_at is None for member in self.world.members.values()]
 
     @precondition(lambda self: self.world.paused)
     @rule(disk=st.booleans())
@@ -296,16 +305,19 @@
 
     @invariant()
     def tables_are_bounded(self) -> None:
-        for member in getattr(self, "world", StateWorld(1, 0, FAST, SPACES)).members.values():
-            assert len(member.spread.hot) <= max(1, len(member.copies.entries)) and len(member.fetching) <= 4
+        for member in getattr(self, "world", SimulatedFleet(1, 0, FAST, KEYSPACES)).members.values():
+            assert (
+                len(member.dissemination.hot_keys) <= max(1, len(member.replica.entries))
+                and len(member.fetching) <= 4
+            )
 
     def teardown(self) -> None:
         world = self.world
-        world.cut, world.loss = lambda _, __: False, 0.0
+        world.is_partitioned, world.loss = lambda _, __: False, 0.0
         for name in list(world.paused):
             world.restart(name, disk=True)
-        assert until(world, lambda: len(world.roots()) == 1 and world.agreed(), 30 * S), "copies differ"
-        kept = world.members["m0"].copies
+        assert until(world, lambda: len(world.roots()) == 1 and world.views_agree(), 30 * S), "copies differ"
+        kept = world.members["m0"].replica
         lost = [key for key, told in self.acked.items() if told == [True] and key not in kept.entries]
         assert not lost, f"acknowledged and lost: {lost}"
 
--- a/tests/test_fleet_world.py
+++ b/tests/test_fleet_world.py
@@ -2,18 +2,19 @@
 
 import pytest
 
-from crowwing.fleet.member import Manner
-from crowwing.fleet.membership.cells import Layout
+from crowwing.fleet.member import MemberSettings
+from crowwing.fleet.membership.cells import CellLayout
 from crowwing.fleet.membership.swim import DEAD, Timing
-from crowwing.fleet.simulated_fleet import StateWorld, World
-from crowwing.fleet.state.catch_up import Patience
-from crowwing.fleet.state.dissemination import Pace
-from crowwing.fleet.state.keyspaces import SPACES
+from crowwing.fleet.simulated_fleet import SimulatedFleet, SimulatedMembership
+from crowwing.fleet.state.catch_up import CatchUpTiming
+from crowwing.fleet.state.dissemination import DisseminationSettings
+from crowwing.fleet.state.keyspaces import KEYSPACES
 
 S = 1_000_000
-FAST = Manner(
-    Timing(period=200_000, probe_timeout=60_000), Pace(sync_every=200_000, again=50_000),
-    Patience(most=2 * S, again=100_000, away=600_000),
+FAST = MemberSettings(
+    Timing(period=200_000, probe_timeout=60_000),
+    DisseminationSettings(sync_every=200_000, resend_after=50_000),
+    CatchUpTiming(max_wait=2 * S, retry_delay=100_000, isolation_timeout=600_000),
 )  # fmt: skip
 FAR = 80_000
 # Two regions, three zones of ten members: three cells
@@ -21,77 +22,79 @@
 
 
 @pytest.fixture
-def world() -> StateWorld:
-    world = StateWorld(30, 1, FAST, SPACES, layout=Layout(PLACES, 16), far=FAR, in_step=False)
+def world() -> SimulatedFleet:
+    world = SimulatedFleet(30, 1, FAST, KEYSPACES, layout=CellLayout(PLACES, 16), far=FAR, in_step=False)
     world.run_until(3 * S)
     return world
 
 
-def test_a_message_between_regions_takes_longer_by_the_delay_between_them(world: StateWorld) -> None:
+def test_a_message_between_regions_takes_longer_by_the_delay_between_them(world: SimulatedFleet) -> None:
     said = {"m0": world.now, "m1": world.now}
     world.queue.clear()
     for name in said:
         other = "m3" if name == "m0" else "m0"
         world.members[name].outbox.append((other, {"k": 0, "from": name, "inc": 0, "seq": 1}))
-        world._carry(name)
+        world._flush(name)
     (near, _, to_near, _), (far, _, to_far, _) = sorted(world.queue)[:2]
     assert (to_near, to_far) == ("m3", "m0")
     assert 500 <= near - said["m0"] <= 2000 and FAR + 500 <= far - said["m1"] <= FAR + 2000
 
 
 def test_what_is_sent_and_read_adds_up_and_nobody_hears_of_another_cell_but_from_speakers(
-    world: StateWorld,
+    world: SimulatedFleet,
 ) -> None:
     sent = sum(count for _, count, *_ in world.traffic.values())
     read = sum(count for *_, count, _ in world.traffic.values())
     assert sent == world.sent and sum(data for data, *_ in world.traffic.values()) == world.bytes
     under_way = sum(message is not None for *_, message in world.queue)
     assert sent == read + under_way, "nothing is lost without loss"
-    speaking = {name for name, member in world.members.items() if member.reach.speaks}
+    speaking = {name for name, member in world.members.items() if member.reachability.speaks}
     assert len(speaking) == 9, "three of each cell"
 
 
 def test_a_fleet_in_cells_has_agreed_only_when_deaths_are_known_in_the_cell_and_dead_cells_by_all(
-    world: StateWorld,
+    world: SimulatedFleet,
 ) -> None:
-    assert world.agreed() and not world.dead_cells()
+    assert world.views_agree() and not world.dead_cells()
     world.kill("m0")
-    assert not world.agreed() and not world.held_dead("m0")
-    while not world.held_dead("m0"):
+    assert not world.views_agree() and not world.seen_dead("m0")
+    while not world.seen_dead("m0"):
         world.run_until(world.now + 50_000)
         assert world.now < 30 * S
-    assert world.agreed() and not world.dead_cells()
+    assert world.views_agree() and not world.dead_cells()
     cell = world.layout.cell_of["m1"]
     for name in world.layout.rosters[cell]:
         world.kill(name)
-    assert world.dead_cells() == {cell} and not world.agreed()
-    while not world.agreed():
+    assert world.dead_cells() == {cell} and not world.views_agree()
+    while not world.views_agree():
         world.run_until(world.now + 50_000)
         assert world.now < 60 * S
-    assert all(m.out() == {cell} for name, m in world.members.items() if name not in world.paused)
+    assert all(
+        m.unreachable_cells() == {cell} for name, m in world.members.items() if name not in world.paused
+    )
 
 
-def test_one_view_that_is_wrong_is_enough_not_to_have_agreed(world: StateWorld) -> None:
+def test_one_view_that_is_wrong_is_enough_not_to_have_agreed(world: SimulatedFleet) -> None:
     seen = world.members["m4"].membership.members["m1"]
     seen.state = DEAD
-    assert not world.agreed()
-    assert not world.agreed(lambda _: frozenset())
+    assert not world.views_agree()
+    assert not world.views_agree(lambda _: frozenset())
 
 
-def test_what_a_cut_is_to_look_like_can_be_told(world: StateWorld) -> None:
+def test_what_a_cut_is_to_look_like_can_be_told(world: SimulatedFleet) -> None:
     west = world.layout.cell_of["m0"]
     east = frozenset(world.layout.rosters) - {west}
-    world.cut = lambda a, b: (PLACES[a][0] == "west") != (PLACES[b][0] == "west")
+    world.is_partitioned = lambda a, b: (PLACES[a][0] == "west") != (PLACES[b][0] == "west")
     out = {name: east if PLACES[name][0] == "west" else frozenset([west]) for name in PLACES}
-    assert not world.agreed(out.__getitem__)
-    while not world.agreed(out.__getitem__):
+    assert not world.views_agree(out.__getitem__)
+    while not world.views_agree(out.__getitem__):
         world.run_until(world.now + 50_000)
         assert world.now < 60 * S
-    assert not world.agreed()
+    assert not world.views_agree()
 
 
 def test_a_killed_member_costs_no_events_and_a_paused_one_goes_on_where_it_stood() -> None:
-    world = World(4, 1, Timing(period=200_000, probe_timeout=60_000))
+    world = SimulatedMembership(4, 1, Timing(period=200_000, probe_timeout=60_000))
     world.run_until(S)
     world.kill("m0")
     world.run_until(2 * S)
@@ -106,23 +109,25 @@
 
 def test_a_member_is_woken_when_it_asks_after_hearing_something() -> None:
     """Not only at the turn that was planned before: as on sockets."""
-    world = StateWorld(3, 1, FAST, SPACES)
+    world = SimulatedFleet(3, 1, FAST, KEYSPACES)
     world.run_until(S)
     asked = []
 
     def put(member: object, now: int, wall: int) -> None:
-        row = member.spread.put(wall, "said/x", 1, 60 * S)
-        member.spread.update(now, row, member.membership.alive(), 30_000, lambda _: asked.append(world.now))
+        row = member.dissemination.put(wall, "said/x", 1, 60 * S)
+        member.dissemination.replicate(
+            now, row, member.membership.alive(), 30_000, lambda _: asked.append(world.now)
+        )
 
-    world.cut = lambda _, __: True
+    world.is_partitioned = lambda _, __: True
     now = world.now
-    world.do("m0", put)
+    world.run_on("m0", put)
     world.run_until(now + 31_000)
     assert asked and now + 30_000 <= asked[0] <= now + 30_100
 
 
 def test_fetches_are_counted_and_a_member_gives_no_more_streams_at_once_than_it_may(
-    world: StateWorld,
+    world: SimulatedFleet,
 ) -> None:
     world.run_until(10 * S)
     assert all(member.ready for member in world.members.values())
@@ -131,7 +136,7 @@
     world.kill("m0")
     world.restart("m0", disk=False)
     world.run_until(11 * S)
-    assert world.members["m0"].catch_up.whole
+    assert world.members["m0"].catch_up.is_current
     assert world.fetches and {who for _, who, _ in world.fetches} == {"m0"}
     assert {world.layout.cell_of[other] for _, _, other in world.fetches} == {world.layout.cell_of["m0"]}
     keeper = world.fetches[0][2]
@@ -139,7 +144,7 @@
     asked = {other for _, _, other in world.fetches}
     assert {name for name, one in grown.items() if one} == asked | {"m0"}
     assert grown["m0"] == sum(grown[other] for other in asked), "each stream counts with both"
-    world.serving[keeper] = [world.now + S] * world.streams_most
+    world.serving[keeper] = [world.now + S] * world.max_streams
     before = world.traffic[keeper][4]
     world._fetch("m3", keeper)
     assert world.traffic[keeper][4] == before, "turned away"
