--- a/crowwing/fleet/state/reachability_votes.py
+++ b/crowwing/fleet/state/reachability_votes.py
@@ -30,10 +30,8 @@
         self.other_cells = [cell for cell in layout.cells if cell != self.own_cell]
         self.publish_at: int | None = None  # when to publish a changed vote; None: published
         self.published_at = now - MIN_INTERVAL_OUT
-        self.last_check: tuple[frozenset[str], int] = (
-            frozenset(),
-            now,
-        )  # the last vote, and when to check it again
+        # The last vote, and when to check it again.
+        self.last_check: tuple[frozenset[str], int] = frozenset(), now
         self.counted_version: tuple = ()
         self.unreachable: frozenset[str] = frozenset()
 
--- a/tests/cellular.py
+++ b/tests/cellular.py
@@ -1,4 +1,4 @@
-"""Fleets in cells for tests: places, a fast pace, what is put and what is waited for."""
+"""Helpers of tests for fleets in cells: locations, fast settings, puts and waits."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 from crowwing.fleet.state.keyspaces import KEYSPACES
 
 S = 1_000_000
-FAR = 20_000  # µs between regions: there and back, and once more by way of a third, within a probe's time
+FAR = 20_000  # µs between regions: a round trip, directly and through a relay, fits the time of a probe
 FAST = MemberSettings(
     Timing(period=200_000, probe_timeout=100_000),
     DisseminationSettings(sync_every=200_000, resend_after=50_000),
@@ -21,12 +21,12 @@
 
 
 def places(size: int) -> dict[str, tuple[str, str]]:
-    """Three zones in two regions, by turns."""
+    """Assigns members to three zones in two regions, by turns."""
     return {f"m{n}": ZONES[n % 3] for n in range(size)}
 
 
 def fleet(size: int, seed: int, most: int, up: bool = True, **more: object) -> SimulatedFleet:
-    """A world in cells of up to `most`, all ready and in agreement where it is to be `up`."""
+    """A simulated fleet in cells of up to `most`; with `up`, after all are ready and their views agree."""
     layout = CellLayout(places(size), most)
     world = SimulatedFleet(size, seed, FAST, KEYSPACES, layout=layout, far=FAR, in_step=False, **more)
     if up:
@@ -50,8 +50,8 @@
 
 
 def update(world: SimulatedFleet, name: str, key: str, value: object = 1, wait: int = S) -> list[bool]:
-    """Puts something for all (or for the cell, by its space) and asks for acknowledgement; the list gets one
-    bool once it is told."""
+    """Puts an entry, fleet-wide or for the cell by its keyspace, and requests an acknowledgement; the list
+    gets one bool with its result."""
     told: list[bool] = []
 
     def put(member: Member, now: int, wall: int) -> None:
@@ -71,12 +71,12 @@
 
 
 def hold(world: SimulatedFleet, *keys: str) -> bool:
-    """Every member that runs holds these."""
+    """Whether every running member holds these keys."""
     return all(key in m.dissemination_of(key).replica.entries for m in running(world) for key in keys)
 
 
 def near_agree(world: SimulatedFleet) -> bool:
-    """What is kept in a cell is alike on all of it that run."""
+    """Whether the running members of each cell have equal replicas of its state."""
     for member in running(world):
         member.replica.expire(world.wall(member.me))
     return all(
@@ -95,6 +95,6 @@
 
 
 def between(one: set[str], other: set[str], ways: str = "both") -> Callable[[str, str], bool]:
-    """A cut; `ways` `there`: only what goes from `one` to `other` is lost."""
+    """A partition; `ways` `there`: only messages from `one` to `other` are lost."""
     there = lambda a, b: a in one and b in other  # noqa: E731
     return there if ways == "there" else lambda a, b: there(a, b) or there(b, a)
--- a/tests/fleet_transcripts.py
+++ b/tests/fleet_transcripts.py
@@ -1,7 +1,7 @@
 """A backend's part of a fleet in simulated time: recorded inputs go in, the datagrams that it sends come out.
 
-It runs the code that a backend runs on sockets (`Link`). Only the event loop, the clock, the socket and the
-stream of a whole copy are replaced, so that the same inputs give the same bytes in every run.
+It runs the code that a backend runs on sockets (`FleetEndpoint`). Only the event loop, the clock, the socket
+and the stream of a full transfer are replaced, so that the same inputs give the same bytes in every run.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 
 class UnknownStepError(ValueError):
-    """A recorded step of a kind that is none."""
+    """A recorded step of an unknown kind."""
 
 
 @dataclass
@@ -36,7 +36,7 @@
     now_us: int = 1_000_000
 
     def patched(self) -> AbstractContextManager[object]:
-        """Makes every link read this clock."""
+        """Makes every endpoint read this clock."""
         times = SimpleNamespace(
             monotonic_ns=lambda: self.now_us * 1000, time_ns=lambda: (WALL_START_US + self.now_us) * 1000
         )
@@ -44,7 +44,7 @@
 
 
 class SimulatedLoop:
-    """The part of an event loop that a link uses: one timer, and tasks that the caller runs."""
+    """The part of an event loop that an endpoint uses: one timer, and tasks that the caller runs."""
 
     def __init__(self) -> None:
         self.delay_s: float | None = None
@@ -82,7 +82,7 @@
 
 
 class Backend:
-    """One member, its link, and what it last sent."""
+    """One member, its endpoint, and the datagrams sent last."""
 
     def __init__(self, name: str, fleet: dict[str, Any], clock: Clock, folder: Path) -> None:
         path = folder / f"{name}.json"
@@ -102,7 +102,7 @@
         self.link.connection_made(cast(asyncio.DatagramTransport, self.transport))
 
     def apply(self, step: list[Any], fetch: Fetch) -> list[list[Any]]:
-        """Gives the link one input; returns the datagrams that it sends upon it."""
+        """Gives the endpoint one input; returns the datagrams that it sends."""
         with self.clock.patched(), mock.patch.object(full_transfer, "fetch", fetch):
             self._apply(*step)
             self.loop.run_pending()
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -1,5 +1,4 @@
-"""Cells by themselves: who is in which, who speaks, what is believed of others, and what is no message of
-theirs."""
+"""Cells in isolation: layout, speakers, the failure detector for cells, and malformed messages."""
 
 import random
 
@@ -20,7 +19,7 @@
 mosts = st.integers(2, 9)
 
 
-# Who is in which cell
+# Layout
 
 
 @settings(max_examples=150, derandomize=True, deadline=None)
@@ -56,14 +55,14 @@
 def test_a_list_changed_by_one_moves_members_of_one_cell_only(
     places: dict[str, tuple[str, str]], most: int, which: int, zone: tuple[str, str]
 ) -> None:
-    """One that is added; read backwards, one that is taken out. Who stays hears of no other cell's change."""
+    """One member is added; in reverse, one is removed. Other members see no change of another cell."""
     before = CellLayout(places, most)
     after = CellLayout(places | {f"new{which}": zone}, most)
     moved = [name for name in places if before.cell_of[name] != after.cell_of[name]]
     assert len({before.cell_of[name] for name in moved}) <= 1
     assert len(moved) <= most + 1
     assert {zone} >= {places[name] for name in moved}
-    for name in moved:  # a cell's name and those of its parts begin alike
+    for name in moved:  # a cell's name is a prefix of those of its parts
         assert covers(before.cell_of[name], after.cell_of[name])
     left = set(before.rosters) - {before.cell_of[name] for name in moved}
     joined = after.cell_of[f"new{which}"]
@@ -101,7 +100,7 @@
     assert layout.compact(w2[:-1]) == sorted(w2[:-1])
 
 
-# Which cells are in reach
+# Reachability
 
 
 def reach(cell: str = "a", seed: int = 1, speaks: bool = True) -> tuple[CellReachability, CellLayout]:
@@ -121,9 +120,9 @@
 
 
 NONE_OF_OURS = [
-    ping("x9"),  # a stranger
+    ping("x9"),  # unknown member
     ping("a1") | {"k": int(Kind.ACK)}, ping("a1") | {"k": int(Kind.NACK)},  # of our own cell
-    ping("a3"),  # of our own name
+    ping("a3"),  # with our own name
     ping("b0") | {"k": 17}, ping("b0") | {"inc": "z"}, ping("b0") | {"inc": None},
     {"k": 0, "from": "b0"}, {"k": 0, "from": "b0", "inc": 5},
     ping("b0", inc=9, news=[["r/c/", DEAD, 3]]), ping("b0", inc=9, news=[["r/c/", DEAD, "x", "r/b/"]]),
@@ -154,7 +153,7 @@
 
 
 def test_one_of_our_cell_that_holds_it_for_two_gets_an_answer_and_a_refutation() -> None:
-    """It has a newer copy of the settings, where our part of the cell has another name."""
+    """The other member has newer settings, in which our part of the cell has another name."""
     one, _ = reach()
     one.outbox.clear()
     before = state(one), dict(one.contacts)
@@ -206,7 +205,7 @@
 def test_any_member_refutes_its_cells_death_and_says_so_to_whoever_answered() -> None:
     one, _ = reach(speaks=False)
     one.outbox.clear()
-    # A probe carried for others is the only thing that one who does not speak is answered.
+    # A non-speaker gets answers only to relayed probes.
     one.receive(S, ping("b1", news=[["r/a/", DEAD, 4, "r/b/"]]))
     [(to, told)] = one.outbox
     assert to == "b1" and told["inc"] == 5 and ["r/a/", ALIVE, 5, "r/a/"] in told["news"]
--- a/tests/test_cells_doubt.py
+++ b/tests/test_cells_doubt.py
@@ -1,4 +1,4 @@
-"""A cell that goes silent is a sign for its neighbours: how a speaker finds a lost zone or region."""
+"""How a speaker finds a lost zone or region: a silent cell makes it ping the neighbours of that cell."""
 
 import random
 from collections import Counter
@@ -23,7 +23,7 @@
 
 
 class Alone:
-    """One speaker, and cells that answer each message for them at once, or are lost; it hears nobody else."""
+    """One speaker, and cells that answer each message at once or are lost; there are no other messages."""
 
     def __init__(self, seed: int) -> None:
         self.reachability = CellReachability("me", LAYOUT, 0, random.Random(seed), TIMING)
@@ -32,7 +32,7 @@
         self.bare = 0
 
     def period(self) -> None:
-        """To the end of the next period; `bare` counts the pings beside the probe."""
+        """Runs to the end of the next period; `bare` counts the pings besides the probe."""
         self.bare, before = 0, self.reachability.swim.periods
         while self.reachability.swim.periods == before:
             self.now = max(self.now + 1, self.reachability.wake_at() or 0)
@@ -75,7 +75,7 @@
     one.lost = lost
     one.periods_until(lambda: one.states(SUSPECT), 4 * len(LAYOUT.rosters))
     took = one.periods_until(lambda: one.states(SUSPECT, *GONE) >= lost, len(LAYOUT.rosters))
-    # A probe a period alone finds the last of them at the end of a round of all cells at the soonest.
+    # With one probe per period alone, the last one is found after a round of all cells at the earliest.
     assert took <= MAX_DOUBT_PINGS * len(lost) / DOUBT_PINGS_PER_PERIOD + 12
     for _ in range(40):
         one.period()
--- a/tests/test_cells_machine.py
+++ b/tests/test_cells_machine.py
@@ -1,4 +1,4 @@
-"""A fleet in cells under any order of puts, cuts, deaths, starts, pauses and loss."""
+"""A fleet in cells under any order of puts, partitions, deaths, starts, pauses and loss."""
 
 from hypothesis import Phase, settings
 from hypothesis import strategies as st
@@ -17,10 +17,10 @@
 
 
 class Fleet(RuleBasedStateMachine):
-    """Fifteen members in three zones of two regions: in cells of up to 4, six of them, one of one member; or
-    of up to 5, three. In each cell one member at a time is away, and one that lost its memory is given time
-    to catch up before another of its cell loses its own: that is what an acknowledgement promises. The only
-    member of a cell keeps its disk, whoever else could hold what it acknowledged is elsewhere.
+    """Fifteen members in three zones of two regions, in six cells of up to 4, one of them with one member, or
+    in three of up to 5. In each cell one member at a time is away, and one that lost its memory can catch up
+    before another of its cell loses its own, which is the condition of an acknowledgement. The only member of
+    a cell keeps its snapshot, since no other member holds what it acknowledged.
     """
 
     world: SimulatedFleet | None = None
@@ -46,7 +46,7 @@
 
     @rule(which=st.sampled_from([0, 1]), place=st.sampled_from(sorted(set(PLACES.values()))), ways=WAYS)
     def cut_place(self, which: int, place: tuple[str, str], ways: str) -> None:
-        """A region (0) or a zone from the rest."""
+        """Separates a region (0) or a zone (1) from the rest."""
         inside = {name for name, one in PLACES.items() if one[: which + 1] == place[: which + 1]}
         self.world.is_partitioned = between(inside, set(NAMES) - inside, ways)
 
@@ -145,15 +145,15 @@
 
 
 def nobody_suspected(world: SimulatedFleet) -> bool:
-    """A suspicion of before may still end in a death that is then refuted: agreement with one cannot stay.
-    Of cells, those that speak look for themselves."""
+    """An earlier suspicion may still end in a death that is then refuted, so views with one may change again.
+    Reachability of cells is checked at speakers only."""
     every = [m.membership.members for m in running(world)]
     every += [m.reachability.swim.members for m in running(world) if m.reachability.speaks]
     return not any(seen.state == SUSPECT for members in every for seen in members.values())
 
 
 TestFleet = Fleet.TestCase
-# A failing example is not shrunk: that took CI longer than all other tests together.
+# Failing examples are not shrunk: that took CI longer than all other tests together.
 TestFleet.settings = settings(
     max_examples=20, stateful_step_count=30, deadline=None, derandomize=True,
     phases=(Phase.explicit, Phase.reuse, Phase.generate),
--- a/tests/test_cells_older.py
+++ b/tests/test_cells_older.py
@@ -1,5 +1,6 @@
-"""Members in cells whose copies of the settings differ by one change, messages that are none of the fleet's,
-and what members of a cell lend and grant each other."""
+"""Fleets in cells where copies of the settings differ by one change, malformed messages, and loans and
+claims.
+"""
 
 import pytest
 
@@ -25,13 +26,13 @@
     update,
 )
 
-# Twelve members are three cells of four. The thirteenth splits its zone's into m0 and m12, m6, m9, m3.
+# Twelve members form three cells of four. The thirteenth splits its zone's cell into m0 and m12, m6, m9, m3.
 FEW, MANY = CellLayout(places(12), 4), CellLayout(places(13), 4)
 HALF = [f"m{n}" for n in range(0, 12, 2)]
 
 
 def differing(older: list[str], change: str, seed: int = 1) -> SimulatedFleet:
-    """Most have the copy after the change; `older` the one before it. Who is taken out has stopped."""
+    """Most members have the settings after the change, `older` those before; a removed one is stopped."""
     before, after = (FEW, MANY) if change == "added" else (MANY, FEW)
     layouts = dict.fromkeys(older, before)
     if change == "taken out":
@@ -45,7 +46,7 @@
 
 
 def of_after(world: SimulatedFleet) -> list[Member]:
-    """Members that run and have the newer copy."""
+    """Running members with the newer settings."""
     return [m for name, m in world.members.items() if m.layout is world.layout and name not in world.paused]
 
 
@@ -79,10 +80,11 @@
             )
     assert hold(world, *acked), "what is for all reaches all"
     assert [name for name, _ in told(world, "catching_up")] == []
-    few_know_it = {"m12"} if older == ["m6", "m9"] and change == "added" else set()  # two of its four keepers
+    # Two of its four quorum members
+    few_know_it = {"m12"} if older == ["m6", "m9"] and change == "added" else set()
     for name in set(names) - few_know_it:
         assert acked[f"said/{name}"] == [True], name
-    for name in older:  # one after the other gets the newer copy
+    for name in older:  # one after the other gets the newer settings
         world.layouts.pop(name)
         world.kill(name)
         world.run_until(world.now + S)
@@ -111,11 +113,11 @@
     assert told(world, "catching_up") == []
 
 
-# Messages that are none of the fleet's
+# Malformed messages
 
 
 def seen(world: SimulatedFleet) -> list[tuple]:
-    """All that members hold of each other, of cells, and keep; not the seconds."""
+    """State of members, cells and replicas as seen by each member, without times."""
     found = []
     for name, member in world.members.items():
         near = [(n, s.state, s.incarnation) for n, s in member.membership.members.items()]
@@ -128,7 +130,7 @@
 
 MEMBERS_NEWS = [["m6", DEAD, 9, "m1"], ["m3", SUSPECT, 9, "m1"], ["m12", LEFT, 9, "m1"]]
 SAID = ["said/evil", 1, 3_600_000_000, 0, "m1", 3_700_000_000]
-TO_M3 = [  # from another cell, from nobody, of the own cell by the way of cells
+TO_M3 = [  # from another cell, from unknown members, from the own cell as a message among cells
     {"k": 0, "from": "m1", "inc": 9, "seq": 1, "news": MEMBERS_NEWS},
     {"k": 1, "from": "m1", "inc": 9, "seq": 1, "news": MEMBERS_NEWS, "rows": [SAID]},
     {"k": 2, "from": "m1", "inc": 9, "seq": 1, "target": "m6", "news": MEMBERS_NEWS},
@@ -140,12 +142,14 @@
     {"k": 1, "from": "m1", "inc": "x", "seq": 1, "cell": 1},
     {"k": 0, "from": "m1", "inc": 1, "seq": 1, "cell": 1, "news": [["east/e1/0", "gone", 9, "east/e1/1"]]},
     {"k": 0, "from": "m1", "inc": 0, "seq": 1, "cell": 1, "news": [["north/n1/", DEAD, 9, "east/e1/1"]]},
-    {"k": int(StateMessageKind.ROWS), "from": "m1", "rows": [SAID]},  # not for all: of another cell
+    # State of a cell, from a member of another cell
+    {"k": int(StateMessageKind.ROWS), "from": "m1", "rows": [SAID]},
     {"k": int(StateMessageKind.ROWS), "from": "x", "wide": 1, "rows": [SAID]},
     {"k": int(StateMessageKind.DIGESTS), "from": "m1", "root": 7},
     {"k": int(StateMessageKind.ROWS), "from": "m1", "wide": 1,
      "rows": [["lesson/m6", 1, *SAID[2:]], ["said/x"], 7]},
-    {"k": int(StateMessageKind.ROWS), "from": "m6", "rows": [SAID]},  # for all, but said to be of the cell
+    # Fleet-wide, but sent as state of the cell
+    {"k": int(StateMessageKind.ROWS), "from": "m6", "rows": [SAID]},
     {"k": int(StateMessageKind.ROWS_STORED), "from": "m1", "wide": 1, "ack": 1},
     {"k": 20, "from": "m1", "n": 1, "part": 0.5},
     {"k": 0}, {"k": 99, "from": "m1"}, {"k": "x", "from": "m1"},
@@ -154,7 +158,7 @@
 
 
 def test_messages_that_are_none_of_the_fleets_change_nothing() -> None:
-    world = fleet(15, 1, 4, layouts={"m3": CellLayout(places(15), 4)})  # and counts what is not taken
+    world = fleet(15, 1, 4, layouts={"m3": CellLayout(places(15), 4)})  # and counts rejected messages
     for told_it in TO_M3:
         before = seen(world)
 
@@ -162,7 +166,7 @@
             try:
                 member.receive(now, wall, dict(told_it))
             except (KeyError, TypeError, ValueError, AttributeError):
-                pass  # as link.py counts it
+                pass  # as endpoint.py counts it
 
         world.run_on("m3", hear)
         assert seen(world) == before, told_it
@@ -172,7 +176,7 @@
 
 
 def test_a_probe_of_a_neighbour_is_answered_and_takes_nothing_of_what_it_says() -> None:
-    """Whose copy of the settings puts it into this cell."""
+    """The prober has other settings, which put it into this cell."""
     world = fleet(15, 1, 4)
     before = seen(world)
     ping = {"k": 0, "from": "m1", "inc": 9, "seq": 5, "news": MEMBERS_NEWS, "rows": [SAID]}
@@ -183,7 +187,7 @@
     assert seen(world) == before
 
 
-# What members of a cell lend and grant each other
+# Loans and claims
 
 
 def test_calls_are_lent_within_a_cell_and_the_sum_never_passes_the_whole() -> None:
@@ -225,7 +229,7 @@
 
     west = {name for name in world.names if world.region[name] == "west"}
     granted = 0
-    world.run_until(world.now + 4 * S)  # no home is young any more
+    world.run_until(world.now + 4 * S)  # all homes have run for longer than the window
     for n in range(20):
         cut = n >= 10
         world.is_partitioned = between(west, set(world.names) - west) if cut else lambda _, __: False
--- a/tests/test_cells_processes.py
+++ b/tests/test_cells_processes.py
@@ -1,5 +1,4 @@
-"""Real backends in cells, faults between them: what each holds of other cells, what reaches all, and what a
-cut, a death, a pause, a start and an older copy of the settings cost."""
+"""Real backends in cells with faults between them: reachability, fleet-wide state, and the cost of faults."""
 
 import json
 import socket
@@ -16,8 +15,8 @@
 FAST = {
     "period_ms": 200, "probe_timeout_ms": 100, "sync_every_ms": 250, "catch_up_most_ms": 3000, "cell_most": 8,
 }  # fmt: skip
-MOST = 40  # s, of any wait
-# Two cells of four in two regions, and a cell of one beside the first.
+MOST = 40  # s, limit of any wait
+# Two cells of four in two regions, and a cell of one in the region of the first.
 PLACES = {f"m{n}": ("west", "w1") if n < 4 else ("east", "e1") for n in range(8)} | {"m8": ("west", "w2")}
 LAYOUT = CellLayout(PLACES, 8)
 WEST, EAST, ALONE = "west/w1/", "east/e1/", "west/w2/"
@@ -28,13 +27,14 @@
 
 
 def views(rig: FleetRig, names: set[str]) -> dict[str, dict]:
-    """Nothing of one that does not answer."""
+    """Leaves out members that do not answer."""
     seen = {name: rig.view(name) for name in sorted(names)}
     return {name: view for name, view in seen.items() if view is not None}
 
 
 def agree(rig: FleetRig, names: set[str], out: dict[str, list[str]] | None = None) -> bool:
-    """Each of these holds alive just those of its cell, and out of reach what `out` says of its cell."""
+    """Each of these considers alive just the members of its cell, and unreachable what `out` says for its
+    cell."""
     seen = views(rig, names)
     for name, view in seen.items():
         alive = {m["name"] for m in view["members"] if m["state"] in ("alive", "suspect")} | {name}
@@ -44,7 +44,7 @@
         if tuple(view["speakers"]) != LAYOUT.speakers(cell, alive):
             return False
         if not view["whole"] and 2 * len(alive) > len(LAYOUT.rosters[cell]):
-            return False  # what a minority of a cell holds may be behind
+            return False  # a minority of a cell may be behind
     return len(seen) == len(names)
 
 
@@ -63,14 +63,14 @@
 
 
 def cut(rig: FleetRig, one: set[str], other: set[str]) -> list:
-    """Both ways."""
+    """In both directions."""
     few, rest = sorted(one), sorted(other)
     ways = [{"kind": "cut", "from": few, "to": rest}, {"kind": "cut", "from": rest, "to": few}]
     return rig.relay.impose(ways)
 
 
 def nobody_of_another_cell(rig: FleetRig) -> None:
-    """Is told of by name."""
+    """Only members of its own cell are listed by name."""
     for line in lines(rig, "member"):
         assert LAYOUT.cell_of[line["name"]] == LAYOUT.cell_of[line["backend"]], line
 
@@ -88,7 +88,7 @@
         assert rig.until(lambda: hold(rig, everyone, *(f"said/{name}" for name in rig.names)), MOST)
 
         def told() -> bool:
-            """A speaker has heard from every other cell."""
+            """A speaker has received the status of every other cell."""
             view = rig.view(LAYOUT.rosters[WEST][0])
             return view is not None and view["cells"][EAST] is not None and view["cells"][ALONE] is not None
 
@@ -97,7 +97,7 @@
         assert view["cell"] == WEST and set(view["cells"]) == {WEST, EAST, ALONE}
         assert view["cells"][EAST][:2] == [4, 4] and view["cells"][ALONE][:2] == [1, 1]
         assert {m["name"] for m in view["members"]} == set(LAYOUT.peers(view["me"]))
-        # What comes from nobody, or from elsewhere as of this cell, changes nothing.
+        # Messages from unknown members, or from other cells as of this cell, change nothing.
         before = view
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stray:
             for message in (
@@ -113,7 +113,7 @@
         assert rig.until(lambda: agree(rig, everyone), MOST) is not None
         assert all(m["incarnation"] < 99 for m in rig.view(before["me"])["members"])
         assert not hold(rig, {before["me"]}, "said/evil")
-        # The commands work against a member in cells.
+        # The commands work on a member of a fleet in cells.
         at, other = ("{}:{}".format(*rig.fleet_at[name]) for name in ("m8", "m5"))
         assert fleet_command("put", at, "said/incident", '"db slow"').stdout == "held by a majority\n"
         assert rig.until(lambda: hold(rig, {"m5"}, "said/incident"), MOST) is not None
@@ -193,7 +193,7 @@
             rig.kill(name)
         left = everyone - set(speakers)
         assert rig.until(lambda: agree(rig, left), MOST) is not None
-        put(rig, last, "said/out")  # kept, though three of four keepers are gone
+        put(rig, last, "said/out")  # stored, though three of four quorum members are gone
         assert put(rig, "m8", "said/in")
         assert rig.until(lambda: hold(rig, left, "said/before", "said/out", "said/in"), MOST) is not None
         rig.kill(last)
@@ -231,8 +231,8 @@
 def test_members_with_a_list_one_change_older_are_no_harm_and_agree_once_they_have_the_newer(
     tmp_path: Path,
 ) -> None:
-    """The ninth of a zone splits its cell into m0, m4, m5, m7 and m1, m2, m3, m6, m8; one of each part does
-    not know it yet.
+    """The ninth member of a zone splits its cell into m0, m4, m5, m7 and m1, m2, m3, m6, m8; one member of
+    each part does not know it yet.
     """
     places = {f"m{n}": ("west", "w1") if n < 9 else ("east", "e1") for n in range(11)}
     layout, older = CellLayout(places, 8), {"m0", "m1"}
@@ -250,7 +250,7 @@
             )  # fmt: skip
 
         def older_right() -> bool:
-            """It holds alive all of what it takes for its cell, though some of them are of another."""
+            """It considers alive all members of what it takes for its cell, though some are in another."""
             seen = views(rig, older)
             return len(seen) == 2 and all(
                 view["cell"] == "west/w1/" and view["ready"]
--- a/tests/test_cells_starts.py
+++ b/tests/test_cells_starts.py
@@ -1,5 +1,6 @@
-"""A cell that starts whole: each reads one copy and gives a bounded part of it, and keepers are asked last;
-news that comes close together goes out together."""
+"""Start of a complete cell: each member reads one replica and sends a bounded part of it, quorum members are
+asked last, and changes close together are pushed together.
+"""
 
 import asyncio
 import random
@@ -28,7 +29,7 @@
 
 
 def filled(world: SimulatedFleet, count: int) -> None:
-    """Everybody holds so many entries for all."""
+    """Gives every member so many fleet-wide entries."""
     kept = world.members["m0"].wide_dissemination.replica
     rows = [kept.put(world.wall("m0"), f"said/{n}", "x" * 60, LIFE) for n in range(count)]
     for member in world.members.values():
@@ -36,7 +37,7 @@
 
 
 def counted(world: SimulatedFleet, given: Counter, told_on: Counter) -> None:
-    """By member: bytes of rows that it gives by comparing, more than a datagram at a time, and as news."""
+    """Counts by member the bytes of rows sent for repairs of more than a datagram, and pushed as changes."""
     carry = world._flush
 
     def watched(name: str) -> None:
@@ -119,7 +120,7 @@
     assert world.now - began <= world.settings.catch_up.max_wait + 50_000
 
 
-# What is told of a copy
+# Encoded digests
 
 
 def copy(count: int, first: int = 0) -> Replica:
@@ -148,11 +149,11 @@
         copy(3).differing_leaves(junk)
 
 
-# News
+# Changes
 
 
 def spread(pace: DisseminationSettings | None = None) -> Dissemination:
-    """Of m0, which is no keeper of its cell of eight."""
+    """Of m0, which is not a quorum member of its cell of eight."""
     peers = [f"m{n}" for n in range(1, 8)]
     reached = CellScope(frozenset(peers[:5]), frozenset(peers))
     return Dissemination("m0", peers, copy(0), 0, random.Random(1), pace or DisseminationSettings(), reached)
@@ -262,7 +263,7 @@
         full.bind(("127.0.0.1", 0))
         full.listen(0)
         waiting = []
-        for _ in range(4):  # nobody takes them, and there is no room for one more
+        for _ in range(4):  # nobody accepts them, and the backlog is full
             one = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             one.setblocking(False)
             one.connect_ex(full.getsockname())
--- a/tests/test_cells_state.py
+++ b/tests/test_cells_state.py
@@ -1,5 +1,6 @@
-"""Whole members in cells on a simulated network: what is known of other cells, and what a cut, a death or a
-start costs."""
+"""Complete members in cells on a simulated network: reachability of cells, and the cost of partitions, deaths
+and starts.
+"""
 
 import pytest
 
@@ -22,8 +23,8 @@
 )
 
 SEEDS = [1, 2]
-# Of 15 in cells of 4: m0 is a cell of one, m12, m6, m9, m3 its neighbours; two cells of three, two of two.
-# Of 45 in cells of 9: six of six to nine, all with members beyond the keepers and the speakers.
+# 15 in cells of 4: m0 is a cell of one, m12, m6, m9, m3 its neighbours; two cells of three, two of two.
+# 45 in cells of 9: six of six to nine, all with members besides quorum members and speakers.
 
 
 def in_region(world: SimulatedFleet, region: str) -> set[str]:
@@ -35,7 +36,7 @@
 
 
 def nobody_noticed(world: SimulatedFleet) -> None:
-    """No member left the list, none was told of as one, and nobody fetched."""
+    """No member became unready or was reported dead, and nobody fetched."""
     assert told(world, "catching_up") == [] and told(world, "member") == [] and world.fetches == []
 
 
@@ -63,14 +64,14 @@
     assert len(roster) == 9
     keepers, rest = set(roster[:5]), set(roster[5:])
     three = set(roster[:3])
-    # Three keepers are out of reach: two and all others of the cell, and of the fleet, are no majority.
+    # Three quorum members are unreachable: two and all others of the cell and of the fleet are no majority.
     world.is_partitioned = between(three, set(world.names) - three)
     one = update(world, min(rest), "said/few")
     world.run_until(world.now + 3 * S)
     assert one == [False] and hold_all(world, "said/few", set(world.names) - three)
     world.is_partitioned = lambda _, __: False
     assert until(world, world.views_agree, 20 * S)
-    for name in (*rest, roster[4]):  # four of nine are left, and four of the five keepers
+    for name in (*rest, roster[4]):  # four of nine are left, and four of the five quorum members
         world.kill(name)
     one = update(world, roster[0], "said/keepers")
     assert until(world, lambda: one == [True], S), "who is no keeper is not waited for"
@@ -133,7 +134,7 @@
 
 
 def test_a_cut_one_way_is_known_on_both_sides_and_heals() -> None:
-    """Of what goes one way nothing arrives: neither side has an answer."""
+    """Everything in one direction is lost, so neither side gets an answer."""
     world = fleet(15, 5, 4)
     west, east = in_region(world, "west"), in_region(world, "east")
     seen = {name: cells_of(world, "east" if name in west else "west") for name in world.names}
@@ -212,7 +213,7 @@
 @pytest.mark.parametrize("how", ["killed", "slow", "deaf", "cut off", "far"])
 @pytest.mark.parametrize("seed", SEEDS)
 def test_one_speaker_that_is_not_as_it_should_be_convinces_nobody(how: str, seed: int) -> None:
-    """Killed, standing still, hearing nothing of other cells, cut off from them, or heard late."""
+    """Killed, slow, deaf to other cells, partitioned from them, or far away."""
     world = fleet(45, seed, 9)
     speaker = of_cell(world, "m0")[0]
     others = set(world.names) - set(of_cell(world, "m0"))
@@ -302,7 +303,7 @@
     assert all(not member.unreachable_cells() for member in running(world))
 
 
-# A start
+# Starts
 
 
 @pytest.mark.parametrize("which", [0, 5])
@@ -310,7 +311,7 @@
 def test_one_that_restarts_without_memory_asks_keepers_only_is_soon_ready_and_holds_all(
     which: int, seed: int
 ) -> None:
-    """A keeper, and one that is none."""
+    """A quorum member and another member."""
     world = fleet(45, seed, 9)
     name = of_cell(world, "m0")[which]
     world.kill(name)
@@ -326,7 +327,7 @@
     assert not [key for key in near if key not in member.replica.entries]
     asked = [other for at, who, other in world.fetches if who == name and at >= began]
     keepers = set(of_cell(world, "m0")[:5]) - {name}
-    helper = [other for other in asked if other not in keepers]  # one that is none, and is asked first
+    helper = [other for other in asked if other not in keepers]  # not a quorum member, and asked first
     assert 3 <= len(asked) - len(helper) <= 5 - len(helper), "enough of those whose word counts"
     assert helper in ([], asked[:1]) and set(helper) <= set(of_cell(world, "m0")[5:])
 
@@ -334,7 +335,7 @@
 def test_a_majority_of_keepers_wiped_one_after_the_other_loses_nothing_acknowledged() -> None:
     world = fleet(45, 9, 9)
     roster = of_cell(world, "m0")
-    world.is_partitioned = between(set(roster), set(world.names) - set(roster))  # nobody else holds it
+    world.is_partitioned = between(set(roster), set(world.names) - set(roster))  # nobody else holds the entry
     told_it = [update(world, roster[0], f"said/{n}", n) for n in range(10)]
     assert until(world, lambda: all(told_it), S) and all(one == [True] for one in told_it)
     for name in roster:
--- a/tests/test_cells_verdicts.py
+++ b/tests/test_cells_verdicts.py
@@ -1,4 +1,4 @@
-"""What is believed of other cells: speakers' words, their telling and their counting."""
+"""Reachability of other cells: votes of speakers, when they are published, and how they are counted."""
 
 import pytest
 
--- a/tests/test_cells_wake.py
+++ b/tests/test_cells_wake.py
@@ -4,7 +4,7 @@
 
 
 def test_one_that_speaks_no_longer_is_not_woken_for_what_it_was_to_tell() -> None:
-    """Guards against a member that wakes without end for a telling that is no more its own."""
+    """Guards against endless wake-ups for a vote that a former speaker may no longer publish."""
     world = fleet(12, 1, 4)
     world.run_until(5 * S)
     member = next(m for m in world.members.values() if m.reachability.speaks)
@@ -15,7 +15,7 @@
 
 
 class StillLayout:
-    """A layout in which somebody else speaks."""
+    """A layout in which this member is no speaker."""
 
     def __init__(self, layout: object) -> None:
         self.layout = layout
--- a/tests/test_fleet_copies.py
+++ b/tests/test_fleet_copies.py
@@ -1,6 +1,4 @@
-"""The state kept together: merging in any order, running out, the rule for copies that differ, digests,
-bounds.
-"""
+"""The replicated state: merging in any order, expiry, merge rules, digests and limits."""
 
 import random
 import tracemalloc
@@ -39,7 +37,7 @@
     first, second = a.put(S, "r/x", 1, 9 * S), b.put(S, "r/x", 2, 9 * S)
     for one in (a, b):
         one.merge(S, [first, second])
-        assert one.get("r/x") == 2  # the same µs and count: b's name is the greater
+        assert one.get("r/x") == 2  # same µs and counter: b's name is the greater
     later = a.put(S, "r/x", 3, 9 * S)
     b.merge(S, [later])
     assert b.get("r/x") == 3 and a.root() == b.root()
@@ -53,7 +51,7 @@
     added = a.add_element(S, "s/set/m1", 9 * S)
     b.merge(S, [added])
     out = b.remove_element(2 * S, "s/set/m1")
-    again = a.add_element(2 * S, "s/set/m1", 9 * S)  # before it heard of the taking out
+    again = a.add_element(2 * S, "s/set/m1", 9 * S)  # before it received the removal
     a.merge(2 * S, out)
     b.merge(2 * S, [again])
     assert a.contains("s/set/m1") and b.contains("s/set/m1") and a.root() == b.root()
@@ -87,7 +85,7 @@
     rows = [a.put(S, f"few/{n}", n, (n + 1) * S) for n in range(7)]
     with pytest.raises(EntryRejectedError):
         a.put(S, "few/more", 0, S)
-    a.put(S, "few/3", "again", S)  # what is there already can be said anew
+    a.put(S, "few/3", "again", S)  # an existing key can be overwritten
     others = [[f"few/o{n}", n, S, n, "b", 20 * S + n] for n in range(7)]
     one, two = copies("x"), copies("y")
     one.merge(S, rows + others)
@@ -134,7 +132,7 @@
     straight.merge(S, rows)
     mixed = rows + chance.sample(rows, len(rows) // 2)
     chance.shuffle(mixed)
-    for part in range(parts):  # through copies of copies
+    for part in range(parts):  # through replicas of replicas
         between = copies(f"z{part}")
         between.merge(S, mixed[part::parts])
         shuffled.merge(S, between.all_rows())
@@ -159,7 +157,7 @@
 
 
 def test_an_entry_takes_little_over_its_own_bytes() -> None:
-    """The packed value once held the buffer that it was written into: 4 kB an entry."""
+    """Guards against encoded values that keep their 4 kB output buffer alive."""
     one = Replica("a", {"r": Keyspace(MergeRule.LAST_WRITER_WINS, 2000, 100 * S)}, 10 * S)
     tracemalloc.start()
     try:
--- a/tests/test_fleet_decides.py
+++ b/tests/test_fleet_decides.py
@@ -1,5 +1,4 @@
-"""What members decide together: loans of the pace of calls, labels, quotas by use, what a cold one is
-taught."""
+"""Features on the replicated state: call loans, idempotency keys, quotas, learned starts and prints."""
 
 import random
 from collections import Counter
@@ -23,8 +22,8 @@
 
 
 class Net:
-    """Pure parts on one simulated wire: delay, loss, copies, clocks that run unlike, members that stand
-    still."""
+    """Parts of members on a simulated network: delay, loss, duplicates, clocks at different rates, stalled
+    members."""
 
     def __init__(self, seed: int, loss: float, rates: dict[str, float]) -> None:
         self.chance, self.loss, self.rates = random.Random(seed), loss, rates
@@ -80,7 +79,7 @@
         if chance.random() < 0.004:
             net.still[chance.choice(names)] = net.now + chance.randrange(3 * S)
         if chance.random() < 0.002:
-            born(chance.choice(names))  # killed, and started with no memory of what it lent
+            born(chance.choice(names))  # killed, and restarted without memory of what it lent
         for name, loans in net.parts.items():
             if net.still.get(name, 0) <= net.now:
                 part = loans.part(net.time(name))
@@ -95,7 +94,7 @@
 def test_an_idle_members_part_is_used_by_a_busy_one_and_comes_back() -> None:
     names = ["a", "b", "c", "d"]
     net = Net(1, 0.0, {})
-    net.chance.choice = lambda _: 1000  # a quiet wire
+    net.chance.choice = lambda _: 1000  # a network without delays
     for name in names:
         net.parts[name] = CallBudgetLoans(name, [o for o in names if o != name], 0, random.Random(name))
     use = {"a": 3.0, "b": 0.1, "c": 0.1, "d": 0.9}
@@ -126,7 +125,7 @@
     started = CallBudgetLoans("a", ["b", "c"], 0, random.Random(1))
     b, c = (CallBudgetLoans(name, ["a"], -9 * S, random.Random(name)) for name in "bc")
     b.borrowed[("a", 5)] = 0.4, S
-    c.requested[("a", 6)] = 0  # granted by the earlier life, and still on its way
+    c.requested[("a", 6)] = 0  # granted by the earlier incarnation, and still in flight
     started.tick(0, ["b", "c"], 0.0, 0.0)
     for to, message in started.outbox:
         {"b": b, "c": c}[to].receive(0, message)
@@ -140,7 +139,7 @@
 
 
 def test_one_whose_earlier_life_may_have_lent_elsewhere_waits_its_loans_out() -> None:
-    """In cells: it may have been of another one, whose members still spend what it lent."""
+    """In cells: it may have been in another cell, whose members still spend what it lent."""
     for knows_all in (True, False):
         member = CallBudgetLoans("a", ["b"], 0, random.Random(1), peers_are_fixed=knows_all)
         member.tick(0, ["b"], 0.0, 0.0)
@@ -284,7 +283,7 @@
     use = Counter({"a": 90, "b": 10})
     parts = {
         me: quota.quota_part(use, me, [n for n in "abcd" if n != me], 5) for me in "abcd"
-    }  # e is held dead
+    }  # e is believed dead
     assert (
         sum(parts.values()) == pytest.approx(4)
         and parts["a"] > 3
--- a/tests/test_fleet_emulated.py
+++ b/tests/test_fleet_emulated.py
@@ -1,4 +1,4 @@
-"""An emulated fleet of real backends with everything of the fleet's state switched on, and a kill in it."""
+"""An emulated fleet of real backends with all fleet features switched on, one of which is killed."""
 
 import json
 import subprocess
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,6 +1,4 @@
-"""Real backends with membership on, faults injected between them by the relay: deaths, pauses, partitions,
-loss.
-"""
+"""Membership of real backends with faults injected between them by the relay."""
 
 import os
 import socket
@@ -35,7 +33,7 @@
 ) -> None:
     rig = FleetRig(tmp_path, 4, 6, [], **FAST)
     rig.connect()
-    # What the system may give to whoever asks for a free port: one that m3 has not bound yet.
+    # The system may return a port as free that m3 has not bound yet.
     monkeypatch.setattr(rig_module, "free_port", lambda kind, host="": rig.fleet_at["m3"][1])
     told = [[orjson.loads(path.read_bytes()) for path in rig._files(name)] for name in rig.names]
     rig.end()
@@ -67,7 +65,7 @@
         rig.launch("m2")
 
         def back() -> bool:
-            """All hold it alive at an incarnation of its own; a suspicion in passing is waited out."""
+            """All consider it alive at its own incarnation; a passing suspicion is waited out."""
             views = [rig.view(name) for name in everyone - {"m2"}]
             seen = [one for view in views if view for one in view["members"] if one["name"] == "m2"]
             return len(seen) == 4 and all(one["state"] == "alive" and one["incarnation"] >= 1 for one in seen)
@@ -103,7 +101,8 @@
     with FleetRig(tmp_path, 4, seed=5, faults=[], **FAST) as rig:
         everyone = set(rig.names)
         assert rig.until(lambda: agree(rig, everyone), 15) is not None
-        cut = rig.relay.impose([{"kind": "cut", "from": ["m0"]}])  # m0 hears all, and nobody hears it
+        # M0 receives everything, and nobody receives from it
+        cut = rig.relay.impose([{"kind": "cut", "from": ["m0"]}])
         assert rig.until(lambda: all("m0" not in rig.alive_in(n) for n in everyone - {"m0"}), 20) is not None
         rig.relay.lift(cut)
         assert rig.until(lambda: agree(rig, everyone), 20) is not None
@@ -119,7 +118,7 @@
     with FleetRig(tmp_path, 5, seed=4, faults=rough, **FAST) as rig:
         everyone = set(rig.names)
         assert rig.until(lambda: agree(rig, everyone), 15) is not None
-        assert rig.until(lambda: False, 6) is None  # six seconds, some thirty periods
+        assert rig.until(lambda: False, 6) is None  # six seconds, about thirty periods
         assert agree(rig, everyone)
     assert not [line for line in rig.history() if line["event"] == "member" and line["state"] == "dead"]
     assert rig.relay.counts["dropped"] > 0
@@ -189,12 +188,13 @@
         begun = [rig.ask(name, k="counts") for name in rig.names]
         assert rig.until(lambda: False, 3) is None
         counts = [rig.ask(name, k="counts") for name in rig.names]
-        assert all(one["fetches"] >= 2 for one in counts)  # each met half of all, the two others
+        # Each fetched from half of all members, the two others
+        assert all(one["fetches"] >= 2 for one in counts)
         sent = sum(now["sent"] - then["sent"] for now, then in zip(counts, begun, strict=True))
         read = sum(now["read"] - then["read"] for now, then in zip(counts, begun, strict=True))
         periods = sum(now["periods"] - then["periods"] for now, then in zip(counts, begun, strict=True))
-        assert periods >= 15 and sent >= 2 * periods  # a ping and its ack, at least
-        assert abs(sent - read) <= 12  # all but what is under way, and our own questions
+        assert periods >= 15 and sent >= 2 * periods  # at least a ping and its ack
+        assert abs(sent - read) <= 12  # all but datagrams in flight and our own requests
         assert all(one["read_bytes"] > 20 * one["read"] for one in counts)
         assert all(one["sent_bytes"] > 20 * one["sent"] for one in counts)
         seen = rig.view("m0")
--- a/tests/test_fleet_replicas.py
+++ b/tests/test_fleet_replicas.py
@@ -1,5 +1,4 @@
-"""Real backends that keep state together, faults between them: catching up, disks, clocks, labels, the
-checker."""
+"""Replicated state of real backends under faults: catch-up, snapshots, clocks, idempotency keys."""
 
 import json
 import os
@@ -86,7 +85,7 @@
         assert rig.until(lambda: all(map(kept, files)), 10) is not None
         for name in rig.names:
             rig.kill(name)
-        files[2].write_bytes(files[2].read_bytes()[:-3])  # and one of the disks spoilt it
+        files[2].write_bytes(files[2].read_bytes()[:-3])  # and one of the snapshots is corrupt
         for name in rig.names:
             rig.launch(name)
         assert rig.until(lambda: whole(rig) and agreed(rig), 20) is not None
@@ -129,7 +128,7 @@
         )
         rig.launch("m2")
         rig.until(lambda: rig.relay.counts["streams"] > 4, 10)
-        rig.kill("m1")  # while it may be giving
+        rig.kill("m1")  # while it may be serving a transfer
         rig.launch("m1")
         rig.relay.lift(rough)
         assert rig.until(lambda: whole(rig) and agreed(rig), 30) is not None
@@ -144,18 +143,18 @@
             answer = rig.ask(name, 3, k="claim", label=label, window_ms=5000)
             return "none" if answer is None else answer["claimed"]
 
-        rig.until(lambda: claim("m0", "first") == "ours", 30)  # no home is young any more
+        rig.until(lambda: claim("m0", "first") == "ours", 30)  # all homes have run for longer than the window
         granted: Counter[str] = Counter()
 
         def asked_by_all(label: str) -> bool:
-            """A claim whose homes answer too late (a busy machine) is given back: it is asked again."""
+            """A claim whose homes answer too late (a busy machine) is released: it is repeated."""
             for name in rig.names:
                 granted[label] += claim(name, label) == "ours"
             return granted[label] > 0
 
         for n in range(20):
             assert rig.until(lambda label=f"calm{n}": asked_by_all(label), 30) is not None
-            asked_by_all(f"calm{n}")  # once more by all: it stays the one
+            asked_by_all(f"calm{n}")  # claimed again by all: the owner stays the same
         assert set(granted.values()) == {1}
         cut = rig.relay.impose(
             [{"kind": "cut", "from": ["m0", "m1"], "to": ["m2", "m3", "m4"]},
@@ -276,14 +275,14 @@
 
 def test_an_end_before_its_time_leaves_no_process_and_a_failing_one_neither(tmp_path: Path) -> None:
     def ours() -> list[int]:
-        """Backends whose configuration lies in this test's folder."""
+        """Backends whose configuration is in this test's folder."""
         found = []
         for place in Path("/proc").glob("[0-9]*/environ"):
             try:
                 if str(tmp_path).encode() in place.read_bytes():
                     found.append(int(place.parent.name))
             except OSError:
-                continue  # ended meanwhile, or not ours to read
+                continue  # ended meanwhile, or not readable
         return found
 
     command = [
--- a/tests/test_fleet_scope.py
+++ b/tests/test_fleet_scope.py
@@ -1,9 +1,9 @@
-"""Every order of deliveries and losses in a small scope: three members, a few words said, two of them at
-odds.
+"""Every order of deliveries and losses in a small scope: three members and a few updates, two of them in
+conflict.
 
-Not drawn but exhausted: from each state every message under way is delivered, lost, or delivered and kept for
-another delivery, every word still to be said is said, and once in a run one member loses its memory. Whatever
-happened, after all links heal the copies agree, and what was acknowledged is still there.
+The search is exhaustive: from each state every message in flight is delivered, lost, or delivered and kept
+for another delivery, every remaining update is made, and once in a run one member loses its memory. Whatever
+happened, after all links heal the replicas agree, and acknowledged updates are still there.
 """
 
 import copy
@@ -23,11 +23,11 @@
 }
 NAMES = ("a", "b", "c")
 NOW = 10**6
-Saying = tuple[str, str, str, int]  # who, how, key, value
+Saying = tuple[str, str, str, int]  # member, operation, key, value
 
 
 def twin(spread: Dissemination) -> Dissemination:
-    """A copy that shares nothing that changes; `copy.deepcopy` takes a hundred times as long."""
+    """A copy without shared mutable state; `copy.deepcopy` takes a hundred times as long."""
     other, held, clock = copy.copy(spread), copy.copy(spread.replica), copy.copy(spread.replica.clock)
     held.clock, held.entries, held.entry_counts = clock, dict(held.entries), copy.copy(held.entry_counts)
     held.leaf_digests, held.keys_by_leaf = (
@@ -44,7 +44,7 @@
 
 
 class Scope:
-    """One state: three spreads, what is under way, what is still to be said."""
+    """One state: three members, the messages in flight, the remaining updates."""
 
     def __init__(self, sayings: tuple[Saying, ...]) -> None:
         self.spreads = {}
@@ -54,9 +54,9 @@
             self.spreads[name] = Dissemination(
                 name, others, held, NOW, random.Random(1), DisseminationSettings()
             )
-        self.flying: list[bytes] = []  # [to, message], packed
+        self.flying: list[bytes] = []  # encoded [to, message]
         self.sayings = sayings
-        self.acked: tuple[int, ...] = ()  # numbers of sayings that were acknowledged
+        self.acked: tuple[int, ...] = ()  # numbers of acknowledged updates
         self.rows: dict[int, list] = {}
         self.forgot = False
 
@@ -68,7 +68,7 @@
         return other
 
     def key(self) -> tuple:
-        """What tells this state from others: all that later steps can depend on."""
+        """Identity of this state: everything that later steps can depend on."""
         told = tuple(
             (
                 tuple(map(orjson.dumps, s.replica.all_rows())),
@@ -110,7 +110,7 @@
         self.collect()
 
     def forget(self, who: str) -> None:
-        """Its memory is lost, and it has caught up from the two others before anything else happens."""
+        """A member loses its memory and catches up from the two others before anything else happens."""
         others = [name for name in NAMES if name != who]
         held = Replica(who, KEYSPACES, 10**9)
         self.spreads[who] = Dissemination(who, others, held, NOW, random.Random(1), DisseminationSettings())
@@ -137,8 +137,8 @@
         return after
 
     def check(self) -> None:
-        """Heals by comparing digests until nothing differs; then all agree and nothing acknowledged is
-        gone."""
+        """Runs anti-entropy until nothing differs; then all agree and no acknowledged update is
+        lost."""
         healed = self.copy()
         healed.flying.clear()
         for _ in range(3):
@@ -165,7 +165,7 @@
     (
         "deep",
         "sayings",
-    ),  # steps: what is said, and deliveries, losses or a lost memory before, between or after
+    ),  # steps: updates, and deliveries, losses or a lost memory before, between or after them
     [
         (5, (("a", "put", "r/x", 1), ("b", "put", "r/x", 2))),
         (5, (("a", "add", "s/x", 0), ("b", "take_out", "s/x", 0))),
@@ -194,9 +194,9 @@
 
 
 def test_the_check_itself_finds_an_acknowledgement_by_too_few() -> None:
-    """Without a majority a lost memory loses what was told: the check has to see it."""
+    """With acknowledgements below a majority, a member that loses its memory loses an acknowledged update."""
     begin = Scope((("a", "put", "r/x", 1),))
-    begin.spreads["a"].majority = 1  # the defect
+    begin.spreads["a"].majority = 1  # the injected defect
     state = begin.copy()
     state.numbers = {}
     row = state.spreads["a"].replica.put(NOW, "r/x", 1, 10**8)
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -1,4 +1,4 @@
-"""A fleet's settings beyond what a schema can say: places of members, and uses that a size does not carry."""
+"""Fleet settings beyond the schema: locations of members, and features that a fleet size does not support."""
 
 import os
 import subprocess
@@ -14,13 +14,13 @@
 from crowwing.settings import plain
 
 REGIONS = 5
-ZONES = 11  # of all regions together
+ZONES = 11  # in all regions
 NAMED = "name region and zone for every member or for none"
 APART = "name region and zone for every member: cells keep it apart, or leave it off"
 
 
 def section(size: int, in_cells: bool, **more: object) -> dict:
-    """`n0` is this backend; in cells its members stand in 11 zones of 5 regions, one after the other."""
+    """`n0` is this backend; in cells the members are in 11 zones of 5 regions, by turns."""
 
     def place(number: int) -> dict:
         zone = number % ZONES
@@ -107,7 +107,7 @@
 @pytest.mark.parametrize(
     ("size", "in_cells", "customers", "more", "line"),
     [
-        # A flat fleet: every member counts
+        # In a flat fleet, every member counts
         (51, False, 14, {"shares_quota": True}, None),
         (
             52, False, 14, {"shares_quota": True},
@@ -124,7 +124,7 @@
             f"$.fleet.lends_calls: 1001 members, of 1000 at most; {APART}",
         ),
         (1001, False, 4, {"teaches": True}, None),
-        # Cells: what the largest may hold, in each zone 473 members of 5,200
+        # In cells, the largest possible cell counts; each zone has 473 of 5,200 members
         (5200, True, 4, {"lends_calls": True}, None),
         (5200, True, 11, {"shares_quota": True}, None),
         (
@@ -139,7 +139,7 @@
             "lower cell_most, or leave it off",
         ),
         (5200, True, 4, {"shares_prints": True, "cell_most": 56}, None),
-        (616, True, 4, {"shares_prints": True}, None),  # 56 in each zone: no cell has more
+        (616, True, 4, {"shares_prints": True}, None),  # 56 in each zone, the largest cell
         (
             617, True, 4, {"shares_prints": True},
             "$.fleet.shares_prints: 57 members x 16 slots are over 896 entries; "
@@ -160,7 +160,7 @@
 
 
 def test_every_member_refuses_alike(tmp_path: Path) -> None:
-    """One in a small zone too: else a part of the fleet would start with it and the rest not at all."""
+    """Also one in a small zone: otherwise a part of the fleet would start with it and the rest would not."""
     told = section(200, in_cells=True, shares_prints=True, cell_most=128) | {"region": "r9", "zone": "alone"}
     for peer in told["peers"]:
         peer |= {"region": "r1", "zone": "full"}
@@ -169,7 +169,7 @@
 
 
 def started(tmp_path: Path, fleet: dict, customers: int) -> tuple[int, bytes, list[str]]:
-    """The real command, with the example's configuration for so many customers; the file's path left out."""
+    """Runs the real command with the example's configuration for so many customers; drops the file's path."""
     path, told_at = tmp_path / "operator.json", tmp_path / "configuration.json"
     path.write_bytes(orjson.dumps({"version": 1, "fleet": fleet}))
     told = orjson.loads((ROOT / "deploy" / "example.json").read_bytes())
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -1,6 +1,4 @@
-"""Whole members on a simulated network: nothing acknowledged is lost, copies that differed agree, who is
-behind says so.
-"""
+"""Complete members on a simulated network: acknowledged updates survive and replicas converge."""
 
 import random
 from dataclasses import replace
@@ -30,7 +28,7 @@
 
 
 def update(world: SimulatedFleet, name: str, key: str, value: object, wait: int = S) -> list[bool]:
-    """Puts and asks for acknowledgement; the list gets one bool once it is told."""
+    """Puts an entry and requests an acknowledgement; the list gets one bool with its result."""
     told: list[bool] = []
 
     def put(member: Member, now: int, wall: int) -> None:
@@ -188,7 +186,7 @@
         decider.fetch_completed(10, name, True)
     assert decider.ready and decider.is_current
     decider.update_reachable(100_000, 4)
-    decider.update_reachable(5 * S, 4)  # it stood still for five seconds
+    decider.update_reachable(5 * S, 4)  # it was stalled for five seconds
     assert not decider.is_current
     decider.current_member_seen(5 * S)
     assert not decider.ready
@@ -208,7 +206,7 @@
 
 @pytest.mark.parametrize("peers", [4, 100, 1000])
 def test_attempts_are_bounded_for_the_member_whatever_the_fleets_size(peers: int) -> None:
-    """Nobody answers: what is asked in a minute is the same, and what each turn costs hardly grows."""
+    """Nobody answers: requests per minute are independent of the fleet size, as nearly is a tick's cost."""
     patience, names = CatchUpTiming(), [f"m{n}" for n in range(peers)]
     decider, now, attempts = CatchUp(peers + 1, 0, patience), 0, []
     while now < 60 * S:
@@ -248,9 +246,9 @@
 
 
 class Fleet(RuleBasedStateMachine):
-    """Five members under any order of puts, cuts, kills with and without disk, loss and pauses. A member
-    without its memory is given time to catch up before another loses its own: that is what an
-    acknowledgement promises.
+    """Five members under any order of puts, partitions, kills with and without snapshot, loss and pauses. A
+    member that lost its memory can catch up before another loses its own, which is the condition of an
+    acknowledgement.
     """
 
     @initialize(seed=st.integers(0, 10_000))
--- a/tests/test_fleet_swim.py
+++ b/tests/test_fleet_swim.py
@@ -1,6 +1,4 @@
-"""The membership decider among pure members on a simulated network: deaths seen, none made up, partitions
-healed.
-"""
+"""The failure detector on a simulated network: detected deaths, no false deaths, healed partitions."""
 
 import math
 import random
--- a/tests/test_fleet_world.py
+++ b/tests/test_fleet_world.py
@@ -1,4 +1,4 @@
-"""The simulated network that fleets are played on: what it delays, counts, refuses and takes for agreed."""
+"""The simulated network: delays, counters, rejections, and when views count as agreed."""
 
 import pytest
 
@@ -108,7 +108,7 @@
 
 
 def test_a_member_is_woken_when_it_asks_after_hearing_something() -> None:
-    """Not only at the turn that was planned before: as on sockets."""
+    """And not only at the tick scheduled before, as on sockets."""
     world = SimulatedFleet(3, 1, FAST, KEYSPACES)
     world.run_until(S)
     asked = []
