--- a/crowwing/fleet/state/keyspaces.py
+++ b/crowwing/fleet/state/keyspaces.py
@@ -7,22 +7,19 @@
 
 # First component of a key: merge rule, maximum number of entries, maximum lifetime of an entry.
 KEYSPACES = {
-    "said": Keyspace(
-        MergeRule.LAST_WRITER_WINS, 512, 24 * HOUR, fleet_wide=True
-    ),  # messages from operators to all members
-    "mark": Keyspace(
-        MergeRule.REMOVE_WINS, 512, 24 * HOUR, fleet_wide=True
-    ),  # sets of members or zones, edited by operators
+    # Messages from operators to all members
+    "said": Keyspace(MergeRule.LAST_WRITER_WINS, 512, 24 * HOUR, fleet_wide=True),
+    # Sets of members or zones, edited by operators
+    "mark": Keyspace(MergeRule.REMOVE_WINS, 512, 24 * HOUR, fleet_wide=True),
     # State of zones, set by operators
     "zone": Keyspace(MergeRule.LAST_WRITER_WINS, 256, 24 * HOUR, fleet_wide=True),
     # Requests of a customer by member, incarnation and window
     "use": Keyspace(MergeRule.MAXIMUM, 4096, 60 * SECOND),
-    "turned": Keyspace(
-        MergeRule.LAST_WRITER_WINS, 1024, 60 * SECOND
-    ),  # prints of requests that each member rejected recently
-    "reach": Keyspace(
-        MergeRule.LAST_WRITER_WINS, 512, HOUR
-    ),  # cells that each speaker of this cell cannot reach
-    "lesson": Keyspace(MergeRule.LAST_WRITER_WINS, 512, 24 * HOUR),  # learned figures of each member
+    # Prints of requests that each member rejected recently
+    "turned": Keyspace(MergeRule.LAST_WRITER_WINS, 1024, 60 * SECOND),
+    # Cells that each speaker of this cell cannot reach
+    "reach": Keyspace(MergeRule.LAST_WRITER_WINS, 512, HOUR),
+    # Learned figures of each member
+    "lesson": Keyspace(MergeRule.LAST_WRITER_WINS, 512, 24 * HOUR),
 }
 OPERATORS = ("said", "mark", "zone")  # may be changed through the fleet socket
--- a/crowwing/fleet/state/replica.py
+++ b/crowwing/fleet/state/replica.py
@@ -166,7 +166,7 @@
     # Writes
 
     def put(self, now: int, key: str, value: Value, lifetime: int) -> Row:
-        """Stores a local write for `life` µs; EntryRejectedError if it cannot be stored."""
+        """Stores a local write for `lifetime` µs; EntryRejectedError if it cannot be stored."""
         keyspace = self._keyspace(key)
         if lifetime <= 0 or lifetime > keyspace.max_lifetime:
             raise EntryRejectedError(
--- a/crowwing/fleet/uses/call_budget_loans.py
+++ b/crowwing/fleet/uses/call_budget_loans.py
@@ -1,24 +1,24 @@
 """Lending of the fleet's budget of downstream calls among its members. Pure.
 
 The downstream service bears a certain rate of calls from the whole fleet; the settings give each member an
-equal part. A member that does not need all of its part lends some for `duration` to one that asks, so a busy
-member can use the part of an idle one, and the sum never exceeds the budget. The method is escrow (O'Neil,
-"The Escrow Transactional Method", ACM TODS 1986) with leases instead of settling (Gray, Cheriton, "Leases",
-SOSP 1989):
+equal share. A member that does not need all of its share lends some for `duration` to one that asks, so a
+busy member can use the share of an idle one, and the sum never exceeds the budget. The method is escrow
+(O'Neil, "The Escrow Transactional Method", ACM TODS 1986) with leases instead of settling (Gray, Cheriton,
+"Leases", SOSP 1989):
 
-- The lender does without the part from its grant until `duration` and a margin later; the borrower spends it
+- The lender does without the share from its grant until `duration` and a margin later; the borrower spends it
   until `duration` after its own request, which came before the grant. Clocks are not compared; they only have
   to run alike to within the margin. So whatever is lost, duplicated, late or partitioned, the borrower stops
   first.
-- A member that has just started may have lent parts in an earlier incarnation. It asks all others what they
+- A member that has just started may have lent shares in an earlier incarnation. It asks all others what they
   have borrowed from it and does without that; a member that answers also drops its pending requests to the
   earlier incarnation, so that no grant still in flight counts. Until all have answered, or every loan of an
   earlier incarnation has expired, it spends no more than `reserved_part`, which is never lent.
-- The part of a dead member stays unused, except for what it had lent: the member may be alive behind a
+- The share of a dead member stays unused, except for what it had lent: the member may be alive behind a
   partition. That is the price of never exceeding the budget; operators can take the member out of their
   settings.
 
-Parts are multiples of the equal part: 1.0 is what the settings give this member. Times in µs.
+Shares are multiples of the equal share: 1.0 is what the settings give this member. Times in µs.
 """
 
 import random
@@ -32,10 +32,10 @@
 class LoanTerms:
     duration: int = 2_000_000  # of a loan, µs
     clock_margin: float = 0.05  # maximum difference in the rates of two clocks
-    reserved_part: float = 0.25  # of the own part; never lent
+    reserved_share: float = 0.25  # of the own share; never lent
     headroom: float = 1.25  # times the recent usage, which is not lent either
     min_loan: float = 0.05  # smaller loans are not worth a message
-    max_part: float = 4.0  # a member spends no more than this: one core cannot make more calls
+    max_share: float = 4.0  # a member spends no more than this: one core cannot make more calls
     max_lenders_per_round: int = 3  # members asked in one round
 
 
@@ -51,13 +51,13 @@
         self.recovering_until = now + self._lending_period()
         # May have borrowed from an earlier incarnation; removed when they answer
         self.unanswered = set(peers)
-        # (borrower, number) -> part, until; removed when expired
+        # (borrower, number) -> share, until; removed when expired
         self.lent: dict[tuple[str, int], tuple[float, int]] = {}
-        # (lender, number) -> part, until; removed when expired
+        # (lender, number) -> share, until; removed when expired
         self.borrowed: dict[tuple[str, int], tuple[float, int]] = {}
         # (lender, number) -> time; removed at the answer or after `duration`
         self.requested: dict[tuple[str, int], int] = {}
-        self.idle_parts: dict[str, float] = {}  # lendable part that each member reported last
+        self.idle_shares: dict[str, float] = {}  # lendable share that each member reported last
         # Random, so that it differs from that of an earlier incarnation.
         self.request_number = self.incarnation = chance.randrange(1 << 30)
         self.usage = 0.0
@@ -67,29 +67,29 @@
     def _lending_period(self) -> int:
         return round(self.terms.duration * (1 + 2 * self.terms.clock_margin))
 
-    def part(self, now: int) -> float:
-        """The part that this member may spend at `now`."""
-        own = max(0.0, 1.0 - sum(part for part, until in self.lent.values() if now < until))
+    def share(self, now: int) -> float:
+        """The share that this member may spend at `now`."""
+        own = max(0.0, 1.0 - sum(share for share, until in self.lent.values() if now < until))
         if now < self.recovering_until:
-            own = min(own, self.terms.reserved_part)
-        return own + sum(part for part, until in self.borrowed.values() if now < until)
+            own = min(own, self.terms.reserved_share)
+        return own + sum(share for share, until in self.borrowed.values() if now < until)
 
-    def lendable_part(self, now: int) -> float:
+    def lendable_share(self, now: int) -> float:
         """What it can lend now: nothing while it borrows or recovers from a restart."""
         if now < self.recovering_until or any(now < until for _, until in self.borrowed.values()):
             return 0.0
-        own = 1.0 - sum(part for part, until in self.lent.values() if now < until)
-        return max(0.0, own - max(self.terms.reserved_part, self.terms.headroom * self.usage))
+        own = 1.0 - sum(share for share, until in self.lent.values() if now < until)
+        return max(0.0, own - max(self.terms.reserved_share, self.terms.headroom * self.usage))
 
     def tick(self, now: int, alive: Sequence[str], usage: float, desired: float) -> None:
-        """`usage`: parts spent recently; `desired`: parts it would spend. Requests the shortfall, first from
-        the members with the most lendable part, the others in random order."""
+        """`usage`: shares spent recently; `desired`: shares it would spend. Requests the shortfall, first
+        from the members with the most lendable share, the others in random order."""
         self.usage = usage
         self.lent = {loan: lent for loan, lent in self.lent.items() if now < lent[1]}
         self.borrowed = {loan: had for loan, had in self.borrowed.items() if now < had[1]}
         self.requested = {ask: at for ask, at in self.requested.items() if now < at + self.terms.duration}
         # expects current loans to expire meanwhile
-        shortfall = min(desired, self.terms.max_part) - self.part(now + self.terms.duration // 2)
+        shortfall = min(desired, self.terms.max_share) - self.share(now + self.terms.duration // 2)
         if now < self.next_request:
             return
         self.next_request = now + self.terms.duration // 8
@@ -102,7 +102,7 @@
             return
         order = list(alive)
         self.chance.shuffle(order)
-        order.sort(key=lambda name: -self.idle_parts.get(name, 0.5))
+        order.sort(key=lambda name: -self.idle_shares.get(name, 0.5))
         for name in order[: self.terms.max_lenders_per_round]:
             self.request_number += 1
             self.requested[(name, self.request_number)] = now
@@ -116,17 +116,17 @@
 
     def receive(self, now: int, message: dict) -> None:
         """KeyError, TypeError or ValueError for a malformed message."""
-        sender, number, part = message["from"], int(message["n"]), float(message["part"])
-        if sender not in self.peers or not 0 <= part <= self.terms.max_part:
-            raise ValueError(f"{sender}: is not a peer, or the part is out of range")
+        sender, number, share = message["from"], int(message["n"]), float(message["part"])
+        if sender not in self.peers or not 0 <= share <= self.terms.max_share:
+            raise ValueError(f"{sender}: is not a peer, or the share is out of range")
         if message["k"] == REQUEST:
-            granted = self._lend(now, sender, number, part)
+            granted = self._lend(now, sender, number, share)
             response = {
                 "k": GRANT,
                 "from": self.me,
                 "n": number,
                 "part": granted,
-                "idle": round(self.lendable_part(now), 3),
+                "idle": round(self.lendable_share(now), 3),
             }
             self.outbox.append((sender, response))
         elif message["k"] == RESTARTED:
@@ -135,36 +135,36 @@
                 loan for (lender, _), loan in self.borrowed.items() if lender == sender and now < loan[1]
             ]
             left = max((until - now for _, until in loans), default=0)
-            outstanding = round(sum(part for part, _ in loans), 3)
+            outstanding = round(sum(share for share, _ in loans), 3)
             response = {"k": OUTSTANDING, "from": self.me, "n": number, "part": outstanding, "left": left}
             self.outbox.append((sender, response))
         elif message["k"] == OUTSTANDING:
             if number == self.incarnation and sender in self.unanswered:
-                self._on_outstanding(now, sender, part, min(int(message["left"]), self.terms.duration))
+                self._on_outstanding(now, sender, share, min(int(message["left"]), self.terms.duration))
         elif (at := self.requested.pop((sender, number), None)) is not None:
-            self.idle_parts[sender] = float(message["idle"])
-            if part and now < at + self.terms.duration:
-                self.borrowed[(sender, number)] = part, at + self.terms.duration
+            self.idle_shares[sender] = float(message["idle"])
+            if share and now < at + self.terms.duration:
+                self.borrowed[(sender, number)] = share, at + self.terms.duration
 
-    def _on_outstanding(self, now: int, borrower: str, part: float, left: int) -> None:
+    def _on_outstanding(self, now: int, borrower: str, share: float, left: int) -> None:
         """Books what an earlier incarnation of this member has lent as lent until it expires."""
         self.unanswered.discard(borrower)
-        if part:
-            self.lent[(borrower, -1)] = part, now + round(left * (1 + 2 * self.terms.clock_margin))
+        if share:
+            self.lent[(borrower, -1)] = share, now + round(left * (1 + 2 * self.terms.clock_margin))
         if not self.unanswered and self.peers_are_fixed:
             self.recovering_until = min(self.recovering_until, now)
 
-    def _lend(self, now: int, borrower: str, number: int, part: float) -> float:
+    def _lend(self, now: int, borrower: str, number: int, share: float) -> float:
         if (known := self.lent.get((borrower, number))) is not None:
             return known[0]  # a duplicate of the same request
-        granted = round(min(part, self.lendable_part(now)) - 0.0005, 3)
+        granted = round(min(share, self.lendable_share(now)) - 0.0005, 3)
         if granted < self.terms.min_loan:
             return 0.0
         self.lent[(borrower, number)] = granted, now + self._lending_period()
         return granted
 
 
-def desired_part(usage: float, part: float, starved: bool) -> float:
-    """The part that a member would spend: half as much again as it has while requests wait because the call
+def desired_share(usage: float, share: float, starved: bool) -> float:
+    """The share that a member would spend: half as much again as it has while requests wait because the call
     budget is spent."""
-    return max(1.5 * part, 1.25 * usage) if starved else 1.25 * usage
+    return max(1.5 * share, 1.25 * usage) if starved else 1.25 * usage
--- a/crowwing/fleet/uses/idempotency_keys.py
+++ b/crowwing/fleet/uses/idempotency_keys.py
@@ -157,9 +157,8 @@
         if result is ClaimResult.OURS:
             self.own_grants[claim.key] = Grant(self.owner, now + claim.window, claim.claim_number)
         else:
-            self._send_release(
-                now, claim.key, claim.claim_number
-            )  # also grants whose message is still on its way
+            # Also releases grants whose message is still on its way.
+            self._send_release(now, claim.key, claim.claim_number)
         claim.on_result(result, answer)
 
     # Time and messages
--- a/crowwing/fleet/uses/quota.py
+++ b/crowwing/fleet/uses/quota.py
@@ -1,20 +1,20 @@
 """Division of a customer's quota among the members by use. Pure.
 
-The settings give each member an equal part of a customer's quota. If a customer's requests reach only a few
-members, those parts are spent while the others stay unused. Each member counts the requests of each customer
+The settings give each member an equal share of a customer's quota. If a customer's requests reach only a few
+members, those shares are spent while the others stay unused. Each member counts the requests of each customer
 in a window and publishes the count when the window is over, under its own key
 (`use/customer/window/member.incarnation`), so counters never conflict, and a restarted member counts under
-another incarnation. Members believed dead keep their equal part of the quota (they may serve behind a
+another incarnation. Members believed dead keep their equal share of the quota (they may serve behind a
 partition, and the two sides must not exceed the quota together); the rest is divided by use.
 
-A window counts all requests that arrived, not only those within the quota: the part follows the demand.
+A window counts all requests that arrived, not only those within the quota: the share follows the demand.
 """
 
 from collections import Counter
 from collections.abc import Iterable
 
-WINDOWS = 3  # the last complete ones, which the parts are computed from
-MIN_PART = 0.1  # of an equal part, for a member without use: its next requests are not all over quota
+WINDOWS = 3  # the last complete ones, which the shares are computed from
+MIN_SHARE = 0.1  # of an equal share, for a member without use: its next requests are not all over quota
 
 
 def usage_key(customer: str, window: int, member: str, incarnation: str) -> str:
@@ -38,13 +38,13 @@
     return usage
 
 
-def quota_part(usage: Counter[str], me: str, alive: Iterable[str], size: int) -> float:
-    """This member's part of a customer's quota, as a multiple of the equal part. `alive`: other members
-    believed alive; `size`: all members in the settings. If all members see the same, their parts add up to
+def quota_share(usage: Counter[str], me: str, alive: Iterable[str], size: int) -> float:
+    """This member's share of a customer's quota, as a multiple of the equal share. `alive`: other members
+    believed alive; `size`: all members in the settings. If all members see the same, their shares add up to
     `size` minus the members believed dead."""
     members = [me, *alive]
     total = sum(usage[name] for name in members)
     if total <= 0:
         return 1.0
-    floor = MIN_PART * len(members)
-    return MIN_PART + (len(members) - floor) * usage[me] / total
+    floor = MIN_SHARE * len(members)
+    return MIN_SHARE + (len(members) - floor) * usage[me] / total
--- a/crowwing/program/together.py
+++ b/crowwing/program/together.py
@@ -15,7 +15,7 @@
 from crowwing.contract import WireNames
 from crowwing.fleet.state.replica import EntryRejectedError
 from crowwing.fleet.uses import learned_start, quota
-from crowwing.fleet.uses.call_budget_loans import desired_part
+from crowwing.fleet.uses.call_budget_loans import desired_share
 from crowwing.fleet.uses.rejection_prints import RejectionPrints
 from crowwing.logic.feedback import MIN_SAMPLES
 from crowwing.logic.load_manager import LoadManager
@@ -87,9 +87,9 @@
             used = (manager.call_total - spent) / (now - at) / manager.call_rate
             self.used += (used - self.used) / MEMORY
         starved = bool(manager.call_queue) and manager.spent > manager.call_burst / 2
-        want = desired_part(self.used, loans.part(now), starved)
+        want = desired_share(self.used, loans.share(now), starved)
         loans.tick(now, self.member.membership.alive(), self.used, want)
-        return loans.part(now)
+        return loans.share(now)
 
     def _share(self) -> None:
         wall = self.link.wall()
@@ -105,7 +105,7 @@
         alive, size = self.member.membership.alive(), len(self.member.membership.members) + 1
         empty: Counter[str] = Counter()
         self.parts = [
-            quota.quota_part(use.get(customer, empty), self.member.me, alive, size)
+            quota.quota_share(use.get(customer, empty), self.member.me, alive, size)
             for customer in self.names.customers
         ]
 
@@ -153,7 +153,7 @@
         told: dict = {"fleet_entries": sum(len(kept.replica.entries) for kept in self.member.disseminations)}
         if self.lends:
             told |= {
-                "call_part": round(self.member.loans.part(self.link.now()), 2),
+                "call_part": round(self.member.loans.share(self.link.now()), 2),
                 "call_use": round(self.used, 2),
             }
         if self.shares:
--- a/tests/test_cells_older.py
+++ b/tests/test_cells_older.py
@@ -202,11 +202,11 @@
 
             def turn(member: Member, now: int, wall: int, name: str = name) -> None:
                 loans = member.loans
-                loans.tick(now, member.membership.alive(), min(use[name], loans.part(now)), use[name])
+                loans.tick(now, member.membership.alive(), min(use[name], loans.share(now)), use[name])
                 member.tick(now, wall)
 
             world.run_on(name, turn)
-            parts[name] = member.loans.part(world.now)
+            parts[name] = member.loans.share(world.now)
         assert sum(parts.values()) <= len(world.names) + 1e-9
         assert all(sum(parts[n] for n in r) <= len(r) + 1e-9 for r in world.layout.rosters.values())
         most = max(most, parts[roster[0]])
--- a/tests/test_fleet_decides.py
+++ b/tests/test_fleet_decides.py
@@ -13,7 +13,7 @@
     RESTARTED,
     CallBudgetLoans,
     LoanTerms,
-    desired_part,
+    desired_share,
 )
 from crowwing.fleet.uses.idempotency_keys import ClaimResult, IdempotencyKeys, home_members
 from crowwing.fleet.uses.rejection_prints import MAX_PRINTS, RejectionPrints
@@ -82,10 +82,10 @@
             born(chance.choice(names))  # killed, and restarted without memory of what it lent
         for name, loans in net.parts.items():
             if net.still.get(name, 0) <= net.now:
-                part = loans.part(net.time(name))
+                part = loans.share(net.time(name))
                 loans.tick(net.time(name), [o for o in names if o != name], min(use[name], part), use[name])
                 net.carry(name)
-        parts = [loans.part(net.time(name)) for name, loans in net.parts.items()]
+        parts = [loans.share(net.time(name)) for name, loans in net.parts.items()]
         assert sum(parts) <= len(names) + 1e-9, parts
         borrowed = max(borrowed, max(parts))
     assert borrowed > 1.5, "a busy one did get more"
@@ -103,22 +103,22 @@
         for _ in range(round(seconds * 100)):
             net.step(10_000)
             for name, loans in net.parts.items():
-                part = loans.part(net.now)
+                part = loans.share(net.now)
                 loans.tick(net.now, [o for o in names if o != name], min(use[name], part), use[name])
                 net.carry(name)
 
     run(6)
-    assert net.parts["a"].part(net.now) > 2.0 and net.parts["d"].part(net.now) >= 0.9
+    assert net.parts["a"].share(net.now) > 2.0 and net.parts["d"].share(net.now) >= 0.9
     use.update(a=0.1, b=1.0)
     run(5)
-    assert net.parts["b"].part(net.now) >= 0.95
+    assert net.parts["b"].share(net.now) >= 0.95
 
 
 def test_a_member_that_starts_spends_no_more_than_is_never_lent_until_old_loans_are_out() -> None:
     terms = LoanTerms()
     loans = CallBudgetLoans("a", ["b"], 0, random.Random(1), terms)
-    assert loans.part(0) == terms.reserved_part and loans.lendable_part(0) == 0.0
-    assert loans.part(round(terms.duration * 1.11)) == 1.0
+    assert loans.share(0) == terms.reserved_share and loans.lendable_share(0) == 0.0
+    assert loans.share(round(terms.duration * 1.11)) == 1.0
 
 
 def test_one_that_starts_learns_what_it_had_lent_and_a_grant_under_way_then_no_longer_counts() -> None:
@@ -133,9 +133,9 @@
     for other in (b, c):
         for _, message in other.outbox:
             started.receive(1000, message)
-    assert started.part(1000) == pytest.approx(0.6) and started.part(2 * S) == 1.0
+    assert started.share(1000) == pytest.approx(0.6) and started.share(2 * S) == 1.0
     c.receive(1000, {"k": 21, "from": "a", "n": 6, "part": 0.5, "idle": 0.0})
-    assert c.part(1000) == 1.0
+    assert c.share(1000) == 1.0
 
 
 def test_one_whose_earlier_life_may_have_lent_elsewhere_waits_its_loans_out() -> None:
@@ -145,8 +145,8 @@
         member.tick(0, ["b"], 0.0, 0.0)
         number = next(told["n"] for _, told in member.outbox if told["k"] == RESTARTED)
         member.receive(1000, {"k": OUTSTANDING, "from": "b", "n": number, "part": 0, "left": 0})
-        assert (member.part(2000) == 1.0) is knows_all
-        assert member.part(2_200_001) == 1.0, "every loan of an earlier life has run out"
+        assert (member.share(2000) == 1.0) is knows_all
+        assert member.share(2_200_001) == 1.0, "every loan of an earlier life has run out"
 
 
 def test_a_grant_that_comes_late_counts_from_the_asking_and_a_stranger_gets_none() -> None:
@@ -155,12 +155,12 @@
     _, ask = loans.outbox.pop()
     told = {"k": 21, "from": "b", "n": ask["n"], "part": 0.5, "idle": 0.0}
     loans.receive(4 * S, told)
-    assert loans.part(4 * S) == 1.5 and loans.part(5 * S) == 1.0
+    assert loans.share(4 * S) == 1.5 and loans.share(5 * S) == 1.0
     loans.receive(4 * S, told)
-    assert loans.part(4 * S) == 1.5, "a copy lends nothing twice"
+    assert loans.share(4 * S) == 1.5, "a copy lends nothing twice"
     with pytest.raises(ValueError):
         loans.receive(0, {"k": 20, "from": "z", "n": 1, "part": 0.5})
-    assert desired_part(0.4, 1.0, False) == 0.5 and desired_part(0.4, 1.0, True) == 1.5
+    assert desired_share(0.4, 1.0, False) == 0.5 and desired_share(0.4, 1.0, True) == 1.5
 
 
 MEMBERS = ["a", "b", "c", "d", "e"]
@@ -282,16 +282,16 @@
 def test_parts_of_a_quota_follow_use_add_up_and_leave_the_dead_theirs() -> None:
     use = Counter({"a": 90, "b": 10})
     parts = {
-        me: quota.quota_part(use, me, [n for n in "abcd" if n != me], 5) for me in "abcd"
+        me: quota.quota_share(use, me, [n for n in "abcd" if n != me], 5) for me in "abcd"
     }  # e is believed dead
     assert (
         sum(parts.values()) == pytest.approx(4)
         and parts["a"] > 3
-        and parts["c"] == pytest.approx(quota.MIN_PART)
+        and parts["c"] == pytest.approx(quota.MIN_SHARE)
     )
-    assert quota.quota_part(Counter(), "a", ["b"], 2) == 1.0
-    left = [quota.quota_part(use, me, [n for n in "ab" if n != me], 4) for me in "ab"]
-    right = [quota.quota_part(use, me, [n for n in "cd" if n != me], 4) for me in "cd"]
+    assert quota.quota_share(Counter(), "a", ["b"], 2) == 1.0
+    left = [quota.quota_share(use, me, [n for n in "ab" if n != me], 4) for me in "ab"]
+    right = [quota.quota_share(use, me, [n for n in "cd" if n != me], 4) for me in "cd"]
     assert sum(left) + sum(right) == pytest.approx(4), "two sides of a cut never pass the quota together"
 
 
