--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -24,7 +24,7 @@
 
 @settings(max_examples=150, derandomize=True, deadline=None)
 @given(places=fleets, most=mosts)
-def test_every_member_is_in_one_cell_of_its_own_zone_and_none_is_larger_than_it_may_be(
+def test_every_member_is_in_one_cell_of_its_zone_within_the_maximum_size(
     places: dict[str, tuple[str, str]], most: int
 ) -> None:
     layout = CellLayout(places, most)
@@ -40,14 +40,16 @@
 
 @settings(max_examples=100, derandomize=True, deadline=None)
 @given(places=fleets, most=mosts, chance=st.randoms(use_true_random=False))
-def test_cells_are_worked_out_alike_whatever_the_order_of_the_list(
+def test_the_layout_does_not_depend_on_the_order_of_the_list(
     places: dict[str, tuple[str, str]], most: int, chance: random.Random
 ) -> None:
     order = list(places)
     chance.shuffle(order)
     one, other = CellLayout(places, most), CellLayout({name: places[name] for name in order}, most)
     assert one.cell_of == other.cell_of
-    assert list(one.rosters.items()) == list(other.rosters.items()), "in one order, so that words are alike"
+    assert list(one.rosters.items()) == list(other.rosters.items()), (
+        "in a fixed order, so that equal lists are equal"
+    )
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
@@ -69,14 +71,14 @@
     assert all(before.rosters[cell] == after.rosters[cell] for cell in left - {joined})
 
 
-def test_members_of_one_place_are_one_cell_while_they_fit_and_two_when_they_do_not() -> None:
+def test_a_zone_is_one_cell_up_to_the_maximum_size_and_two_above() -> None:
     places = {f"m{n}": ("west", "w1") for n in range(50)}
     assert set(CellLayout(places, 50).rosters) == {"west/w1/"}
     split = CellLayout(places | {"m50": ("west", "w1")}, 50)
     assert set(split.rosters) == {"west/w1/0", "west/w1/1"}
 
 
-def test_speakers_are_the_first_of_those_alive_and_the_same_for_all_that_see_alike() -> None:
+def test_speakers_are_the_first_alive_by_rank_and_the_same_for_equal_views() -> None:
     layout = CellLayout({f"m{n}": ("west", "w1") for n in range(8)}, 8)
     roster = layout.rosters["west/w1/"]
     assert layout.speakers("west/w1/", set(roster)) == roster[:SPEAKER_COUNT]
@@ -86,7 +88,7 @@
     assert layout.quorum_members("west/w1/") == roster[:QUORUM_MEMBER_COUNT], "whoever is alive"
 
 
-def test_cells_out_of_reach_are_told_in_as_few_words_as_can_be() -> None:
+def test_unreachable_cells_are_listed_with_the_fewest_prefixes() -> None:
     places = {f"m{n}": ZONES[n % 3] for n in range(60)}
     layout = CellLayout(places, 8)
     east = [cell for cell in layout.rosters if cell.startswith("east/")]
@@ -103,7 +105,7 @@
 # Reachability
 
 
-def reach(cell: str = "a", seed: int = 1, speaks: bool = True) -> tuple[CellReachability, CellLayout]:
+def reachability(cell: str = "a", seed: int = 1, speaks: bool = True) -> tuple[CellReachability, CellLayout]:
     places = {f"{zone}{n}": ("r", zone) for zone in "abc" for n in range(4)}
     layout = CellLayout(places, 4)
     one = CellReachability(layout.rosters[f"r/{cell}/"][0], layout, 0, random.Random(seed), TIMING)
@@ -136,8 +138,8 @@
 
 
 @pytest.mark.parametrize("message", NONE_OF_OURS)
-def test_what_is_no_message_of_another_cell_changes_nothing(message: dict) -> None:
-    one, _ = reach()
+def test_a_message_that_is_not_from_another_cell_changes_nothing(message: dict) -> None:
+    one, _ = reachability()
     one.outbox.clear()
     before = (
         state(one),
@@ -152,26 +154,26 @@
     assert one.outbox == []
 
 
-def test_one_of_our_cell_that_holds_it_for_two_gets_an_answer_and_a_refutation() -> None:
+def test_a_member_of_our_cell_with_newer_settings_gets_an_answer_and_a_refutation() -> None:
     """The other member has newer settings, in which our part of the cell has another name."""
-    one, _ = reach()
+    one, _ = reachability()
     one.outbox.clear()
     before = state(one), dict(one.contacts)
     one.receive(S, ping("a1", news=[["r/a/0", DEAD, 3, "r/a/1"], ["r/b/", DEAD, 9, "r/a/1"]]), [4, 4, 0, ""])
-    assert (state(one), one.contacts) == before, "nothing else is taken from it"
+    assert (state(one), one.contacts) == before, "nothing else in it has an effect"
     assert one.outbox == [("a1", {"k": int(Kind.ACK), "from": one.me, "inc": 4, "seq": 7, "cell": 1})]
 
 
-def test_news_of_a_cell_that_is_none_of_the_fleet_changes_nothing_and_its_message_counts() -> None:
-    one, _ = reach()
+def test_an_update_about_an_unknown_cell_is_ignored_and_its_message_counts() -> None:
+    one, _ = reachability()
     told = [["r/z/", DEAD, 3, "r/b/"], ["q/a/", SUSPECT, 0, "r/b/"], ["r/b/0", DEAD, 9, "r/b/"]]
     one.receive(S, ping("b1", news=told))
     assert state(one) == {"r/b/": (ALIVE, 0), "r/c/": (ALIVE, 0)} and one.unreachable_cells() == frozenset()
     assert one.contacts == {"r/b/": ["b1"]}
 
 
-def test_a_row_is_kept_a_cell_and_what_is_too_long_is_cut() -> None:
-    one, _ = reach()
+def test_one_status_is_stored_per_cell_and_a_long_digest_is_truncated() -> None:
+    one, _ = reachability()
     one.receive(S, ping("b1", row=[3, 4, 1000, "f" * 5000]))
     one.receive(S, ping("b2", row=[2, 4, 2000, "e"]))
     assert one.cell_status == {"r/b/": [2, 4, 2000, "e"]}
@@ -179,8 +181,8 @@
     assert one.cell_status["r/b/"][3] == "f" * 16
 
 
-def test_every_member_answers_for_its_cell_and_says_its_row_and_only_speakers_probe() -> None:
-    silent, layout = reach(speaks=False)
+def test_every_member_answers_for_its_cell_with_its_status_and_only_speakers_probe() -> None:
+    silent, layout = reachability(speaks=False)
     assert silent.wake_at() is None
     for at in range(1, 40):
         silent.tick(at * 100_000, False, frozenset())
@@ -188,37 +190,37 @@
     silent.receive(5 * S, ping("b3"), None)
     [(to, told)] = silent.outbox
     assert to == "b3" and told["k"] == Kind.ACK and told["cell"] == 1 and "row" not in told
-    speaker, _ = reach()
+    speaker, _ = reachability()
     speaker.receive(S, ping("b3"), [4, 4, 0, "d"])
     acks = [(to, told["row"]) for to, told in speaker.outbox if told["k"] == Kind.ACK]
     assert acks == [("b3", [4, 4, 0, "d"])]
 
 
-def test_a_death_heard_of_is_a_suspicion_that_an_answer_lifts() -> None:
-    one, _ = reach()
+def test_a_reported_death_is_a_suspicion_that_an_answer_clears() -> None:
+    one, _ = reachability()
     one.receive(S, ping("c0", news=[["r/b/", DEAD, 0, "r/c/"]]))
     assert state(one)["r/b/"] == (SUSPECT, 0) and one.unreachable_cells() == frozenset()
     one.receive(S + 1, ping("b2", inc=1))
     assert state(one)["r/b/"] == (ALIVE, 1)
 
 
-def test_any_member_refutes_its_cells_death_and_says_so_to_whoever_answered() -> None:
-    one, _ = reach(speaks=False)
+def test_any_member_refutes_the_death_of_its_cell_to_the_member_that_answered() -> None:
+    one, _ = reachability(speaks=False)
     one.outbox.clear()
     # A non-speaker gets answers only to relayed probes.
     one.receive(S, ping("b1", news=[["r/a/", DEAD, 4, "r/b/"]]))
     [(to, told)] = one.outbox
     assert to == "b1" and told["inc"] == 5 and ["r/a/", ALIVE, 5, "r/a/"] in told["news"]
-    speaker, _ = reach()
+    speaker, _ = reachability()
     speaker.outbox.clear()
     ack = {"k": int(Kind.ACK), "from": "b1", "inc": 0, "seq": 0, "cell": 1}
     speaker.receive(S, ack | {"news": [["r/a/", DEAD, 4, "r/b/"]]})
     assert [(to, told["k"], told["inc"]) for to, told in speaker.outbox] == [("b1", Kind.PING, 5)]
 
 
-def test_a_probe_that_goes_unanswered_goes_to_another_of_that_cell_before_helpers_are_asked() -> None:
+def test_an_unanswered_probe_goes_to_another_member_of_the_cell_as_well() -> None:
     for seed in range(20):
-        one, layout = reach(seed=seed)
+        one, layout = reachability(seed=seed)
         now = 0
         while one.swim.probe is None:
             now = one.wake_at()
@@ -235,8 +237,8 @@
         assert one.swim.probe is None
 
 
-def test_one_that_comes_back_is_a_sign_for_all_and_they_are_asked_once_in_a_while() -> None:
-    one, layout = reach()
+def test_a_cell_that_comes_back_triggers_a_rate_limited_sweep() -> None:
+    one, layout = reachability()
     for seen in one.swim.members.values():
         seen.state = DEAD
     one.outbox.clear()
@@ -252,11 +254,11 @@
     assert back(S + SWEEP_EVERY - 1) == []
     assert back(S + SWEEP_EVERY) == ["r/c/"]
     one.tick(9 * S, False, frozenset())
-    assert back(19 * S) == [], "only speakers ask"
+    assert back(19 * S) == [], "only speakers send pings"
 
 
-def test_one_that_begins_to_speak_starts_from_what_its_cell_believes_not_from_what_it_overheard() -> None:
-    one, _ = reach(speaks=False)
+def test_a_new_speaker_starts_from_the_votes_of_its_cell() -> None:
+    one, _ = reachability(speaks=False)
     one.receive(S, ping("b1", news=[["r/c/", SUSPECT, 0, "r/b/"]]))
     one.tick(2 * S, True, frozenset({"r/b/"}))
     assert {cell: seen for cell, (seen, _) in state(one).items()} == {"r/b/": DEAD, "r/c/": ALIVE}
@@ -265,8 +267,8 @@
     assert one.unreachable_cells() == frozenset()
 
 
-def test_what_is_known_of_who_speaks_is_bounded_and_forgotten_with_their_silence() -> None:
-    one, layout = reach()
+def test_contacts_are_bounded_and_dropped_after_a_timeout() -> None:
+    one, layout = reachability()
     for n in range(4):
         one.receive(S + n, ping(f"b{n}"))
     assert one.contacts == {"r/b/": ["b1", "b2", "b3"]} and len(one.contacts["r/b/"]) == MAX_CONTACTS
@@ -281,8 +283,8 @@
     assert one._contact("r/b/") == "b0"
 
 
-def test_probes_carried_for_others_are_answered_to_who_asked_and_leave_nothing_behind() -> None:
-    one, _ = reach(speaks=False)
+def test_relayed_probes_are_answered_to_the_requester_and_removed() -> None:
+    one, _ = reachability(speaks=False)
     for n in range(50):
         one.receive(S, ping(f"b{n % 4}", seq=n) | {"k": int(Kind.PING_REQ), "target": "r/c/"})
     assert len(one.relay_requesters) == 50 and one.wake_at() is not None
--- a/tests/test_cells_doubt.py
+++ b/tests/test_cells_doubt.py
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("lost", [LOST_ZONE, LOST_REGION], ids=["zone", "region"])
-def test_a_lost_zone_or_region_is_found_in_a_quarter_of_the_time_and_nobody_else_is_doubted(
+def test_a_lost_zone_or_region_is_found_in_a_quarter_of_the_time_without_false_suspicions(
     seed: int, lost: frozenset[str]
 ) -> None:
     one = Alone(seed)
@@ -82,11 +82,11 @@
     assert one.states(ALIVE) == set(LAYOUT.rosters) - lost - {LAYOUT.cell_of["me"]}
 
 
-def test_cells_in_doubt_are_asked_a_few_a_period_and_at_rest_none() -> None:
+def test_doubted_cells_are_pinged_a_few_per_period_and_none_at_rest() -> None:
     one = Alone(7)
     for _ in range(60):
         one.period()
-        assert one.bare == 0, "nothing is in doubt"
+        assert one.bare == 0, "no cell is doubted"
     one.lost = LOST_REGION
     most = 0
     for _ in range(80):
@@ -99,12 +99,10 @@
     one.periods_until(lambda: one.states(*GONE) == LOST_REGION, 200)
     for _ in range(20):
         one.period()
-        assert one.bare == 0 and not one.reachability.doubt_pings, (
-            "who is held out of reach is the probes' to look for"
-        )
+        assert one.bare == 0 and not one.reachability.doubt_pings, "unreachable cells are left to the probes"
 
 
-def test_a_neighbour_is_suspected_only_after_a_second_silence() -> None:
+def test_a_neighbour_is_suspected_only_after_a_second_timeout() -> None:
     one = Alone(3)
     for _ in range(SILENT_PERIODS + 1):
         one.period()
@@ -115,11 +113,11 @@
     before = Counter(one.asked)
     for _ in range(2 * len(others)):
         one.period()
-    assert all(one.asked[cell] > before[cell] for cell in others), "all of its zone were asked"
+    assert all(one.asked[cell] > before[cell] for cell in others), "all of its zone were pinged"
     assert one.states(SUSPECT, *GONE) == {gone}
 
 
-def test_one_that_begins_to_speak_again_has_nobody_in_doubt() -> None:
+def test_a_member_that_becomes_speaker_again_has_no_doubted_cells() -> None:
     one = Alone(5)
     one.lost = LOST_ZONE
     one.periods_until(lambda: one.reachability.doubt_pings, 4 * len(LAYOUT.rosters))
--- a/tests/test_cells_machine.py
+++ b/tests/test_cells_machine.py
@@ -122,9 +122,9 @@
         world = self.world
         world.is_partitioned, world.loss = lambda _, __: False, 0.0
         self._all_go_on(True)
-        assert until(world, lambda: len(world.roots()) == 1, 30 * S), "copies of what is for all differ"
+        assert until(world, lambda: len(world.roots()) == 1, 30 * S), "replicas of fleet-wide state differ"
         agree = lambda: near_agree(world) and world.views_agree() and nobody_suspected(world)  # noqa: E731
-        assert until(world, agree, 60 * S), "views or copies differ"
+        assert until(world, agree, 60 * S), "views or replicas differ"
         lost = []
         for where, told in self.acked.items():
             cell, key = where.split()
@@ -133,7 +133,7 @@
                 if key not in world.members[name].dissemination_of(key).replica.entries:
                     lost.append(f"{key} at {name}")
         assert not lost, f"acknowledged and lost: {lost}"
-        assert until(world, lambda: all(m.catch_up.is_current for m in running(world)), 20 * S), "not whole"
+        assert until(world, lambda: all(m.catch_up.is_current for m in running(world)), 20 * S), "not current"
         end = world.now + 10 * S
         while world.now < end:
             world.run_until(world.now + 200_000)
--- a/tests/test_cells_older.py
+++ b/tests/test_cells_older.py
@@ -50,7 +50,7 @@
     return [m for name, m in world.members.items() if m.layout is world.layout and name not in world.paused]
 
 
-def test_the_change_that_these_tests_make_splits_one_cell_of_which_one_becomes_alone() -> None:
+def test_the_change_of_these_tests_splits_a_cell_and_leaves_one_member_alone() -> None:
     assert FEW.rosters["west/w1/"] == ("m0", "m6", "m9", "m3")
     assert MANY.rosters["west/w1/0"] == ("m0",) and set(MANY.rosters["west/w1/1"]) == {
         "m12",
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("change", ["added", "taken out"])
 @pytest.mark.parametrize("older", [["m0"], ["m3"], ["m6", "m9"], ["m1"], HALF], ids="-".join)
-def test_a_copy_one_change_older_harms_nobody_and_ends_in_agreement(older: list[str], change: str) -> None:
+def test_settings_one_change_older_do_no_harm_and_views_agree(older: list[str], change: str) -> None:
     world = differing(older, change)
     names = [name for name in world.names if name not in world.paused]
     assert until(world, lambda: all(world.members[name].ready for name in names), 10 * S)
@@ -74,11 +74,11 @@
         world.run_until(world.now + 100_000)
         for member in of_after(world):
             gone = [n for n, seen in member.membership.members.items() if seen.state in GONE]
-            assert gone == [], f"{member.me} holds {gone} dead"
+            assert gone == [], f"{member.me} considers {gone} dead"
             assert not member.unreachable_cells(), (
-                f"{member.me} holds {member.unreachable_cells()} out of reach"
+                f"{member.me} considers {member.unreachable_cells()} unreachable"
             )
-    assert hold(world, *acked), "what is for all reaches all"
+    assert hold(world, *acked), "fleet-wide state reaches all"
     assert [name for name, _ in told(world, "catching_up")] == []
     # Two of its four quorum members
     few_know_it = {"m12"} if older == ["m6", "m9"] and change == "added" else set()
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("older", [["m0"], ["m3"], ["m1"], HALF], ids="-".join)
-def test_regions_that_lose_each_other_while_copies_differ_find_each_other_again(older: list[str]) -> None:
+def test_partitioned_regions_with_different_settings_find_each_other_again(older: list[str]) -> None:
     world = differing(older, "added", 3)
     assert until(world, lambda: all(m.ready for m in world.members.values()), 10 * S)
     world.run_until(world.now + 3 * S)
@@ -157,7 +157,7 @@
 ]  # fmt: skip
 
 
-def test_messages_that_are_none_of_the_fleets_change_nothing() -> None:
+def test_malformed_messages_change_nothing() -> None:
     world = fleet(15, 1, 4, layouts={"m3": CellLayout(places(15), 4)})  # and counts rejected messages
     for told_it in TO_M3:
         before = seen(world)
@@ -175,7 +175,7 @@
     assert not any("said/evil" in m.wide_dissemination.replica.entries for m in world.members.values())
 
 
-def test_a_probe_of_a_neighbour_is_answered_and_takes_nothing_of_what_it_says() -> None:
+def test_a_probe_under_other_settings_is_answered_and_its_content_ignored() -> None:
     """The prober has other settings, which put it into this cell."""
     world = fleet(15, 1, 4)
     before = seen(world)
@@ -190,7 +190,7 @@
 # Loans and claims
 
 
-def test_calls_are_lent_within_a_cell_and_the_sum_never_passes_the_whole() -> None:
+def test_calls_are_lent_within_a_cell_and_the_sum_never_exceeds_the_budget() -> None:
     world = fleet(15, 1, 4)
     roster = of_cell(world, "m3")
     use = {name: 2.0 if name == roster[0] else 0.1 for name in world.names}
@@ -210,11 +210,11 @@
         assert sum(parts.values()) <= len(world.names) + 1e-9
         assert all(sum(parts[n] for n in r) <= len(r) + 1e-9 for r in world.layout.rosters.values())
         most = max(most, parts[roster[0]])
-    assert most > 1.5, "a busy one has what idle ones of its cell lent"
+    assert most > 1.5, "a busy member uses what idle members of its cell lent"
     assert all(set(m.loans.peers) == set(world.layout.peers(name)) for name, m in world.members.items())
 
 
-def test_a_label_is_granted_once_across_cells_and_not_twice_through_a_cut() -> None:
+def test_a_key_is_granted_once_across_cells_and_through_a_partition() -> None:
     world = fleet(15, 1, 4)
 
     def claim(name: str, label: str) -> list[ClaimResult]:
@@ -241,7 +241,7 @@
     assert granted >= 10
 
 
-def test_what_was_read_from_a_disk_goes_where_its_space_is_kept() -> None:
+def test_rows_of_a_snapshot_go_to_the_replica_of_their_keyspace() -> None:
     world = fleet(15, 1, 4)
     update(world, "m3", "said/x")
     update(world, "m3", "lesson/x")
--- a/tests/test_cells_processes.py
+++ b/tests/test_cells_processes.py
@@ -80,7 +80,7 @@
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=30)
 
 
-def test_members_know_their_cell_and_a_change_put_in_anywhere_reaches_all(tmp_path: Path) -> None:
+def test_members_know_their_cell_and_a_change_made_anywhere_reaches_all(tmp_path: Path) -> None:
     with started(tmp_path, 41) as rig:
         everyone = set(rig.names)
         assert rig.until(lambda: agree(rig, everyone), MOST) is not None
@@ -127,7 +127,7 @@
         )
 
 
-def test_regions_cut_from_each_other_say_so_in_a_word_and_nobody_leaves_the_list(tmp_path: Path) -> None:
+def test_partitioned_regions_publish_one_prefix_and_stay_ready(tmp_path: Path) -> None:
     with started(tmp_path, 42) as rig:
         everyone = set(rig.names)
         west = {name for name in rig.names if PLACES[name][0] == "west"}
@@ -145,11 +145,11 @@
         assert (
             rig.until(lambda: hold(rig, everyone, "said/west", "said/east", "said/alone"), MOST) is not None
         )
-    assert not lines(rig, "catching_up"), "nobody left the list"
+    assert not lines(rig, "catching_up"), "nobody became unready"
     nobody_of_another_cell(rig)
 
 
-def test_a_speaker_that_is_deaf_paused_or_killed_convinces_nobody(tmp_path: Path) -> None:
+def test_one_deaf_paused_or_killed_speaker_does_not_change_the_result(tmp_path: Path) -> None:
     with started(tmp_path, 43) as rig:
         everyone = set(rig.names)
         speaker, second = LAYOUT.rosters[WEST][:2]
@@ -161,7 +161,7 @@
             page = rig.state(second, f"reach/{speaker}")
             return page is not None and any("east/" in row[1] for row in page["rows"])
 
-        assert rig.until(says_so, MOST) is not None, "the deaf one says what it sees"
+        assert rig.until(says_so, MOST) is not None, "the deaf one publishes its vote"
         assert rig.until(lambda: agree(rig, everyone) and says_so(), MOST) is not None, "and is outvoted"
         assert put(rig, speaker, "said/deaf") and put(rig, "m5", "said/in")
         assert rig.until(lambda: hold(rig, everyone, "said/deaf", "said/in"), MOST) is not None
@@ -180,10 +180,10 @@
         asked = len([line for line in lines(rig, "fetched") if line["backend"] == speaker][-5:])
         assert asked <= 5
     elsewhere = [line for line in lines(rig, "catching_up") if line["backend"] != speaker]
-    assert not elsewhere, "nobody else left the list"
+    assert not elsewhere, "nobody else became unready"
 
 
-def test_speakers_that_die_at_once_are_followed_and_a_dead_cell_is_known_by_all(tmp_path: Path) -> None:
+def test_speakers_that_die_together_are_replaced_and_a_dead_cell_is_known_by_all(tmp_path: Path) -> None:
     with started(tmp_path, 44) as rig:
         everyone = set(rig.names)
         *speakers, last = LAYOUT.rosters[EAST]
@@ -209,7 +209,9 @@
     nobody_of_another_cell(rig)
 
 
-def test_one_that_restarts_behind_a_cut_serves_after_the_bound_and_asks_little(tmp_path: Path) -> None:
+def test_a_member_restarted_in_a_partition_serves_after_the_maximum_wait_and_sends_few_requests(
+    tmp_path: Path,
+) -> None:
     with started(tmp_path, 45) as rig:
         everyone = set(rig.names)
         name = LAYOUT.rosters[WEST][1]
--- a/tests/test_cells_starts.py
+++ b/tests/test_cells_starts.py
@@ -36,7 +36,7 @@
         member.wide_dissemination.replica.merge(world.wall(member.me), rows)
 
 
-def counted(world: SimulatedFleet, given: Counter, told_on: Counter) -> None:
+def counted(world: SimulatedFleet, given: Counter, spread_on: Counter) -> None:
     """Counts by member the bytes of rows sent for repairs of more than a datagram, and pushed as changes."""
     carry = world._flush
 
@@ -45,22 +45,22 @@
             if message["k"] == StateMessageKind.ROWS:
                 copied, rows = message.get("copy", 0), len(orjson.dumps(message["rows"]))
                 given[name] += rows if copied > 1 else 0
-                told_on[name] += rows if not copied else 0
+                spread_on[name] += rows if not copied else 0
         carry(name)
 
     world._flush = watched
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_cell_that_starts_whole_gives_within_bounds_tells_nothing_on_and_holds_all(seed: int) -> None:
+def test_a_cell_that_starts_completely_repairs_within_bounds_without_spreading(seed: int) -> None:
     world, count = fleet(75, seed, 30), 300
     filled(world, count)
     cell = of_cell(world, "m0")
     for name in cell:
         world.kill(name)
     world.run_until(world.now + 10 * S)
-    given, told_on = Counter(), Counter()
-    counted(world, given, told_on)
+    given, spread_on = Counter(), Counter()
+    counted(world, given, spread_on)
     for name in cell:
         world.restart(name, disk=False)
     began = world.now
@@ -73,12 +73,12 @@
     pace = world.settings.dissemination
     most = pace.repair_burst_bytes + pace.repair_bytes_per_s * 20 + pace.max_datagram_bytes
     assert max(given.values()) <= most
-    assert sum(told_on[name] for name in cell) < sum(given.values()) / 4, "a copy that is read is no news"
+    assert sum(spread_on[name] for name in cell) < sum(given.values()) / 4, "repaired rows do not spread"
     asked = Counter(name for _, name, _ in world.fetches)
     assert max(asked[name] for name in cell) <= 5
 
 
-def test_who_starts_empty_asks_one_whose_word_does_not_count_first_then_keepers_that_do_not_speak() -> None:
+def test_an_empty_member_asks_a_bootstrap_peer_first_then_quorum_members_that_do_not_speak() -> None:
     world = fleet(45, 2, 15)
     filled(world, 50)
     name = of_cell(world, "m0")[-1]
@@ -95,7 +95,7 @@
     assert rows[0] >= 50 and sum(rows[1:]) <= 5, "the others have little to add"
 
 
-def test_who_starts_with_its_disk_asks_keepers_alone() -> None:
+def test_a_member_with_a_snapshot_asks_quorum_members_only() -> None:
     world = fleet(45, 2, 15)
     filled(world, 50)
     name = of_cell(world, "m0")[-1]
@@ -107,7 +107,7 @@
     assert len(asked) == 3 and set(asked) <= set(of_cell(world, "m0")[:5])
 
 
-def test_a_helper_that_hangs_does_not_put_off_the_bound_on_waiting() -> None:
+def test_a_hanging_bootstrap_peer_does_not_extend_the_maximum_wait() -> None:
     world = fleet(45, 2, 15)
     name = of_cell(world, "m0")[-1]
     world.kill(name)
@@ -123,7 +123,7 @@
 # Encoded digests
 
 
-def copy(count: int, first: int = 0) -> Replica:
+def replica_with(count: int, first: int = 0) -> Replica:
     kept = Replica("a", {name: space for name, space in KEYSPACES.items() if space.fleet_wide}, 10 * S)
     for n in range(first, first + count):
         kept.put(WALL, f"said/{n}", n, LIFE)
@@ -131,8 +131,8 @@
 
 
 @pytest.mark.parametrize("count", [0, 1, FEW_ENTRIES, FEW_ENTRIES + 1, 440])
-def test_packed_sums_tell_just_what_differs(count: int) -> None:
-    kept, other = copy(count), copy(0)
+def test_encoded_digests_show_exactly_what_differs(count: int) -> None:
+    kept, other = replica_with(count), replica_with(0)
     other.merge(WALL, list(kept.all_rows()))
     told = kept.encoded_digests()
     assert len(told) <= (0 if not count else 88 if count <= FEW_ENTRIES else 1368)
@@ -144,19 +144,21 @@
 
 
 @pytest.mark.parametrize("junk", ["x", "AAAA", "!" * 88, "é", "A" * 1372])
-def test_sums_that_are_none_are_refused(junk: str) -> None:
+def test_malformed_digests_are_rejected(junk: str) -> None:
     with pytest.raises(ValueError):
-        copy(3).differing_leaves(junk)
+        replica_with(3).differing_leaves(junk)
 
 
 # Changes
 
 
-def spread(pace: DisseminationSettings | None = None) -> Dissemination:
+def dissemination(pace: DisseminationSettings | None = None) -> Dissemination:
     """Of m0, which is not a quorum member of its cell of eight."""
     peers = [f"m{n}" for n in range(1, 8)]
     reached = CellScope(frozenset(peers[:5]), frozenset(peers))
-    return Dissemination("m0", peers, copy(0), 0, random.Random(1), pace or DisseminationSettings(), reached)
+    return Dissemination(
+        "m0", peers, replica_with(0), 0, random.Random(1), pace or DisseminationSettings(), reached
+    )
 
 
 def pushed(one: Dissemination) -> list[list[str]]:
@@ -165,8 +167,8 @@
     return told
 
 
-def test_news_goes_out_at_once_and_what_follows_it_closely_together() -> None:
-    one = spread()
+def test_a_change_is_pushed_at_once_and_close_ones_together() -> None:
+    one = dissemination()
     alive = sorted(one.peers)
     one.put(WALL, "said/0", 0, LIFE)
     one.tick(0, WALL, alive)
@@ -181,17 +183,17 @@
     assert not one.unpushed_keys
 
 
-def test_what_comes_by_comparing_much_is_no_news_and_a_little_is() -> None:
-    rows = list(copy(40).all_rows())
-    much, little = spread(), spread()
+def test_rows_of_a_large_repair_do_not_spread_and_those_of_a_small_one_do() -> None:
+    rows = list(replica_with(40).all_rows())
+    much, little = dissemination(), dissemination()
     much.receive(0, WALL, {"k": int(StateMessageKind.ROWS), "from": "m1", "rows": rows, "copy": 4})
     little.receive(0, WALL, {"k": int(StateMessageKind.ROWS), "from": "m1", "rows": rows[:1]})
     assert len(much.replica.entries) == 40 and not much.unpushed_keys and not much.hot_keys
     assert list(little.unpushed_keys) == list(little.hot_keys) == [rows[0][0]]
 
 
-def test_a_little_that_comes_by_comparing_is_news_but_not_to_one_that_has_just_started() -> None:
-    rows, one = list(copy(2).all_rows()), spread()
+def test_rows_of_a_small_repair_spread_except_just_after_the_start() -> None:
+    rows, one = list(replica_with(2).all_rows()), dissemination()
     give = {"k": int(StateMessageKind.ROWS), "from": "m1", "copy": 1}
     one.receive(one.settings.eager_sync_period - 1, WALL, give | {"rows": rows[:1]})
     assert len(one.replica.entries) == 1 and not one.unpushed_keys
@@ -199,8 +201,8 @@
     assert list(one.unpushed_keys) == [rows[1][0]]
 
 
-def test_much_that_differs_is_read_from_one_other_at_a_time() -> None:
-    one, far = spread(), copy(300, first=1000)
+def test_large_differences_are_requested_from_one_peer_at_a_time() -> None:
+    one, far = dissemination(), replica_with(300, first=1000)
     one.put(WALL, "said/mine", 1, LIFE)
     sums = {"k": int(StateMessageKind.DIGESTS), "groups": far.group_digests(), "n": 300}
     for name in ("m1", "m2", "m3"):
@@ -211,9 +213,9 @@
     assert [to for to, told in one.outbox if told["k"] == StateMessageKind.LEAF_DIGESTS] == ["m2"]
 
 
-def test_an_empty_copy_is_told_without_its_sums_and_given_all() -> None:
-    one, full = spread(), spread()
-    full.replica.merge(WALL, list(copy(30).all_rows()))
+def test_an_empty_replica_sends_no_digests_and_gets_everything() -> None:
+    one, full = dissemination(), dissemination()
+    full.replica.merge(WALL, list(replica_with(30).all_rows()))
     one.receive(
         0,
         WALL,
@@ -233,9 +235,9 @@
     assert sum(len(message["rows"]) for _, message in full.outbox) == 30
 
 
-def test_what_one_gives_by_comparing_is_bounded_and_comes_back_slowly() -> None:
-    one = spread()
-    one.replica.merge(WALL, list(copy(400).all_rows()))
+def test_the_repair_budget_is_bounded_and_refills_slowly() -> None:
+    one = dissemination()
+    one.replica.merge(WALL, list(replica_with(400).all_rows()))
 
     def gives(now: int) -> int:
         for n in range(30):
@@ -258,7 +260,7 @@
     assert gives(61 * S) <= 61 * pace.repair_bytes_per_s + pace.max_datagram_bytes
 
 
-def test_a_fetch_gives_up_a_connection_that_is_not_taken() -> None:
+def test_a_fetch_gives_up_a_connection_that_is_not_accepted() -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as full:
         full.bind(("127.0.0.1", 0))
         full.listen(0)
@@ -271,6 +273,6 @@
         began = time.monotonic()
         with pytest.raises(TimeoutError):
             asyncio.run(full_transfer.fetch(full.getsockname(), {"from": "a"}, 60.0))
-        assert time.monotonic() - began < 30, "far from the time for a whole copy"
+        assert time.monotonic() - began < 30, "far below the time-out of a full transfer"
         for one in waiting:
             one.close()
--- a/tests/test_cells_state.py
+++ b/tests/test_cells_state.py
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_change_put_in_anywhere_reaches_all_and_is_acknowledged(seed: int) -> None:
+def test_a_change_made_anywhere_reaches_all_and_is_acknowledged(seed: int) -> None:
     world = fleet(15, seed, 4)
     world.loss = 0.01
     acked = {f"said/{name}": update(world, name, f"said/{name}", wait=2 * S) for name in world.names}
@@ -52,7 +52,7 @@
     assert not any(m.wide_dissemination.pending_updates for m in world.members.values())
 
 
-def test_what_is_acknowledged_is_held_by_a_majority_of_the_cells_keepers_and_no_other_counts() -> None:
+def test_an_acknowledgement_needs_a_majority_of_the_cells_quorum_members() -> None:
     world = fleet(45, 1, 9)
     for cell, roster in world.layout.rosters.items():
         keepers, key = roster[:5], f"said/{roster[-1]}"
@@ -74,14 +74,14 @@
     for name in (*rest, roster[4]):  # four of nine are left, and four of the five quorum members
         world.kill(name)
     one = update(world, roster[0], "said/keepers")
-    assert until(world, lambda: one == [True], S), "who is no keeper is not waited for"
+    assert until(world, lambda: one == [True], S), "only quorum members are waited for"
 
 
 def hold_all(world: SimulatedFleet, key: str, names: set[str]) -> bool:
     return all(key in world.members[name].wide_dissemination.replica.entries for name in names)
 
 
-def test_what_is_kept_in_a_cell_stays_there() -> None:
+def test_the_state_of_a_cell_stays_in_it() -> None:
     world = fleet(15, 1, 4)
     for name in world.names:
         one = update(world, name, f"lesson/{name}", [1])
@@ -96,9 +96,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("size", [15, 45])
-def test_regions_that_are_cut_from_each_other_say_it_in_a_word_and_nobody_leaves_the_list(
-    seed: int, size: int
-) -> None:
+def test_partitioned_regions_publish_one_prefix_each_and_all_stay_ready(seed: int, size: int) -> None:
     world = fleet(size, seed, 4 if size == 15 else 9)
     west, east = in_region(world, "west"), in_region(world, "east")
     world.loss = 0.01
@@ -109,9 +107,9 @@
     assert words == {name: ["east/" if name in west else "west/"] for name in world.names}
     one, other = update(world, min(west), "said/west"), update(world, min(east), "said/east")
     world.run_until(world.now + 20 * S)
-    assert one == [True] and other == [True], "each side goes on by itself"
+    assert one == [True] and other == [True], "each side continues by itself"
     assert hold_all(world, "said/west", west) and not hold_all(world, "said/west", east)
-    assert world.views_agree(seen.__getitem__), "it stays so while the cut lasts"
+    assert world.views_agree(seen.__getitem__), "it stays so during the partition"
     world.is_partitioned = lambda _, __: False
     healed = world.now
     assert until(world, lambda: world.views_agree() and hold(world, "said/west", "said/east"), 10 * S)
@@ -120,10 +118,10 @@
     assert told(world, "catching_up") == [] and world.fetches == []
     assert not [1 for _, brings in told(world, "member") if brings["state"] == DEAD]
     own = [(name, brings["name"]) for name, brings in told(world, "member")]
-    assert all(world.layout.cell_of[a] == world.layout.cell_of[b] for a, b in own), "nobody of elsewhere"
+    assert all(world.layout.cell_of[a] == world.layout.cell_of[b] for a, b in own), "nobody of another cell"
 
 
-def test_a_cut_that_nothing_is_lost_in_besides_is_no_news_of_any_member() -> None:
+def test_a_partition_of_regions_alone_changes_no_member_state() -> None:
     world = fleet(15, 4, 4)
     world.is_partitioned = between(in_region(world, "west"), in_region(world, "east"))
     world.run_until(world.now + 30 * S)
@@ -133,7 +131,7 @@
     assert world.views_agree()
 
 
-def test_a_cut_one_way_is_known_on_both_sides_and_heals() -> None:
+def test_a_one_way_partition_is_known_on_both_sides_and_heals() -> None:
     """Everything in one direction is lost, so neither side gets an answer."""
     world = fleet(15, 5, 4)
     west, east = in_region(world, "west"), in_region(world, "east")
@@ -146,7 +144,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_cell_that_dies_whole_is_known_by_all_and_comes_back(seed: int) -> None:
+def test_the_death_of_a_complete_cell_is_known_by_all_and_it_comes_back(seed: int) -> None:
     world = fleet(45, seed, 9)
     cell = world.layout.cell_of["m0"]
     roster = world.layout.rosters[cell]
@@ -158,7 +156,7 @@
     assert until(world, world.views_agree, 30 * S)
     assert world.dead_cells() == {cell}
     assert {tuple(brings["cells"]) for _, brings in told(world, "cells_out")} == {(cell,)}
-    assert told(world, "member") == [], "nobody was told of by name"
+    assert told(world, "member") == [], "nobody was reported by name"
     told_late = update(world, "m1", "said/late")
     world.run_until(world.now + 2 * S)
     assert told_late == [True]
@@ -172,7 +170,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_all_speakers_of_a_cell_that_die_in_one_second_are_followed_by_others(seed: int) -> None:
+def test_speakers_of_a_cell_that_die_in_one_second_are_replaced(seed: int) -> None:
     world = fleet(45, seed, 9)
     cell = world.layout.cell_of["m0"]
     roster = world.layout.rosters[cell]
@@ -189,14 +187,14 @@
     assert hold(world, "said/in", "said/out")
     assert acked[0] == [True]
     assert max(held_out.values(), default=0) <= STABILIZATION_DELAY + MIN_INTERVAL_BACK + 3 * S, (
-        "no longer than a telling and its end"
+        "no longer than a vote and its withdrawal take"
     )
     assert all(world.members[name].speakers == roster[3:6] for name in roster[3:])
     assert all(world.members[name].reachability.speaks for name in roster[3:6])
     assert world.views_agree()
 
 
-def test_of_a_cell_of_four_whose_speakers_die_the_last_one_speaks() -> None:
+def test_the_last_member_of_a_cell_becomes_its_speaker() -> None:
     world = fleet(15, 2, 4)
     *speakers, last = of_cell(world, "m3")
     for name in speakers:
@@ -212,7 +210,7 @@
 
 @pytest.mark.parametrize("how", ["killed", "slow", "deaf", "cut off", "far"])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_one_speaker_that_is_not_as_it_should_be_convinces_nobody(how: str, seed: int) -> None:
+def test_one_faulty_speaker_does_not_change_the_result(how: str, seed: int) -> None:
     """Killed, slow, deaf to other cells, partitioned from them, or far away."""
     world = fleet(45, seed, 9)
     speaker = of_cell(world, "m0")[0]
@@ -232,12 +230,14 @@
         world.run_until(world.now + 100_000)
         for member in running(world):
             assert not member.unreachable_cells(), (
-                f"{member.me} holds {member.unreachable_cells()} out of reach"
+                f"{member.me} considers {member.unreachable_cells()} unreachable"
             )
     assert acked == ([True], [True])
     assert until(world, lambda: hold(world, "said/in", "said/out"), 5 * S)
     if how in ("deaf", "cut off"):
-        assert world.members[speaker].reachability.unreachable_cells(), "it says so itself, and is outvoted"
+        assert world.members[speaker].reachability.unreachable_cells(), (
+            "its own vote says so, and is outvoted"
+        )
     world.is_partitioned = lambda _, __: False
     world.paused.discard(speaker)
     if how == "killed":
@@ -250,7 +250,7 @@
     assert others_told == [] and all(m.ready for m in world.members.values())
 
 
-def test_two_speakers_that_differ_are_settled_by_the_third() -> None:
+def test_the_third_speaker_decides_between_two_that_differ() -> None:
     world = fleet(45, 6, 9)
     cell = of_cell(world, "m0")
     first, second, third = cell[:3]
@@ -268,7 +268,7 @@
     assert until(world, world.views_agree, 40 * S), "one of the three that speak now"
 
 
-def test_a_cell_of_one_takes_part_and_its_death_is_a_cells() -> None:
+def test_a_cell_of_one_takes_part_and_its_death_is_that_of_a_cell() -> None:
     world = fleet(15, 7, 4)
     assert of_cell(world, "m0") == ("m0",)
     one = world.members["m0"]
@@ -290,12 +290,12 @@
     assert until(world, lambda: world.views_agree() and hold(world, "said/alone", "said/to-it"), 30 * S)
 
 
-def test_a_member_that_drains_is_known_in_its_cell_and_one_of_its_speakers_is_followed() -> None:
+def test_a_draining_member_is_known_in_its_cell_and_a_draining_speaker_is_replaced() -> None:
     world = fleet(45, 8, 9)
     roster = of_cell(world, "m0")
     sent = world.traffic[roster[0]][1]
     world.run_on(roster[0], lambda member, now, wall: member.leave(now, wall))
-    assert world.traffic[roster[0]][1] - sent <= 2 * len(roster), "it tells its cell, not the fleet"
+    assert world.traffic[roster[0]][1] - sent <= 2 * len(roster), "it informs its cell, not the fleet"
     world.run_until(world.now + S)
     assert all(world.members[name].speakers == roster[1:4] for name in roster[1:])
     world.kill(roster[0])
@@ -308,7 +308,7 @@
 
 @pytest.mark.parametrize("which", [0, 5])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_one_that_restarts_without_memory_asks_keepers_only_is_soon_ready_and_holds_all(
+def test_a_member_restarted_without_memory_asks_quorum_members_and_is_soon_ready(
     which: int, seed: int
 ) -> None:
     """A quorum member and another member."""
@@ -328,11 +328,11 @@
     asked = [other for at, who, other in world.fetches if who == name and at >= began]
     keepers = set(of_cell(world, "m0")[:5]) - {name}
     helper = [other for other in asked if other not in keepers]  # not a quorum member, and asked first
-    assert 3 <= len(asked) - len(helper) <= 5 - len(helper), "enough of those whose word counts"
+    assert 3 <= len(asked) - len(helper) <= 5 - len(helper), "enough quorum members"
     assert helper in ([], asked[:1]) and set(helper) <= set(of_cell(world, "m0")[5:])
 
 
-def test_a_majority_of_keepers_wiped_one_after_the_other_loses_nothing_acknowledged() -> None:
+def test_quorum_members_wiped_one_after_the_other_lose_no_acknowledged_update() -> None:
     world = fleet(45, 9, 9)
     roster = of_cell(world, "m0")
     world.is_partitioned = between(set(roster), set(world.names) - set(roster))  # nobody else holds the entry
@@ -346,7 +346,7 @@
 
 
 @pytest.mark.parametrize("size", [15, 45])
-def test_one_that_restarts_behind_a_cut_asks_at_a_bounded_pace_and_serves_after_the_bound(size: int) -> None:
+def test_a_member_restarted_in_a_partition_fetches_at_a_bounded_rate_and_is_ready_in_time(size: int) -> None:
     world = fleet(size, 1, 4 if size == 15 else 9)
     name = of_cell(world, "m3")[0]
     world.kill(name)
@@ -362,13 +362,15 @@
     assert world.members[name].ready and not world.members[name].catch_up.is_current
     world.run_until(began + 60 * S)
     mine = [other for _, who, other in world.fetches if who == name]
-    assert len(mine) <= 20 and set(mine[1:]) <= set(of_cell(world, name)[:5]), "a helper once, then keepers"
+    assert len(mine) <= 20 and set(mine[1:]) <= set(of_cell(world, name)[:5]), (
+        "a bootstrap peer once, then quorum members"
+    )
     assert world.traffic[name][1] - sent <= 60 * 25, "datagrams: some of each period, whatever the fleet"
     world.is_partitioned = lambda _, __: False
     assert until(world, lambda: world.members[name].catch_up.is_current and world.views_agree(), 30 * S)
 
 
-def test_one_cut_off_from_its_own_cell_only_is_behind_and_catches_up_from_keepers() -> None:
+def test_a_member_partitioned_from_its_own_cell_catches_up_from_quorum_members() -> None:
     world = fleet(45, 2, 9)
     roster = of_cell(world, "m0")
     world.is_partitioned = between({roster[0]}, set(roster[1:]))
@@ -382,7 +384,7 @@
     assert {name for name, _ in told(world, "catching_up")} == {roster[0]}
 
 
-def test_places_of_the_tests_are_what_their_names_say() -> None:
+def test_the_locations_of_these_tests_match_their_names() -> None:
     world = fleet(15, 1, 4, up=False)
     assert sorted(len(roster) for roster in world.layout.rosters.values()) == [1, 2, 2, 3, 3, 4]
     assert len(set(places(15).values())) == 3
--- a/tests/test_cells_wake.py
+++ b/tests/test_cells_wake.py
@@ -3,7 +3,7 @@
 from tests.cellular import S, fleet
 
 
-def test_one_that_speaks_no_longer_is_not_woken_for_what_it_was_to_tell() -> None:
+def test_a_former_speaker_is_not_woken_to_publish() -> None:
     """Guards against endless wake-ups for a vote that a former speaker may no longer publish."""
     world = fleet(12, 1, 4)
     world.run_until(5 * S)
--- a/tests/test_fleet_copies.py
+++ b/tests/test_fleet_copies.py
@@ -18,22 +18,22 @@
 }  # fmt: skip
 
 
-def copies(me: str = "a") -> Replica:
+def replica(me: str = "a") -> Replica:
     return Replica(me, KEYSPACES, 10 * S)
 
 
-def test_a_stamp_outranks_what_was_heard_whatever_the_clock_shows() -> None:
+def test_a_timestamp_outranks_all_observed_ones_whatever_the_clock_shows() -> None:
     slow, fast = HybridClock("slow", 10 * S), HybridClock("fast", 10 * S)
     theirs = fast.next_timestamp(5 * S)
     slow.observe(1 * S, theirs.time_us, theirs.counter)
     assert slow.next_timestamp(1 * S) > theirs
     with pytest.raises(ClockSkewError):
         slow.observe(1 * S, 12 * S, 0)
-    assert slow.time(1 * S) == 5 * S, "one far ahead moves nothing"
+    assert slow.time(1 * S) == 5 * S, "a timestamp far ahead changes nothing"
 
 
-def test_the_later_word_wins_and_the_name_breaks_a_tie() -> None:
-    a, b = copies("a"), copies("b")
+def test_the_last_writer_wins_and_the_name_breaks_a_tie() -> None:
+    a, b = replica("a"), replica("b")
     first, second = a.put(S, "r/x", 1, 9 * S), b.put(S, "r/x", 2, 9 * S)
     for one in (a, b):
         one.merge(S, [first, second])
@@ -43,11 +43,11 @@
     assert b.get("r/x") == 3 and a.root() == b.root()
 
 
-def test_counters_take_the_most_and_an_adding_that_nobody_saw_survives_the_taking_out() -> None:
-    a, b = copies("a"), copies("b")
+def test_counters_take_the_maximum_and_an_addition_the_remover_had_not_seen_survives() -> None:
+    a, b = replica("a"), replica("b")
     a.merge(S, [b.put(S, "c/b/w1", 7, 9 * S)])
     a.merge(S, [["c/b/w1", 5, S, 9, "b", 10 * S]])
-    assert a.get("c/b/w1") == 7, "an older count of a greater stamp changes nothing"
+    assert a.get("c/b/w1") == 7, "a smaller count with a later timestamp changes nothing"
     added = a.add_element(S, "s/set/m1", 9 * S)
     b.merge(S, [added])
     out = b.remove_element(2 * S, "s/set/m1")
@@ -59,8 +59,8 @@
     assert not b.contains("s/set/m1")
 
 
-def test_what_replaces_an_entry_never_runs_out_before_it() -> None:
-    a, b = copies("a"), copies("b")
+def test_a_replacement_never_expires_before_the_entry_it_replaces() -> None:
+    a, b = replica("a"), replica("b")
     old = a.put(S, "r/x", "old", 50 * S)
     new = a.put(2 * S, "r/x", "new", 1)
     assert new[5] >= old[5]
@@ -70,8 +70,8 @@
     assert b.get("r/x") == "new"
 
 
-def test_entries_run_out_alike_and_what_ran_out_is_not_taken_back() -> None:
-    a, b = copies("a"), copies("b")
+def test_entries_expire_alike_and_an_expired_row_is_not_merged_again() -> None:
+    a, b = replica("a"), replica("b")
     row = a.put(S, "r/x", 1, 2 * S)
     b.merge(S, [row])
     for one in (a, b):
@@ -80,14 +80,14 @@
     assert b.merge(4 * S, [row]) == [] and b.rejected["out"] == 1
 
 
-def test_a_full_space_refuses_what_is_put_here_and_keeps_alike_what_others_put() -> None:
-    a = copies("a")
+def test_a_full_keyspace_rejects_local_writes_and_evicts_alike_on_all_members() -> None:
+    a = replica("a")
     rows = [a.put(S, f"few/{n}", n, (n + 1) * S) for n in range(7)]
     with pytest.raises(EntryRejectedError):
         a.put(S, "few/more", 0, S)
     a.put(S, "few/3", "again", S)  # an existing key can be overwritten
     others = [[f"few/o{n}", n, S, n, "b", 20 * S + n] for n in range(7)]
-    one, two = copies("x"), copies("y")
+    one, two = replica("x"), replica("y")
     one.merge(S, rows + others)
     for row in reversed(rows + others):
         two.merge(S, [row])
@@ -104,8 +104,8 @@
         ["r/x", 1, S, 0, "b", 10**18], ["r/x", 1, 99 * S, 0, "b", 100 * S],
     ],
 )  # fmt: skip
-def test_a_row_that_is_none_is_counted_and_the_others_are_taken(row: object) -> None:
-    a = copies()
+def test_a_malformed_row_is_counted_and_the_others_are_merged(row: object) -> None:
+    a = replica()
     assert a.merge(S, [row, ["r/good", 1, S, 0, "b", 9 * S]]) == ["r/good"]
     assert sum(a.rejected.values()) == 1
 
@@ -125,15 +125,15 @@
 
 @given(ROWS, st.randoms(use_true_random=False), st.integers(1, 4))
 @settings(max_examples=300, deadline=None)
-def test_any_order_any_grouping_and_any_repetition_give_the_same(
+def test_merging_in_any_order_grouping_and_repetition_gives_the_same(
     rows: list, chance: random.Random, parts: int
 ) -> None:
-    straight, shuffled = copies("x"), copies("y")
+    straight, shuffled = replica("x"), replica("y")
     straight.merge(S, rows)
     mixed = rows + chance.sample(rows, len(rows) // 2)
     chance.shuffle(mixed)
     for part in range(parts):  # through replicas of replicas
-        between = copies(f"z{part}")
+        between = replica(f"z{part}")
         between.merge(S, mixed[part::parts])
         shuffled.merge(S, between.all_rows())
     assert straight.root() == shuffled.root()
@@ -144,8 +144,8 @@
 
 @given(ROWS, ROWS)
 @settings(max_examples=100, deadline=None)
-def test_equal_roots_mean_equal_entries_and_leaves_name_what_differs(first: list, second: list) -> None:
-    a, b = copies("x"), copies("y")
+def test_equal_roots_mean_equal_entries_and_leaf_digests_show_what_differs(first: list, second: list) -> None:
+    a, b = replica("x"), replica("y")
     a.merge(S, first)
     b.merge(S, second)
     rows_a, rows_b = list(a.all_rows()), list(b.all_rows())
@@ -156,7 +156,7 @@
     assert a.root() == b.root()
 
 
-def test_an_entry_takes_little_over_its_own_bytes() -> None:
+def test_an_entry_takes_little_memory_besides_its_own_bytes() -> None:
     """Guards against encoded values that keep their 4 kB output buffer alive."""
     one = Replica("a", {"r": Keyspace(MergeRule.LAST_WRITER_WINS, 2000, 100 * S)}, 10 * S)
     tracemalloc.start()
--- a/tests/test_fleet_decides.py
+++ b/tests/test_fleet_decides.py
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_the_sum_of_all_parts_never_passes_the_whole_whatever_the_wire_does(seed: int) -> None:
+def test_the_sum_of_all_shares_never_exceeds_the_budget_under_network_faults(seed: int) -> None:
     names = ["a", "b", "c", "d", "e"]
     chance = random.Random(seed)
     # Clocks 2% apart; the settings allow 5%.
@@ -88,10 +88,10 @@
         parts = [loans.share(net.time(name)) for name, loans in net.parts.items()]
         assert sum(parts) <= len(names) + 1e-9, parts
         borrowed = max(borrowed, max(parts))
-    assert borrowed > 1.5, "a busy one did get more"
+    assert borrowed > 1.5, "a busy member got more"
 
 
-def test_an_idle_members_part_is_used_by_a_busy_one_and_comes_back() -> None:
+def test_an_idle_members_share_is_used_by_a_busy_one_and_returned() -> None:
     names = ["a", "b", "c", "d"]
     net = Net(1, 0.0, {})
     net.chance.choice = lambda _: 1000  # a network without delays
@@ -114,14 +114,14 @@
     assert net.parts["b"].share(net.now) >= 0.95
 
 
-def test_a_member_that_starts_spends_no_more_than_is_never_lent_until_old_loans_are_out() -> None:
+def test_a_started_member_spends_the_reserved_share_until_old_loans_expired() -> None:
     terms = LoanTerms()
     loans = CallBudgetLoans("a", ["b"], 0, random.Random(1), terms)
     assert loans.share(0) == terms.reserved_share and loans.lendable_share(0) == 0.0
     assert loans.share(round(terms.duration * 1.11)) == 1.0
 
 
-def test_one_that_starts_learns_what_it_had_lent_and_a_grant_under_way_then_no_longer_counts() -> None:
+def test_a_restarted_member_learns_its_loans_and_a_grant_in_flight_no_longer_counts() -> None:
     started = CallBudgetLoans("a", ["b", "c"], 0, random.Random(1))
     b, c = (CallBudgetLoans(name, ["a"], -9 * S, random.Random(name)) for name in "bc")
     b.borrowed[("a", 5)] = 0.4, S
@@ -138,7 +138,7 @@
     assert c.share(1000) == 1.0
 
 
-def test_one_whose_earlier_life_may_have_lent_elsewhere_waits_its_loans_out() -> None:
+def test_a_member_that_may_have_lent_outside_its_peers_waits_for_the_loans_to_expire() -> None:
     """In cells: it may have been in another cell, whose members still spend what it lent."""
     for knows_all in (True, False):
         member = CallBudgetLoans("a", ["b"], 0, random.Random(1), peers_are_fixed=knows_all)
@@ -146,10 +146,10 @@
         number = next(told["n"] for _, told in member.outbox if told["k"] == RESTARTED)
         member.receive(1000, {"k": OUTSTANDING, "from": "b", "n": number, "part": 0, "left": 0})
         assert (member.share(2000) == 1.0) is knows_all
-        assert member.share(2_200_001) == 1.0, "every loan of an earlier life has run out"
+        assert member.share(2_200_001) == 1.0, "every loan of an earlier incarnation has expired"
 
 
-def test_a_grant_that_comes_late_counts_from_the_asking_and_a_stranger_gets_none() -> None:
+def test_a_late_grant_counts_from_the_request_and_an_unknown_member_gets_none() -> None:
     loans = CallBudgetLoans("a", ["b"], 0, random.Random(1))
     loans.tick(3 * S, ["b"], 1.0, 2.0)
     _, ask = loans.outbox.pop()
@@ -157,7 +157,7 @@
     loans.receive(4 * S, told)
     assert loans.share(4 * S) == 1.5 and loans.share(5 * S) == 1.0
     loans.receive(4 * S, told)
-    assert loans.share(4 * S) == 1.5, "a copy lends nothing twice"
+    assert loans.share(4 * S) == 1.5, "a duplicate request lends nothing more"
     with pytest.raises(ValueError):
         loans.receive(0, {"k": 20, "from": "z", "n": 1, "part": 0.5})
     assert desired_share(0.4, 1.0, False) == 0.5 and desired_share(0.4, 1.0, True) == 1.5
@@ -190,7 +190,7 @@
                 net.carry(name)
 
 
-def test_a_labelled_ticket_retried_elsewhere_gets_the_answer_and_does_not_run() -> None:
+def test_a_keyed_request_retried_elsewhere_gets_the_answer_and_does_not_run() -> None:
     net = label_net(1)
     net.chance.choice = lambda _: 1000
     first = claim(net, "a")
@@ -208,7 +208,7 @@
     assert third == [(ClaimResult.DONE, "answer")]
 
 
-def test_with_two_homes_out_of_reach_it_says_so_and_what_never_ran_can_run_elsewhere() -> None:
+def test_with_two_homes_unreachable_a_claim_is_unsure_and_a_released_key_can_be_claimed() -> None:
     net = label_net(2)
     net.chance.choice = lambda _: 1000
     asker = next(name for name in MEMBERS if name not in home_members("L", MEMBERS))
@@ -221,7 +221,7 @@
     other = next(name for name in MEMBERS if name != asker)
     got = claim(net, other)
     run_labels(net, 0.2)
-    assert got == [(ClaimResult.OURS, None)], "the grants were given back"
+    assert got == [(ClaimResult.OURS, None)], "the grants were released"
     net.parts[other].release(net.now, "L")
     net.carry(other)
     run_labels(net, 0.1)
@@ -230,7 +230,7 @@
     assert again == [(ClaimResult.OURS, None)]
 
 
-def test_a_home_that_has_just_started_may_have_forgotten_and_does_not_count() -> None:
+def test_the_grant_of_a_home_that_has_just_started_does_not_count() -> None:
     net = label_net(3)
     net.chance.choice = lambda _: 1000
     young, old = home_members("L", MEMBERS)[:2], home_members("L", MEMBERS)[2]
@@ -244,11 +244,11 @@
     asker = next(name for name in MEMBERS if name not in (old, *young))
     told = claim(net, asker)
     run_labels(net, 0.6)
-    assert told == [(ClaimResult.UNSURE, None)], "who may have forgotten cannot grant"
+    assert told == [(ClaimResult.UNSURE, None)], "a home that may have forgotten cannot grant"
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_no_label_runs_twice_under_loss_copies_pauses_and_restarts(seed: int) -> None:
+def test_no_key_runs_twice_under_loss_duplicates_pauses_and_restarts(seed: int) -> None:
     net, chance = label_net(seed, loss=0.15), random.Random(seed)
     ran: Counter[str] = Counter()
     tries: list[tuple[str, str, list]] = []
@@ -279,7 +279,7 @@
     assert ran and max(ran.values()) == 1, ran
 
 
-def test_parts_of_a_quota_follow_use_add_up_and_leave_the_dead_theirs() -> None:
+def test_quota_shares_follow_use_add_up_and_leave_dead_members_theirs() -> None:
     use = Counter({"a": 90, "b": 10})
     parts = {
         me: quota.quota_share(use, me, [n for n in "abcd" if n != me], 5) for me in "abcd"
@@ -292,10 +292,12 @@
     assert quota.quota_share(Counter(), "a", ["b"], 2) == 1.0
     left = [quota.quota_share(use, me, [n for n in "ab" if n != me], 4) for me in "ab"]
     right = [quota.quota_share(use, me, [n for n in "cd" if n != me], 4) for me in "cd"]
-    assert sum(left) + sum(right) == pytest.approx(4), "two sides of a cut never pass the quota together"
+    assert sum(left) + sum(right) == pytest.approx(4), (
+        "two sides of a partition never exceed the quota together"
+    )
 
 
-def test_use_is_counted_by_whole_windows_and_another_life_adds_to_the_member() -> None:
+def test_use_is_counted_by_complete_windows_and_summed_over_incarnations() -> None:
     rows = [
         (quota.usage_key("x", 9, "m.1", "aa"), 4), (quota.usage_key("x", 9, "m.1", "bb"), 2),
         (quota.usage_key("x", 8, "n", "cc"), 5),
@@ -305,7 +307,7 @@
     assert quota.usage_by_customer(rows, 10 * S, S) == {"x": Counter({"m.1": 6, "n": 5})}
 
 
-def test_prints_turned_away_are_sampled_told_in_a_ring_and_heard_once() -> None:
+def test_rejection_prints_are_sampled_published_in_a_ring_and_returned_once() -> None:
     there, here = RejectionPrints("a", random.Random(1)), RejectionPrints("b", random.Random(2))
     a, b = (Replica(name, KEYSPACES, 10 * S) for name in "ab")
     assert there.next_entry() is None
@@ -328,7 +330,7 @@
     assert here.new_prints(b.with_prefix("turned/")) == [5]
 
 
-def test_the_median_teaches_and_what_is_no_lesson_is_left_out() -> None:
+def test_learned_starts_are_combined_by_median_and_malformed_ones_are_skipped() -> None:
     told = [
         learned_start.LearnedStart(((100, 50), (0, 0)), 8.0, 20).as_dict(),
         learned_start.LearnedStart(((300, 70), (90, 9)), 2.0, 30).as_dict(),
--- a/tests/test_fleet_emulated.py
+++ b/tests/test_fleet_emulated.py
@@ -21,7 +21,7 @@
 }  # fmt: skip
 
 
-def test_a_fleet_that_keeps_state_together_keeps_the_rules_and_teaches_who_comes_back_cold(
+def test_a_fleet_with_all_features_keeps_the_rules_and_a_restarted_member_learns_its_start(
     tmp_path: Path,
 ) -> None:
     (tmp_path / "plan.json").write_text(json.dumps(PLAN))
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -28,7 +28,7 @@
         assert rig.until(lambda: agree(rig, everyone), 20) is not None
 
 
-def test_no_member_is_given_an_address_that_another_is_to_have(
+def test_no_member_is_given_an_address_reserved_for_another(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     rig = FleetRig(tmp_path, 4, 6, [], **FAST)
@@ -42,7 +42,7 @@
     assert len(set(every)) == 12
 
 
-def test_what_is_waited_for_ends_with_the_line_of_a_member_that_could_not_start(tmp_path: Path) -> None:
+def test_a_wait_ends_with_the_error_of_a_member_that_could_not_start(tmp_path: Path) -> None:
     rig = FleetRig(tmp_path, 3, 6, [], **FAST)
     rig.connect()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
@@ -56,7 +56,7 @@
             rig.end()
 
 
-def test_a_killed_member_is_held_dead_by_all_and_comes_back_when_started_again(tmp_path: Path) -> None:
+def test_a_killed_member_is_detected_by_all_and_comes_back_after_a_restart(tmp_path: Path) -> None:
     with FleetRig(tmp_path, 5, seed=1, faults=[], **FAST) as rig:
         everyone = set(rig.names)
         assert rig.until(lambda: agree(rig, everyone), 15) is not None
@@ -73,7 +73,7 @@
         assert rig.until(lambda: agree(rig, everyone) and back(), 20) is not None
 
 
-def test_a_paused_member_is_suspected_then_refutes_on_its_return(tmp_path: Path) -> None:
+def test_a_paused_member_is_suspected_and_refutes_it_afterwards(tmp_path: Path) -> None:
     with FleetRig(tmp_path, 4, seed=2, faults=[], **FAST) as rig:
         everyone = set(rig.names)
         assert rig.until(lambda: agree(rig, everyone), 15) is not None
@@ -84,7 +84,7 @@
         assert rig.view("m1")["incarnation"] >= 1
 
 
-def test_both_sides_of_a_partition_leave_each_other_and_agree_again_once_it_heals(tmp_path: Path) -> None:
+def test_both_sides_of_a_partition_lose_each_other_and_agree_again_after_it(tmp_path: Path) -> None:
     left, right = ["m0", "m1"], ["m2", "m3", "m4"]
     with FleetRig(tmp_path, 5, seed=3, faults=[], **FAST) as rig:
         everyone = set(rig.names)
@@ -97,7 +97,7 @@
         assert rig.until(lambda: agree(rig, everyone), 20) is not None
 
 
-def test_a_one_way_cut_is_a_death_for_those_that_hear_nothing_and_heals(tmp_path: Path) -> None:
+def test_a_one_way_partition_is_a_death_for_those_without_messages_and_heals(tmp_path: Path) -> None:
     with FleetRig(tmp_path, 4, seed=5, faults=[], **FAST) as rig:
         everyone = set(rig.names)
         assert rig.until(lambda: agree(rig, everyone), 15) is not None
@@ -108,7 +108,7 @@
         assert rig.until(lambda: agree(rig, everyone), 20) is not None
 
 
-def test_loss_delay_copies_and_reordering_kill_nobody(tmp_path: Path) -> None:
+def test_loss_delay_duplicates_and_reordering_cause_no_false_deaths(tmp_path: Path) -> None:
     rough = [
         {"kind": "loss", "size": 0.1},
         {"kind": "delay", "size": 5, "jitter_ms": 10},
@@ -163,14 +163,14 @@
         ),
     ],
 )
-def test_a_wrong_fleet_is_one_line_and_exit_2(tmp_path: Path, fleet: dict, said: str) -> None:
+def test_wrong_fleet_settings_give_one_line_and_exit_2(tmp_path: Path, fleet: dict, said: str) -> None:
     ended = start(tmp_path, fleet)
     lines = ended.stderr.decode().splitlines()
     assert ended.returncode == 2 and len(lines) == 1 and said in lines[0], lines
     assert not ended.stdout
 
 
-def test_a_fleet_socket_that_is_taken_is_one_line_and_exit_1(tmp_path: Path) -> None:
+def test_a_fleet_address_in_use_gives_one_line_and_exit_1(tmp_path: Path) -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
         taken.bind(("127.0.0.1", 0))
         port = taken.getsockname()[1]
@@ -181,7 +181,7 @@
     assert ended.returncode == 1 and len(lines) == 1 and f"{port} (fleet)" in lines[0], lines
 
 
-def test_a_member_counts_what_it_sends_reads_and_fetches(tmp_path: Path) -> None:
+def test_a_member_counts_datagrams_and_fetches(tmp_path: Path) -> None:
     with FleetRig(tmp_path, 3, seed=8, faults=[], **FAST) as rig:
         everyone = set(rig.names)
         assert rig.until(lambda: agree(rig, everyone), 20) is not None
--- a/tests/test_fleet_replicas.py
+++ b/tests/test_fleet_replicas.py
@@ -43,7 +43,7 @@
     return [line for line in rig.history() if line["backend"] == name and line["event"] == event]
 
 
-def test_one_killed_comes_back_not_ready_until_it_holds_what_was_acknowledged(tmp_path: Path) -> None:
+def test_a_killed_member_is_not_ready_until_it_holds_all_acknowledged_updates(tmp_path: Path) -> None:
     with FleetRig(tmp_path, 5, 11, [], **FAST) as rig:
         assert rig.until(lambda: whole(rig), 20) is not None
         rig.kill("m2")
@@ -57,14 +57,14 @@
     assert last["whole"] and last["entries"] == 60
 
 
-def test_one_that_was_cut_off_serves_then_catches_up_and_the_others_never_leave(tmp_path: Path) -> None:
+def test_a_partitioned_member_serves_then_catches_up_and_the_others_stay_ready(tmp_path: Path) -> None:
     with FleetRig(tmp_path, 5, 12, [], **FAST) as rig:
         assert rig.until(lambda: whole(rig), 20) is not None
         cut = rig.relay.impose([{"kind": "cut", "from": ["m1"]}, {"kind": "cut", "to": ["m1"]}])
         assert rig.until(lambda: len(rig.alive_in("m1")) == 1, 20) is not None
         assert not put(rig, "m1", "said/alone") and put(rig, "m0", "said/most")
         assert rig.until(lambda: not rig.view("m1")["whole"], 10) is not None
-        assert rig.view("m1")["ready"], "cut off, it goes on serving"
+        assert rig.view("m1")["ready"], "partitioned, it continues to serve"
         rig.relay.lift(cut)
         assert rig.until(lambda: whole(rig) and agreed(rig), 20) is not None
         assert {row[0] for row in rig.state("m3", "said/")["rows"]} == {"said/alone", "said/most"}
@@ -72,7 +72,7 @@
     assert not any(told(rig, name, "catching_up") for name in ("m0", "m2", "m3", "m4"))
 
 
-def test_a_whole_fleet_that_stops_has_its_state_again_from_disk(tmp_path: Path) -> None:
+def test_a_fleet_that_stops_completely_recovers_its_state_from_snapshots(tmp_path: Path) -> None:
     with FleetRig(tmp_path, 3, 13, [], **FAST) as rig:
         for name in rig.names:
             rig.operator_of[name] = {"snapshot_folder": str(tmp_path)}
@@ -93,7 +93,7 @@
     assert told(rig, "m2", "snapshot_unused") and told(rig, "m0", "snapshot_read")[-1]["kept"] == 1
 
 
-def test_a_drain_writes_what_is_kept(tmp_path: Path) -> None:
+def test_a_drain_writes_a_snapshot(tmp_path: Path) -> None:
     with FleetRig(tmp_path, 3, 14, [], **(FAST | {"snapshot_every_ms": 600_000})) as rig:
         rig.operator_of["m0"] = {"snapshot_folder": str(tmp_path)}
         rig.kill("m0")
@@ -105,7 +105,7 @@
     assert [row[0] for row in snapshot.read(tmp_path, "m0").rows] == ["said/x"]
 
 
-def test_a_clock_two_seconds_off_neither_loses_nor_overrules_for_long(tmp_path: Path) -> None:
+def test_a_clock_two_seconds_off_loses_nothing_and_does_not_outrank_for_long(tmp_path: Path) -> None:
     with FleetRig(tmp_path, 4, 15, [], **FAST) as rig:
         rig.kill("m1")
         rig.launch("m1", clock_offset_ms=-2000)
@@ -115,10 +115,10 @@
         for n, name in enumerate(["m3", "m1", "m0", "m1"]):
             assert put(rig, name, "said/x", n)
             assert rig.until(lambda: agreed(rig), 10) is not None
-        assert rig.state("m2", "said/")["rows"][0][1] == 3, "the last word, though its clock is behind"
+        assert rig.state("m2", "said/")["rows"][0][1] == 3, "the last write, though its clock is behind"
 
 
-def test_a_fetch_cut_in_the_middle_takes_nothing_and_is_tried_again(tmp_path: Path) -> None:
+def test_a_truncated_fetch_stores_nothing_and_is_retried(tmp_path: Path) -> None:
     with FleetRig(tmp_path, 3, 16, [], **FAST) as rig:
         assert rig.until(lambda: whole(rig), 20) is not None
         assert all(put(rig, "m0", f"said/{n}", "z" * 400) for n in range(150))
@@ -135,7 +135,7 @@
         assert len(rig.state("m2", "said/")["rows"]) == 150
 
 
-def test_a_label_is_granted_once_across_the_fleet_through_a_partition(tmp_path: Path) -> None:
+def test_a_key_is_granted_once_across_the_fleet_through_a_partition(tmp_path: Path) -> None:
     with FleetRig(tmp_path, 5, 17, [], **FAST) as rig:
         assert rig.until(lambda: whole(rig), 20) is not None
 
@@ -169,7 +169,7 @@
         assert seen["ours"] and seen["unsure"]
 
 
-def test_streams_and_questions_that_are_none_cost_nothing(tmp_path: Path) -> None:
+def test_malformed_streams_and_requests_are_harmless(tmp_path: Path) -> None:
     import socket
 
     with FleetRig(tmp_path, 3, 18, [], **FAST) as rig:
@@ -199,7 +199,7 @@
         assert not [line for line in rig.history() if line["event"] in ("defect", "stray_defect")]
 
 
-def test_the_command_line_shows_members_and_state_and_says_something(tmp_path: Path) -> None:
+def test_the_command_line_shows_members_and_state_and_puts_an_entry(tmp_path: Path) -> None:
     def fleet(*words: str) -> subprocess.CompletedProcess:
         command = [sys.executable, "-m", "crowwing", "fleet", *words]
         return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=30)
@@ -227,7 +227,7 @@
     assert fleet("members", at, "--wait-s", "0.3").returncode == 1
 
 
-def test_a_snapshot_folder_that_cannot_be_written_is_one_line_and_exit_2(tmp_path: Path) -> None:
+def test_an_unwritable_snapshot_folder_gives_one_line_and_exit_2(tmp_path: Path) -> None:
     file = tmp_path / "file"
     file.write_text("")
     for place in (tmp_path / "none", file):
@@ -250,7 +250,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_drawn_script_of_faults_loses_nothing_acknowledged_and_ends_in_agreement(
+def test_a_random_script_of_faults_loses_no_acknowledged_update_and_ends_in_agreement(
     tmp_path: Path, seed: int
 ) -> None:
     found = fleetplay.Play(tmp_path, fleetplay.plan(seed, 5, 5.0)).run()
@@ -260,7 +260,7 @@
     assert {"play.json", "history.jsonl", "found.json", "m0.log"} <= kept
 
 
-def test_a_run_is_played_again_from_its_folder_and_a_folder_that_is_none_is_named(tmp_path: Path) -> None:
+def test_a_run_is_replayed_from_its_folder_and_a_wrong_folder_is_named(tmp_path: Path) -> None:
     first, again = tmp_path / "first", tmp_path / "again"
     fleetplay.Play(first, fleetplay.plan(5, 3, 2.0)).run()
     fleetplay.replay(first, again)
@@ -273,7 +273,7 @@
     assert ended.returncode == 2 and "play.json" in ended.stderr
 
 
-def test_an_end_before_its_time_leaves_no_process_and_a_failing_one_neither(tmp_path: Path) -> None:
+def test_neither_an_interrupted_nor_a_failing_run_leaves_a_process(tmp_path: Path) -> None:
     def ours() -> list[int]:
         """Backends whose configuration is in this test's folder."""
         found = []
@@ -311,7 +311,7 @@
     assert ours() == []
 
 
-def test_the_checker_sees_what_was_lost_what_differs_and_what_may_stand_in_its_place() -> None:
+def test_the_checker_reports_lost_and_differing_entries_and_accepts_replacements() -> None:
     said = ["said/x", 1, 5, 0, "a", 99]
     later, earlier = ["said/x", 2, 6, 0, "b", 99], ["said/x", 0, 4, 9, "z", 99]
     put_in, out = ["mark/s/m/1", True, 5, 0, "a", 99], ["mark/s/m/1", False, 6, 0, "b", 99]
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -49,13 +49,13 @@
     return fleet
 
 
-def test_a_fleet_that_names_no_place_is_flat(tmp_path: Path) -> None:
+def test_a_fleet_without_locations_is_flat(tmp_path: Path) -> None:
     assert locations(read(tmp_path, section(20, in_cells=False)), "n0") is None
     told = changed(section(20, in_cells=False), 3, region="", zone="")
     assert locations(read(tmp_path, told), "n0") is None, "an empty name is none, as the default says"
 
 
-def test_each_member_stands_where_the_file_says(tmp_path: Path) -> None:
+def test_each_member_has_the_location_in_the_file(tmp_path: Path) -> None:
     found = locations(read(tmp_path, section(30, in_cells=True)), "n0")
     assert len(found) == 30
     assert found["n0"] == found["n11"] == ("r0", "z0") and found["n7"] == ("r2", "z7")
@@ -93,13 +93,13 @@
         ),
     ],
 )
-def test_a_place_that_cannot_be_is_named_with_its_path(tmp_path: Path, fleet: dict, line: str) -> None:
+def test_an_invalid_location_is_named_with_its_path(tmp_path: Path, fleet: dict, line: str) -> None:
     with pytest.raises(FleetSettingsError) as wrong:
         locations(read(tmp_path, fleet), "n0")
     assert str(wrong.value) == line
 
 
-def test_a_name_of_forty_bytes_is_one(tmp_path: Path) -> None:
+def test_a_location_name_of_forty_bytes_is_valid(tmp_path: Path) -> None:
     told = changed(section(20, in_cells=True), 2, region="é" * 20)
     assert locations(read(tmp_path, told), "n0")["n3"] == ("é" * 20, "z3")
 
@@ -147,7 +147,7 @@
         ),
     ],
 )  # fmt: skip
-def test_what_a_size_does_not_carry_is_refused_from_its_bound_on(
+def test_a_feature_is_rejected_from_the_fleet_size_that_it_does_not_support(
     tmp_path: Path, size: int, in_cells: bool, customers: int, more: dict, line: str | None
 ) -> None:
     fleet = read(tmp_path, section(size, in_cells, **more))
@@ -159,7 +159,7 @@
     assert str(wrong.value) == line
 
 
-def test_every_member_refuses_alike(tmp_path: Path) -> None:
+def test_every_member_rejects_the_same_settings(tmp_path: Path) -> None:
     """Also one in a small zone: otherwise a part of the fleet would start with it and the rest would not."""
     told = section(200, in_cells=True, shares_prints=True, cell_most=128) | {"region": "r9", "zone": "alone"}
     for peer in told["peers"]:
@@ -200,5 +200,5 @@
         (section(20, in_cells=True, cell_most=7), "$.fleet.cell_most: is under 8"),
     ],
 )
-def test_the_real_command_says_it_in_one_line_and_ends_with_2(tmp_path: Path, fleet: dict, line: str) -> None:
+def test_the_real_command_prints_one_line_and_exits_with_2(tmp_path: Path, fleet: dict, line: str) -> None:
     assert started(tmp_path, fleet, customers=6) == (2, b"", [f"crowwing: {line}"])
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -53,7 +53,7 @@
     return check()
 
 
-def test_an_update_is_told_once_a_majority_holds_it_and_soon_all_do() -> None:
+def test_an_update_is_acknowledged_at_a_majority_and_soon_reaches_all() -> None:
     world = SimulatedFleet(5, 1, FAST, KEYSPACES)
     assert until(world, lambda: all(m.ready for m in world.members.values()), 2 * S)
     told = update(world, "m0", "r/x", 1)
@@ -63,7 +63,7 @@
     assert not world.members["m0"].dissemination.pending_updates
 
 
-def test_a_minority_acknowledges_nothing_and_both_sides_agree_after_the_heal() -> None:
+def test_a_minority_acknowledges_nothing_and_both_sides_agree_after_the_partition() -> None:
     world = SimulatedFleet(5, 2, FAST, KEYSPACES)
     until(world, lambda: all(m.ready for m in world.members.values()), 2 * S)
     left = {"m0", "m1"}
@@ -73,17 +73,17 @@
     other = update(world, "m1", "r/y", "kept")
     world.run_until(world.now + 2 * S)
     assert few == [False] and other == [False] and many == [True]
-    assert world.members["m0"].ready, "one cut off goes on serving"
+    assert world.members["m0"].ready, "a partitioned member continues to serve"
     world.is_partitioned = lambda _, __: False
     assert until(world, lambda: len(world.roots()) == 1 and world.views_agree(), 20 * S)
     assert {m.replica.get("r/y") for m in world.members.values()} == {"kept"}
     left_list = [name for _, name, event, _ in world.member_events if event == "catching_up"]
-    assert set(left_list) <= left, "only who was out of reach of a majority is behind"
-    assert left_list, "who comes back is off the list until it has caught up"
+    assert set(left_list) <= left, "only members isolated from a majority are behind"
+    assert left_list, "a returning member is unready until it has caught up"
     assert all(m.ready for m in world.members.values())
 
 
-def test_a_fleet_cut_into_three_heals_without_leaving_the_list() -> None:
+def test_a_fleet_partitioned_into_three_heals_and_stays_ready() -> None:
     world = SimulatedFleet(6, 3, FAST, KEYSPACES)
     until(world, lambda: all(m.ready for m in world.members.values()), 2 * S)
     part = {name: n // 2 for n, name in enumerate(world.names)}
@@ -97,7 +97,7 @@
     assert all(len(m.replica.entries) == 6 for m in world.members.values())
 
 
-def test_a_member_that_comes_back_empty_is_not_ready_until_it_holds_what_was_acknowledged() -> None:
+def test_a_member_restarted_empty_is_not_ready_until_it_holds_acknowledged_updates() -> None:
     world = SimulatedFleet(5, 4, FAST, KEYSPACES)
     until(world, lambda: all(m.ready for m in world.members.values()), 2 * S)
     world.kill("m2")
@@ -112,7 +112,7 @@
     assert world.members["m2"].catch_up.wait_history[-1][1]
 
 
-def test_one_that_reaches_too_few_serves_after_the_bound_and_does_not_pass_for_whole() -> None:
+def test_a_member_that_reaches_too_few_is_ready_after_the_maximum_wait_but_not_current() -> None:
     world = SimulatedFleet(5, 5, FAST, KEYSPACES)
     world.is_partitioned = lambda a, b: "m0" in (a, b)
     world.run_until(S)
@@ -123,7 +123,7 @@
     assert until(world, lambda: world.members["m0"].catch_up.is_current, 20 * S)
 
 
-def test_a_member_far_behind_fetches_the_whole_and_a_near_one_only_what_differs() -> None:
+def test_a_member_far_behind_uses_a_full_transfer_and_a_close_one_the_differences() -> None:
     far = replace(
         FAST,
         dissemination=replace(
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("offset", [-2 * S, 2 * S])
-def test_a_member_with_its_clock_two_seconds_off_neither_loses_nor_overrules(offset: int) -> None:
+def test_a_member_with_its_clock_two_seconds_off_neither_loses_nor_outranks_updates(offset: int) -> None:
     world = SimulatedFleet(5, 7, FAST, KEYSPACES, offsets={"m1": offset})
     until(world, lambda: all(m.ready for m in world.members.values()), 2 * S)
     for n in range(20):
@@ -152,10 +152,10 @@
         told = update(world, name, "r/x", n)
         assert until(world, lambda told=told: told == [True], S)
         assert until(world, lambda: len(world.roots()) == 1, 2 * S)
-        assert world.members["m4"].replica.get("r/x") == n, "the later one of what was heard wins"
+        assert world.members["m4"].replica.get("r/x") == n, "the later timestamp wins"
 
 
-def test_one_with_its_clock_an_hour_ahead_is_not_believed() -> None:
+def test_updates_of_a_clock_an_hour_ahead_are_rejected() -> None:
     world = SimulatedFleet(5, 8, FAST, KEYSPACES, offsets={"m1": 3600 * S})
     world.run_until(2 * S)
     update(world, "m1", "r/x", "ahead")
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_loss_of_three_in_ten_delays_but_loses_nothing(seed: int) -> None:
+def test_loss_of_three_in_ten_datagrams_delays_but_loses_no_update(seed: int) -> None:
     world = SimulatedFleet(5, seed, FAST, KEYSPACES)
     world.loss = 0.3
     world.run_until(2 * S)
@@ -179,70 +179,70 @@
     assert until(world, lambda: len(world.roots()) == 1, 10 * S)
 
 
-def test_a_pause_of_the_process_counts_as_away() -> None:
-    decider = CatchUp(5, 0, CatchUpTiming(max_wait=2 * S, isolation_timeout=S))
+def test_a_stalled_process_counts_as_isolated() -> None:
+    catch_up = CatchUp(5, 0, CatchUpTiming(max_wait=2 * S, isolation_timeout=S))
     for name in "abc":
-        decider.next_fetches(0, "abc")
-        decider.fetch_completed(10, name, True)
-    assert decider.ready and decider.is_current
-    decider.update_reachable(100_000, 4)
-    decider.update_reachable(5 * S, 4)  # it was stalled for five seconds
-    assert not decider.is_current
-    decider.current_member_seen(5 * S)
-    assert not decider.ready
-    assert decider.next_fetches(5 * S, "abcd") == ["a", "b"], "two at once"
-
-
-def test_a_fetch_from_before_the_absence_does_not_count_and_a_failed_one_is_tried_later() -> None:
-    decider = CatchUp(3, 0, CatchUpTiming(max_wait=5 * S, retry_delay=S, isolation_timeout=S))
-    assert decider.next_fetches(0, ["a", "b"]) == ["a", "b"]
-    decider.fetch_completed(1, "a", False)
-    assert decider.next_fetches(2, ["a", "b"]) == [] and decider.next_fetches(S + 2, ["a", "b"]) == ["a"]
-    decider.fetch_completed(S + 3, "b", True)
-    assert not decider.ready
-    decider.fetch_completed(S + 4, "a", True)
-    assert decider.ready and decider.is_current
+        catch_up.next_fetches(0, "abc")
+        catch_up.fetch_completed(10, name, True)
+    assert catch_up.ready and catch_up.is_current
+    catch_up.update_reachable(100_000, 4)
+    catch_up.update_reachable(5 * S, 4)  # it was stalled for five seconds
+    assert not catch_up.is_current
+    catch_up.current_member_seen(5 * S)
+    assert not catch_up.ready
+    assert catch_up.next_fetches(5 * S, "abcd") == ["a", "b"], "two at once"
+
+
+def test_a_fetch_from_before_the_isolation_does_not_count_and_a_failed_one_is_retried_later() -> None:
+    catch_up = CatchUp(3, 0, CatchUpTiming(max_wait=5 * S, retry_delay=S, isolation_timeout=S))
+    assert catch_up.next_fetches(0, ["a", "b"]) == ["a", "b"]
+    catch_up.fetch_completed(1, "a", False)
+    assert catch_up.next_fetches(2, ["a", "b"]) == [] and catch_up.next_fetches(S + 2, ["a", "b"]) == ["a"]
+    catch_up.fetch_completed(S + 3, "b", True)
+    assert not catch_up.ready
+    catch_up.fetch_completed(S + 4, "a", True)
+    assert catch_up.ready and catch_up.is_current
 
 
 @pytest.mark.parametrize("peers", [4, 100, 1000])
-def test_attempts_are_bounded_for_the_member_whatever_the_fleets_size(peers: int) -> None:
+def test_fetch_attempts_of_a_member_are_bounded_whatever_the_fleet_size(peers: int) -> None:
     """Nobody answers: requests per minute are independent of the fleet size, as nearly is a tick's cost."""
     patience, names = CatchUpTiming(), [f"m{n}" for n in range(peers)]
-    decider, now, attempts = CatchUp(peers + 1, 0, patience), 0, []
+    catch_up, now, attempts = CatchUp(peers + 1, 0, patience), 0, []
     while now < 60 * S:
-        asked = decider.next_fetches(now, names)
+        asked = catch_up.next_fetches(now, names)
         attempts += [(now, name) for name in asked]
         for name in asked:
-            decider.fetch_completed(now + 500, name, False)  # refused at once
-        now = max(now + 1000, decider.wake_at(now) or now + 60 * S)
-    assert decider.ready and not decider.is_current, "it serves meanwhile"
+            catch_up.fetch_completed(now + 500, name, False)  # refused at once
+        now = max(now + 1000, catch_up.wake_at(now) or now + 60 * S)
+    assert catch_up.ready and not catch_up.is_current, "it serves meanwhile"
     assert 10 <= len(attempts) <= 2 * (5 + 60 / 8), f"{len(attempts)} attempts"
-    assert len({name for _, name in attempts}) == min(peers, len(attempts)), "others get their turn"
+    assert len({name for _, name in attempts}) == min(peers, len(attempts)), "others are asked too"
     gaps = [b - a for (a, _), (b, _) in zip(attempts, attempts[2:], strict=False)]
     assert min(gaps) >= patience.retry_delay and max(gaps) <= 16 * patience.retry_delay + 2000
 
 
-def test_a_fetch_that_succeeds_ends_the_waiting_after_failures() -> None:
-    decider = CatchUp(9, 0, CatchUpTiming(max_wait=60 * S, retry_delay=S, isolation_timeout=S))
+def test_a_successful_fetch_ends_the_backoff() -> None:
+    catch_up = CatchUp(9, 0, CatchUpTiming(max_wait=60 * S, retry_delay=S, isolation_timeout=S))
     names, now = list("abcdefgh"), 0
     for _ in range(4):
-        for name in decider.next_fetches(now, names):
-            decider.fetch_completed(now, name, False)
-        now = decider.backoff_until
-    first, second = decider.next_fetches(now, names)
-    decider.fetch_completed(now, first, True)
-    decider.fetch_completed(now, second, False)
-    assert decider.next_fetches(now + S - 1, names) == [], "one failure waits as the first did"
+        for name in catch_up.next_fetches(now, names):
+            catch_up.fetch_completed(now, name, False)
+        now = catch_up.backoff_until
+    first, second = catch_up.next_fetches(now, names)
+    catch_up.fetch_completed(now, first, True)
+    catch_up.fetch_completed(now, second, False)
+    assert catch_up.next_fetches(now + S - 1, names) == [], "a failure waits as long as the first did"
     for _ in range(2):
         now += S
-        for name in decider.next_fetches(now, names):
-            decider.fetch_completed(now, name, True)
-    assert decider.ready and decider.is_current
+        for name in catch_up.next_fetches(now, names):
+            catch_up.fetch_completed(now, name, True)
+    assert catch_up.ready and catch_up.is_current
 
 
-def test_one_named_alone_has_nothing_to_wait_for() -> None:
-    decider = CatchUp(1, 0, CatchUpTiming())
-    assert decider.ready and decider.is_current and decider.next_fetches(0, []) == []
+def test_the_only_member_of_a_fleet_is_ready_at_once() -> None:
+    catch_up = CatchUp(1, 0, CatchUpTiming())
+    assert catch_up.ready and catch_up.is_current and catch_up.next_fetches(0, []) == []
 
 
 class Fleet(RuleBasedStateMachine):
@@ -314,7 +314,9 @@
         world.is_partitioned, world.loss = lambda _, __: False, 0.0
         for name in list(world.paused):
             world.restart(name, disk=True)
-        assert until(world, lambda: len(world.roots()) == 1 and world.views_agree(), 30 * S), "copies differ"
+        assert until(world, lambda: len(world.roots()) == 1 and world.views_agree(), 30 * S), (
+            "replicas differ"
+        )
         kept = world.members["m0"].replica
         lost = [key for key, told in self.acked.items() if told == [True] and key not in kept.entries]
         assert not lost, f"acknowledged and lost: {lost}"
--- a/tests/test_fleet_swim.py
+++ b/tests/test_fleet_swim.py
@@ -12,7 +12,7 @@
 FAST = Timing(period=200_000, probe_timeout=60_000)
 
 
-def test_a_dead_member_is_held_dead_by_all_within_the_longest_suspicion() -> None:
+def test_a_dead_member_is_detected_by_all_within_the_longest_suspicion() -> None:
     world = SimulatedMembership(10, seed=3, timing=FAST)
     world.run_until(5 * S)
     assert world.views_agree()
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_tenth_of_messages_lost_kills_nobody(seed: int) -> None:
+def test_a_loss_of_a_tenth_causes_no_false_deaths(seed: int) -> None:
     world = SimulatedMembership(8, seed=seed, timing=FAST)
     world.loss = 0.1
     world.run_until(60 * S)
@@ -36,7 +36,7 @@
     assert world.views_agree()
 
 
-def test_both_sides_of_a_partition_hold_each_other_dead_and_agree_again_after_it() -> None:
+def test_both_sides_of_a_partition_consider_each_other_dead_and_agree_again_after_it() -> None:
     world = SimulatedMembership(6, seed=5, timing=FAST)
     left = {"m0", "m1", "m2"}
     world.run_until(3 * S)
@@ -62,7 +62,7 @@
     assert member.health == 1
 
 
-def test_news_at_a_lower_incarnation_changes_nothing_and_a_higher_one_wins() -> None:
+def test_an_update_at_a_lower_incarnation_is_ignored_and_a_higher_one_wins() -> None:
     member = Membership("a", ["b", "c"], 0, random.Random(1), FAST)
     member.receive(10, {"k": 1, "from": "c", "inc": 0, "seq": 9, "news": [["b", ALIVE, 3, "b"]]})
     member.receive(20, {"k": 1, "from": "c", "inc": 0, "seq": 9, "news": [["b", DEAD, 2, "c"]]})
@@ -73,7 +73,7 @@
     assert member.members["b"].state == SUSPECT, "only a higher incarnation clears a suspicion"
 
 
-def test_each_independent_suspicion_shortens_the_wait_to_the_shortest() -> None:
+def test_each_independent_suspicion_shortens_the_timeout_down_to_the_shortest() -> None:
     member = Membership("a", [f"m{n}" for n in range(9)], 0, random.Random(1), FAST)
     member.receive(0, {"k": 1, "from": "m1", "inc": 0, "seq": 1, "news": [["m0", SUSPECT, 0, "m1"]]})
     alone = member._suspicion_timeout(member.members["m0"])
@@ -83,7 +83,7 @@
     assert confirmed * FAST.suspect_most_times == pytest.approx(alone, rel=0.01)
 
 
-def test_a_stranger_or_a_broken_message_is_refused_and_changes_nothing() -> None:
+def test_an_unknown_sender_or_a_malformed_message_is_rejected_and_changes_nothing() -> None:
     member = Membership("a", ["b"], 0, random.Random(1), FAST)
     with pytest.raises(ValueError):
         member.receive(0, {"k": 0, "from": "z", "inc": 0, "seq": 1})
@@ -92,7 +92,7 @@
     assert member.members["b"].state == ALIVE and not member.changes
 
 
-def test_one_that_leaves_is_held_left_not_dead_and_comes_back_when_it_starts_again() -> None:
+def test_a_leaving_member_is_left_not_dead_and_comes_back_after_a_restart() -> None:
     world = SimulatedMembership(6, seed=4, timing=FAST)
     world.run_until(3 * S)
     world.members["m2"].leave()
@@ -111,7 +111,7 @@
     assert {member.members["m2"].state for member in others} == {ALIVE}
 
 
-def test_helpers_that_cannot_reach_it_either_leave_our_health_alone_and_silent_ones_do_not() -> None:
+def test_helpers_that_send_a_nack_do_not_affect_our_health_and_unanswering_ones_do() -> None:
     def health(answers: int) -> int:
         member = Membership("a", ["b", "c", "d", "e"], 0, random.Random(2), FAST)
         member.tick(FAST.period)
@@ -129,7 +129,7 @@
     assert [health(answers) for answers in (3, 2, 0)] == [0, 1, 3]
 
 
-def test_one_that_stood_still_does_not_take_the_silence_for_the_others() -> None:
+def test_a_stalled_member_does_not_suspect_the_others() -> None:
     member = Membership("a", ["b", "c"], 0, random.Random(1), FAST)
     member.tick(FAST.period)
     assert member.probe is not None
@@ -138,7 +138,7 @@
     assert member.members["b"].state == SUSPECT and member.members["c"].state == ALIVE
 
 
-def test_a_helper_that_gets_no_ack_says_so() -> None:
+def test_a_helper_without_an_ack_sends_a_nack() -> None:
     member = Membership("a", ["b", "c"], 0, random.Random(1), FAST)
     member.receive(0, {"k": 2, "from": "b", "inc": 0, "seq": 7, "target": "c"})
     member.outbox.clear()
@@ -147,7 +147,7 @@
     assert not member.relayed_probes
 
 
-def test_its_tables_stay_within_one_entry_a_member_and_the_probes_in_flight() -> None:
+def test_tables_are_bounded_by_members_and_probes_in_flight() -> None:
     world = SimulatedMembership(30, seed=2, timing=FAST)
     world.loss = 0.3
     world.run_until(30 * S)
--- a/tests/test_fleet_world.py
+++ b/tests/test_fleet_world.py
@@ -28,7 +28,7 @@
     return world
 
 
-def test_a_message_between_regions_takes_longer_by_the_delay_between_them(world: SimulatedFleet) -> None:
+def test_a_message_between_regions_takes_the_additional_delay(world: SimulatedFleet) -> None:
     said = {"m0": world.now, "m1": world.now}
     world.queue.clear()
     for name in said:
@@ -40,9 +40,7 @@
     assert 500 <= near - said["m0"] <= 2000 and FAR + 500 <= far - said["m1"] <= FAR + 2000
 
 
-def test_what_is_sent_and_read_adds_up_and_nobody_hears_of_another_cell_but_from_speakers(
-    world: SimulatedFleet,
-) -> None:
+def test_traffic_counters_add_up_and_only_speakers_send_to_other_cells(world: SimulatedFleet) -> None:
     sent = sum(count for _, count, *_ in world.traffic.values())
     read = sum(count for *_, count, _ in world.traffic.values())
     assert sent == world.sent and sum(data for data, *_ in world.traffic.values()) == world.bytes
@@ -52,7 +50,7 @@
     assert len(speaking) == 9, "three of each cell"
 
 
-def test_a_fleet_in_cells_has_agreed_only_when_deaths_are_known_in_the_cell_and_dead_cells_by_all(
+def test_views_in_cells_agree_when_deaths_are_known_in_the_cell_and_dead_cells_by_all(
     world: SimulatedFleet,
 ) -> None:
     assert world.views_agree() and not world.dead_cells()
@@ -74,14 +72,14 @@
     )
 
 
-def test_one_view_that_is_wrong_is_enough_not_to_have_agreed(world: SimulatedFleet) -> None:
+def test_one_wrong_view_is_a_disagreement(world: SimulatedFleet) -> None:
     seen = world.members["m4"].membership.members["m1"]
     seen.state = DEAD
     assert not world.views_agree()
     assert not world.views_agree(lambda _: frozenset())
 
 
-def test_what_a_cut_is_to_look_like_can_be_told(world: SimulatedFleet) -> None:
+def test_views_can_be_compared_with_those_expected_in_a_partition(world: SimulatedFleet) -> None:
     west = world.layout.cell_of["m0"]
     east = frozenset(world.layout.rosters) - {west}
     world.is_partitioned = lambda a, b: (PLACES[a][0] == "west") != (PLACES[b][0] == "west")
@@ -93,7 +91,7 @@
     assert not world.views_agree()
 
 
-def test_a_killed_member_costs_no_events_and_a_paused_one_goes_on_where_it_stood() -> None:
+def test_a_killed_member_has_no_ticks_and_a_paused_one_continues() -> None:
     world = SimulatedMembership(4, 1, Timing(period=200_000, probe_timeout=60_000))
     world.run_until(S)
     world.kill("m0")
@@ -126,9 +124,7 @@
     assert asked and now + 30_000 <= asked[0] <= now + 30_100
 
 
-def test_fetches_are_counted_and_a_member_gives_no_more_streams_at_once_than_it_may(
-    world: SimulatedFleet,
-) -> None:
+def test_fetches_are_counted_and_a_member_serves_a_bounded_number_of_streams(world: SimulatedFleet) -> None:
     world.run_until(10 * S)
     assert all(member.ready for member in world.members.values())
     world.fetches.clear()
@@ -147,4 +143,4 @@
     world.serving[keeper] = [world.now + S] * world.max_streams
     before = world.traffic[keeper][4]
     world._fetch("m3", keeper)
-    assert world.traffic[keeper][4] == before, "turned away"
+    assert world.traffic[keeper][4] == before, "rejected"
