--- a/crowwing/fleet/adapters/endpoint.py
+++ b/crowwing/fleet/adapters/endpoint.py
@@ -43,11 +43,11 @@
         self.addresses = peers(fleet, me)
         self.listen = address(fleet.listen, "$.fleet.listen")
         self.clock_offset = fleet.clock_offset_ms * 1000
-        chance = random.Random(f"{seed}/fleet")
+        rng = random.Random(f"{seed}/fleet")
         member_locations = locations(fleet, me)
         layout = None if member_locations is None else CellLayout(member_locations, fleet.cell_most)
         self.member = Member(
-            me, list(self.addresses), self.now(), chance, member_settings(fleet), KEYSPACES, layout
+            me, list(self.addresses), self.now(), rng, member_settings(fleet), KEYSPACES, layout
         )
         self.client_requests = ClientRequests(self)
         self.transfer_server = full_transfer.Server(self.member.missing_rows, self.addresses.__contains__)
--- a/crowwing/fleet/member.py
+++ b/crowwing/fleet/member.py
@@ -47,7 +47,7 @@
 
 class Member:
     def __init__(
-        self, me: str, peers: Sequence[str], now: int, chance: random.Random, settings: MemberSettings,
+        self, me: str, peers: Sequence[str], now: int, rng: random.Random, settings: MemberSettings,
         keyspaces: dict[str, Keyspace], layout: CellLayout | None = None,
     ) -> None:  # fmt: skip
         """`peers`: every other member in the settings."""
@@ -55,26 +55,26 @@
         everyone = [me, *peers]
         if layout is not None:
             peers = layout.peers(me)
-        self.membership = Membership(me, peers, now, chance, settings.timing)
+        self.membership = Membership(me, peers, now, rng, settings.timing)
         self.reachability: CellReachability | None = None
         if layout is None:
             self.replica = Replica(me, keyspaces, settings.max_clock_drift)
             self.dissemination = self.wide_dissemination = Dissemination(
-                me, peers, self.replica, now, chance, settings.dissemination
+                me, peers, self.replica, now, rng, settings.dissemination
             )
             self.catch_up = CatchUp(len(peers) + 1, now, settings.catch_up)
         else:
-            self._in_cells(peers, layout, now, chance, settings, keyspaces)
+            self._in_cells(peers, layout, now, rng, settings, keyspaces)
         self.disseminations = (
             (self.dissemination,)
             if self.wide_dissemination is self.dissemination
             else (self.dissemination, self.wide_dissemination)
         )
-        self.loans = CallBudgetLoans(me, peers, now, chance, peers_are_fixed=layout is None)
+        self.loans = CallBudgetLoans(me, peers, now, rng, peers_are_fixed=layout is None)
         self.idempotency_keys: IdempotencyKeys | None = None  # None: too many members to rank for each key
         if len(everyone) <= MAX_MEMBERS_WITH_KEY_CLAIMS:
             self.idempotency_keys = IdempotencyKeys(
-                me, everyone, now, chance, settings.max_idempotency_keys, settings.claim_timeout
+                me, everyone, now, rng, settings.max_idempotency_keys, settings.claim_timeout
             )
         self.fetching: set[str] = set()  # emptied by `fetch_completed`
         self.outbox: list[tuple[str, Message]] = []
@@ -83,7 +83,7 @@
         self.was_ready = False
 
     def _in_cells(
-        self, peers: Sequence[str], layout: CellLayout, now: int, chance: random.Random,
+        self, peers: Sequence[str], layout: CellLayout, now: int, rng: random.Random,
         settings: MemberSettings, keyspaces: dict[str, Keyspace],
     ) -> None:  # fmt: skip
         me, cell = self.me, layout.cell_of[self.me]
@@ -92,29 +92,27 @@
         wide = {name: keyspace for name, keyspace in keyspaces.items() if keyspace.fleet_wide}
         self.replica = Replica(me, local, settings.max_clock_drift)
         wide_replica = Replica(me, wide, settings.max_clock_drift, self.replica.clock)
-        self.reachability = CellReachability(me, layout, now, chance, settings.timing)
+        self.reachability = CellReachability(me, layout, now, rng, settings.timing)
         self.reachability_votes = ReachabilityVotes(me, layout, self.replica, now)
         self.speakers, self.reported_unreachable, self.reported_alive = (), frozenset(), (0, 0)
         in_cell = CellScope(frozenset(quorum_members), frozenset(peers))
         in_fleet = CellScope(in_cell.quorum_members, layout.cell_of, self._contacts_in_other_cells)
-        self.dissemination = Dissemination(
-            me, peers, self.replica, now, chance, settings.dissemination, in_cell
-        )
+        self.dissemination = Dissemination(me, peers, self.replica, now, rng, settings.dissemination, in_cell)
         self.wide_dissemination = Dissemination(
-            me, peers, wide_replica, now, chance, settings.dissemination, in_fleet
+            me, peers, wide_replica, now, rng, settings.dissemination, in_fleet
         )
         # One fetch at a time: the second sends the digests after the first, and gets little.
         catch_up_timing = replace(settings.catch_up, max_concurrent_fetches=1)
-        self.catch_up = CatchUp(len(peers) + 1, now, catch_up_timing, len(quorum_members), chance)
+        self.catch_up = CatchUp(len(peers) + 1, now, catch_up_timing, len(quorum_members), rng)
         # Speakers last, so that a cell that starts together does not load them besides their other work.
         order = [name for name in quorum_members if name != me]
-        chance.shuffle(order)
+        rng.shuffle(order)
         self.fetch_order = sorted(order, key=lambda name: name in quorum_members[:SPEAKER_COUNT])
         # An empty member first fetches from the first current member to answer that is no quorum member.
         # Otherwise the quorum members, some of them speakers, would send everything to each member of a cell
         # that starts within seconds.
         others = [name for name in peers if name not in quorum_members]
-        self.bootstrap_peers = chance.sample(others, min(BOOTSTRAP_PEER_COUNT, len(others)))
+        self.bootstrap_peers = rng.sample(others, min(BOOTSTRAP_PEER_COUNT, len(others)))
         self.pinged_bootstrap_peers: set[str] = set()  # emptied when the bootstrap ends
         self.bootstrap_source: str | None = None  # the first current one that answered
         self.bootstrap_until = now + settings.timing.probe_timeout if others else now
--- a/crowwing/fleet/membership/cell_reachability.py
+++ b/crowwing/fleet/membership/cell_reachability.py
@@ -54,20 +54,20 @@
 class CellReachability:
     """One member's part; call `tick` at `wake_at` or sooner, with whether it is a speaker now."""
 
-    def __init__(self, me: str, layout: CellLayout, now: int, chance: random.Random, timing: Timing) -> None:
-        self.me, self.layout, self.chance = me, layout, chance
+    def __init__(self, me: str, layout: CellLayout, now: int, rng: random.Random, timing: Timing) -> None:
+        self.me, self.layout, self.rng = me, layout, rng
         self.cell = layout.cell_of[me]
         others = [cell for cell in layout.rosters if cell != self.cell]
-        self.swim = Membership(self.cell, others, now, chance, timing_among_cells(timing))
+        self.swim = Membership(self.cell, others, now, rng, timing_among_cells(timing))
         # So that an answer to another speaker of this cell is not taken for one to us.
-        self.swim.seq = chance.randrange(1 << 30)
+        self.swim.seq = rng.randrange(1 << 30)
         self.speaks = False
         self.contacts: dict[str, list[str]] = {}  # recent speakers of a cell, at most `MAX_CONTACTS`
         self.sweep_at = now
         self.unanswered_counts: Counter[str] = Counter()  # members of its roster tried without an answer
         # Where no contact is known, start at one of the speakers, since others do not spread updates. A
         # random one, so that not all ask the first.
-        self.first_contact = chance.randrange(SPEAKER_COUNT)
+        self.first_contact = rng.randrange(SPEAKER_COUNT)
         self.relay_requesters: dict[tuple[str, int], str] = {}  # of relayed probes; removed by ack or nack
         self.cell_status: dict[str, CellStatus] = {}  # last status received from each cell
         self.last_heard = dict.fromkeys(others, now - SILENT_PERIODS * timing.period)
@@ -82,7 +82,7 @@
     def contacts_in(self, count: int) -> list[str]:
         """One contact each of that many random reachable cells."""
         cells = self.swim.alive()
-        return [self._contact(cell) for cell in self.chance.sample(cells, min(count, len(cells)))]
+        return [self._contact(cell) for cell in self.rng.sample(cells, min(count, len(cells)))]
 
     def wake_at(self) -> int | None:
         if self.speaks:
@@ -123,7 +123,7 @@
             seen.origins.clear()
         swim.probe, swim.last_tick = None, now
         # So that speakers do not probe in step
-        swim.period_at = now - self.chance.randrange(swim.timing.period)
+        swim.period_at = now - self.rng.randrange(swim.timing.period)
         swim.rumours.clear()
         swim.probe_order.clear()
         self.doubt_pings.clear()
@@ -158,12 +158,12 @@
             if seen.state == ALIVE and cell not in self.doubt_pings and self.last_heard[cell] <= since
             and (self.zones[cell] in suspected or cell.partition("/")[0] in silent)
         ]  # fmt: skip
-        return self.chance.sample(able, min(count, len(able)))
+        return self.rng.sample(able, min(count, len(able)))
 
     def _contact(self, cell: str) -> str:
         roster = self.layout.rosters[cell]
         if known := self.contacts.get(cell):
-            return self.chance.choice(known)
+            return self.rng.choice(known)
         return roster[(self.first_contact + self.unanswered_counts[cell]) % len(roster)]
 
     def _on_unanswered(self, cell: str) -> None:
--- a/crowwing/fleet/membership/swim.py
+++ b/crowwing/fleet/membership/swim.py
@@ -90,12 +90,10 @@
     """One member's view of a fixed set of members; call `tick` at `wake_at` or sooner and `receive` for each
     message."""
 
-    def __init__(
-        self, me: str, peers: Sequence[str], now: int, chance: random.Random, timing: Timing
-    ) -> None:
+    def __init__(self, me: str, peers: Sequence[str], now: int, rng: random.Random, timing: Timing) -> None:
         if me in peers:
             raise ValueError(f"{me}: names itself among its peers")
-        self.me, self.timing, self.chance = me, timing, chance
+        self.me, self.timing, self.rng = me, timing, rng
         self.incarnation = 0
         self.members = {name: PeerState(name, ALIVE, 0, now, set()) for name in peers}
         self.rumours: dict[str, Rumour] = {}  # by member; removed when sent often enough
@@ -155,7 +153,7 @@
                 others = [name for name in self.alive() if name != probe.target]
                 if not timing.revive_indirect and self.members[probe.target].state in GONE:
                     others = []
-                probe.helpers = set(self.chance.sample(others, min(timing.indirect, len(others))))
+                probe.helpers = set(self.rng.sample(others, min(timing.indirect, len(others))))
                 for helper in sorted(probe.helpers):
                     self._send(helper, Kind.PING_REQ, seq=probe.seq, target=probe.target)
         if now >= self.period_at + self.scaled(timing.period):
@@ -187,12 +185,12 @@
     def _next_target(self) -> str | None:
         dead = [name for name, m in self.members.items() if m.state in GONE]
         if dead and self.periods % self.timing.revive_every == 0:
-            return self.chance.choice(dead)
+            return self.rng.choice(dead)
         while self.probe_order and self.members[self.probe_order[-1]].state in GONE:
             self.probe_order.pop()
         if not self.probe_order:
             self.probe_order = self.alive()
-            self.chance.shuffle(self.probe_order)
+            self.rng.shuffle(self.probe_order)
         return self.probe_order.pop() if self.probe_order else None
 
     # Messages
--- a/crowwing/fleet/simulated_fleet.py
+++ b/crowwing/fleet/simulated_fleet.py
@@ -24,7 +24,7 @@
 
 class SimulatedMembership:
     def __init__(self, size: int, seed: int, timing: Timing, delay: int = 500, jitter: int = 1500) -> None:
-        self.seed, self.chance, self.timing = seed, random.Random(seed), timing
+        self.seed, self.rng, self.timing = seed, random.Random(seed), timing
         self.now = 0
         self.names = [f"m{n}" for n in range(size)]
         self.loss, self.delay, self.jitter = 0.0, delay, jitter
@@ -48,7 +48,7 @@
             for name in self.names
         }  # fmt: skip
         for name in self.names:
-            self._schedule_turn(name, self.chance.randrange(self.timing.period))
+            self._schedule_turn(name, self.rng.randrange(self.timing.period))
 
     def _schedule(self, when: int, to: str, message: bytes | dict | None) -> None:
         self.sequence += 1
@@ -60,9 +60,9 @@
 
     def _transit_time(self, name: str, to: str) -> int | None:
         """µs until a datagram arrives; None: it is lost."""
-        if self.chance.random() < self.loss or self.is_partitioned(name, to):
+        if self.rng.random() < self.loss or self.is_partitioned(name, to):
             return None
-        return self.delay + self.chance.randrange(self.jitter + 1)
+        return self.delay + self.rng.randrange(self.jitter + 1)
 
     def _flush(self, name: str) -> None:
         member = self.members[name]
@@ -171,16 +171,16 @@
         self.traffic = {name: [0, 0, 0, 0, 0] for name in self.names}
         self.members = {}
         for name in self.names:
-            first = self.chance.randrange(self.timing.period)
+            first = self.rng.randrange(self.timing.period)
             self.members[name] = self._new_member(name, 0 if self.in_step else -first)
             self._schedule_turn(name, first if self.in_step else 0)
 
     def _new_member(self, name: str, at: int) -> Member:
-        chance = random.Random(f"{self.seed}/{name}/{self.incarnations[name]}")
+        rng = random.Random(f"{self.seed}/{name}/{self.incarnations[name]}")
         layout = self.layouts.get(name, self.layout)
         named = self.names if layout is None else layout.cell_of
         others = [other for other in self.names if other != name and other in named]
-        return Member(name, others, at, chance, self.settings, self.keyspaces, layout)
+        return Member(name, others, at, rng, self.settings, self.keyspaces, layout)
 
     def wall(self, name: str) -> int:
         """Unix time of the member's own clock; it starts at one hour, so that none is below 0."""
@@ -249,7 +249,7 @@
             and not self.is_partitioned(other, name)
         ):
             duration = 4 * (self.delay + self._region_delay(name, other))
-            duration += round(1e6 * self.loss * self.chance.random())
+            duration += round(1e6 * self.loss * self.rng.random())
             busy = self.serving[other] = [end for end in self.serving.get(other, ()) if end > self.now]
             if len(busy) < self.max_streams:
                 busy.append(self.now + duration)
--- a/crowwing/fleet/state/catch_up.py
+++ b/crowwing/fleet/state/catch_up.py
@@ -37,13 +37,13 @@
 
     def __init__(
         self, size: int, now: int, timing: CatchUpTiming, quorum_size: int | None = None,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:  # fmt: skip
         """`size` members, this one included; `quorum_size` of them (default: all) hold acknowledged updates,
-        and `next_fetches` must be given only those. `chance` adds jitter of up to half to the retry delays,
+        and `next_fetches` must be given only those. `rng` adds jitter of up to half to the retry delays,
         so that members that start together do not ask the same few in step.
         """
-        self.timing, self.chance = timing, chance
+        self.timing, self.rng = timing, rng
         quorum_size = size if quorum_size is None else quorum_size
         self.fetches_needed = 0 if size == 1 else (quorum_size + 1) // 2
         self.peers_for_majority = size // 2  # a majority together with this member
@@ -129,7 +129,7 @@
         began = self.in_flight.pop(name, None)
         if not good:
             self.failed_at[name] = now
-            stretched = 1.0 if self.chance is None else 1.0 + self.chance.random() / 2
+            stretched = 1.0 if self.rng is None else 1.0 + self.rng.random() / 2
             self.backoff_until = max(self.backoff_until, now + round(self.backoff * stretched))
             self.backoff = min(2 * self.backoff, self.timing.max_backoff_factor * self.timing.retry_delay)
             return
--- a/crowwing/fleet/state/dissemination.py
+++ b/crowwing/fleet/state/dissemination.py
@@ -95,11 +95,11 @@
     """One member's part; call `receive` for each message of its kinds and `tick` at `wake_at` or sooner."""
 
     def __init__(
-        self, me: str, peers: Sequence[str], replica: Replica, now: int, chance: random.Random,
+        self, me: str, peers: Sequence[str], replica: Replica, now: int, rng: random.Random,
         settings: DisseminationSettings, scope: CellScope | None = None,
     ) -> None:  # fmt: skip
         """`peers`: all other members, or those of the cell if `scope` is given."""
-        self.me, self.replica, self.chance, self.settings, self.scope = me, replica, chance, settings, scope
+        self.me, self.replica, self.rng, self.settings, self.scope = me, replica, rng, settings, scope
         self.peers = frozenset(peers)
         self.accepted_senders: Container[str] = self.peers if scope is None else scope.accepted_senders
         self.quorum_members = frozenset((me, *peers)) if scope is None else scope.quorum_members
@@ -111,7 +111,7 @@
             self.max_piggybacks = settings.piggybacks_in_cells
         self.pending_updates: dict[int, Update] = {}  # by number; removed at a majority or the deadline
         self.update_number = 0
-        self.next_sync = now + chance.randrange(settings.sync_every)
+        self.next_sync = now + rng.randrange(settings.sync_every)
         self.last_push = self.last_sync = now - settings.quiet_period
         self.repair_until, self.eager_sync_until = now, now + settings.eager_sync_period
         # Bytes left for repairs; half for quorum members, which also serve full transfers.
@@ -214,9 +214,9 @@
             self.last_sync = now
             # Jitter of a tenth: members started together do not sync in step.
             every = self.settings.sync_every // (4 if self.is_empty and now < self.eager_sync_until else 1)
-            self.next_sync = now + round(every * (0.9 + 0.2 * self.chance.random()))
+            self.next_sync = now + round(every * (0.9 + 0.2 * self.rng.random()))
             if alive:
-                self.start_sync(self.chance.choice(list(alive)))
+                self.start_sync(self.rng.choice(list(alive)))
             for name in self._contacts_in_other_cells(1):
                 self.start_sync(name)
 
@@ -245,7 +245,7 @@
         self.unpushed_keys.clear()
         if not keys:
             return
-        to = self.chance.sample(list(alive), min(self.settings.fanout, len(alive)))
+        to = self.rng.sample(list(alive), min(self.settings.fanout, len(alive)))
         batches = list(self._batches(self.replica.row(key) for key in keys))
         for name in [*to, *self._contacts_in_other_cells(self.settings.cell_fanout)]:
             for rows in batches:
@@ -336,7 +336,7 @@
         if len(differ) >= self.settings.full_transfer_leaves and n >= self.settings.full_transfer_entries:
             self.full_transfer_peers.add(sender)
             return
-        self.chance.shuffle(differ)  # if it is too much for one round, a different part each time
+        self.rng.shuffle(differ)  # if it is too much for one round, a different part each time
         self._send_rows(now, sender, differ)
         if self._may_request_rows(now, len(differ), LEAVES):
             self._send(sender, StateMessageKind.ROWS_WANTED, leaves=differ)
@@ -349,7 +349,7 @@
         came = (now - self.budget_updated_at) * self.settings.repair_bytes_per_s / 1e6
         self.repair_budget, self.budget_updated_at = min(self.repair_budget + came, self.repair_burst), now
         order = list(leaves)
-        self.chance.shuffle(order)  # members that start together get a different part from each peer
+        self.rng.shuffle(order)  # members that start together get a different part from each peer
         batches = list(self._batches(self.replica.rows(order), self.settings.max_sync_bytes))
         for rows in batches:
             if self.repair_budget <= 0 and len(batches) > 1:
--- a/crowwing/fleet/uses/call_budget_loans.py
+++ b/crowwing/fleet/uses/call_budget_loans.py
@@ -41,13 +41,13 @@
 
 class CallBudgetLoans:
     def __init__(
-        self, me: str, peers: Sequence[str], now: int, chance: random.Random, terms: LoanTerms | None = None,
+        self, me: str, peers: Sequence[str], now: int, rng: random.Random, terms: LoanTerms | None = None,
         peers_are_fixed: bool = True,
     ) -> None:  # fmt: skip
         """`peers_are_fixed`: an earlier incarnation can have lent only to `peers`. Otherwise, as in cells
         whose members change, the loans of an earlier incarnation are waited out whatever the peers answer."""
         self.peers_are_fixed = peers_are_fixed
-        self.me, self.peers, self.chance, self.terms = me, set(peers), chance, terms or LoanTerms()
+        self.me, self.peers, self.rng, self.terms = me, set(peers), rng, terms or LoanTerms()
         self.recovering_until = now + self._lending_period()
         # May have borrowed from an earlier incarnation; removed when they answer
         self.unanswered = set(peers)
@@ -59,7 +59,7 @@
         self.requested: dict[tuple[str, int], int] = {}
         self.idle_shares: dict[str, float] = {}  # lendable share that each member reported last
         # Random, so that it differs from that of an earlier incarnation.
-        self.request_number = self.incarnation = chance.randrange(1 << 30)
+        self.request_number = self.incarnation = rng.randrange(1 << 30)
         self.usage = 0.0
         self.next_request = now
         self.outbox: list[tuple[str, dict]] = []
@@ -101,7 +101,7 @@
         if shortfall < self.terms.min_loan or not alive:
             return
         order = list(alive)
-        self.chance.shuffle(order)
+        self.rng.shuffle(order)
         order.sort(key=lambda name: -self.idle_shares.get(name, 0.5))
         for name in order[: self.terms.max_lenders_per_round]:
             self.request_number += 1
--- a/crowwing/fleet/uses/idempotency_keys.py
+++ b/crowwing/fleet/uses/idempotency_keys.py
@@ -75,13 +75,7 @@
     """One member's part, as claimant and as home. Times in µs on a monotonic clock."""
 
     def __init__(
-        self,
-        me: str,
-        members: Sequence[str],
-        now: int,
-        chance: random.Random,
-        max_keys: int,
-        claim_timeout: int,
+        self, me: str, members: Sequence[str], now: int, rng: random.Random, max_keys: int, claim_timeout: int
     ) -> None:
         """`max_keys` known here, as home and as owner each; `claim_timeout` for the answers of the homes."""
         self.me, self.members, self.started_at, self.max_keys, self.claim_timeout = (
@@ -91,7 +85,7 @@
             max_keys,
             claim_timeout,
         )
-        self.owner, self.claim_number = f"{me}.{chance.randrange(1 << 32):08x}", 0
+        self.owner, self.claim_number = f"{me}.{rng.randrange(1 << 32):08x}", 0
         self.grants: dict[str, Grant] = {}  # as a home; removed after each key's window
         self.own_grants: dict[str, Grant] = {}  # that run or ran here; removed after each key's window
         self.claims: dict[str, Claim] = {}  # pending, by key; removed at their end
--- a/crowwing/fleet/uses/rejection_prints.py
+++ b/crowwing/fleet/uses/rejection_prints.py
@@ -19,8 +19,8 @@
 
 
 class RejectionPrints:
-    def __init__(self, me: str, chance: random.Random) -> None:
-        self.me, self.chance = me, chance
+    def __init__(self, me: str, rng: random.Random) -> None:
+        self.me, self.rng = me, rng
         self.sample: list[int] = []  # uniform sample since the last publication
         self.seen_count = self.slot = 0
         self.known_timestamps: dict[str, Timestamp] = {}  # by key; bounded by the entries
@@ -30,14 +30,14 @@
         self.seen_count += 1
         if len(self.sample) < SAMPLE_SIZE:
             self.sample.append(print_)
-        elif (slot := self.chance.randrange(self.seen_count)) < SAMPLE_SIZE:
+        elif (slot := self.rng.randrange(self.seen_count)) < SAMPLE_SIZE:
             self.sample[slot] = print_
 
     def next_entry(self) -> tuple[str, list[int]] | None:
         """Key and value to publish now; None if nothing was rejected."""
         if not self.sample:
             return None
-        chosen = self.chance.sample(self.sample, min(MAX_PRINTS, len(self.sample)))
+        chosen = self.rng.sample(self.sample, min(MAX_PRINTS, len(self.sample)))
         self.sample, self.seen_count = [], 0
         self.slot = (self.slot + 1) % RING_SLOTS
         return f"turned/{self.me}/{self.slot}", chosen
