--- a/crowwing/emulator/fleet/pure.py
+++ b/crowwing/emulator/fleet/pure.py
@@ -61,7 +61,7 @@
 
 
 def put(member: Member, wall: int, key: str, value: object, life: int) -> None:
-    """NotKept where it cannot be."""
+    """EntryRejectedError where it cannot be."""
     member.dissemination_of(key).put(wall, key, value, life)
 
 
