--- /dev/null
+++ b/crowwing/fleet/adapters/__init__.py
@@ -0,0 +1,1 @@
+"""Sockets, disk and settings of a fleet member."""
--- a/crowwing/fleet/wires/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The fleet on sockets and on disk."""
--- a/tests/test_cells_wake.py
+++ b/tests/test_cells_wake.py
@@ -3,19 +3,19 @@
 from tests.cellular import S, fleet
 
 
-def test_one_that_speaks_no_longer_is_not_woken_for_what_it_was_to_tell() -> None:
-    """Guards against a member that wakes without end for a telling that is no more its own."""
+def test_a_former_speaker_is_not_woken_to_publish() -> None:
+    """Guards against endless wake-ups for a vote that a former speaker may no longer publish."""
     world = fleet(12, 1, 4)
     world.run_until(5 * S)
-    member = next(m for m in world.members.values() if m.reach.speaks)
-    member.speakers, member.verdicts.tell_at = (), world.now - S
+    member = next(m for m in world.members.values() if m.reachability.speaks)
+    member.speakers, member.reachability_votes.publish_at = (), world.now - S
     member.layout = StillLayout(member.layout)
-    member.turn(world.now, world.wall(member.me))
-    assert not member.reach.speaks and member.wake_at(world.now) > world.now
+    member.tick(world.now, world.wall(member.me))
+    assert not member.reachability.speaks and member.wake_at(world.now) > world.now
 
 
 class StillLayout:
-    """A layout in which somebody else speaks."""
+    """A layout in which this member is no speaker."""
 
     def __init__(self, layout: object) -> None:
         self.layout = layout
--- a/tests/test_fleet_scope.py
+++ b/tests/test_fleet_scope.py
@@ -1,9 +1,9 @@
-"""Every order of deliveries and losses in a small scope: three members, a few words said, two of them at
-odds.
+"""Every order of deliveries and losses in a small scope: three members and a few updates, two of them in
+conflict.
 
-Not drawn but exhausted: from each state every message under way is delivered, lost, or delivered and kept for
-another delivery, every word still to be said is said, and once in a run one member loses its memory. Whatever
-happened, after all links heal the copies agree, and what was acknowledged is still there.
+The search is exhaustive: from each state every message in flight is delivered, lost, or delivered and kept
+for another delivery, every remaining update is made, and once in a run one member loses its memory. Whatever
+happened, after all links heal the replicas agree, and acknowledged updates are still there.
 """
 
 import copy
@@ -14,112 +14,128 @@
 import orjson
 import pytest
 
-from crowwing.fleet.state.copies import Copies, Join, Space
-from crowwing.fleet.state.spread import Pace, Spread, Word
+from crowwing.fleet.state.dissemination import Dissemination, DisseminationSettings, StateMessageKind
+from crowwing.fleet.state.replica import Keyspace, MergeRule, Replica
 
-SPACES = {"r": Space(Join.LATEST, 8, 10**9), "s": Space(Join.GONE, 8, 10**9)}
+KEYSPACES = {
+    "r": Keyspace(MergeRule.LAST_WRITER_WINS, 8, 10**9),
+    "s": Keyspace(MergeRule.REMOVE_WINS, 8, 10**9),
+}
 NAMES = ("a", "b", "c")
 NOW = 10**6
-Saying = tuple[str, str, str, int]  # who, how, key, value
-
-
-def twin(spread: Spread) -> Spread:
-    """A copy that shares nothing that changes; `copy.deepcopy` takes a hundred times as long."""
-    other, held, clock = copy.copy(spread), copy.copy(spread.copies), copy.copy(spread.copies.clock)
-    held.clock, held.entries, held.held = clock, dict(held.entries), copy.copy(held.held)
-    held.leaves, held.keys = list(held.leaves), {leaf: set(keys) for leaf, keys in held.keys.items()}
-    held.ends = {name: list(heap) for name, heap in held.ends.items()}
-    held.refused = copy.copy(held.refused)
-    other.copies, other.hot, other.outbox = held, dict(other.hot), []
-    other.updates = {n: replace(update, held=set(update.held)) for n, update in other.updates.items()}
+PlannedUpdate = tuple[str, str, str, int]  # member, operation, key, value
+
+
+def twin(member: Dissemination) -> Dissemination:
+    """A copy without shared mutable state; `copy.deepcopy` takes a hundred times as long."""
+    other, replica, clock = copy.copy(member), copy.copy(member.replica), copy.copy(member.replica.clock)
+    replica.clock, replica.entries, replica.entry_counts = (
+        clock,
+        dict(replica.entries),
+        copy.copy(replica.entry_counts),
+    )
+    replica.leaf_digests, replica.keys_by_leaf = (
+        list(replica.leaf_digests),
+        {leaf: set(keys) for leaf, keys in replica.keys_by_leaf.items()},
+    )
+    replica.expiries = {name: list(heap) for name, heap in replica.expiries.items()}
+    replica.rejected = copy.copy(replica.rejected)
+    other.replica, other.hot_keys, other.outbox = replica, dict(other.hot_keys), []
+    other.pending_updates = {
+        n: replace(update, holders=set(update.holders)) for n, update in other.pending_updates.items()
+    }
     return other
 
 
 class Scope:
-    """One state: three spreads, what is under way, what is still to be said."""
+    """One state: three members, the messages in flight, the remaining updates."""
 
-    def __init__(self, sayings: tuple[Saying, ...]) -> None:
-        self.spreads = {}
+    def __init__(self, updates: tuple[PlannedUpdate, ...]) -> None:
+        self.members = {}
         for name in NAMES:
             others = [other for other in NAMES if other != name]
-            held = Copies(name, SPACES, 10**9)
-            self.spreads[name] = Spread(name, others, held, NOW, random.Random(1), Pace())
-        self.flying: list[bytes] = []  # [to, message], packed
-        self.sayings = sayings
-        self.acked: tuple[int, ...] = ()  # numbers of sayings that were acknowledged
+            replica = Replica(name, KEYSPACES, 10**9)
+            self.members[name] = Dissemination(
+                name, others, replica, NOW, random.Random(1), DisseminationSettings()
+            )
+        self.in_flight: list[bytes] = []  # encoded [to, message]
+        self.updates = updates
+        self.acked: tuple[int, ...] = ()  # numbers of acknowledged updates
         self.rows: dict[int, list] = {}
         self.forgot = False
 
     def copy(self) -> "Scope":
         other = copy.copy(self)
-        other.flying = list(self.flying)
-        other.spreads = {name: twin(spread) for name, spread in self.spreads.items()}
+        other.in_flight = list(self.in_flight)
+        other.members = {name: twin(member) for name, member in self.members.items()}
         other.rows = dict(self.rows)
         return other
 
     def key(self) -> tuple:
-        """What tells this state from others: all that later steps can depend on."""
+        """Identity of this state: everything that later steps can depend on."""
         told = tuple(
             (
-                tuple(map(orjson.dumps, s.copies.every())),
-                tuple(sorted((n, *sorted(u.held)) for n, u in s.updates.items())),
+                tuple(map(orjson.dumps, s.replica.all_rows())),
+                tuple(sorted((n, *sorted(u.holders)) for n, u in s.pending_updates.items())),
             )
-            for s in self.spreads.values()
+            for s in self.members.values()
         )
-        return told, tuple(sorted(self.flying)), self.sayings, self.acked, self.forgot
+        return told, tuple(sorted(self.in_flight)), self.updates, self.acked, self.forgot
 
     def collect(self) -> None:
-        for spread in self.spreads.values():
-            for to, message in spread.outbox:
-                if message["k"] in (Word.GIVE, Word.GOT):
+        for member in self.members.values():
+            for to, message in member.outbox:
+                if message["k"] in (StateMessageKind.ROWS, StateMessageKind.ROWS_STORED):
                     packed = orjson.dumps([to, message])
-                    if packed not in self.flying:
-                        self.flying.append(packed)
-            spread.outbox.clear()
-
-    def say(self) -> None:
-        (who, how, key, value), *rest = self.sayings
-        number, self.sayings = len(self.rows), tuple(rest)
-        spread = self.spreads[who]
-        row = spread.copies.put(NOW + number, key, value if how == "put" else how == "add", 10**8)
+                    if packed not in self.in_flight:
+                        self.in_flight.append(packed)
+            member.outbox.clear()
+
+    def make_update(self) -> None:
+        (who, how, key, value), *rest = self.updates
+        number, self.updates = len(self.rows), tuple(rest)
+        member = self.members[who]
+        row = member.replica.put(NOW + number, key, value if how == "put" else how == "add", 10**8)
         self.rows[number] = row
-        update = spread.update(NOW, row, spread.peers, 10**8, lambda _: None)
-        self.numbers = {**getattr(self, "numbers", {}), (who, spread.number): number}
-        assert not spread.is_held(update)
+        update = member.replicate(NOW, row, member.peers, 10**8, lambda _: None)
+        self.numbers = {**getattr(self, "numbers", {}), (who, member.update_number): number}
+        assert not member.has_majority(update)
         self.collect()
 
     def deliver(self, packed: bytes, keep: bool) -> None:
         if not keep:
-            self.flying.remove(packed)
+            self.in_flight.remove(packed)
         to, message = orjson.loads(packed)
-        spread = self.spreads[to]
-        waiting = {(to, n) for n in spread.updates}
-        spread.heard(NOW, NOW + 10, message)
-        for one in waiting - {(to, n) for n in spread.updates}:
+        member = self.members[to]
+        waiting = {(to, n) for n in member.pending_updates}
+        member.receive(NOW, NOW + 10, message)
+        for one in waiting - {(to, n) for n in member.pending_updates}:
             self.acked = (*self.acked, self.numbers[one])
         self.collect()
 
     def forget(self, who: str) -> None:
-        """Its memory is lost, and it has caught up from the two others before anything else happens."""
+        """A member loses its memory and catches up from the two others before anything else happens."""
         others = [name for name in NAMES if name != who]
-        held = Copies(who, SPACES, 10**9)
-        self.spreads[who] = Spread(who, others, held, NOW, random.Random(1), Pace())
+        replica = Replica(who, KEYSPACES, 10**9)
+        self.members[who] = Dissemination(
+            who, others, replica, NOW, random.Random(1), DisseminationSettings()
+        )
         for other in others:
-            held.merge(NOW + 20, self.spreads[other].missing(list(held.leaves)))
-        self.flying = [one for one in self.flying if orjson.loads(one)[0] != who]
+            replica.merge(NOW + 20, self.members[other].missing_rows(list(replica.leaf_digests)))
+        self.in_flight = [one for one in self.in_flight if orjson.loads(one)[0] != who]
         self.forgot = True
 
     def steps(self) -> list["Scope"]:
         after = []
-        if self.sayings:
+        if self.updates:
             after.append(self.copy())
-            after[-1].say()
-        for packed in self.flying:
+            after[-1].make_update()
+        for packed in self.in_flight:
             for keep in (False, True):
                 after.append(self.copy())
                 after[-1].deliver(packed, keep)
             after.append(self.copy())
-            after[-1].flying.remove(packed)
+            after[-1].in_flight.remove(packed)
         if not self.forgot and self.rows:
             for name in NAMES:
                 after.append(self.copy())
@@ -127,47 +143,45 @@
         return after
 
     def check(self) -> None:
-        """Heals by comparing digests until nothing differs; then all agree and nothing acknowledged is
-        gone."""
+        """Runs anti-entropy until nothing differs; then all agree and no acknowledged update is
+        lost."""
         healed = self.copy()
-        healed.flying.clear()
+        healed.in_flight.clear()
         for _ in range(3):
             for one in NAMES:
-                for other in healed.spreads[one].peers:
-                    healed.spreads[one].compare(other)
-                    pending = deque((one, *sent) for sent in healed.spreads[one].outbox)
-                    healed.spreads[one].outbox.clear()
+                for other in healed.members[one].peers:
+                    healed.members[one].start_sync(other)
+                    pending = deque((one, *sent) for sent in healed.members[one].outbox)
+                    healed.members[one].outbox.clear()
                     while pending:
                         _, to, message = pending.popleft()
-                        spread = healed.spreads[to]
-                        spread.heard(NOW, NOW + 30, orjson.loads(orjson.dumps(message)))
-                        pending += [(to, *sent) for sent in spread.outbox]
-                        spread.outbox.clear()
-        roots = {spread.copies.root() for spread in healed.spreads.values()}
-        assert len(roots) == 1, "copies differ"
+                        member = healed.members[to]
+                        member.receive(NOW, NOW + 30, orjson.loads(orjson.dumps(message)))
+                        pending += [(to, *sent) for sent in member.outbox]
+                        member.outbox.clear()
+        roots = {member.replica.root() for member in healed.members.values()}
+        assert len(roots) == 1, "replicas differ"
         for number in self.acked:
-            assert healed.spreads["a"].copies.holds(self.rows[number]), (
+            assert healed.members["a"].replica.holds(self.rows[number]), (
                 f"acknowledged and lost: {self.rows[number]}"
             )
 
 
 @pytest.mark.parametrize(
-    (
-        "deep",
-        "sayings",
-    ),  # steps: what is said, and deliveries, losses or a lost memory before, between or after
+    # Steps: updates, and deliveries, losses or a lost memory before, between or after them.
+    ("deep", "updates"),
     [
         (5, (("a", "put", "r/x", 1), ("b", "put", "r/x", 2))),
         (5, (("a", "add", "s/x", 0), ("b", "take_out", "s/x", 0))),
         (4, (("a", "put", "r/x", 1), ("a", "put", "r/x", 2))),
         (4, (("a", "put", "r/x", 1), ("c", "put", "r/y", 2))),
     ],
-    ids=["two at odds", "added and taken out", "said twice", "two things"],
+    ids=["conflict", "added and removed", "put twice", "two keys"],
 )
-def test_every_order_of_deliveries_losses_and_a_lost_memory_converges_and_keeps_what_was_acknowledged(
-    deep: int, sayings: tuple[Saying, ...]
+def test_every_order_of_deliveries_losses_and_a_lost_memory_converges_and_keeps_acknowledged_updates(
+    deep: int, updates: tuple[PlannedUpdate, ...]
 ) -> None:
-    begin = Scope(sayings)
+    begin = Scope(updates)
     seen, front, checked = {begin.key()}, [begin], 0
     for _ in range(deep):
         following = []
@@ -183,13 +197,13 @@
     assert checked > 200
 
 
-def test_the_check_itself_finds_an_acknowledgement_by_too_few() -> None:
-    """Without a majority a lost memory loses what was told: the check has to see it."""
+def test_the_check_detects_an_acknowledgement_below_a_majority() -> None:
+    """With acknowledgements below a majority, a member that loses its memory loses an acknowledged update."""
     begin = Scope((("a", "put", "r/x", 1),))
-    begin.spreads["a"].majority = 1  # the defect
+    begin.members["a"].majority = 1  # the injected defect
     state = begin.copy()
     state.numbers = {}
-    row = state.spreads["a"].copies.put(NOW, "r/x", 1, 10**8)
+    row = state.members["a"].replica.put(NOW, "r/x", 1, 10**8)
     state.rows[0], state.acked = row, (0,)
     state.forget("a")
     with pytest.raises(AssertionError, match="acknowledged and lost"):
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -1,4 +1,4 @@
-"""A fleet's settings beyond what a schema can say: places of members, and uses that a size does not carry."""
+"""Fleet settings beyond the schema: locations of members, and features that a fleet size does not support."""
 
 import os
 import subprocess
@@ -10,17 +10,17 @@
 import pytest
 
 from crowwing.emulator.processes import ROOT
-from crowwing.fleet.wires.settings import BadFleet, check_size, places
+from crowwing.fleet.adapters.settings import FleetSettingsError, check_size, locations
 from crowwing.settings import plain
 
 REGIONS = 5
-ZONES = 11  # of all regions together
+ZONES = 11  # in all regions
 NAMED = "name region and zone for every member or for none"
 APART = "name region and zone for every member: cells keep it apart, or leave it off"
 
 
 def section(size: int, in_cells: bool, **more: object) -> dict:
-    """`n0` is this backend; in cells its members stand in 11 zones of 5 regions, one after the other."""
+    """`n0` is this backend; in cells the members are in 11 zones of 5 regions, by turns."""
 
     def place(number: int) -> dict:
         zone = number % ZONES
@@ -49,14 +49,14 @@
     return fleet
 
 
-def test_a_fleet_that_names_no_place_is_flat(tmp_path: Path) -> None:
-    assert places(read(tmp_path, section(20, in_cells=False)), "n0") is None
+def test_a_fleet_without_locations_is_flat(tmp_path: Path) -> None:
+    assert locations(read(tmp_path, section(20, in_cells=False)), "n0") is None
     told = changed(section(20, in_cells=False), 3, region="", zone="")
-    assert places(read(tmp_path, told), "n0") is None, "an empty name is none, as the default says"
+    assert locations(read(tmp_path, told), "n0") is None, "an empty name is none, as the default says"
 
 
-def test_each_member_stands_where_the_file_says(tmp_path: Path) -> None:
-    found = places(read(tmp_path, section(30, in_cells=True)), "n0")
+def test_each_member_has_the_location_in_the_file(tmp_path: Path) -> None:
+    found = locations(read(tmp_path, section(30, in_cells=True)), "n0")
     assert len(found) == 30
     assert found["n0"] == found["n11"] == ("r0", "z0") and found["n7"] == ("r2", "z7")
     assert len(set(found.values())) == ZONES
@@ -81,11 +81,11 @@
         (section(20, in_cells=True) | {"zone": "\t"}, f"$.fleet.zone: is empty; {NAMED}"),
         (
             changed(section(20, in_cells=True), 18, zone="a/b"),
-            "$.fleet.peers[18].zone: 'a/b' has a slash, which stands between the parts of a cell's name",
+            "$.fleet.peers[18].zone: 'a/b' contains a slash, which separates the parts of a cell's name",
         ),
         (
             section(20, in_cells=True) | {"region": "/"},
-            "$.fleet.region: '/' has a slash, which stands between the parts of a cell's name",
+            "$.fleet.region: '/' contains a slash, which separates the parts of a cell's name",
         ),
         (
             changed(section(20, in_cells=True), 2, region="é" * 21),
@@ -93,21 +93,21 @@
         ),
     ],
 )
-def test_a_place_that_cannot_be_is_named_with_its_path(tmp_path: Path, fleet: dict, line: str) -> None:
-    with pytest.raises(BadFleet) as wrong:
-        places(read(tmp_path, fleet), "n0")
+def test_an_invalid_location_is_named_with_its_path(tmp_path: Path, fleet: dict, line: str) -> None:
+    with pytest.raises(FleetSettingsError) as wrong:
+        locations(read(tmp_path, fleet), "n0")
     assert str(wrong.value) == line
 
 
-def test_a_name_of_forty_bytes_is_one(tmp_path: Path) -> None:
+def test_a_location_name_of_forty_bytes_is_valid(tmp_path: Path) -> None:
     told = changed(section(20, in_cells=True), 2, region="é" * 20)
-    assert places(read(tmp_path, told), "n0")["n3"] == ("é" * 20, "z3")
+    assert locations(read(tmp_path, told), "n0")["n3"] == ("é" * 20, "z3")
 
 
 @pytest.mark.parametrize(
     ("size", "in_cells", "customers", "more", "line"),
     [
-        # A flat fleet: every member counts
+        # In a flat fleet, every member counts
         (51, False, 14, {"shares_quota": True}, None),
         (
             52, False, 14, {"shares_quota": True},
@@ -116,7 +116,7 @@
         (56, False, 4, {"shares_prints": True}, None),
         (
             57, False, 4, {"shares_prints": True},
-            f"$.fleet.shares_prints: 57 members x 16 places are over 896 entries; {APART}",
+            f"$.fleet.shares_prints: 57 members x 16 slots are over 896 entries; {APART}",
         ),
         (1000, False, 4, {"lends_calls": True}, None),
         (
@@ -124,7 +124,7 @@
             f"$.fleet.lends_calls: 1001 members, of 1000 at most; {APART}",
         ),
         (1001, False, 4, {"teaches": True}, None),
-        # Cells: what the largest may hold, in each zone 473 members of 5,200
+        # In cells, the largest possible cell counts; each zone has 473 of 5,200 members
         (5200, True, 4, {"lends_calls": True}, None),
         (5200, True, 11, {"shares_quota": True}, None),
         (
@@ -135,41 +135,41 @@
         (5200, True, 12, {"shares_quota": True, "cell_most": 32}, None),
         (
             5200, True, 4, {"shares_prints": True},
-            "$.fleet.shares_prints: 64 members x 16 places are over 896 entries; "
+            "$.fleet.shares_prints: 64 members x 16 slots are over 896 entries; "
             "lower cell_most, or leave it off",
         ),
         (5200, True, 4, {"shares_prints": True, "cell_most": 56}, None),
-        (616, True, 4, {"shares_prints": True}, None),  # 56 in each zone: no cell has more
+        (616, True, 4, {"shares_prints": True}, None),  # 56 in each zone, the largest cell
         (
             617, True, 4, {"shares_prints": True},
-            "$.fleet.shares_prints: 57 members x 16 places are over 896 entries; "
+            "$.fleet.shares_prints: 57 members x 16 slots are over 896 entries; "
             "lower cell_most, or leave it off",
         ),
     ],
 )  # fmt: skip
-def test_what_a_size_does_not_carry_is_refused_from_its_bound_on(
+def test_a_feature_is_rejected_from_the_fleet_size_that_it_does_not_support(
     tmp_path: Path, size: int, in_cells: bool, customers: int, more: dict, line: str | None
 ) -> None:
     fleet = read(tmp_path, section(size, in_cells, **more))
     if line is None:
         check_size(fleet, "n0", customers)
         return
-    with pytest.raises(BadFleet) as wrong:
+    with pytest.raises(FleetSettingsError) as wrong:
         check_size(fleet, "n0", customers)
     assert str(wrong.value) == line
 
 
-def test_every_member_refuses_alike(tmp_path: Path) -> None:
-    """One in a small zone too: else a part of the fleet would start with it and the rest not at all."""
+def test_every_member_rejects_the_same_settings(tmp_path: Path) -> None:
+    """Also one in a small zone: otherwise a part of the fleet would start with it and the rest would not."""
     told = section(200, in_cells=True, shares_prints=True, cell_most=128) | {"region": "r9", "zone": "alone"}
     for peer in told["peers"]:
         peer |= {"region": "r1", "zone": "full"}
-    with pytest.raises(BadFleet, match="128 members x 16 places"):
+    with pytest.raises(FleetSettingsError, match="128 members x 16 slots"):
         check_size(read(tmp_path, told), "n0", 1)
 
 
 def started(tmp_path: Path, fleet: dict, customers: int) -> tuple[int, bytes, list[str]]:
-    """The real command, with the example's configuration for so many customers; the file's path left out."""
+    """Runs the real command with the example's configuration for so many customers; drops the file's path."""
     path, told_at = tmp_path / "operator.json", tmp_path / "configuration.json"
     path.write_bytes(orjson.dumps({"version": 1, "fleet": fleet}))
     told = orjson.loads((ROOT / "deploy" / "example.json").read_bytes())
@@ -200,5 +200,5 @@
         (section(20, in_cells=True, cell_most=7), "$.fleet.cell_most: is under 8"),
     ],
 )
-def test_the_real_command_says_it_in_one_line_and_ends_with_2(tmp_path: Path, fleet: dict, line: str) -> None:
+def test_the_real_command_prints_one_line_and_exits_with_2(tmp_path: Path, fleet: dict, line: str) -> None:
     assert started(tmp_path, fleet, customers=6) == (2, b"", [f"crowwing: {line}"])
