--- a/crowwing/tier/store/machine.py
+++ b/crowwing/tier/store/machine.py
@@ -163,7 +163,7 @@
         return tasks
 
     def transfer_leadership(self) -> None:
-        """If this machine is the primary, hands leadership over to another member."""
+        """If this machine is the primary, asks another member to take over."""
         self.node.transfer_leadership()
 
     def close(self) -> None:
--- a/crowwing/tier/store/node.py
+++ b/crowwing/tier/store/node.py
@@ -158,7 +158,7 @@
         return self.connections.data.buffered_bytes + self.connections.urgent.buffered_bytes
 
     def transfer_leadership(self) -> None:
-        """If this replica is the primary, hands leadership over to another member."""
+        """If this replica is the primary, asks another member to take over."""
         self.replica.transfer_leadership(self.clock.monotonic())
         self.step()
 
--- a/crowwing/tier/store/workers.py
+++ b/crowwing/tier/store/workers.py
@@ -26,7 +26,7 @@
     """Runs writes one after another, and compactions concurrently with them."""
 
     async def write(self, work: Callable[[*ArgumentTs], ResultT], *arguments: *ArgumentTs) -> ResultT:
-        """Does a write, after those before it; raises what it raises."""
+        """Runs a write after all earlier ones; raises what it raises."""
         ...
 
     def compact(
@@ -45,7 +45,7 @@
         self._compactor = ThreadPoolExecutor(1, "compaction")
 
     async def write(self, work: Callable[[*ArgumentTs], ResultT], *arguments: *ArgumentTs) -> ResultT:
-        """Does a write, after those before it; raises what it raises."""
+        """Runs a write after all earlier ones; raises what it raises."""
         return await asyncio.get_running_loop().run_in_executor(self._writer, work, *arguments)
 
     def compact(self, work: Callable[[*ArgumentTs], ResultT], *arguments: *ArgumentTs) -> Future[ResultT]:
--- a/crowwing/tier/wire/bulk_queue.py
+++ b/crowwing/tier/wire/bulk_queue.py
@@ -105,7 +105,7 @@
         """
         flow, traffic_class = frame.flow, frame.traffic_class
         if frame.is_first_chunk:
-            self._count_credit(frame)
+            self._update_credit(frame)
         chunk = flow.take_chunk(traffic_class, max_bytes)
         self._waiting_bytes[traffic_class] -= len(chunk)
         if flow.is_in_progress:
@@ -122,7 +122,7 @@
         if flow.has_frames(traffic_class):
             flows.append(flow)
 
-    def _count_credit(self, frame: NextFrame) -> None:
+    def _update_credit(self, frame: NextFrame) -> None:
         """Adds each waiting class's share of the frame to its credit; charges a frame sent on credit."""
         length = frame.flow.first_length(frame.traffic_class)
         for traffic_class, share in GUARANTEED_SHARES.items():
