--- a/crowwing/__main__.py
+++ b/crowwing/__main__.py
@@ -24,11 +24,11 @@
 
 # Before anything that takes time is imported. A SIGHUP would end the process; the backend reads its settings
 # again once it hears signals, whether one came or not. A notice to leave is kept until then.
-told: list[int] = []
+early_signals: list[int] = []
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 for number in (signal.SIGTERM, signal.SIGINT):
-    signal.signal(number, lambda number, _: told.append(number))
+    signal.signal(number, lambda number, _: early_signals.append(number))
 
 from crowwing.program.main import main  # noqa: E402
 
-sys.exit(main(told))
+sys.exit(main(early_signals))
--- a/crowwing/cli/__init__.py
+++ b/crowwing/cli/__init__.py
@@ -20,9 +20,9 @@
     """0 done, 1 failed, 2 wrong use."""
     try:
         return app(standalone_mode=False) or 0
-    except typer.TyperException as wrong:
-        print(f"crowwing: {wrong.format_message()}", file=sys.stderr)
-        return wrong.exit_code
+    except typer.TyperException as error:
+        print(f"crowwing: {error.format_message()}", file=sys.stderr)
+        return error.exit_code
     except (KeyboardInterrupt, typer.Abort):
         print("crowwing: ended", file=sys.stderr)
         return 1
--- a/crowwing/cli/emulate.py
+++ b/crowwing/cli/emulate.py
@@ -15,10 +15,10 @@
 from rich.table import Table
 from rich.text import Text
 
-from crowwing.cli.say import failed, wrong_use
+from crowwing.cli.exit_status import exit_failed, exit_usage_error
 from crowwing.emulator import outcome, stage
 from crowwing.emulator.plan import HABITS, BadPlan, Plan, check, read
-from crowwing.settings import plain
+from crowwing.settings import operator_file
 
 EXAMPLE = "Example: crowwing emulate deploy/demo.json --seed 3 --habit capped"
 
@@ -45,22 +45,22 @@
 ) -> None:
     """Plays a whole fleet on loopback, with faults, and checks the four rules on what really happened."""
     try:
-        told = _changed(read(plan, faults), seed, seconds, backends, load, habit)
+        plan_data = _apply_options(read(plan, faults), seed, seconds, backends, load, habit)
         folder = stage.fresh_folder(out)
-    except (BadPlan, stage.NotPlayed) as wrong:
-        wrong_use(wrong)
-    except OSError as wrong:
-        failed(f"{out}: {wrong.strerror}")
+    except (BadPlan, stage.NotPlayed) as error:
+        exit_usage_error(error)
+    except OSError as error:
+        exit_failed(f"{out}: {error.strerror}")
     if net is not None and not _loopback(net):
-        wrong_use(f"--net {net}: no loopback addresses, such as 127.40")
+        exit_usage_error(f"--net {net}: no loopback addresses, such as 127.40")
     if program is not None and not (program / "crowwing" / "__main__.py").exists():
-        wrong_use(f"--program {program}: no checkout of crowwing")
+        exit_usage_error(f"--program {program}: no checkout of crowwing")
     if operator is not None:
         try:
-            plain.load(operator)
-        except plain.BadOperator as wrong:
-            wrong_use(str(wrong).splitlines()[0])
-    result = _play(told, folder, net, program, operator, as_json)
+            operator_file.load(operator)
+        except operator_file.OperatorFileError as error:
+            exit_usage_error(str(error).splitlines()[0])
+    result = _play(plan_data, folder, net, program, operator, as_json)
     if as_json:
         sys.stdout.buffer.write(orjson.dumps(result, option=orjson.OPT_INDENT_2) + b"\n")
     else:
@@ -69,7 +69,7 @@
         raise typer.Exit(1)
 
 
-def _changed(
+def _apply_options(
     plan: Plan,
     seed: int | None,
     seconds: float | None,
@@ -78,18 +78,18 @@
     habit: str | None,
 ) -> Plan:
     """The plan with what the command line says otherwise, checked again as a file would be."""
-    told = msgspec.to_builtins(plan)
+    plan_data = msgspec.to_builtins(plan)
     for name, value in {"seed": seed, "seconds": seconds, "backends": backends}.items():
         if value is not None:
-            told[name] = value
+            plan_data[name] = value
     if load is not None:
-        told["traffic"]["load"] = load
+        plan_data["traffic"]["load"] = load
     if habit is not None:
-        told["sidecars"]["habit"] = habit
+        plan_data["sidecars"]["habit"] = habit
     try:
-        return check(msgspec.convert(told, Plan))
-    except ValueError as wrong:
-        raise BadPlan(f"options: {wrong}") from None
+        return check(msgspec.convert(plan_data, Plan))
+    except ValueError as error:
+        raise BadPlan(f"options: {error}") from None
 
 
 def _loopback(net: str) -> bool:
@@ -101,28 +101,32 @@
     plan: Plan, folder: Path, net: str | None, program: Path | None, operator: Path | None, quiet: bool
 ) -> dict:
     console = Console(stderr=True)
-    shows = console.is_terminal and not quiet
-    with Live(Text(""), console=console, refresh_per_second=4, transient=True) if shows else _Still() as live:
-        show = (lambda now: live.update(_line(plan, now))) if shows else (lambda _: None)
-        played = stage.Stage(
+    is_shown = console.is_terminal and not quiet
+    with (
+        Live(Text(""), console=console, refresh_per_second=4, transient=True)
+        if is_shown
+        else _Still() as live
+    ):
+        show = (lambda now: live.update(_progress_line(plan, now))) if is_shown else (lambda _: None)
+        emulation = stage.Stage(
             plan, folder, net, program and program.resolve(), operator and operator.resolve(), show
         )
         try:
-            truth = uvloop.run(_until_told(played))
-        except OSError as wrong:
-            failed(f"an address is taken: {wrong}")
-        except stage.NotPlayed as wrong:
-            failed(wrong)
+            truth = uvloop.run(_play_until_signal(emulation))
+        except OSError as error:
+            exit_failed(f"an address is taken: {error}")
+        except stage.NotPlayed as error:
+            exit_failed(error)
         except (asyncio.CancelledError, KeyboardInterrupt):
-            failed("ended before its time; every process it started has ended")
-    result = outcome.of(plan, truth, played.too_busy(), str(folder))
+            exit_failed("ended before its time; every process it started has ended")
+    result = outcome.of(plan, truth, emulation.too_busy(), str(folder))
     (folder / "result.json").write_bytes(orjson.dumps(result, option=orjson.OPT_INDENT_2))
     return result
 
 
-async def _until_told(played: stage.Stage) -> object:
+async def _play_until_signal(emulation: stage.Stage) -> object:
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, asyncio.current_task().cancel)
-    return await played.play()
+    return await emulation.play()
 
 
 class _Still:
@@ -135,7 +139,7 @@
         pass
 
 
-def _line(plan: Plan, now: stage.Now) -> Text:
+def _progress_line(plan: Plan, now: stage.Now) -> Text:
     done = min(1.0, now.seconds / plan.seconds)
     bar = "█" * round(30 * done) + "░" * (30 - round(30 * done))
     faults = f"  fault: {', '.join(now.faults)}" if now.faults else ""
--- a/crowwing/cli/say.py
+++ b/crowwing/cli/exit_status.py
@@ -6,11 +6,11 @@
 import typer
 
 
-def wrong_use(why: object) -> NoReturn:
-    print(f"crowwing: {why}", file=sys.stderr)
+def exit_usage_error(reason: object) -> NoReturn:
+    print(f"crowwing: {reason}", file=sys.stderr)
     raise typer.Exit(2)
 
 
-def failed(why: object) -> NoReturn:
-    print(f"crowwing: {why}", file=sys.stderr)
+def exit_failed(reason: object) -> NoReturn:
+    print(f"crowwing: {reason}", file=sys.stderr)
     raise typer.Exit(1)
--- a/crowwing/cli/fleet.py
+++ b/crowwing/cli/fleet.py
@@ -13,7 +13,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from crowwing.cli.say import failed, wrong_use
+from crowwing.cli.exit_status import exit_failed, exit_usage_error
 from crowwing.fleet.adapters.settings import FleetSettingsError, address
 
 app = typer.Typer(no_args_is_help=True, help="A fleet's members and what they keep together.")
@@ -22,25 +22,25 @@
 Wait = Annotated[float, typer.Option(help="Seconds to wait for an answer.", min=0.1, max=60)]
 
 
-def _ask(where: str, wait_s: float, **told: object) -> dict:
+def _request(where: str, wait_s: float, **values: object) -> dict:
     try:
         at = address(where, "ADDRESS")
-    except FleetSettingsError as wrong:
-        wrong_use(wrong)
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as asker:
-        asker.settimeout(wait_s)
+    except FleetSettingsError as error:
+        exit_usage_error(error)
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
+        sock.settimeout(wait_s)
         try:
-            asker.connect(at)
-            asker.send(orjson.dumps(told | {"n": 1}))
-            return orjson.loads(asker.recv(65536))
+            sock.connect(at)
+            sock.send(orjson.dumps(values | {"n": 1}))
+            return orjson.loads(sock.recv(65536))
         except TimeoutError:
-            failed(f"{where}: no answer within {wait_s:g} s")
-        except OSError as wrong:
-            failed(f"{where}: {wrong.strerror}")
+            exit_failed(f"{where}: no answer within {wait_s:g} s")
+        except OSError as error:
+            exit_failed(f"{where}: {error.strerror}")
 
 
-def _json(told: object) -> None:
-    sys.stdout.buffer.write(orjson.dumps(told, option=orjson.OPT_INDENT_2) + b"\n")
+def _json(values: object) -> None:
+    sys.stdout.buffer.write(orjson.dumps(values, option=orjson.OPT_INDENT_2) + b"\n")
 
 
 def _show(table: Table) -> None:
@@ -53,7 +53,7 @@
 @app.command(epilog="Example: crowwing fleet members 10.0.0.5:7946")
 def members(where: Where, wait_s: Wait = 2.0, as_json: AsJson = False) -> None:
     """Who is alive, suspect or dead, as this member sees it."""
-    view = _ask(where, wait_s, k="members")
+    view = _request(where, wait_s, k="members")
     if as_json:
         return _json(view)
     ready = "ready" if view["ready"] else "catching up"
@@ -76,33 +76,33 @@
     as_json: AsJson = False,
 ) -> None:
     """What this member keeps: every entry, who said it when, and when it runs out."""
-    whole = _ask(where, wait_s, k="state", prefix=prefix)
-    while whole["more"]:
-        page = _ask(where, wait_s, k="state", prefix=prefix, after=whole["rows"][-1][0])
-        whole["rows"] += page["rows"]
-        whole["more"] = page["more"]
+    answer = _request(where, wait_s, k="state", prefix=prefix)
+    while answer["more"]:
+        page = _request(where, wait_s, k="state", prefix=prefix, after=answer["rows"][-1][0])
+        answer["rows"] += page["rows"]
+        answer["more"] = page["more"]
     if as_json:
-        return _json(whole)
-    table = Table(title=f"{whole['me']}: {whole['entries']} entries, root {whole['root']}")
+        return _json(answer)
+    table = Table(title=f"{answer['me']}: {answer['entries']} entries, root {answer['root']}")
     for head in ("key", "value", "said by", "at", "runs out in s"):
         table.add_column(head, justify="right" if head.startswith("runs") else "left", overflow="fold")
-    for key, value, at, _, who, until in whole["rows"]:
+    for key, value, at, _, who, until in answer["rows"]:
         said = datetime.fromtimestamp(at / 1e6, UTC).strftime("%H:%M:%S.%f")[:-3]
-        table.add_row(key, orjson.dumps(value).decode(), who, said, f"{(until - whole['time']) / 1e6:.0f}")
+        table.add_row(key, orjson.dumps(value).decode(), who, said, f"{(until - answer['time']) / 1e6:.0f}")
     return _show(table)
 
 
-def _change(where: str, wait_s: float, as_json: bool, **told: object) -> None:
+def _change(where: str, wait_s: float, as_json: bool, **values: object) -> None:
     """Exit 1 where no majority is known to hold it: it is kept there all the same, and spreads as it can."""
-    answer = _ask(where, wait_s + 1, wait_ms=round(wait_s * 1000), **told)
+    answer = _request(where, wait_s + 1, wait_ms=round(wait_s * 1000), **values)
     if "why" in answer:
-        wrong_use(answer["why"])
+        exit_usage_error(answer["why"])
     if as_json:
         _json(answer)
     elif answer["acked"]:
         print("held by a majority")
     if not answer["acked"]:
-        failed(f"only {answer['held']} members are known to hold it so far; it spreads as others come")
+        exit_failed(f"only {answer['held']} members are known to hold it so far; it spreads as others come")
 
 
 @app.command(epilog="Example: crowwing fleet put 10.0.0.5:7946 said/incident '\"db slow\"' --life-s 3600")
@@ -116,10 +116,10 @@
 ) -> None:
     """Says something to the whole fleet; the later word on a key wins."""
     try:
-        meant = orjson.loads(value)
-    except orjson.JSONDecodeError as wrong:
-        wrong_use(f"VALUE: no JSON: {wrong}")
-    _change(where, wait_s, as_json, k="put", key=key, value=meant, life_ms=round(life_s * 1000))
+        json_value = orjson.loads(value)
+    except orjson.JSONDecodeError as error:
+        exit_usage_error(f"VALUE: no JSON: {error}")
+    _change(where, wait_s, as_json, k="put", key=key, value=json_value, life_ms=round(life_s * 1000))
 
 
 @app.command(epilog="Example: crowwing fleet mark 10.0.0.5:7946 mark/held-out/m3")
@@ -136,10 +136,10 @@
     _change(where, wait_s, as_json, k="take_out" if out else "add", key=key, life_ms=round(life_s * 1000))
 
 
-def _found(found: object, folder: Path, as_json: bool) -> None:
-    told = found._asdict()
+def _print_result(found: object, folder: Path, as_json: bool) -> None:
+    values = found._asdict()
     if as_json:
-        _json(told | {"folder": str(folder)})
+        _json(values | {"folder": str(folder)})
     else:
         converged = (
             "not within 10 s" if found.converged_s is None else f"{found.converged_s} s after the last fault"
@@ -149,7 +149,7 @@
             f"differing {len(found.differing)}, agreed {converged}; {folder}"
         )
     if found.lost or found.differing or found.converged_s is None:
-        failed(f"broken; again: crowwing fleet replay {folder}")
+        exit_failed(f"broken; again: crowwing fleet replay {folder}")
 
 
 @app.command(epilog="Example: crowwing fleet play --seed 7 --out runs/fleet")
@@ -163,7 +163,7 @@
     """Plays a seeded script of faults on real backends, and checks what they promised."""
     from crowwing.emulator.fleet import play as fleetplay
 
-    _played(lambda: fleetplay.Play(out, fleetplay.plan(seed, size, seconds)).run(), out, as_json)
+    _run_play(lambda: fleetplay.Play(out, fleetplay.plan(seed, size, seconds)).run(), out, as_json)
 
 
 @app.command(epilog="Example: crowwing fleet replay runs/fleet")
@@ -175,16 +175,16 @@
     """Plays the asks and faults of an earlier run once more."""
     from crowwing.emulator.fleet import play as fleetplay
 
-    _played(lambda: fleetplay.replay(folder, out), out, as_json)
+    _run_play(lambda: fleetplay.replay(folder, out), out, as_json)
 
 
-def _played(run: object, out: Path, as_json: bool) -> None:
+def _run_play(run: object, out: Path, as_json: bool) -> None:
     try:
         found = run()
-    except ValueError as wrong:
-        wrong_use(wrong)
-    except (OSError, TimeoutError) as wrong:
-        failed(wrong)
+    except ValueError as error:
+        exit_usage_error(error)
+    except (OSError, TimeoutError) as error:
+        exit_failed(error)
     except KeyboardInterrupt:
-        failed("ended before its time; every process it started has ended")
-    _found(found, out, as_json)
+        exit_failed("ended before its time; every process it started has ended")
+    _print_result(found, out, as_json)
--- a/crowwing/cli/settings.py
+++ b/crowwing/cli/settings.py
@@ -8,7 +8,7 @@
 from msgspec import UNSET
 
 from crowwing.settings import operator
-from crowwing.settings.plain import BadOperator
+from crowwing.settings.operator_file import OperatorFileError
 
 app = typer.Typer(no_args_is_help=True, help="The operator file: check it, or write its JSON Schema.")
 
@@ -17,13 +17,17 @@
 def check(file: Annotated[Path, typer.Argument(help="The operator file, JSON.")]) -> None:
     """Names each mistake with its JSON path; says what is switched on otherwise."""
     try:
-        told = operator.read(file)
-    except BadOperator as wrong:
-        for line in str(wrong).splitlines():
+        sections = operator.read(file)
+    except OperatorFileError as error:
+        for line in str(error).splitlines():
             print(f"crowwing: {line}", file=sys.stderr)
         raise typer.Exit(2) from None
-    on = [name for name in told.__struct_fields__ if name != "version" and getattr(told, name) is not UNSET]
-    print(f"{file}: good; on: {', '.join(on) or 'nothing'}")
+    enabled = [
+        name
+        for name in sections.__struct_fields__
+        if name != "version" and getattr(sections, name) is not UNSET
+    ]
+    print(f"{file}: good; on: {', '.join(enabled) or 'nothing'}")
 
 
 @app.command(epilog="Example: crowwing settings schema > deploy/operator.schema.json")
--- a/crowwing/program/main.py
+++ b/crowwing/program/main.py
@@ -10,28 +10,28 @@
 import uvloop
 
 from crowwing.program.backend import Backend
-from crowwing.program.configuration import BadConfiguration, Configuration, read
+from crowwing.program.configuration import Configuration, ConfigurationError, read
 from crowwing.program.log import Log
 
 if TYPE_CHECKING:
     from types import SimpleNamespace
 
 
-def _operator(environment: Mapping[str, str]) -> "SimpleNamespace | None":
+def _read_operator_file(environment: Mapping[str, str]) -> "SimpleNamespace | None":
     """The operator file, read in this process: so it starts where starting other programs is refused."""
     path = environment.get("CROWWING_OPERATOR")
     if not path:
         return None
-    from crowwing.settings import plain  # only where a file is named
+    from crowwing.settings import operator_file  # only where a file is named
 
     try:
-        return plain.read(path)
-    except plain.BadOperator as wrong:
-        first, *more = str(wrong).splitlines()
-        raise BadConfiguration(f"{first} (and {len(more)} more)" if more else first) from None
+        return operator_file.read(path)
+    except operator_file.OperatorFileError as error:
+        first, *others = str(error).splitlines()
+        raise ConfigurationError(f"{first} (and {len(others)} more)" if others else first) from None
 
 
-def _fleet(operator: "SimpleNamespace | None", configuration: Configuration) -> None:
+def _check_fleet(operator: "SimpleNamespace | None", configuration: Configuration) -> None:
     """Peers naming this backend, an address that is no IPv4, timings that disagree, a folder that cannot be
     written, regions named for some, a use that this size does not carry: one line, before anything."""
     if operator is None or not getattr(operator, "fleet", None):  # UNSET and None alike are off
@@ -47,29 +47,31 @@
             raise FleetSettingsError(
                 "$.fleet.shares_prints: there is no storm section whose prints could be shared"
             )
-    except FleetSettingsError as wrong:
-        raise BadConfiguration(f"{os.environ['CROWWING_OPERATOR']}: {wrong}") from None
+    except FleetSettingsError as error:
+        raise ConfigurationError(f"{os.environ['CROWWING_OPERATOR']}: {error}") from None
 
 
-async def _serve(backend_of: object) -> None:
-    await backend_of(asyncio.get_running_loop()).run()
+async def _serve(create_backend: object) -> None:
+    await create_backend(asyncio.get_running_loop()).run()
 
 
-def main(told_early: Sequence[int] = ()) -> int:
+def main(early_signals: Sequence[int] = ()) -> int:
     """`told_early`: notices to leave, as the first lines of __main__ hear them until the loop does."""
     try:
         configuration = read(os.environ)
-        operator = _operator(os.environ)
-        _fleet(operator, configuration)
-    except BadConfiguration as wrong:
-        print(f"crowwing: {wrong}", file=sys.stderr)
+        operator = _read_operator_file(os.environ)
+        _check_fleet(operator, configuration)
+    except ConfigurationError as error:
+        print(f"crowwing: {error}", file=sys.stderr)
         return 2
     log = Log(configuration.name)
     try:
-        again = partial(read, os.environ)
-        uvloop.run(_serve(lambda loop: Backend(loop, configuration, log, again, operator, told_early)))
-    except OSError as wrong:
-        where = wrong.filename or f"{configuration.listen[0]}:{configuration.listen[1]}"
-        print(f"crowwing: {where}: {wrong.strerror}", file=sys.stderr)
+        read_again = partial(read, os.environ)
+        uvloop.run(
+            _serve(lambda loop: Backend(loop, configuration, log, read_again, operator, early_signals))
+        )
+    except OSError as error:
+        where = error.filename or f"{configuration.listen[0]}:{configuration.listen[1]}"
+        print(f"crowwing: {where}: {error.strerror}", file=sys.stderr)
         return 1
     return 0
--- a/crowwing/program/reporter.py
+++ b/crowwing/program/reporter.py
@@ -2,14 +2,14 @@
 
 import asyncio
 
-from crowwing.protocol import control
+from crowwing.protocol import control_plane
 from crowwing.protocol.reply import ReplyReader
 from crowwing.routing.event_recorder import EventRecorder
-from crowwing.transport.exchange import Broken, Exchanges, NeverSent
-from crowwing.transport.pool import BufferPool
+from crowwing.transport.buffer_pool import BufferPool
+from crowwing.transport.connection_pool import ConnectionPool, ExchangeError, NotSentError
 
-EVERY = control.LAPSE / 4  # seconds between reports that count
-AGAIN = control.LAPSE / 15  # after one that did not
+REPORT_INTERVAL = control_plane.REPORT_LIFETIME / 4  # seconds between reports that count
+RETRY_DELAY = control_plane.REPORT_LIFETIME / 15  # after one that did not
 
 
 class Reporter:
@@ -25,49 +25,52 @@
     ) -> None:
         self.loop, self.name, self.recorder = loop, name, recorder
         # Idle connections are looked at by halves of their time: kept for longer than two reports are apart.
-        self.exchanges = Exchanges(loop, address, pool, ReplyReader, 4 * EVERY, 2)
-        self.good = self.told = False
+        self.exchanges = ConnectionPool(loop, address, pool, ReplyReader, 4 * REPORT_INTERVAL, 2)
+        self.ready = self.started = False
         self.changed = asyncio.Event()  # what is to be said, or to whom
 
-    def tell(self, good: bool) -> None:
-        self.good = good
+    def set_ready(self, ready: bool) -> None:
+        self.ready = ready
         self.changed.set()
 
-    def move(self, address: tuple[str, int]) -> None:
+    def set_address(self, address: tuple[str, int]) -> None:
         if address != self.exchanges.address:
-            self.exchanges.move(address)
-            if self.told:
+            self.exchanges.set_address(address)
+            if self.started:
                 self.changed.set()
 
     async def run(self) -> None:
-        if not self.told:  # begun anew after a defect it has something to say at once
+        if not self.started:  # begun anew after a defect it has something to say at once
             await self.changed.wait()
-        self.told = True
-        last, lost = self.loop.time(), False  # when one counted, and whether that was said to be long ago
+        self.started = True
+        last_acknowledged, lost = (
+            self.loop.time(),
+            False,
+        )  # when one counted, and whether that was said to be long ago
         while True:
             self.changed.clear()
-            counted = await self._report()
-            if counted:
-                last = self.loop.time()
-            if lost != (self.loop.time() - last > control.LAPSE):
+            acknowledged = await self._report()
+            if acknowledged:
+                last_acknowledged = self.loop.time()
+            if lost != (self.loop.time() - last_acknowledged > control_plane.REPORT_LIFETIME):
                 lost = not lost
                 self.recorder.event("control_lost" if lost else "control_back")
             try:
-                async with asyncio.timeout(EVERY if counted else AGAIN):
+                async with asyncio.timeout(REPORT_INTERVAL if acknowledged else RETRY_DELAY):
                     await self.changed.wait()
             except TimeoutError:
                 pass
 
     async def _report(self) -> bool:
         """Whether one counted for sure. Given up where there is something new to say."""
-        data = control.report(self.name, self.good, self.exchanges.host)
-        asking = self.loop.create_task(self.exchanges.ask(data, EVERY))
-        changing = self.loop.create_task(self.changed.wait())
+        data = control_plane.encode_report(self.name, self.ready, self.exchanges.host)
+        reply_task = self.loop.create_task(self.exchanges.request(data, REPORT_INTERVAL))
+        change_task = self.loop.create_task(self.changed.wait())
         try:
-            await asyncio.wait((asking, changing), return_when=asyncio.FIRST_COMPLETED)
-            return asking.done() and control.counted(asking.result())
-        except (NeverSent, Broken):
+            await asyncio.wait((reply_task, change_task), return_when=asyncio.FIRST_COMPLETED)
+            return reply_task.done() and control_plane.is_acknowledged(reply_task.result())
+        except (NotSentError, ExchangeError):
             return False
         finally:
-            asking.cancel()
-            changing.cancel()
+            reply_task.cancel()
+            change_task.cancel()
--- a/crowwing/routing/backend_calls.py
+++ b/crowwing/routing/backend_calls.py
@@ -4,14 +4,16 @@
 from collections.abc import Callable
 
 from crowwing.contract import Outcome
-from crowwing.protocol import below
+from crowwing.protocol import downstream
 from crowwing.protocol.reply import ReplyReader
 from crowwing.routing.event_recorder import EventRecorder
 from crowwing.routing.open_request import OpenRequest
-from crowwing.transport.exchange import Broken, Exchanges, NeverSent, Spoilt
-from crowwing.transport.pool import BufferPool
+from crowwing.transport.buffer_pool import BufferPool
+from crowwing.transport.connection_pool import ConnectionPool, ExchangeError, InvalidReplyError, NotSentError
 
-IDLE_TIMEOUT = 0.8 * below.IDLE_CLOSED  # seconds; closes idle connections before the downstream service does
+IDLE_TIMEOUT = (
+    0.8 * downstream.SERVER_IDLE_TIMEOUT
+)  # seconds; closes idle connections before the downstream service does
 
 
 class BackendCalls:
@@ -28,7 +30,7 @@
     ) -> None:
         """Calls `address`, at most `max_calls` at once; `on_reply` gets durations in microseconds."""
         self.loop, self.recorder, self.on_reply = loop, recorder, on_reply
-        self.exchanges = Exchanges(loop, address, pool, ReplyReader, IDLE_TIMEOUT, max_calls)
+        self.exchanges = ConnectionPool(loop, address, pool, ReplyReader, IDLE_TIMEOUT, max_calls)
 
     def begin(self, request: OpenRequest, time_limit: float) -> None:
         """Sends the call that a run waits for; `time_limit` is in microseconds."""
@@ -48,14 +50,14 @@
     async def _call(self, request: OpenRequest, time_limit: int) -> None:
         started, body = self.loop.time(), b""
         try:
-            data = below.call(request.id, time_limit, self.exchanges.host, request.wanted or b"")
-            reply = await self.exchanges.ask(data, time_limit / 1e6)
-            outcome, body = below.outcome(reply), reply.body
-        except NeverSent:
+            data = downstream.encode_call(request.id, time_limit, self.exchanges.host, request.wanted or b"")
+            reply = await self.exchanges.request(data, time_limit / 1e6)
+            outcome, body = downstream.classify_reply(reply), reply.body
+        except NotSentError:
             outcome = Outcome.NEVER_RAN
-        except Spoilt:
+        except InvalidReplyError:
             outcome = Outcome.FAILED  # it ran and has ended; nothing of it is still running
-        except Broken:
+        except ExchangeError:
             outcome = Outcome.UNSURE
         request.call = None
         self.recorder.count(f"call_{outcome.name.lower()}")
--- a/crowwing/routing/dispatcher.py
+++ b/crowwing/routing/dispatcher.py
@@ -16,7 +16,7 @@
 from crowwing.contract import Idempotency, Outcome, ServerFacts, Step, WireNames
 from crowwing.logic.load_manager import LoadManager
 from crowwing.logic.request import NEW
-from crowwing.protocol import agent
+from crowwing.protocol import worker_agent
 from crowwing.protocol.arrival import Arrival
 from crowwing.routing.backend_calls import BackendCalls
 from crowwing.routing.event_recorder import EventRecorder
@@ -29,7 +29,7 @@
 from crowwing.routing.step_router import StepRouter
 from crowwing.routing.wake_timer import WakeTimer
 from crowwing.routing.worker_commands import WorkerCommands
-from crowwing.transport.pool import BufferPool
+from crowwing.transport.buffer_pool import BufferPool
 
 if TYPE_CHECKING:
     from crowwing.routing.storm_monitor import StormMonitor
@@ -170,8 +170,8 @@
         self, agent_address: tuple[str, int], downstream_address: tuple[str, int] | None
     ) -> None:
         """Sets new addresses of the worker agent and the downstream service; runs and calls continue."""
-        self.commands.link.move(agent_address)
-        self.calls.exchanges.move(downstream_address)
+        self.commands.link.set_address(agent_address)
+        self.calls.exchanges.set_address(downstream_address)
 
     def drain(self, stop: int) -> None:
         """Starts to drain; `stop` is the time in microseconds at which the process will be stopped."""
@@ -187,7 +187,7 @@
             self.recorder.count("forfeited_at_the_end")
             self._abandon(request)
 
-    def _on_notice(self, notice: agent.Notice) -> None:
+    def _on_notice(self, notice: worker_agent.Notice) -> None:
         self._enqueue(self._on_agent_notice, None, notice)
 
     def _on_reply(self, request: OpenRequest, took: int, outcome: Outcome, body: bytes) -> None:
@@ -352,30 +352,34 @@
             request.wanted = None
         return request.handle.call_ended(now, took, outcome)
 
-    def _on_agent_notice(self, now: int, _: None, notice: agent.Notice) -> list | None:
+    def _on_agent_notice(self, now: int, _: None, notice: worker_agent.Notice) -> list | None:
         match notice:
-            case agent.Ended():
+            case worker_agent.RunEnded():
                 return self._for_request(self._run_ended, now, notice)
-            case agent.Wants():
+            case worker_agent.CallRequested():
                 return self._for_request(self._wants_call, now, notice)
-            case agent.Sampled():
+            case worker_agent.Sampled():
                 if self.wake_timer.on_sample(notice.tag):
                     return self.manager.on_timer(
                         now, dict(zip(self.names.gauges, notice.gauges, strict=False))
                     )
-            case agent.Exercised():
-                self.health_probe.on_answer(notice.tag, notice.good)
-            case agent.Greeting():
+            case worker_agent.Exercised():
+                self.health_probe.on_answer(notice.tag, notice.succeeded)
+            case worker_agent.Greeting():
                 return self._greeted(now, notice)
-            case agent.Refusal():
+            case worker_agent.Refusal():
                 self.recorder.event("agent_refusal", command=notice.command, id=notice.id)
                 request = self.open_requests.get(notice.id)
                 if notice.command == "launch" and request is not None and request.launched:
                     # It never ran, whatever the reason, so it does not count as an error of this backend.
-                    return self._for_request(self._run_ended, now, agent.Ended(0, request.id, "MOOT", 0, b""))
+                    return self._for_request(
+                        self._run_ended, now, worker_agent.RunEnded(0, request.id, "MOOT", 0, b"")
+                    )
         return None
 
-    def _for_request(self, handler: Callable, now: int, notice: agent.Ended | agent.Wants) -> list | None:
+    def _for_request(
+        self, handler: Callable, now: int, notice: worker_agent.RunEnded | worker_agent.CallRequested
+    ) -> list | None:
         request = self.open_requests.get(notice.id)
         if request is None or not request.launched:
             return None  # the request has already ended
@@ -386,7 +390,7 @@
             self._abandon(request)
             return None
 
-    def _greeted(self, now: int, notice: agent.Greeting) -> list | None:
+    def _greeted(self, now: int, notice: worker_agent.Greeting) -> list | None:
         self.commands.on_greeting()
         if self.manager is not None:
             return None
@@ -395,9 +399,9 @@
         self.manager = LoadManager(facts, now - notice.age, random.Random(self.seed))
         return self.manager.begin(now)
 
-    def _run_ended(self, now: int, request: OpenRequest, notice: agent.Ended) -> list:
+    def _run_ended(self, now: int, request: OpenRequest, notice: worker_agent.RunEnded) -> list:
         request.launched, request.wanted = False, None
-        end = notice.end
+        end = notice.outcome
         if (
             end == "STOPPED"
             and not request.answered
@@ -412,9 +416,9 @@
                 self.relay.complete(request, notice.result)
             elif end != "STOPPED":
                 self.relay.fail(request)
-        return request.handle.run_ended(now, notice.took, OUTCOMES[end])
+        return request.handle.run_ended(now, notice.duration, OUTCOMES[end])
 
-    def _wants_call(self, now: int, request: OpenRequest, notice: agent.Wants) -> list:
+    def _wants_call(self, now: int, request: OpenRequest, notice: worker_agent.CallRequested) -> list:
         request.asks += 1
         request.wanted = notice.body
         return request.handle.call_needed(now)
--- a/crowwing/routing/worker_commands.py
+++ b/crowwing/routing/worker_commands.py
@@ -13,11 +13,11 @@
 from typing import NamedTuple
 
 from crowwing.contract import Idempotency
-from crowwing.protocol import agent
+from crowwing.protocol import worker_agent
 from crowwing.routing.event_recorder import EventRecorder
 from crowwing.routing.open_request import OpenRequest
+from crowwing.transport.buffer_pool import BufferPool
 from crowwing.transport.link import Link
-from crowwing.transport.pool import BufferPool
 
 GREETING_TIMEOUT = 5.0  # seconds; minimum for a later connection, the first one waits without limit
 
@@ -41,13 +41,13 @@
         address: tuple[str, int],
         pool: BufferPool,
         recorder: EventRecorder,
-        on_notice: Callable[[agent.Notice], None],
+        on_notice: Callable[[worker_agent.Notice], None],
         timeout: float,
     ) -> None:
         """Connects to `address`; `on_notice` gets each notice, and `timeout` is in seconds."""
         self.loop, self.recorder, self.on_notice, self.timeout = loop, recorder, on_notice, timeout
         self.link = Link(loop, address, pool, self._on_open, self._on_data, self._on_close)
-        self.reader = agent.AgentReader()
+        self.reader = worker_agent.AgentReader()
         self.last_notice = 0  # number of the last notice read
         self.greeted = self.synchronized = False  # on this connection
         self.last_command = self.last_sample = 0
@@ -65,7 +65,9 @@
         request.runs += 1
         non_idempotent = request if request.handle.cls.idempotency is not Idempotency.IDEMPOTENT else None
         self._issue(
-            agent.launch(request.id, request.type, request.body), self._runs_still(request), non_idempotent
+            worker_agent.launch(request.id, request.type, request.body),
+            self._runs_still(request),
+            non_idempotent,
         )
 
     def freeze(self, request: OpenRequest, _: float = 0) -> None:
@@ -73,16 +75,18 @@
         # If the connection is down, a repeated stop is queued only once.
         if self.synchronized or request.frozen != request.runs:
             request.frozen = request.runs
-            self._issue(agent.freeze(request.id), self._runs_still(request))
+            self._issue(worker_agent.freeze(request.id), self._runs_still(request))
 
     def deliver(self, request: OpenRequest, reply: bytes) -> None:
         """Gives a run the response that it waits for."""
         asks = request.asks
-        self._issue(agent.deliver(request.id, reply), lambda: request.launched and request.asks == asks)
+        self._issue(
+            worker_agent.deliver(request.id, reply), lambda: request.launched and request.asks == asks
+        )
 
     def sample(self) -> bool:
         """Requests the gauges, unless a sample is pending; returns whether it was sent."""
-        ungreeted = self.link.up and not self.greeted
+        ungreeted = self.link.connected and not self.greeted
         timeout = max(self.timeout, GREETING_TIMEOUT) if ungreeted else self.timeout
         if (self.pending_samples or ungreeted) and self.loop.time() - self.requested_at > timeout:
             # The agent may be gone without closing the connection. One that only paused loses nothing by
@@ -90,7 +94,7 @@
             self.pending_samples.clear()
             self.requested_at = self.loop.time()
             self.recorder.event("agent_silent", seconds=timeout)
-            self.link.drop()
+            self.link.reconnect()
         if not self.synchronized or self.pending_samples:
             return False
         self._sample()
@@ -99,7 +103,7 @@
     def exercise(self, tag: str) -> bool:
         """Requests a piece of work as a health probe; returns whether it was sent."""
         if self.synchronized:
-            self.link.send(agent.exercise(tag))
+            self.link.send(worker_agent.exercise(tag))
         return self.synchronized
 
     @staticmethod
@@ -121,14 +125,14 @@
         self.last_sample += 1
         self.requested_at = self.loop.time()
         self.pending_samples[f"s{self.last_sample}"] = self.last_command if self.synchronized else 0
-        self.link.send(agent.sample(f"s{self.last_sample}"))
+        self.link.send(worker_agent.sample(f"s{self.last_sample}"))
 
     # The connection
 
     def _on_open(self) -> None:
-        self.reader = agent.AgentReader()
+        self.reader = worker_agent.AgentReader()
         self.requested_at = self.loop.time()
-        self.link.send(agent.subscribe(self.last_notice))
+        self.link.send(worker_agent.subscribe(self.last_notice))
 
     def _on_close(self, why: str) -> None:
         self.greeted = self.synchronized = False
@@ -169,7 +173,7 @@
             if not command.is_needed():
                 continue
             if command.non_idempotent and command.sent:
-                self.on_notice(agent.Ended(0, command.non_idempotent.id, "ERROR", 0, b""))
+                self.on_notice(worker_agent.RunEnded(0, command.non_idempotent.id, "ERROR", 0, b""))
                 continue
             self.unacknowledged.append(command._replace(sent=True))
             self.link.send(command.data)
--- a/crowwing/settings/operator.py
+++ b/crowwing/settings/operator.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import UNSET, Meta, Struct, UnsetType
 
-from crowwing.settings.plain import load
+from crowwing.settings.operator_file import load
 
 
 class Section(Struct, forbid_unknown_fields=True, frozen=True):
--- a/crowwing/transport/connection.py
+++ b/crowwing/transport/connection.py
@@ -12,15 +12,15 @@
 from contextlib import suppress
 from typing import Protocol
 
-from crowwing.transport.pool import BufferPool
+from crowwing.transport.buffer_pool import BufferPool
 
-DROPPED_MOST = 1 << 18  # bytes read and dropped of what has no answer any more
-LINGER = 0.1  # seconds between our end and the descriptor's: what crosses it is sent anew within 50 ms
-LEFT_MOST = 32  # buffers of unread bytes that are dropped at the last close
-STUCK_SEND = 5.0  # seconds after which an answer that the far side does not read is given up
+MAX_DISCARDED_BYTES = 1 << 18  # bytes read and dropped of what has no answer any more
+LINGER_TIME = 0.1  # seconds between our end and the descriptor's: what crosses it is sent anew within 50 ms
+MAX_DISCARD_READS = 32  # buffers of unread bytes that are dropped at the last close
+SEND_TIMEOUT = 5.0  # seconds after which an answer that the far side does not read is given up
 
 
-class User(Protocol):
+class ConnectionHandler(Protocol):
     """What stands behind a connection."""
 
     def received(self, view: memoryview) -> None: ...
@@ -49,29 +49,29 @@
         self.sender: asyncio.Task | None = None
         self.done: asyncio.Event | None = None  # set once nothing is owed, where the far side has ended
         self.lingers: asyncio.TimerHandle | None = None
-        self.buffer = pool.borrow()
+        self.buffer = pool.acquire()
         self.buffer[0] = 0
-        self.user: User
+        self.user: ConnectionHandler
         self.task: asyncio.Task
 
-    def start(self, user: User, over: Callable[["Connection"], None]) -> None:
+    def start(self, user: ConnectionHandler, on_closed: Callable[["Connection"], None]) -> None:
         self.user = user
-        self.task = self.loop.create_task(self._live())
-        self.task.add_done_callback(lambda _: self._gone(over))
+        self.task = self.loop.create_task(self._run())
+        self.task.add_done_callback(lambda _: self._on_task_done(on_closed))
 
-    def _gone(self, over: Callable[["Connection"], None]) -> None:
+    def _on_task_done(self, on_closed: Callable[["Connection"], None]) -> None:
         """Also where it was ended before it began to live."""
         self.closing = self.shut = self.deaf = True
         if self.lingers is not None:
             self.lingers.cancel()
         if self.sender is not None:
             self.sender.cancel()
-        self.drop_unread()
+        self.discard_unread()
         self.sock.close()
-        self.pool.give_back(self.buffer)
-        over(self)
+        self.pool.release(self.buffer)
+        on_closed(self)
 
-    async def _live(self) -> None:
+    async def _run(self) -> None:
         broken = await self._read()
         with suppress(OSError):
             self.user.ended(broken)
@@ -80,23 +80,23 @@
 
     async def _read(self) -> bool:
         """Until the far side ends it; whether it broke. Our own end does not end the reading."""
-        dropped = 0
+        discarded = 0
         try:
             with memoryview(self.buffer) as view:
-                while dropped < DROPPED_MOST and (
+                while discarded < MAX_DISCARDED_BYTES and (
                     size := await self.loop.sock_recv_into(self.sock, self.buffer)
                 ):
                     if self.deaf:
-                        dropped += size
+                        discarded += size
                         self.buffer[0] = 0
                         if self.closing:
-                            self._shut()
+                            self._shut_down_writes()
                         continue
                     self.since = self.loop.time()
                     self.user.received(view[:size])
                     self.buffer[0] = 0  # all that was taken is handed on
                     if self.closing:
-                        self._shut()
+                        self._shut_down_writes()
                     if self.pause and not self.closing:
                         await asyncio.sleep(self.pause)
             return False
@@ -106,27 +106,27 @@
     async def _finish(self) -> None:
         """The far side sends no more (or too much): sends what is owed, and ends ours."""
         self.closing, self.done = True, asyncio.Event()
-        self._settle()
+        self._finish_if_idle()
         await self.done.wait()
         if not self.shut:
             self.sock.shutdown(socket.SHUT_WR)
 
-    def _settle(self) -> None:
+    def _finish_if_idle(self) -> None:
         if self.busy or self.sender is not None:
             return
         if self.done is not None:
             self.done.set()
         elif self.closing:
-            self._shut()
+            self._shut_down_writes()
 
-    def _shut(self) -> None:
+    def _shut_down_writes(self) -> None:
         """Ends our side where nothing is owed. What has come in by now is read first: a ticket may be."""
         if self.shut or self.done is not None or self.busy or self.sender is not None:
             return
         if not self.deaf:
             # No request begins with a zero: the first byte tells whether the reader has taken something that
             # it has not handed on yet. It comes by here once it has, as it does with what is still unread.
-            if self.buffer[0] or self._unread():
+            if self.buffer[0] or self._has_unread():
                 return
             if self.began:  # half a request: its sender is told, and we come by here again
                 self.user.ended(False)
@@ -136,17 +136,17 @@
         self.shut = self.deaf = True
         with suppress(OSError):  # the far side was faster
             self.sock.shutdown(socket.SHUT_WR)
-        self.lingers = self.loop.call_later(LINGER if linger else 0, self.task.cancel)
+        self.lingers = self.loop.call_later(LINGER_TIME if linger else 0, self.task.cancel)
 
-    def _unread(self) -> bool:
+    def _has_unread(self) -> bool:
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK))
         except OSError:  # nothing is there, or nothing can come any more
             return False
 
-    def drop_unread(self) -> None:
+    def discard_unread(self) -> None:
         with suppress(OSError):
-            for _ in range(LEFT_MOST):
+            for _ in range(MAX_DISCARD_READS):
                 if not self.sock.recv_into(self.buffer):
                     break
 
@@ -169,33 +169,33 @@
     async def _send(self) -> None:
         try:
             while self.outbox:
-                async with asyncio.timeout(STUCK_SEND):
+                async with asyncio.timeout(SEND_TIMEOUT):
                     await self.loop.sock_sendall(self.sock, self.outbox.popleft())
         except (OSError, TimeoutError):
             self.outbox.clear()
             self.close()
         finally:
             self.sender = None
-            self._settle()
+            self._finish_if_idle()
 
-    def free(self) -> None:
+    def release(self) -> None:
         """Nothing is open on it any more."""
         self.busy = False
-        self._settle()
+        self._finish_if_idle()
 
     def close(self) -> None:
         """Ends it once what is owed has gone out. What has come in by now is still read: a ticket may be."""
         self.closing = True
-        self._shut()
+        self._shut_down_writes()
 
     def end(self) -> None:
         """At the process's end, when the reader has handed on what it took: reads what is there, and ends."""
         self.closing = True
         if not (self.deaf or self.shut or self.done is not None):
             with suppress(OSError), memoryview(self.buffer) as view:
-                for _ in range(LEFT_MOST):
+                for _ in range(MAX_DISCARD_READS):
                     if self.deaf or not (size := self.sock.recv_into(self.buffer)):
                         break
                     self.user.received(view[:size])
             self.buffer[0] = 0
-        self._shut()
+        self._shut_down_writes()
--- a/crowwing/transport/exchange.py
+++ b/crowwing/transport/connection_pool.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from crowwing.transport.pool import BufferPool
+from crowwing.transport.buffer_pool import BufferPool
 
 
-class Reader(Protocol):
+class ReplyReader(Protocol):
     """Turns bytes into one reply; `end` is the far side's end of stream."""
 
     reusable: bool
@@ -18,19 +18,19 @@
     def end(self) -> Any: ...  # noqa: ANN401
 
 
-class NeverSent(Exception):
+class NotSentError(Exception):
     """No connection came about, so nothing was sent."""
 
 
-class Broken(Exception):
+class ExchangeError(Exception):
     """The exchange broke off; the far side may have seen it."""
 
 
-class Spoilt(Broken):
+class InvalidReplyError(ExchangeError):
     """What came back is no reply: the far side has seen it, and is done with it."""
 
 
-class Exchanges:
+class ConnectionPool:
     """Connections to one address, or to none; an idle one closes after half of `idle` to `idle` seconds."""
 
     def __init__(
@@ -38,54 +38,56 @@
         loop: asyncio.AbstractEventLoop,
         address: tuple[str, int] | None,
         pool: BufferPool,
-        reader: Callable[[], Reader],
-        idle: float,
-        most: int,
+        new_reader: Callable[[], ReplyReader],
+        idle_timeout: float,
+        max_open: int,
     ) -> None:
-        self.loop, self.address, self.pool, self.reader = loop, address, pool, reader
-        self.idle, self.most = idle, most
-        self.spare: dict[socket.socket, float] = {}  # idle since; emptied by use and age, the last used first
-        self.sweeping: asyncio.TimerHandle | None = None
+        self.loop, self.address, self.pool, self.new_reader = loop, address, pool, new_reader
+        self.idle_timeout, self.max_open = idle_timeout, max_open
+        self.idle_connections: dict[
+            socket.socket, float
+        ] = {}  # idle since; emptied by use and age, the last used first
+        self.sweep_timer: asyncio.TimerHandle | None = None
         self.open = 0
 
     @property
     def host(self) -> str:
         return f"{self.address[0]}:{self.address[1]}" if self.address else ""
 
-    def move(self, address: tuple[str, int] | None) -> None:
+    def set_address(self, address: tuple[str, int] | None) -> None:
         """From now on to another address; what is out ends where it is."""
         if address != self.address:
             self.address = address
             self.close()
 
-    async def ask(self, data: bytes, limit: float) -> Any:  # noqa: ANN401
+    async def request(self, data: bytes, limit: float) -> Any:  # noqa: ANN401
         """The reply, within `limit` seconds. Cancelling gives it up, as running out of time does."""
-        sock, reusable, address = self._take(), False, self.address
+        sock, reusable, address = self._take_idle(), False, self.address
         try:
             async with asyncio.timeout(limit):
                 if sock is None:
                     sock = await self._connect()
-                buffer = self.pool.borrow()
+                buffer = self.pool.acquire()
                 try:
                     reply, reusable = await self._exchange(sock, data, buffer)
                 finally:
-                    self.pool.give_back(buffer)
+                    self.pool.release(buffer)
         except TimeoutError:
             if sock is None:
-                raise NeverSent("no connection in time") from None
-            raise Broken("no reply in time") from None
-        except OSError as wrong:
-            raise Broken(str(wrong) or type(wrong).__name__) from None
-        except ValueError as wrong:
-            raise Spoilt(str(wrong)) from None
+                raise NotSentError("no connection in time") from None
+            raise ExchangeError("no reply in time") from None
+        except OSError as error:
+            raise ExchangeError(str(error) or type(error).__name__) from None
+        except ValueError as error:
+            raise InvalidReplyError(str(error)) from None
         finally:
             if sock is not None:
-                self._put(sock) if reusable and address == self.address else self._close(sock)
+                self._put_idle(sock) if reusable and address == self.address else self._close(sock)
         return reply
 
     async def _exchange(self, sock: socket.socket, data: bytes, buffer: bytearray) -> tuple[Any, bool]:
         await self.loop.sock_sendall(sock, data)
-        reader, reply = self.reader(), None
+        reader, reply = self.new_reader(), None
         with memoryview(buffer) as view:
             while reply is None:
                 size = await self.loop.sock_recv_into(sock, buffer)
@@ -96,30 +98,30 @@
 
     async def _connect(self) -> socket.socket:
         if self.address is None:
-            raise NeverSent("there is nothing to connect to")
-        if self.open >= self.most:
-            raise NeverSent("no descriptor is left for it")
+            raise NotSentError("there is nothing to connect to")
+        if self.open >= self.max_open:
+            raise NotSentError("no descriptor is left for it")
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        except OSError as wrong:
-            raise NeverSent(str(wrong)) from None
+        except OSError as error:
+            raise NotSentError(str(error)) from None
         self.open += 1
         try:
             sock.setblocking(False)
             await self.loop.sock_connect(sock, self.address)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        except OSError as wrong:
+        except OSError as error:
             self._close(sock)
-            raise NeverSent(str(wrong)) from None
+            raise NotSentError(str(error)) from None
         except BaseException:
             self._close(sock)
             raise
         return sock
 
-    def _take(self) -> socket.socket | None:
+    def _take_idle(self) -> socket.socket | None:
         """One that is still there. Nothing is owed on it: whatever has come, its end too, ends it."""
-        while self.spare:
-            sock, _ = self.spare.popitem()
+        while self.idle_connections:
+            sock, _ = self.idle_connections.popitem()
             try:
                 sock.recv(1, socket.MSG_PEEK)
             except BlockingIOError:
@@ -129,25 +131,27 @@
             self._close(sock)
         return None
 
-    def _put(self, sock: socket.socket) -> None:
-        self.spare[sock] = self.loop.time()
-        if self.sweeping is None:
-            self.sweeping = self.loop.call_later(self.idle, self._sweep)
+    def _put_idle(self, sock: socket.socket) -> None:
+        self.idle_connections[sock] = self.loop.time()
+        if self.sweep_timer is None:
+            self.sweep_timer = self.loop.call_later(self.idle_timeout, self._sweep)
 
     def _sweep(self) -> None:
         """Closes what has been idle for too long, and comes again for the others."""
-        now, self.sweeping = self.loop.time(), None
-        for sock in [sock for sock, since in self.spare.items() if now - since >= self.idle / 2]:
-            del self.spare[sock]
+        now, self.sweep_timer = self.loop.time(), None
+        for sock in [
+            sock for sock, since in self.idle_connections.items() if now - since >= self.idle_timeout / 2
+        ]:
+            del self.idle_connections[sock]
             self._close(sock)
-        if self.spare:
-            self.sweeping = self.loop.call_later(self.idle / 2, self._sweep)
+        if self.idle_connections:
+            self.sweep_timer = self.loop.call_later(self.idle_timeout / 2, self._sweep)
 
     def _close(self, sock: socket.socket) -> None:
         self.open -= 1
         sock.close()
 
     def close(self) -> None:
-        for sock in self.spare:
+        for sock in self.idle_connections:
             self._close(sock)
-        self.spare.clear()
+        self.idle_connections.clear()
--- a/crowwing/transport/link.py
+++ b/crowwing/transport/link.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-from crowwing.transport.pool import BufferPool
+from crowwing.transport.buffer_pool import BufferPool
 
-CONNECT = 1.0  # seconds that one try to connect may take
-RETRY_FIRST, RETRY_MOST = 0.02, 0.5  # seconds between tries
+CONNECT_TIMEOUT = 1.0  # seconds that one try to connect may take
+MIN_RETRY_DELAY, MAX_RETRY_DELAY = 0.02, 0.5  # seconds between tries
 
 
 class Link:
@@ -19,39 +19,39 @@
         loop: asyncio.AbstractEventLoop,
         address: tuple[str, int],
         pool: BufferPool,
-        opened: Callable[[], None],
-        received: Callable[[memoryview], None],
-        closed: Callable[[str], None],
+        on_open: Callable[[], None],
+        on_data: Callable[[memoryview], None],
+        on_close: Callable[[str], None],
     ) -> None:
         self.loop, self.address, self.pool = loop, address, pool
-        self.opened, self.received, self.closed = opened, received, closed
+        self.on_open, self.on_data, self.on_close = on_open, on_data, on_close
         self.outbox: list[bytes] = []  # emptied by each send, and when the link breaks
         self.pending = asyncio.Event()
         self.sock: socket.socket | None = None
-        self.up = self.sound = False  # it is there; what it brought could be read
-        self.hurry = asyncio.Event()  # the next try to connect need not wait
+        self.connected = self.received_valid_data = False  # it is there; what it brought could be read
+        self.reconnect_now = asyncio.Event()  # the next try to connect need not wait
 
     async def run(self) -> None:
-        delay = RETRY_FIRST
+        delay = MIN_RETRY_DELAY
         while True:
-            why = "closed by the far side"
+            reason = "closed by the far side"
             sender: asyncio.Task | None = None
             try:
                 self.sock = sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
                 sock.setblocking(False)
-                async with asyncio.timeout(CONNECT):
+                async with asyncio.timeout(CONNECT_TIMEOUT):
                     await self.loop.sock_connect(sock, address := self.address)
                 if address != self.address:
                     raise OSError("moved while it was opened")
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                self.up, self.sound = True, False
-                self.opened()
+                self.connected, self.received_valid_data = True, False
+                self.on_open()
                 sender = self.loop.create_task(self._send(sock))
                 await self._read(sock)
-            except (OSError, ValueError) as wrong:
-                why = str(wrong) or type(wrong).__name__
+            except (OSError, ValueError) as error:
+                reason = str(error) or type(error).__name__
             except asyncio.CancelledError:
-                self.up = False  # ended by us: no break
+                self.connected = False  # ended by us: no break
                 raise
             finally:
                 if sender is not None:
@@ -61,43 +61,45 @@
                     self.sock.close()
                     self.sock = None
                 self.outbox.clear()
-                if self.up:
-                    self.up = False
-                    if self.sound:  # one that brings nothing but what cannot be read is not tried in haste
-                        delay = RETRY_FIRST
-                    self.closed(why)
+                if self.connected:
+                    self.connected = False
+                    if (
+                        self.received_valid_data
+                    ):  # one that brings nothing but what cannot be read is not tried in haste
+                        delay = MIN_RETRY_DELAY
+                    self.on_close(reason)
             with suppress(TimeoutError):
                 async with asyncio.timeout(delay):
-                    await self.hurry.wait()
-            self.hurry.clear()
-            delay = min(RETRY_MOST, 2 * delay)
+                    await self.reconnect_now.wait()
+            self.reconnect_now.clear()
+            delay = min(MAX_RETRY_DELAY, 2 * delay)
 
     async def _read(self, sock: socket.socket) -> None:
-        buffer = self.pool.borrow()
+        buffer = self.pool.acquire()
         try:
             with memoryview(buffer) as view:
                 while size := await self.loop.sock_recv_into(sock, buffer):
-                    self.received(view[:size])
-                    self.sound = True
+                    self.on_data(view[:size])
+                    self.received_valid_data = True
         finally:
-            self.pool.give_back(buffer)
+            self.pool.release(buffer)
 
-    def move(self, address: tuple[str, int]) -> None:
+    def set_address(self, address: tuple[str, int]) -> None:
         """Another address from now on."""
         if address != self.address:
             self.address = address
-            self.hurry.set()
-            self.drop()
+            self.reconnect_now.set()
+            self.reconnect()
 
-    def drop(self) -> None:
+    def reconnect(self) -> None:
         """Gives this link up; another is opened."""
-        if self.up:
+        if self.connected:
             with suppress(OSError):  # it has just gone by itself
                 self.sock.shutdown(socket.SHUT_RDWR)  # the reader sees the end
 
     def send(self, data: bytes) -> None:
         """Goes out after what was given before; lost if the link is not up."""
-        if self.up:
+        if self.connected:
             self.outbox.append(data)
             self.pending.set()
 
@@ -111,4 +113,4 @@
                 if data:
                     await self.loop.sock_sendall(sock, data)
         except OSError:
-            self.drop()
+            self.reconnect()
--- a/tests/fleet_transcripts.py
+++ b/tests/fleet_transcripts.py
@@ -18,7 +18,7 @@
 from crowwing.fleet.adapters import endpoint as link_module
 from crowwing.fleet.adapters import full_transfer
 from crowwing.fleet.adapters.endpoint import FleetEndpoint
-from crowwing.settings import plain
+from crowwing.settings import operator_file
 
 WALL_START_US = 1_700_000_000_000_000
 Address = tuple[str, int]
@@ -93,7 +93,7 @@
         with clock.patched():
             self.link = FleetEndpoint(
                 cast(asyncio.AbstractEventLoop, self.loop),
-                plain.read(path).fleet,
+                operator_file.read(path).fleet,
                 name,
                 "seed",
                 lambda *_, **__: None,
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -297,7 +297,7 @@
         self.lines.append({"event": what, **facts})
 
     async def __aexit__(self, *_: object) -> None:
-        self.backend.over.set()
+        self.backend.drained.set()
         await self.life
         for server in self.servers:
             server.close()
--- a/tests/test_broken_replies.py
+++ b/tests/test_broken_replies.py
@@ -71,7 +71,7 @@
         notice = outcome(town, 1)
         town.farm.writer.write(notice)
         await town.farm.writer.drain()
-        town.backend.dispatcher.commands.link.drop()
+        town.backend.dispatcher.commands.link.reconnect()
         await town.until(lambda: town.farm.links == 2 and town.backend.dispatcher.commands.synchronized)
         town.farm.writer.write(notice)
         assert (await asked)[0] == 200
@@ -145,13 +145,13 @@
         assert (await ask_one(town, 1, "look"))[0] == 200
         (writer,) = town.below.open
         writer.write(reply(200, b"of nobody"))  # lies on the spare one
-        spare = next(iter(town.backend.dispatcher.calls.exchanges.spare))
+        spare = next(iter(town.backend.dispatcher.calls.exchanges.idle_connections))
         await town.until(lambda: readable(spare))
         assert (await ask_one(town, 2, "look"))[0] == 200
         assert town.farm.replies[ident(2)] == b"the reply of the back end" and town.below.links == 2
         for other in list(town.below.open):
             other.transport.abort()  # a reset that lies there
-        spare = next(iter(town.backend.dispatcher.calls.exchanges.spare))
+        spare = next(iter(town.backend.dispatcher.calls.exchanges.idle_connections))
         await town.until(lambda: readable(spare))
         assert (await ask_one(town, 3, "look"))[0] == 200
         assert town.below.links == 3 and not town.counts["call_unsure"]
@@ -172,18 +172,18 @@
     async def scene(town: Town) -> None:
         exchanges = town.backend.dispatcher.calls.exchanges
         assert (await ask_one(town, 1, "look"))[0] == 200
-        take = exchanges._take
+        take = exchanges._take_idle
 
         def dying() -> object:
             sock = take()
             if sock is not None:
-                exchanges._take = take
+                exchanges._take_idle = take
                 for other in list(town.below.open):
                     other.get_extra_info("socket").setsockopt(1, 13, bytes([1] + [0] * 7))  # SO_LINGER: reset
                     other.transport.abort()
             return sock
 
-        exchanges._take = dying
+        exchanges._take_idle = dying
         pays = SETTINGS["lanes"][0]["semantics"] == "unsafe"
         assert (await ask_one(town, 2, "look"))[0] == (500 if pays else 200)
         assert town.counts["call_unsure"] == 1 and exchanges.open <= 1
@@ -222,19 +222,19 @@
 
             async def moving() -> object:
                 sock = await connect()
-                exchanges.move(("127.0.0.1", 9))
+                exchanges.set_address(("127.0.0.1", 9))
                 return sock
 
             exchanges._connect = moving
         asked = asyncio.create_task(ask_one(town, 1, "look"))
         await town.until(lambda: len(town.below.heard) == 1)
-        exchanges.move(("127.0.0.1", 9))
+        exchanges.set_address(("127.0.0.1", 9))
         (writer,) = town.below.open
         writer.write(WHOLE)
         assert (await asked)[0] == 200
-        assert not exchanges.spare, "the old address keeps no spare connection"
+        assert not exchanges.idle_connections, "the old address keeps no spare connection"
         await town.until(lambda: exchanges.open == 0)
-        exchanges.move(old)
+        exchanges.set_address(old)
         town.check()
 
     play_in(Town(), scene)
@@ -255,13 +255,13 @@
                 await loop.sock_connect(sock, address)
                 if not moved:
                     moved.append(address)
-                    link.move(town.servers[0].sockets[0].getsockname())
+                    link.set_address(town.servers[0].sockets[0].getsockname())
 
         silent = FarmAgent()
         other = await asyncio.start_server(silent.serve, "127.0.0.1", 0)
         link.loop = Moving()
         asked = await held(town, 1)
-        link.move(other.sockets[0].getsockname())
+        link.set_address(other.sockets[0].getsockname())
         await town.until(lambda: town.farm.links == 2 and town.backend.dispatcher.commands.synchronized)
         assert moved == [other.sockets[0].getsockname()] and silent.writer is None
         # Sent again and proven, before its run can end: a redoable launch may cross the end of its run.
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -154,8 +154,8 @@
 def test_who_waits_to_be_accepted_when_the_listener_closes_is_answered() -> None:
     async def scene(town: Town) -> None:
         listener = town.backend.listener
-        town.backend.duties[0].cancel()  # nobody is accepted any more
-        await asyncio.wait([town.backend.duties[0]])
+        town.backend.background_tasks[0].cancel()  # nobody is accepted any more
+        await asyncio.wait([town.backend.background_tasks[0]])
         sides = [plain(town.address) for _ in range(20)]
         for n, side in enumerate(sides):
             side.send(Sidecar.ticket(ident(n)))
@@ -172,9 +172,9 @@
 
 def test_who_knocks_as_accepting_is_given_up_is_answered() -> None:
     async def scene(town: Town) -> None:
-        listener, (accepting, *_) = town.backend.listener, town.backend.duties
-        await town.until(lambda: listener.knock is not None and not listener.knock.done())
-        listener.knock.add_done_callback(lambda _: accepting.cancel())
+        listener, (accepting, *_) = town.backend.listener, town.backend.background_tasks
+        await town.until(lambda: listener.pending_accept is not None and not listener.pending_accept.done())
+        listener.pending_accept.add_done_callback(lambda _: accepting.cancel())
         side = plain(town.address)
         side.send(Sidecar.ticket(ident(1)))
         await asyncio.wait([accepting])
@@ -206,7 +206,7 @@
 
 def test_unread_bytes_at_the_last_close_take_no_answer_along(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene(town: Town) -> None:
-        monkeypatch.setattr("crowwing.transport.connection.DROPPED_MOST", 1)
+        monkeypatch.setattr("crowwing.transport.connection.MAX_DISCARDED_BYTES", 1)
         town.farm.hold = True
         side = plain(town.address, SMALL)
         side.send(Sidecar.ticket(ident(1), body=bytes(2048)))
@@ -255,7 +255,9 @@
 def test_the_end_waits_for_an_answer_that_is_still_queued_in_the_process(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("crowwing.program.backend.LAST_CALL", 11.0)  # seconds: no stall of ours is as long
+    monkeypatch.setattr(
+        "crowwing.program.backend.CLOSE_BEFORE_END", 11.0
+    )  # seconds: no stall of ours is as long
 
     async def scene(town: Town) -> None:
         town.farm.hold = True
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -11,7 +11,7 @@
 
 from crowwing.emulator.processes import ROOT
 from crowwing.fleet.adapters.settings import FleetSettingsError, check_size, locations
-from crowwing.settings import plain
+from crowwing.settings import operator_file
 
 REGIONS = 5
 ZONES = 11  # in all regions
@@ -36,7 +36,7 @@
 def read(tmp_path: Path, fleet: dict) -> SimpleNamespace:
     path = tmp_path / "operator.json"
     path.write_bytes(orjson.dumps({"version": 1, "fleet": fleet}))
-    return plain.read(path).fleet
+    return operator_file.read(path).fleet
 
 
 def without(fleet: dict, number: int, field: str) -> dict:
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -5,7 +5,7 @@
 import pytest
 
 from crowwing.contract import Outcome
-from crowwing.protocol import agent, below, control, sidecar
+from crowwing.protocol import control_plane, downstream, sidecar, worker_agent
 from crowwing.protocol.reply import Reply, ReplyReader
 from tests.parties import reply
 from tests.rig import Sidecar
@@ -36,7 +36,9 @@
     stream = TICKET + b"GET /ping?engine=1 HTTP/1.1\r\nHost: s\r\n\r\n" + TICKET
     found = [value for piece in pieces(stream, seed) for value in reader.feed(piece)]
     first = found[0]
-    assert found == [first, sidecar.Check(deep=True), first] and not reader.dead and not reader.partial
+    assert (
+        found == [first, sidecar.HealthCheck(deep=True), first] and not reader.closed and not reader.partial
+    )
     assert (first.id, first.type, first.body) == ("9b1f03aa5c7e2d41", "look", b"any \r\n\x00 bytes")
     assert (first.arrived, first.due - first.arrived) == (1764576000123000, 50_000_000)
     assert (first.sidecar, first.kb, first.rank, first.customer, first.row) == (4, 24.5, 0.9, "acme", "7f3a")
@@ -76,30 +78,30 @@
 def test_bad_requests_get_a_4xx(data: bytes, status: int, fatal: bool, seed: int) -> None:
     reader = sidecar.SidecarReader()
     found = [value for piece in pieces(data, seed) for value in reader.feed(piece)]
-    assert [(bad.status, bad.fatal) for bad in found] == [(status, fatal)] and reader.dead == fatal
+    assert [(bad.status, bad.fatal) for bad in found] == [(status, fatal)] and reader.closed == fatal
     assert fatal or isinstance(reader.feed(memoryview(TICKET))[0], sidecar.Arrival)
 
 
 def test_an_upgrade_is_not_taken_up_and_ends_the_stream() -> None:
     reader = sidecar.SidecarReader()
     asked = b"GET /ping HTTP/1.1\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\nother"
-    assert reader.feed(memoryview(asked)) == [sidecar.Check(deep=False)] and reader.dead
+    assert reader.feed(memoryview(asked)) == [sidecar.HealthCheck(deep=False)] and reader.closed
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_notices_in_any_pieces(seed: int) -> None:
-    reader = agent.AgentReader()
+    reader = worker_agent.AgentReader()
     assert [notice for piece in pieces(NOTICES, seed) for notice in reader.feed(piece)] == [
-        agent.Greeting(True, 12500),
-        agent.Aside(1, "a word or two"),
-        agent.Wants(2, "ab12", b"a\r\nb"),
-        agent.Ended(3, "ab12", "OK", 17250, b"\r\nres"),
-        agent.Sampled("s1", (0.5, 6.0, 0.25, 31.0)),
-        agent.Exercised("c1", False),
-        agent.Refusal("deliver", "ab12"),
-        agent.Ended(4, "ab13", "STOPPED", 3000, b""),
+        worker_agent.Greeting(True, 12500),
+        worker_agent.Aside(1, "a word or two"),
+        worker_agent.CallRequested(2, "ab12", b"a\r\nb"),
+        worker_agent.RunEnded(3, "ab12", "OK", 17250, b"\r\nres"),
+        worker_agent.Sampled("s1", (0.5, 6.0, 0.25, 31.0)),
+        worker_agent.Exercised("c1", False),
+        worker_agent.Refusal("deliver", "ab12"),
+        worker_agent.RunEnded(4, "ab13", "STOPPED", 3000, b""),
     ]
-    assert not reader.rest
+    assert not reader.buffer
 
 
 @pytest.mark.parametrize(
@@ -113,7 +115,7 @@
 )  # fmt: skip
 def test_unreadable_notices_end_the_link(data: bytes) -> None:
     with pytest.raises(ValueError):
-        agent.AgentReader().feed(memoryview(data))
+        worker_agent.AgentReader().feed(memoryview(data))
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -169,17 +171,19 @@
 def test_what_each_reply_proves() -> None:
     proofs = [(200, False), (503, True), (409, True), (503, False), (500, False), (504, False), (404, False)]
     good, away, failed, unsure = Outcome.GOOD, Outcome.NEVER_RAN, Outcome.FAILED, Outcome.UNSURE
-    assert [below.outcome(Reply(status, turned, b"")) for status, turned in proofs] == [
+    assert [downstream.classify_reply(Reply(status, turned, b"")) for status, turned in proofs] == [
         good, away, away, failed, failed, unsure, failed,
     ]  # fmt: skip
-    assert control.counted(Reply(204, False, b"")) and not control.counted(Reply(200, False, b""))
+    assert control_plane.is_acknowledged(Reply(204, False, b"")) and not control_plane.is_acknowledged(
+        Reply(200, False, b"")
+    )
 
 
 def test_answers_carry_what_they_must() -> None:
-    assert sidecar.settled(b"r", 2.5, False) == (
+    assert sidecar.encode_completed(b"r", 2.5, False) == (
         b"HTTP/1.1 200 OK\r\nX-Capacity: 2.5000\r\nContent-Length: 1\r\n\r\nr"
     )
     advice = b"X-Throttle-Ms: 250\r\nX-Give-Up: 1\r\nConnection: close\r\n"
-    assert advice in sidecar.dismissed(250_000, True, None, True)
-    assert b"X-Throttle" not in sidecar.dismissed(0, False, None, False)
-    assert b"Deadline-Ms: 250\r\n" in below.call("ab", 250_900, "h", b"")
+    assert advice in sidecar.encode_rejected(250_000, True, None, True)
+    assert b"X-Throttle" not in sidecar.encode_rejected(0, False, None, False)
+    assert b"Deadline-Ms: 250\r\n" in downstream.encode_call("ab", 250_900, "h", b"")
--- a/tests/test_process_lifecycle.py
+++ b/tests/test_process_lifecycle.py
@@ -249,7 +249,7 @@
                     if town.life.done():
                         raise
 
-        town.backend.duties.append(asyncio.create_task(ignores_cancellation()))
+        town.backend.background_tasks.append(asyncio.create_task(ignores_cancellation()))
         await asyncio.sleep(0)
         town.backend.leave()
         async with asyncio.timeout(WAIT):
@@ -262,9 +262,9 @@
     async def scene(town: Town) -> None:
         await town.until(lambda: len(town.control.heard) >= 1)
         exchanges = town.backend.reporter.exchanges
-        ask, exchanges.ask = exchanges.ask, failing
+        ask, exchanges.request = exchanges.request, failing
         await town.until(lambda: town.counts["defects"] >= 1)
-        exchanges.ask = ask
+        exchanges.request = ask
         reports = len(town.control.heard)
         await town.until(lambda: len(town.control.heard) >= reports + 2)
         assert town.control.heard[-1][1] == b'{"condition":"Ready"}'
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -31,7 +31,7 @@
             assert town.farm.bodies[ident(n)] == bytes(range(256))
         assert town.farm.replies[ident(1)] == b"reply to call:" + ident(1).encode()
         assert f"Parent-Call: {ident(1)}\r\n" in town.below.heard[0][0]
-        await town.until(lambda: town.backend.front.free_value is not None)
+        await town.until(lambda: town.backend.front.spare_capacity is not None)
         status, head, _ = await side.ask(b"GET /ping HTTP/1.1\r\nHost: s\r\n\r\n")
         assert status == 200 and "X-Capacity: " in head
         assert (await side.ask(b"GET /ping?engine=1 HTTP/1.1\r\nHost: s\r\n\r\n"))[0] == 200
@@ -154,7 +154,7 @@
         await town.until(lambda: town.farm.writer is not None)
         town.farm.greet = b"greeting COLD 1000\r\n"
         town.farm.writer.write(town.farm.greet)
-        await town.until(lambda: town.backend.front.good)
+        await town.until(lambda: town.backend.front.ready)
         manager = town.backend.dispatcher.manager
         assert manager.facts.cold and 900_000 < town.backend.dispatcher.now() - manager.started < 30_000_000
         await town.until(lambda: town.backend.dispatcher.commands.synchronized)
@@ -170,14 +170,17 @@
     log = Log("n1", write)
     for _ in range(100):
         log.write("filled", text="x" * 3000)
-    assert log.lost
+    assert log.lost_lines
     os.set_blocking(read, False)
     while len(os.read(read, 1 << 20)) == 1 << 20:
         pass
     log.write("after", trace="y" * 9000)
     line = json.loads(os.read(read, 1 << 20))
     assert (
-        line["lines_lost"] > 0 and line["event"] == "after" and line["trace"].endswith("y") and not log.lost
+        line["lines_lost"] > 0
+        and line["event"] == "after"
+        and line["trace"].endswith("y")
+        and not log.lost_lines
     )
     log.write("odd", why="no Unicode: \udc80", count=3)
     line = json.loads(os.read(read, 1 << 20))
@@ -255,7 +258,7 @@
         slow.writer.write_eof()
         assert (await slow.answer())[0] == 400 and await slow.reader.read() == b""
         slower = await Sidecar(town).open()
-        town.backend.listener.patience = 0.01
+        town.backend.listener.request_timeout = 0.01
         slower.writer.write(Sidecar.ticket(ident(7))[:-1])
         assert (await slower.answer())[0] == 400 and await slower.reader.read() == b""
         assert town.counts["had"] == 3 and town.counts["bad_requests"] == 10
@@ -295,7 +298,7 @@
 
 def test_strangers_get_a_word_or_a_close_and_leave_room_for_others() -> None:
     async def scene(town: Town) -> None:
-        good, most = await Sidecar(town).open(), town.backend.listener.most
+        good, most = await Sidecar(town).open(), town.backend.listener.max_connections
         assert (await good.ask(Sidecar.ticket(ident(1))))[0] == 200
         silent = [await Sidecar(town).open() for _ in range(3 * most)]
         assert (await ask_one(town, 2))[0] == 200  # at once, whoever else is there
@@ -318,7 +321,7 @@
 def test_idle_connections_close_as_asked_and_make_room_at_the_limit() -> None:
     async def scene(town: Town) -> None:
         town.farm.hold = True
-        most = town.backend.listener.most
+        most = town.backend.listener.max_connections
         busy = asyncio.create_task(ask_one(town, 1))
         sides = [await Sidecar(town).open() for _ in range(most + 5)]
         assert (await sides[-1].ask(b"GET /ping HTTP/1.1\r\n\r\n"))[0] == 200
@@ -328,7 +331,7 @@
             assert await side.reader.read() == b""
         town.farm.go_on(ident(1))
         assert (await busy)[0] == 200
-        await town.until(lambda: not town.backend.listener.connections and not town.backend.pool.lent - 1)
+        await town.until(lambda: not town.backend.listener.connections and not town.backend.pool.in_use - 1)
         town.check()
 
     play_in(Town(sockets=64), scene)
@@ -337,7 +340,7 @@
 def test_one_just_accepted_is_not_closed_to_make_room_before_its_request_can_have_come() -> None:
     async def scene(town: Town) -> None:
         listener = town.backend.listener
-        sides = [await Sidecar(town).open() for _ in range(listener.most - listener.spare)]
+        sides = [await Sidecar(town).open() for _ in range(listener.max_connections - listener.reserve)]
         for side in sides:  # all have brought something less than a second ago
             assert (await side.ask(b"GET /ping HTTP/1.1\r\n\r\n"))[0] == 200
         held = set(listener.connections)
--- a/tests/test_program_life.py
+++ b/tests/test_program_life.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from crowwing.contract import Step
-from crowwing.program.configuration import BadConfiguration
+from crowwing.program.configuration import ConfigurationError
 from tests.parties import reply
 from tests.rig import SETTINGS, Sidecar, Town, play_in
 from tests.test_program import ask_one, ident
@@ -166,7 +166,7 @@
 
         def broken() -> None:
             tries.append(1)
-            raise BadConfiguration("half written")
+            raise ConfigurationError("half written")
 
         town.backend.read = broken
         town.backend.reload()
--- a/tests/test_recorded_run_bytes.py
+++ b/tests/test_recorded_run_bytes.py
@@ -10,10 +10,10 @@
 
 from crowwing.fleet.adapters import full_transfer
 from crowwing.memory import snapshot
-from crowwing.protocol import agent, below, control, sidecar
+from crowwing.protocol import control_plane, downstream, sidecar, worker_agent
 from crowwing.protocol.arrival import Arrival
 from crowwing.protocol.reply import Reply, ReplyReader
-from crowwing.settings import operator, plain
+from crowwing.settings import operator, operator_file
 from crowwing.tier.configuration import Configuration, parse_configuration
 from crowwing.tier.settings import Settings, read_settings
 from tests.fleet_transcripts import Backend, Clock
@@ -24,29 +24,29 @@
 LOOPBACK = "127.0.0.1"
 FetchedCopy = tuple[list[Any], str, list[Any] | None]  # address, the line that asks, rows or a refusal
 NOTICES = {
-    "greeting": agent.Greeting,
-    "aside": agent.Aside,
-    "request": agent.Wants,
-    "outcome": agent.Ended,
-    "sampled": agent.Sampled,
-    "exercised": agent.Exercised,
-    "refusal": agent.Refusal,
+    "greeting": worker_agent.Greeting,
+    "aside": worker_agent.Aside,
+    "request": worker_agent.CallRequested,
+    "outcome": worker_agent.RunEnded,
+    "sampled": worker_agent.Sampled,
+    "exercised": worker_agent.Exercised,
+    "refusal": worker_agent.Refusal,
 }
 COMMANDS: dict[str, Callable[..., bytes]] = {
-    "subscribe": agent.subscribe,
-    "launch": agent.launch,
-    "freeze": agent.freeze,
-    "deliver": agent.deliver,
-    "sample": agent.sample,
-    "exercise": agent.exercise,
+    "subscribe": worker_agent.subscribe,
+    "launch": worker_agent.launch,
+    "freeze": worker_agent.freeze,
+    "deliver": worker_agent.deliver,
+    "sample": worker_agent.sample,
+    "exercise": worker_agent.exercise,
 }
-REQUESTS = {"ticket": Arrival, "check": sidecar.Check, "bad": sidecar.Bad}
+REQUESTS = {"ticket": Arrival, "check": sidecar.HealthCheck, "bad": sidecar.BadRequest}
 ANSWERS: dict[str, Callable[..., bytes]] = {
-    "settled": sidecar.settled,
-    "dismissed": sidecar.dismissed,
-    "forfeited": sidecar.forfeited,
-    "checked": sidecar.checked,
-    "turned_down": sidecar.turned_down,
+    "settled": sidecar.encode_completed,
+    "dismissed": sidecar.encode_rejected,
+    "forfeited": sidecar.encode_failed,
+    "checked": sidecar.encode_health,
+    "turned_down": sidecar.encode_bad_request,
 }
 
 
@@ -188,7 +188,7 @@
 @SIZES
 @pytest.mark.parametrize("expected", recorded("agent.json")["notices"], ids=lambda x: x["line"].strip())
 def test_recorded_notices_are_read_as_before(expected: dict[str, Any], size: int) -> None:
-    reader = agent.AgentReader()
+    reader = worker_agent.AgentReader()
     data = expected["line"].encode("latin-1")
     found = [notice for piece in pieces(data, size) for notice in reader.feed(piece)]
     assert [to_json(tuple(notice)) for notice in found] == [expected["value"]]
@@ -197,8 +197,8 @@
 
 @pytest.mark.parametrize("line", recorded("agent.json")["unreadable"])
 def test_recorded_lines_of_no_agent_are_refused_as_before(line: str) -> None:
-    with pytest.raises(agent.Unreadable):
-        agent.AgentReader().feed(memoryview(line.encode("latin-1")))
+    with pytest.raises(worker_agent.ProtocolError):
+        worker_agent.AgentReader().feed(memoryview(line.encode("latin-1")))
 
 
 @pytest.mark.parametrize("expected", recorded("agent.json")["commands"], ids=lambda x: x["command"])
@@ -220,7 +220,7 @@
         found = [value for piece in pieces(data, outcome["size"]) for value in reader.feed(piece)]
         assert [to_json(tuple(value)) for value in found] == [value for _, value in outcome["found"]]
         assert [type(value) for value in found] == [REQUESTS[kind] for kind, _ in outcome["found"]]
-        assert reader.dead == outcome["dead"]
+        assert reader.closed == outcome["dead"]
 
 
 @pytest.mark.parametrize("expected", recorded("sidecar.json")["answers"], ids=lambda x: x["answer"])
@@ -242,16 +242,16 @@
     assert found is not None
     assert to_json(tuple(found)) == expected["value"]
     assert reader.reusable == expected["reusable"]
-    assert below.outcome(found).name == expected["outcome"]
-    assert control.counted(found) == expected["counted"]
+    assert downstream.classify_reply(found).name == expected["outcome"]
+    assert control_plane.is_acknowledged(found) == expected["counted"]
 
 
 def test_calls_and_reports_are_written_as_before() -> None:
     expected = recorded("backend_and_control.json")
     for call in expected["calls"]:
-        assert below.call(*map(from_json, call["arguments"])) == call["bytes"].encode("latin-1")
+        assert downstream.encode_call(*map(from_json, call["arguments"])) == call["bytes"].encode("latin-1")
     for report in expected["reports"]:
-        assert control.report(*report["arguments"]) == report["bytes"].encode("latin-1")
+        assert control_plane.encode_report(*report["arguments"]) == report["bytes"].encode("latin-1")
 
 
 # Operator file
@@ -264,7 +264,7 @@
 
 def test_the_schema_is_what_the_types_say_and_what_a_backend_reads() -> None:
     assert operator.schema() == (RECORDED / "operator.schema.json").read_bytes()
-    assert plain.form() == recorded("operator.schema.json")
+    assert operator_file.load_schema() == recorded("operator.schema.json")
 
 
 # Settings and configuration of the tier
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -21,7 +21,7 @@
 import pytest
 
 from crowwing.emulator import processes
-from crowwing.settings import operator, plain
+from crowwing.settings import operator, operator_file
 from tests.test_program_life import at, told
 
 ROOT = Path(__file__).parent.parent
@@ -264,12 +264,12 @@
         named = [*part.get("properties", {}).values(), *part.get("$defs", {}).values()]
         return part.keys() | set().union(*map(words, [*inner.values(), *named]))
 
-    root = plain.form()
-    assert words(root) <= plain.FOLLOWED | plain.SILENT
-    assert plain.SCHEMA.read_bytes() == operator.schema()
+    root = operator_file.load_schema()
+    assert words(root) <= operator_file.CHECKED_KEYWORDS | operator_file.IGNORED_KEYWORDS
+    assert operator_file.SCHEMA_PATH.read_bytes() == operator.schema()
     for part in root["$defs"].values():
         assert part["additionalProperties"] is False, "unknown names are refused throughout"
-    storm = plain.filled({"storm": {}}, root["$defs"]["Operator"], root).storm
+    storm = operator_file.with_defaults({"storm": {}}, root["$defs"]["Operator"], root).storm
     typed = operator.Storm()
     for name in typed.__struct_fields__:
         value = getattr(typed, name)
