--- a/crowwing/protocol/__init__.py
+++ b/crowwing/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes to values and back, for each party spoken with. No input or output happens here."""
+"""Parsers and encoders for the protocol of each party. Nothing here does input or output."""
--- a/crowwing/protocol/arrival.py
+++ b/crowwing/protocol/arrival.py
@@ -1,10 +1,10 @@
-"""A ticket as it comes in, whatever protocol brought it."""
+"""A request as it arrives, independent of the protocol."""
 
 from typing import NamedTuple
 
 
 class Arrival(NamedTuple):
-    """Times are in microseconds; `due` is 0 where no patience is told."""
+    """Times are in microseconds; `due`, the deadline, is 0 if the request states none."""
 
     id: str
     type: str
@@ -15,5 +15,5 @@
     kb: float
     rank: float
     row: str
-    key: str  # the idempotency key; empty where none came
+    key: str  # the idempotency key, or empty
     body: bytes
--- a/crowwing/protocol/control_plane.py
+++ b/crowwing/protocol/control_plane.py
@@ -1,10 +1,10 @@
-"""Reports to the control plane."""
+"""Readiness reports to the control plane."""
 
 import orjson
 
 from crowwing.protocol.reply import Reply
 
-REPORT_LIFETIME = 3.0  # seconds after the last report in which a backend stays listed
+REPORT_LIFETIME = 3.0  # seconds that a backend stays listed after its last report
 
 
 def encode_report(name: str, ready: bool, host: str) -> bytes:
--- a/crowwing/protocol/downstream.py
+++ b/crowwing/protocol/downstream.py
@@ -1,13 +1,13 @@
-"""Calls to the back end, and what each of its replies proves."""
+"""Encodes calls to the downstream service, and tells what each reply proves about the call."""
 
 from crowwing.contract import Outcome
 from crowwing.protocol.reply import Reply
 
-SERVER_IDLE_TIMEOUT = 10.0  # seconds after which the back end closes an idle connection
+SERVER_IDLE_TIMEOUT = 10.0  # seconds after which the downstream service closes an idle connection
 
 
 def encode_call(request_id: str, time_limit: int, host: str, body: bytes) -> bytes:
-    """`span` in microseconds: how long we wait."""
+    """`time_limit` is the time that the caller waits, in microseconds."""
     head = (
         f"POST /rpc/call HTTP/1.1\r\nHost: {host}\r\nParent-Call: {request_id}\r\n"
         f"Deadline-Ms: {max(1, time_limit // 1000)}\r\nContent-Length: {len(body)}\r\n\r\n"
--- a/crowwing/protocol/reply.py
+++ b/crowwing/protocol/reply.py
@@ -1,11 +1,11 @@
-"""One HTTP reply, as the back end and the control plane give them."""
+"""Parser for one HTTP reply of the downstream service or the control plane."""
 
 from typing import NamedTuple
 
 import httptools
 
 MAX_REPLY_BYTES = 1 << 16
-STATUSES_WITHOUT_BODY = (204, 304)  # RFC 9112, 6.3: no length frames them, and none has to
+STATUSES_WITHOUT_BODY = (204, 304)  # RFC 9112, 6.3: they have no body, so they need no length
 
 
 class Reply(NamedTuple):
@@ -15,7 +15,7 @@
 
 
 class ReplyReader:
-    """Takes the bytes of one reply in any pieces; `reusable` says whether its connection can carry on."""
+    """Incremental parser; `reusable` says whether the connection can carry another exchange."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
@@ -25,28 +25,28 @@
         self.framed = self.headers_complete = False
 
     def feed(self, view: memoryview) -> Reply | None:
-        """The reply once it is whole; ValueError for what is none."""
+        """Returns the reply once it is complete; raises ValueError for data that is not a reply."""
         self.bytes_read += len(view)
         if self.bytes_read > 2 * MAX_REPLY_BYTES:
-            raise ValueError("a reply over its limit")
+            raise ValueError("the reply is larger than its limit")
         try:
             self.parser.feed_data(view)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if self.reply is None:
-                raise ValueError(f"no reply: {error}") from None
-            self.reusable = False  # it was whole before the noise began
+                raise ValueError(f"not an HTTP reply: {error}") from None
+            self.reusable = False  # the reply was complete before the invalid bytes
         return self.reply
 
     def end(self) -> Reply | None:
-        """The far side's end of stream, which ends only a reply that no length frames."""
+        """Handles end of stream, which completes a reply only if no length delimits it."""
         if self.framed or not self.headers_complete:
             return None
         return Reply(self.parser.get_status_code(), self.rejected, bytes(self.body))
 
-    # httptools calls these
+    # Callbacks of httptools
 
     def on_message_begin(self) -> None:
-        self.reusable = False  # a second one behind a whole reply
+        self.reusable = False  # a second reply follows a complete one
         if self.reply is None:
             self.rejected = self.framed = self.headers_complete = False
             self.body.clear()
@@ -66,8 +66,8 @@
 
     def on_message_complete(self) -> None:
         if self.reply is not None or self.parser.get_status_code() < 200:
-            return  # a copy behind the reply, or a word before it
+            return  # a second reply, or an interim 1xx response
         status = self.parser.get_status_code()
-        framed = self.framed or status in STATUSES_WITHOUT_BODY  # these end with their head
+        framed = self.framed or status in STATUSES_WITHOUT_BODY  # they end with their headers
         self.reusable = framed and self.parser.should_keep_alive()
         self.reply = Reply(status, self.rejected, bytes(self.body))
--- a/crowwing/protocol/sidecar.py
+++ b/crowwing/protocol/sidecar.py
@@ -1,4 +1,4 @@
-"""Sidecar HTTP: what comes in as tickets and health checks, and the answers that go back."""
+"""HTTP of the sidecars: parses requests and health checks, and encodes responses."""
 
 import re
 from collections.abc import Iterator
@@ -13,7 +13,7 @@
 MAX_HEADER_BYTES = 8192
 MAX_RESULT_BYTES = 4096
 MAX_KEY_BYTES = 255
-_NUMBER = re.compile(rb"\d{1,20}(\.\d{1,20})?(e-?\d{1,2})?")  # no sign, no word such as inf
+_NUMBER = re.compile(rb"\d{1,20}(\.\d{1,20})?(e-?\d{1,2})?")  # rejects signs and words such as inf
 _ID = re.compile(rb"[0-9a-fA-F]{16}")
 _REASONS = {
     200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 413: "Content Too Large",
@@ -22,13 +22,13 @@
 
 
 class HealthCheck(NamedTuple):
-    """A health check; a deep one asks whether work gets done."""
+    """A health check; a deep one runs a test job on the worker agent."""
 
     deep: bool
 
 
 class BadRequest(NamedTuple):
-    """What is answered with a 4xx; `fatal` where the stream cannot be trusted any further."""
+    """An invalid request, answered with a 4xx; `fatal` if nothing after it can be parsed."""
 
     status: int
     reason: str
@@ -42,7 +42,7 @@
 
 
 class SidecarReader:
-    """Takes the bytes of one connection in any pieces and gives what was asked, in order."""
+    """Incremental parser for one connection; takes bytes split anywhere and returns requests in order."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpRequestParser(self)
@@ -61,7 +61,7 @@
             if not self.headers_complete and self.partial and self.header_bytes > MAX_HEADER_BYTES:
                 raise _InvalidRequestError(431, "headers over their limit")
         except httptools.HttpParserUpgrade:
-            self.closed = True  # it is answered as what it is otherwise, and the last
+            self.closed = True  # answered as an ordinary request, and the last one read
         except httptools.HttpParserError as error:
             cause = error.__context__ if isinstance(error.__context__, _InvalidRequestError) else None
             self._fail(cause.status if cause else 400, str(cause or error))
@@ -74,7 +74,7 @@
         self.closed = True
         self.parsed.append(BadRequest(status, reason, fatal=True))
 
-    # httptools calls these
+    # Callbacks of httptools
 
     def on_message_begin(self) -> None:
         self.url, self.body = b"", bytearray()
@@ -88,7 +88,7 @@
         name = name.lower()
         if name in self.headers and name.startswith(b"x-"):
             raise _InvalidRequestError(400, "a header given twice")
-        if name == b"transfer-encoding":  # no sidecar sends one, and it can hide a second request in a body
+        if name == b"transfer-encoding":  # no sidecar sends it, and it allows request smuggling
             raise _InvalidRequestError(400, "a body that no length frames")
         self.headers[name] = value
 
@@ -131,7 +131,7 @@
         if not _ID.fullmatch(request_id):
             raise _InvalidRequestError(400, "x-txn is not 16 hex digits")
         key = self.headers.get(b"x-txn-key", b"")
-        if len(key) > MAX_KEY_BYTES:  # it is kept for as long as its window
+        if len(key) > MAX_KEY_BYTES:  # the key is stored for the whole deduplication window
             raise _InvalidRequestError(400, "x-txn-key over its limit")
         arrived = self._integer(b"x-ingress-time", 10**15) * 1000
         rank, kb = self._number(b"x-shed-order"), self._number(b"x-working-set-kb")
@@ -155,7 +155,8 @@
 
     def _integer(self, name: bytes, maximum: int) -> int:
         text = self.headers.get(name, b"")
-        if text.isdigit() and len(text) < 20 and (number := int(text)) <= maximum:  # bytes: ASCII digits only
+        # isdigit() of bytes accepts ASCII digits only.
+        if text.isdigit() and len(text) < 20 and (number := int(text)) <= maximum:
             return number
         raise _InvalidRequestError(400, f"{name.decode()} is no whole number in its range")
 
@@ -167,7 +168,7 @@
 
 
 def _decode_name(value: bytes) -> str:
-    """A name as the settings write it: UTF-8, or one byte a letter where it is none."""
+    """Decodes a name as the settings spell it: UTF-8, or Latin-1 if it is not valid UTF-8."""
     try:
         return value.decode()
     except UnicodeDecodeError:
@@ -197,7 +198,7 @@
     closes: bool,
     with_retry_after: bool = False,
 ) -> bytes:
-    """`away` in microseconds: how long to stay away; `retry_after`: also in RFC 9110's field, seconds up."""
+    """`retry_after` is in microseconds; `with_retry_after` also sends RFC 9110's field, in whole seconds."""
 
     def headers() -> Iterator[str]:
         if retry_after > 0:
@@ -220,5 +221,5 @@
 
 
 def encode_bad_request(status: int, spare_capacity: float | None, closes: bool) -> bytes:
-    """The 4xx for what is no ticket."""
+    """The 4xx for an invalid request."""
     return _encode_response(status, _common_headers(spare_capacity, closes), b"")
--- a/crowwing/protocol/worker_agent.py
+++ b/crowwing/protocol/worker_agent.py
@@ -1,4 +1,4 @@
-"""The farm agent's lines: notices that come in, commands that go out."""
+"""The line protocol of the worker agent: parses its notices and encodes commands to it."""
 
 from typing import NamedTuple
 
@@ -20,7 +20,7 @@
 
 
 class CallRequested(NamedTuple):
-    """A run waits for a call."""
+    """A run waits for a downstream call."""
 
     number: int
     id: str
@@ -52,11 +52,11 @@
 
 
 class ProtocolError(ValueError):
-    """What came in is not of this protocol; the link cannot be trusted any further."""
+    """The data is not valid in this protocol; nothing after it on the connection can be parsed."""
 
 
 class AgentReader:
-    """Takes the bytes of one link in any pieces and gives the notices, in order."""
+    """Incremental parser for one connection; takes bytes split anywhere and returns notices in order."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
@@ -75,12 +75,12 @@
                 body = bytes(self.buffer[next_position : next_position + size])
                 next_position += size + 2
                 if self.buffer[next_position - 2 : next_position] != b"\r\n":
-                    raise ProtocolError("the body does not end where its length says")
+                    raise ProtocolError("the body does not end at its stated length")
             notices.append(_notice(fields, body, line))
             position = next_position
         else:
             if len(self.buffer) - position > MAX_LINE_BYTES:
-                raise ProtocolError("a line over its limit")
+                raise ProtocolError("a line is longer than its limit")
         del self.buffer[:position]
         return notices
 
@@ -101,12 +101,12 @@
             return Refusal(command, request_id)
         case ["aside", number, *_]:
             return Aside(_integer(number), line.split(" ", 2)[-1])
-    raise ProtocolError(f"no notice: {line[:80]!r}")
+    raise ProtocolError(f"not a notice: {line[:80]!r}")
 
 
 def _integer(text: str, maximum: int = 1 << 62) -> int:
     if not (text.isascii() and text.isdigit() and len(text) < 20 and int(text) <= maximum):
-        raise ProtocolError(f"no whole number in its range: {text[:40]!r}")
+        raise ProtocolError(f"not an integer in its range: {text[:40]!r}")
     return int(text)
 
 
@@ -114,16 +114,16 @@
     try:
         number = float(text)
     except ValueError:
-        raise ProtocolError(f"no number: {text[:40]!r}") from None
+        raise ProtocolError(f"not a number: {text[:40]!r}") from None
     if not abs(number) < 1e15:
-        raise ProtocolError(f"impossible number: {text[:40]!r}")
+        raise ProtocolError(f"number out of range: {text[:40]!r}")
     return number
 
 
 def _microseconds(text: str) -> int:
     number = _number(text)
     if number < 0:
-        raise ProtocolError(f"a time below nothing: {text[:40]!r}")
+        raise ProtocolError(f"negative time: {text[:40]!r}")
     return round(number * 1000)
 
 
--- a/crowwing/routing/backend_calls.py
+++ b/crowwing/routing/backend_calls.py
@@ -11,9 +11,8 @@
 from crowwing.transport.buffer_pool import BufferPool
 from crowwing.transport.connection_pool import ConnectionPool, ExchangeError, InvalidReplyError, NotSentError
 
-IDLE_TIMEOUT = (
-    0.8 * downstream.SERVER_IDLE_TIMEOUT
-)  # seconds; closes idle connections before the downstream service does
+# Seconds; closes idle connections before the downstream service does.
+IDLE_TIMEOUT = 0.8 * downstream.SERVER_IDLE_TIMEOUT
 
 
 class BackendCalls:
--- a/crowwing/transport/__init__.py
+++ b/crowwing/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: who may connect, what is read into which buffer, and links that come back. Knows no protocol."""
+"""Sockets: the listener, connections, buffers and reconnecting links. Independent of any protocol."""
--- a/crowwing/transport/buffer_pool.py
+++ b/crowwing/transport/buffer_pool.py
@@ -1,14 +1,14 @@
-"""Read buffers of one size, used again."""
+"""Reusable read buffers of one size."""
 
 MAX_FREE_BUFFERS = 16
-BUFFER_SIZE = 8192  # holds a whole request of the largest kind, its headers included
+BUFFER_SIZE = 8192  # fits the largest request with its headers
 
 
 class BufferPool:
-    """Lends buffers, and keeps a few spare ones: what a burst took is let go."""
+    """Keeps a few free buffers for reuse; further ones, allocated in a burst, are freed."""
 
     def __init__(self) -> None:
-        self.free: list[bytearray] = []  # emptied by lending, and never long
+        self.free: list[bytearray] = []  # at most MAX_FREE_BUFFERS
         self.in_use = 0
 
     def acquire(self) -> bytearray:
--- a/crowwing/transport/connection.py
+++ b/crowwing/transport/connection.py
@@ -1,8 +1,9 @@
-"""One accepted connection: reads into a pooled buffer, sends in order, and cuts nothing off.
+"""One accepted connection: reads into a pooled buffer, sends in order, and closes without losing data.
 
-Our end is sent in one go with the look that finds nothing unread and nothing owed, and by then the reader has
-handed on all that it took: no request is read behind our end, and one that lies there before it is answered.
-From our end on what comes is read and dropped: a close over unread bytes is a reset and takes answers along.
+The write side is shut down in the same step that finds no unread bytes and no pending response, after the
+reader has passed on all that it took. So no request is read after the shutdown, and one that came before is
+answered. After the shutdown incoming bytes are read and discarded: closing a socket with unread bytes sends
+a reset, which can destroy responses in flight.
 """
 
 import asyncio
@@ -14,14 +15,14 @@
 
 from crowwing.transport.buffer_pool import BufferPool
 
-MAX_DISCARDED_BYTES = 1 << 18  # bytes read and dropped of what has no answer any more
-LINGER_TIME = 0.1  # seconds between our end and the descriptor's: what crosses it is sent anew within 50 ms
-MAX_DISCARD_READS = 32  # buffers of unread bytes that are dropped at the last close
-SEND_TIMEOUT = 5.0  # seconds after which an answer that the far side does not read is given up
+MAX_DISCARDED_BYTES = 1 << 18  # bytes discarded before the connection is closed
+LINGER_TIME = 0.1  # seconds from shutdown to close; a crossing request is sent again within 50 ms
+MAX_DISCARD_READS = 32  # reads that discard unread bytes before the final close
+SEND_TIMEOUT = 5.0  # seconds after which a response that the peer does not read is abandoned
 
 
 class ConnectionHandler(Protocol):
-    """What stands behind a connection."""
+    """Receives the data of a connection."""
 
     def received(self, view: memoryview) -> None: ...
 
@@ -29,10 +30,11 @@
 
 
 class Connection:
-    """`busy` keeps it open; `since`: when it last carried something; `began`: what is half read.
+    """`busy`: a request is in progress, so it stays open; `since`: time of the last data in or out.
 
-    `proven`: it has brought something whole; `deaf`: what comes is dropped; `pause`: before the next read;
-    `closing`: it ends once nothing is owed; `shut`: our end has gone out.
+    `began`: when the incomplete request started; `proven`: it has sent a complete request; `deaf`: incoming
+    data is discarded; `pause`: seconds to wait before the next read; `closing`: it closes once no response is
+    pending; `shut`: the write side is shut down.
     """
 
     __slots__ = (
@@ -45,9 +47,9 @@
         self.busy = self.closing = self.shut = self.proven = self.deaf = False
         self.since = loop.time()
         self.began = self.pause = 0.0
-        self.outbox: deque[bytes] = deque()  # emptied by the sender
+        self.outbox: deque[bytes] = deque()  # removed by the sender task
         self.sender: asyncio.Task | None = None
-        self.done: asyncio.Event | None = None  # set once nothing is owed, where the far side has ended
+        self.done: asyncio.Event | None = None  # set once no response is pending, after the peer has closed
         self.lingers: asyncio.TimerHandle | None = None
         self.buffer = pool.acquire()
         self.buffer[0] = 0
@@ -60,7 +62,7 @@
         self.task.add_done_callback(lambda _: self._on_task_done(on_closed))
 
     def _on_task_done(self, on_closed: Callable[["Connection"], None]) -> None:
-        """Also where it was ended before it began to live."""
+        """Releases everything, also if the task was cancelled before it ran."""
         self.closing = self.shut = self.deaf = True
         if self.lingers is not None:
             self.lingers.cancel()
@@ -79,7 +81,7 @@
                 await self._finish()
 
     async def _read(self) -> bool:
-        """Until the far side ends it; whether it broke. Our own end does not end the reading."""
+        """Reads until the peer closes, even after our shutdown; returns whether the connection broke."""
         discarded = 0
         try:
             with memoryview(self.buffer) as view:
@@ -94,7 +96,7 @@
                         continue
                     self.since = self.loop.time()
                     self.user.received(view[:size])
-                    self.buffer[0] = 0  # all that was taken is handed on
+                    self.buffer[0] = 0  # the data has been passed on
                     if self.closing:
                         self._shut_down_writes()
                     if self.pause and not self.closing:
@@ -104,7 +106,7 @@
             return True
 
     async def _finish(self) -> None:
-        """The far side sends no more (or too much): sends what is owed, and ends ours."""
+        """The peer sends no more, or too much: sends pending responses and shuts down the write side."""
         self.closing, self.done = True, asyncio.Event()
         self._finish_if_idle()
         await self.done.wait()
@@ -120,28 +122,28 @@
             self._shut_down_writes()
 
     def _shut_down_writes(self) -> None:
-        """Ends our side where nothing is owed. What has come in by now is read first: a ticket may be."""
+        """Shuts down the write side if no response is pending and no received byte is unread."""
         if self.shut or self.done is not None or self.busy or self.sender is not None:
             return
         if not self.deaf:
-            # No request begins with a zero: the first byte tells whether the reader has taken something that
-            # it has not handed on yet. It comes by here once it has, as it does with what is still unread.
+            # No request begins with a zero byte, so a nonzero first byte means data that the reader has not
+            # passed on yet. The reader calls this method again afterwards, also after it reads unread bytes.
             if self.buffer[0] or self._has_unread():
                 return
-            if self.began:  # half a request: its sender is told, and we come by here again
+            if self.began:  # an incomplete request: it is answered with an error first
                 self.user.ended(False)
                 if self.shut or self.busy or self.sender is not None:
                     return
-        linger = self.proven or self.deaf  # a silent one is owed no more than the close
+        linger = self.proven or self.deaf  # one that never sent a request is just closed
         self.shut = self.deaf = True
-        with suppress(OSError):  # the far side was faster
+        with suppress(OSError):  # the peer closed first
             self.sock.shutdown(socket.SHUT_WR)
         self.lingers = self.loop.call_later(LINGER_TIME if linger else 0, self.task.cancel)
 
     def _has_unread(self) -> bool:
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK))
-        except OSError:  # nothing is there, or nothing can come any more
+        except OSError:  # nothing to read, or the connection is broken
             return False
 
     def discard_unread(self) -> None:
@@ -153,7 +155,7 @@
     def send(self, data: bytes) -> None:
         self.since = self.loop.time()
         if self.sender is None:
-            # What the socket takes at once, nearly always all, needs no task.
+            # The socket nearly always takes all at once, which needs no task.
             try:
                 data = data[self.sock.send(data) :]
             except BlockingIOError:
@@ -179,17 +181,17 @@
             self._finish_if_idle()
 
     def release(self) -> None:
-        """Nothing is open on it any more."""
+        """No request is in progress on it any more."""
         self.busy = False
         self._finish_if_idle()
 
     def close(self) -> None:
-        """Ends it once what is owed has gone out. What has come in by now is still read: a ticket may be."""
+        """Closes it once pending responses are sent. What arrives before that is still read."""
         self.closing = True
         self._shut_down_writes()
 
     def end(self) -> None:
-        """At the process's end, when the reader has handed on what it took: reads what is there, and ends."""
+        """Reads what has arrived and closes, when the process ends and the reader has passed on its data."""
         self.closing = True
         if not (self.deaf or self.shut or self.done is not None):
             with suppress(OSError), memoryview(self.buffer) as view:
--- a/crowwing/transport/connection_pool.py
+++ b/crowwing/transport/connection_pool.py
@@ -1,4 +1,4 @@
-"""Kept-alive connections on which one asks and one answers at a time."""
+"""Keep-alive connections to one address, with one request at a time on each."""
 
 import asyncio
 import socket
@@ -9,7 +9,7 @@
 
 
 class ReplyReader(Protocol):
-    """Turns bytes into one reply; `end` is the far side's end of stream."""
+    """Parses one reply; `end` is called at end of stream."""
 
     reusable: bool
 
@@ -19,19 +19,19 @@
 
 
 class NotSentError(Exception):
-    """No connection came about, so nothing was sent."""
+    """No connection was established, so nothing was sent."""
 
 
 class ExchangeError(Exception):
-    """The exchange broke off; the far side may have seen it."""
+    """The exchange failed; the peer may have received the request."""
 
 
 class InvalidReplyError(ExchangeError):
-    """What came back is no reply: the far side has seen it, and is done with it."""
+    """The answer is not a valid reply: the peer has received the request and finished with it."""
 
 
 class ConnectionPool:
-    """Connections to one address, or to none; an idle one closes after half of `idle` to `idle` seconds."""
+    """Closes an idle connection after `idle_timeout` / 2 to `idle_timeout` seconds; `address` may be None."""
 
     def __init__(
         self,
@@ -44,9 +44,7 @@
     ) -> None:
         self.loop, self.address, self.pool, self.new_reader = loop, address, pool, new_reader
         self.idle_timeout, self.max_open = idle_timeout, max_open
-        self.idle_connections: dict[
-            socket.socket, float
-        ] = {}  # idle since; emptied by use and age, the last used first
+        self.idle_connections: dict[socket.socket, float] = {}  # -> idle since; the last used is reused first
         self.sweep_timer: asyncio.TimerHandle | None = None
         self.open = 0
 
@@ -55,13 +53,13 @@
         return f"{self.address[0]}:{self.address[1]}" if self.address else ""
 
     def set_address(self, address: tuple[str, int] | None) -> None:
-        """From now on to another address; what is out ends where it is."""
+        """Sends new requests to another address; those in progress finish at the old one."""
         if address != self.address:
             self.address = address
             self.close()
 
     async def request(self, data: bytes, limit: float) -> Any:  # noqa: ANN401
-        """The reply, within `limit` seconds. Cancelling gives it up, as running out of time does."""
+        """Returns the reply; `limit` is in seconds. Cancelling closes the connection, as a time-out does."""
         sock, reusable, address = self._take_idle(), False, self.address
         try:
             async with asyncio.timeout(limit):
@@ -74,8 +72,8 @@
                     self.pool.release(buffer)
         except TimeoutError:
             if sock is None:
-                raise NotSentError("no connection in time") from None
-            raise ExchangeError("no reply in time") from None
+                raise NotSentError("connecting timed out") from None
+            raise ExchangeError("the reply timed out") from None
         except OSError as error:
             raise ExchangeError(str(error) or type(error).__name__) from None
         except ValueError as error:
@@ -93,14 +91,14 @@
                 size = await self.loop.sock_recv_into(sock, buffer)
                 reply = reader.feed(view[:size]) if size else reader.end()
                 if reply is None and not size:
-                    raise ConnectionError("ended before a whole reply")
+                    raise ConnectionError("connection closed before the reply was complete")
         return reply, reader.reusable and size > 0
 
     async def _connect(self) -> socket.socket:
         if self.address is None:
-            raise NotSentError("there is nothing to connect to")
+            raise NotSentError("no address is configured")
         if self.open >= self.max_open:
-            raise NotSentError("no descriptor is left for it")
+            raise NotSentError("all connections of the pool are in use")
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:
@@ -119,7 +117,7 @@
         return sock
 
     def _take_idle(self) -> socket.socket | None:
-        """One that is still there. Nothing is owed on it: whatever has come, its end too, ends it."""
+        """An open idle connection; one that was closed or has received data is not reused."""
         while self.idle_connections:
             sock, _ = self.idle_connections.popitem()
             try:
@@ -137,7 +135,7 @@
             self.sweep_timer = self.loop.call_later(self.idle_timeout, self._sweep)
 
     def _sweep(self) -> None:
-        """Closes what has been idle for too long, and comes again for the others."""
+        """Closes connections that were idle for too long, and schedules itself for the others."""
         now, self.sweep_timer = self.loop.time(), None
         for sock in [
             sock for sock, since in self.idle_connections.items() if now - since >= self.idle_timeout / 2
--- a/crowwing/transport/descriptor_budget.py
+++ b/crowwing/transport/descriptor_budget.py
@@ -1,12 +1,12 @@
-"""The descriptors a process may hold, and how many of them are for those who come to it."""
+"""How the file descriptors of a process are divided among its connections."""
 
 import resource
 
-RESERVED_DESCRIPTORS = 16  # standard streams, the loop's own, the listener, the farm agent, the control plane
+RESERVED_DESCRIPTORS = 16  # standard streams, event loop, listener, worker agent, control plane
 
 
 class DescriptorBudget:
-    """Sidecars open up to half of the limit; checks and strangers come on top, and calls have a fifth."""
+    """Sidecars open up to half of the limit, health checks and other clients more; calls get a fifth."""
 
     def __init__(self, configured: int) -> None:
         soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
--- a/crowwing/transport/link.py
+++ b/crowwing/transport/link.py
@@ -1,4 +1,4 @@
-"""A link to one address that is kept open: it connects again by itself, and sends in order."""
+"""A connection to one address that reconnects by itself and sends in order."""
 
 import asyncio
 import socket
@@ -7,12 +7,12 @@
 
 from crowwing.transport.buffer_pool import BufferPool
 
-CONNECT_TIMEOUT = 1.0  # seconds that one try to connect may take
-MIN_RETRY_DELAY, MAX_RETRY_DELAY = 0.02, 0.5  # seconds between tries
+CONNECT_TIMEOUT = 1.0  # seconds for one attempt to connect
+MIN_RETRY_DELAY, MAX_RETRY_DELAY = 0.02, 0.5  # seconds between attempts
 
 
 class Link:
-    """`opened` sends first; a ValueError of `received` closes the link, which then starts anew."""
+    """`on_open` may send first; a ValueError from `on_data` closes the connection, which is reopened."""
 
     def __init__(
         self,
@@ -25,16 +25,16 @@
     ) -> None:
         self.loop, self.address, self.pool = loop, address, pool
         self.on_open, self.on_data, self.on_close = on_open, on_data, on_close
-        self.outbox: list[bytes] = []  # emptied by each send, and when the link breaks
+        self.outbox: list[bytes] = []  # emptied by each send, and when the connection breaks
         self.pending = asyncio.Event()
         self.sock: socket.socket | None = None
-        self.connected = self.received_valid_data = False  # it is there; what it brought could be read
-        self.reconnect_now = asyncio.Event()  # the next try to connect need not wait
+        self.connected = self.received_valid_data = False  # data of this connection could be parsed
+        self.reconnect_now = asyncio.Event()  # skips the delay before the next attempt
 
     async def run(self) -> None:
         delay = MIN_RETRY_DELAY
         while True:
-            reason = "closed by the far side"
+            reason = "closed by the peer"
             sender: asyncio.Task | None = None
             try:
                 self.sock = sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -42,7 +42,7 @@
                 async with asyncio.timeout(CONNECT_TIMEOUT):
                     await self.loop.sock_connect(sock, address := self.address)
                 if address != self.address:
-                    raise OSError("moved while it was opened")
+                    raise OSError("the address changed while connecting")
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 self.connected, self.received_valid_data = True, False
                 self.on_open()
@@ -51,7 +51,7 @@
             except (OSError, ValueError) as error:
                 reason = str(error) or type(error).__name__
             except asyncio.CancelledError:
-                self.connected = False  # ended by us: no break
+                self.connected = False  # cancelled by the owner: not a broken connection
                 raise
             finally:
                 if sender is not None:
@@ -63,9 +63,8 @@
                 self.outbox.clear()
                 if self.connected:
                     self.connected = False
-                    if (
-                        self.received_valid_data
-                    ):  # one that brings nothing but what cannot be read is not tried in haste
+                    # If nothing could be parsed, the delay keeps growing.
+                    if self.received_valid_data:
                         delay = MIN_RETRY_DELAY
                     self.on_close(reason)
             with suppress(TimeoutError):
@@ -85,20 +84,20 @@
             self.pool.release(buffer)
 
     def set_address(self, address: tuple[str, int]) -> None:
-        """Another address from now on."""
+        """Connects to another address from now on."""
         if address != self.address:
             self.address = address
             self.reconnect_now.set()
             self.reconnect()
 
     def reconnect(self) -> None:
-        """Gives this link up; another is opened."""
+        """Closes the current connection; another one is opened."""
         if self.connected:
-            with suppress(OSError):  # it has just gone by itself
-                self.sock.shutdown(socket.SHUT_RDWR)  # the reader sees the end
+            with suppress(OSError):  # it has just closed by itself
+                self.sock.shutdown(socket.SHUT_RDWR)  # the reader sees end of stream
 
     def send(self, data: bytes) -> None:
-        """Goes out after what was given before; lost if the link is not up."""
+        """Sends after all data given before; dropped if not connected."""
         if self.connected:
             self.outbox.append(data)
             self.pending.set()
--- a/crowwing/transport/listener.py
+++ b/crowwing/transport/listener.py
@@ -1,4 +1,4 @@
-"""Accepts connections within the budget, and closes those that have been idle for too long."""
+"""Accepts connections up to a limit, and closes those that have been idle for too long."""
 
 import asyncio
 import errno
@@ -9,21 +9,19 @@
 from crowwing.transport.buffer_pool import BufferPool
 from crowwing.transport.connection import Connection, ConnectionHandler
 
-SWEEP_INTERVAL = 0.25  # seconds between looks at idle connections
-REQUEST_TIMEOUT = 1.5  # seconds in which a new connection brings something whole, and one that began ends it
-PROVEN_IDLE_BONUS = 1.0  # seconds by which one that has brought something may be idle for longer
-MAX_ACCEPTS_PER_TURN = 8  # connections accepted, at most, before others of the loop have their turn
-NEW_CONNECTION_GRACE = 0.05  # seconds in which one that was just accepted is not ended for its silence
-FIRST_REQUEST_GRACE = (
-    0.25  # seconds that one's first request may take before it is closed to make room for others
-)
-ACCEPT_RETRY_DELAY = 0.02  # seconds before another try to accept
-BACKLOG = 4096  # beyond it callers would try again only after a second
+SWEEP_INTERVAL = 0.25  # seconds between checks for idle connections
+REQUEST_TIMEOUT = 1.5  # seconds for the first request of a connection, and for any request once begun
+PROVEN_IDLE_BONUS = 1.0  # seconds of idle time more for connections that have sent a complete request
+MAX_ACCEPTS_PER_TURN = 8  # connections accepted before other tasks of the loop run
+NEW_CONNECTION_GRACE = 0.05  # seconds in which a new connection is not closed for being idle
+FIRST_REQUEST_GRACE = 0.25  # seconds in which a new connection is not evicted in favor of others
+ACCEPT_RETRY_DELAY = 0.02  # seconds before accepting again after an error
+BACKLOG = 4096  # a client that finds it full retries only after a second
 RESOURCE_ERRORS = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
 
 
 class Listener:
-    """Owns every accepted connection until its descriptor is gone, which takes it out of the table."""
+    """Owns every accepted connection until its descriptor is closed."""
 
     def __init__(
         self,
@@ -38,16 +36,15 @@
             max_connections,
             new_handler,
         )
-        self.reserve = max(
-            1, max_connections // 8
-        )  # places made free at once, so that accepting need not wait
+        # Connections that are kept free, so that accepting need not wait.
+        self.reserve = max(1, max_connections // 8)
         self.connections: set[Connection] = set()
-        self.idle_timeout: float | None = None  # seconds that a connection may carry nothing; None: for ever
+        self.idle_timeout: float | None = None  # seconds; None: no limit
         self.request_timeout = REQUEST_TIMEOUT
         self.capacity_freed = asyncio.Event()
         self.sock: socket.socket | None = None
-        self.pending_accept: asyncio.Future | None = None  # while nobody waits to be accepted
-        self.accept_waits = 0  # times that accepting had to wait
+        self.pending_accept: asyncio.Future | None = None  # set while no client waits to be accepted
+        self.accept_waits = 0  # how often accepting had to wait
 
     def open(self, host: str, port: int) -> None:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -63,7 +60,7 @@
         self._sweep()
 
     async def accept(self) -> None:
-        """Until close()."""
+        """Accepts until close()."""
         while self.sock is not None:
             while len(self.connections) >= self.max_connections:
                 self.accept_waits += 1
@@ -76,18 +73,18 @@
                     if self.sock is not None:
                         self._add(self.sock.accept()[0])
             except BlockingIOError:
-                pass  # no more are there
+                pass  # no more clients wait
             except OSError as error:
                 if error.errno in RESOURCE_ERRORS:
                     self.accept_waits += 1
                     self._evict_idle()
-                await asyncio.sleep(ACCEPT_RETRY_DELAY)  # any other ended with the one that came
+                await asyncio.sleep(ACCEPT_RETRY_DELAY)  # any other error concerns one client only
             if len(self.connections) > self.max_connections - self.reserve:
                 self._evict_idle()
 
     async def _wait_for_client(self) -> None:
-        """Until someone waits to be accepted. Takes nobody yet: who is taken by a call that is given up in
-        that moment would be dropped, with what was written."""
+        """Waits for a client without accepting it: if the task were cancelled during an accept call, the
+        accepted connection would be lost with the data sent on it."""
         if self.sock is None:
             return
         self.pending_accept = pending_accept = self.loop.create_future()
@@ -110,10 +107,10 @@
         self.capacity_freed.set()
 
     def _evict_idle(self) -> None:
-        """Near the limit the longest idle go, those that brought nothing whole before others.
+        """Near the limit closes the longest idle connections, first those that never sent a full request.
 
-        Guards against connections by the hundred that say nothing, or that asked once and stay: others would
-        wait for theirs. Could do harm where callers need that many: they open theirs again.
+        Otherwise hundreds of silent connections, or of clients that sent one request and stay, would keep
+        others from connecting. Clients that do need so many connections have to reopen theirs.
         """
         if (
             len(self.connections) - sum(c.closing for c in self.connections)
@@ -126,9 +123,10 @@
                 connection.close()
 
     def _awaiting_first_request(self, idle: list[Connection]) -> set[Connection]:
-        """Those whose first request may still be on its way, the newest and few: a flood of silence is none.
+        """Connections whose first request may be in flight: only the newest few, as a flood sends none.
 
-        Where all others have brought something lately, the one just accepted would count as the longest idle.
+        Without this a connection just accepted would count as the longest idle if all others were active
+        lately.
         """
         now = self.loop.time()
         new = [c for c in idle if not c.proven and now - (c.began or c.since) < FIRST_REQUEST_GRACE]
@@ -136,9 +134,8 @@
         return set(new[-self.reserve :])
 
     def _sweep(self) -> None:
-        self.loop.call_later(
-            SWEEP_INTERVAL, self._sweep
-        )  # first: it goes on whatever becomes of one connection
+        # First, so that sweeps continue even if one connection fails.
+        self.loop.call_later(SWEEP_INTERVAL, self._sweep)
         now = self.loop.time()
         for connection in self.connections:
             if not connection.busy and not connection.closing:
@@ -148,27 +145,27 @@
                     connection.close()
 
     def close_idle(self) -> None:
-        """Ends each connection that has carried something and carries nothing now.
+        """Closes each connection that has carried a request and carries none now.
 
-        Guards against tickets sent into a drain for as long as their connection stands: callers open theirs
-        elsewhere. What lies there unread is still answered. Could do harm where a sidecar does not send again
-        what crosses a close.
+        Otherwise sidecars would send requests to a draining backend for as long as their connections stay
+        open. Requests already received are still answered. A sidecar must resend a request that crosses the
+        close.
         """
         for connection in list(self.connections):
             if connection.proven and not (connection.busy or connection.closing or connection.began):
                 connection.close()
 
     def close(self) -> None:
-        """Takes no more connections; those there are go on.
+        """Stops listening; open connections go on.
 
-        Who waits to be accepted is taken first, beyond the budget if need be: the close would reset them,
-        with what they have written.
+        Clients in the backlog are accepted first, beyond the limit if necessary: closing the socket would
+        reset them and lose what they have sent.
         """
         if self.sock is None:
             return
         sock, self.sock = self.sock, None
         self.loop.remove_reader(sock)
-        with suppress(OSError):  # no more are there, or no descriptor is left for them
+        with suppress(OSError):  # no more clients wait, or no descriptor is left for them
             while True:
                 self._add(sock.accept()[0])
         sock.close()
@@ -177,14 +174,14 @@
             self.pending_accept.set_result(None)
 
     def discard_unread(self) -> None:
-        """The last thing before the process ends: what has come since our ends went out is dropped, since the
-        end over unread bytes would be a reset."""
+        """Called last before the process exits: discards data received after the shutdown, since closing
+        sockets with unread data would reset them."""
         for connection in self.connections:
             connection.discard_unread()
 
     async def finish(self, until: float) -> None:
-        """Ends every connection once nothing is owed on it; returns when all are gone, or at `until`, a time
-        of the loop. A new one is given a moment: its request may be on its way."""
+        """Closes every connection once it has no pending response; returns when all are closed, or at `until`
+        (loop time). A new connection gets NEW_CONNECTION_GRACE: its request may be in flight."""
         while self.connections and (now := self.loop.time()) < until:
             for connection in list(self.connections):
                 if connection.proven or now - connection.since > NEW_CONNECTION_GRACE:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -255,9 +255,8 @@
 def test_the_end_waits_for_an_answer_that_is_still_queued_in_the_process(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(
-        "crowwing.program.backend.CLOSE_BEFORE_END", 11.0
-    )  # seconds: no stall of ours is as long
+    # seconds: longer than any stall of the test machine
+    monkeypatch.setattr("crowwing.program.backend.CLOSE_BEFORE_END", 11.0)
 
     async def scene(town: Town) -> None:
         town.farm.hold = True
