--- a/crowwing/__main__.py
+++ b/crowwing/__main__.py
@@ -1,10 +1,13 @@
-"""`python -m crowwing` starts one real backend; with a word behind it, it is the command line."""
+"""`python -m crowwing` starts one backend; with arguments, it is the command line."""
 
 import signal
 import sys
 
 if sys.argv[1:2] == ["tier"]:
-    if sys.argv[2:] in (["front"], ["store"]):  # a role's start does not wait for the command line's library
+    if sys.argv[2:] in (
+        ["front"],
+        ["store"],
+    ):  # a role starts without loading the library of the command line
         from crowwing.tier.startup import bind_listeners, pause_garbage_collection, skip_unused_libraries
 
         bind_listeners()
@@ -22,8 +25,8 @@
 
     sys.exit(main())
 
-# Before anything that takes time is imported. A SIGHUP would end the process; the backend reads its settings
-# again once it hears signals, whether one came or not. A notice to leave is kept until then.
+# Before any slow import. A SIGHUP would end the process, so it is ignored: the backend reads its
+# configuration again once it handles signals. SIGTERM and SIGINT are recorded until then.
 early_signals: list[int] = []
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 for number in (signal.SIGTERM, signal.SIGINT):
--- a/crowwing/cli/__init__.py
+++ b/crowwing/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: a file a group of sub-commands. It parses, calls and prints; it decides nothing."""
+"""The command line, with one module per group of commands; it only parses, calls and prints."""
 
 import sys
 
@@ -8,7 +8,7 @@
 
 app = typer.Typer(
     name="crowwing", no_args_is_help=True, add_completion=False, pretty_exceptions_enable=False,
-    help="Decides, inside each server of a fleet, what it takes, runs and turns away; and tries that out.",
+    help="Admission control inside each server of a fleet, and an emulator to test it.",
 )  # fmt: skip
 app.command("serve", epilog=serve.EXAMPLE)(serve.serve)
 app.command("emulate", epilog=emulate.EXAMPLE)(emulate.emulate)
@@ -17,12 +17,12 @@
 
 
 def main() -> int:
-    """0 done, 1 failed, 2 wrong use."""
+    """Returns 0 for success, 1 for failure, 2 for wrong usage."""
     try:
         return app(standalone_mode=False) or 0
     except typer.TyperException as error:
         print(f"crowwing: {error.format_message()}", file=sys.stderr)
         return error.exit_code
     except (KeyboardInterrupt, typer.Abort):
-        print("crowwing: ended", file=sys.stderr)
+        print("crowwing: interrupted", file=sys.stderr)
         return 1
--- a/crowwing/cli/emulate.py
+++ b/crowwing/cli/emulate.py
@@ -1,4 +1,4 @@
-"""`crowwing emulate`: plays a fleet of real backends on loopback and says what became of its tickets."""
+"""`crowwing emulate`: runs a fleet of real backends on loopback and reports the results of its requests."""
 
 import asyncio
 import signal
@@ -24,26 +24,25 @@
 
 
 def emulate(
-    plan: Annotated[Path | None, typer.Argument(help="The plan, JSON; without one, all defaults.")] = None,
-    faults: Annotated[Path | None, typer.Option(help="A script of faults, in place of the plan's.")] = None,
+    plan: Annotated[Path | None, typer.Argument(help="The plan, JSON; default: all defaults.")] = None,
+    faults: Annotated[Path | None, typer.Option(help="A file of faults, instead of the plan's.")] = None,
     out: Annotated[
-        Path, typer.Option(help="Folder for the records; an earlier emulation's is replaced.")
+        Path, typer.Option(help="Folder for the results; those of an earlier run are replaced.")
     ] = Path("runs/emulation"),
-    seed: Annotated[int | None, typer.Option(help="In place of the plan's.")] = None,
-    seconds: Annotated[float | None, typer.Option(help="Of traffic, in place of the plan's.")] = None,
-    backends: Annotated[int | None, typer.Option(help="In place of the plan's.")] = None,
+    seed: Annotated[int | None, typer.Option(help="Instead of the plan's.")] = None,
+    seconds: Annotated[float | None, typer.Option(help="Seconds of traffic, instead of the plan's.")] = None,
+    backends: Annotated[int | None, typer.Option(help="Instead of the plan's.")] = None,
     load: Annotated[
-        float | None, typer.Option(help="Part of what all cores can do, in place of the plan's.")
+        float | None,
+        typer.Option(help="Load as a fraction of the capacity of all cores, instead of the plan's."),
     ] = None,
-    habit: Annotated[str | None, typer.Option(help=f"Of the sidecars: {', '.join(HABITS)}.")] = None,
-    net: Annotated[
-        str | None, typer.Option(help="First two numbers of the addresses, such as 127.40.")
-    ] = None,
-    program: Annotated[Path | None, typer.Option(help="Another checkout whose backend is played.")] = None,
+    habit: Annotated[str | None, typer.Option(help=f"How the sidecars behave: {', '.join(HABITS)}.")] = None,
+    net: Annotated[str | None, typer.Option(help="First two bytes of the addresses, such as 127.40.")] = None,
+    program: Annotated[Path | None, typer.Option(help="Another checkout, whose backend is run.")] = None,
     operator: Annotated[Path | None, typer.Option(help="An operator file for the backends.")] = None,
     as_json: Annotated[bool, typer.Option("--json", help="The result as JSON on standard output.")] = False,
 ) -> None:
-    """Plays a whole fleet on loopback, with faults, and checks the four rules on what really happened."""
+    """Runs a fleet on loopback, with faults, and checks the four rules against its records."""
     try:
         plan_data = _apply_options(read(plan, faults), seed, seconds, backends, load, habit)
         folder = stage.fresh_folder(out)
@@ -52,9 +51,9 @@
     except OSError as error:
         exit_failed(f"{out}: {error.strerror}")
     if net is not None and not _loopback(net):
-        exit_usage_error(f"--net {net}: no loopback addresses, such as 127.40")
+        exit_usage_error(f"--net {net}: not the start of a loopback address, such as 127.40")
     if program is not None and not (program / "crowwing" / "__main__.py").exists():
-        exit_usage_error(f"--program {program}: no checkout of crowwing")
+        exit_usage_error(f"--program {program}: not a checkout of crowwing")
     if operator is not None:
         try:
             operator_file.load(operator)
@@ -77,7 +76,7 @@
     load: float | None,
     habit: str | None,
 ) -> Plan:
-    """The plan with what the command line says otherwise, checked again as a file would be."""
+    """Applies the options of the command line to the plan, and checks the result like a file."""
     plan_data = msgspec.to_builtins(plan)
     for name, value in {"seed": seed, "seconds": seconds, "backends": backends}.items():
         if value is not None:
@@ -114,11 +113,11 @@
         try:
             truth = uvloop.run(_play_until_signal(emulation))
         except OSError as error:
-            exit_failed(f"an address is taken: {error}")
+            exit_failed(f"an address is already taken: {error}")
         except stage.NotPlayed as error:
             exit_failed(error)
         except (asyncio.CancelledError, KeyboardInterrupt):
-            exit_failed("ended before its time; every process it started has ended")
+            exit_failed("interrupted; all processes that it started have ended")
     result = outcome.of(plan, truth, emulation.too_busy(), str(folder))
     (folder / "result.json").write_bytes(orjson.dumps(result, option=orjson.OPT_INDENT_2))
     return result
@@ -130,7 +129,7 @@
 
 
 class _Still:
-    """Nothing is shown into a pipe."""
+    """Shows nothing, for output that is not a terminal."""
 
     def __enter__(self) -> "_Still":
         return self
@@ -145,14 +144,14 @@
     faults = f"  fault: {', '.join(now.faults)}" if now.faults else ""
     return Text(
         f"{bar} {now.seconds:4.0f} of {plan.seconds:.0f} s  backends {now.up}/{plan.backends}  "
-        f"tickets {now.tickets}  settled {now.settled}  open {now.open}  tries {now.tries}{faults}"
+        f"requests {now.tickets}  completed {now.settled}  open {now.open}  attempts {now.tries}{faults}"
     )
 
 
 def _print(result: dict) -> None:
     console = Console()
     table = Table(title=f"{result['backends']} backends, load {result['load']}, sidecars {result['habit']}")
-    heads = "phase, s, in time, worst 10 s, tickets, tries, dismissed, forfeited, p50 ms, p99 ms"
+    heads = "phase, s, in time, worst 10 s, requests, attempts, rejected, failed, p50 ms, p99 ms"
     for name in heads.split(", "):
         table.add_column(name, justify="left" if name == "phase" else "right", no_wrap=True)
     for row in result["phases"]:
@@ -163,18 +162,20 @@
         console.width = 110
     console.print(table)
     console.print(
-        "in time: credit answered within the expected time; tries: of one ticket, a client's repeats too"
+        "in time: value completed within the latency target; attempts: per request, including client retries"
     )
     if result["recovery_s"] is not None:
         console.print(
-            f"Back to 95% of the level before {result['recovery_s']:.0f} s after the last fault's end."
+            f"Recovered to 95% of the earlier level {result['recovery_s']:.0f} s after the last fault's end."
         )
     elif result["faults"]:
-        console.print("Not back for good to 95% of the level before by the end.")
+        console.print("Did not recover to 95% of the earlier level for good by the end.")
     for breach in result["breaches"][:10]:
-        console.print(f"Rule {breach['rule']} broken: {breach['backend']} {breach['id']}: {breach['what']}")
+        console.print(f"Rule {breach['rule']} violated: {breach['backend']} {breach['id']}: {breach['what']}")
     total = len(result["breaches"])
-    console.print(f"Rules broken {total} times." if total else "All four rules kept.")
+    console.print(f"Rules violated {total} times." if total else "No rule violated.")
     if result["late_part"] is not None:
-        console.print(f"Void: the emulator itself was late in {result['late_part']:.0%} of its looks.")
-    console.print(f"Records: {result['folder']} (truth.jsonl, a log a backend, result.json)", soft_wrap=True)
+        console.print(f"Invalid: the emulator itself was late in {result['late_part']:.0%} of its checks.")
+    console.print(
+        f"Results: {result['folder']} (truth.jsonl, one log per backend, result.json)", soft_wrap=True
+    )
--- a/crowwing/cli/exit_status.py
+++ b/crowwing/cli/exit_status.py
@@ -1,4 +1,4 @@
-"""How commands end: one line on standard error, 1 for what failed and 2 for wrong use."""
+"""How commands exit with an error: one line on standard error; status 1 for failures, 2 for wrong usage."""
 
 import sys
 from typing import NoReturn
--- a/crowwing/cli/fleet.py
+++ b/crowwing/cli/fleet.py
@@ -1,5 +1,5 @@
-"""`crowwing fleet`: asks a running backend what it holds of the fleet, says something to all of it, and
-plays a seeded script of faults on a fleet of our own.
+"""`crowwing fleet`: shows and changes the replicated state of a running fleet, and runs emulated fleets with
+seeded faults.
 """
 
 import socket
@@ -16,7 +16,7 @@
 from crowwing.cli.exit_status import exit_failed, exit_usage_error
 from crowwing.fleet.adapters.settings import FleetSettingsError, address
 
-app = typer.Typer(no_args_is_help=True, help="A fleet's members and what they keep together.")
+app = typer.Typer(no_args_is_help=True, help="The members of a fleet and their replicated state.")
 Where = Annotated[str, typer.Argument(help="The fleet socket of a running backend, a.b.c.d:port.")]
 AsJson = Annotated[bool, typer.Option("--json", help="The answer as JSON on standard output.")]
 Wait = Annotated[float, typer.Option(help="Seconds to wait for an answer.", min=0.1, max=60)]
@@ -52,13 +52,13 @@
 
 @app.command(epilog="Example: crowwing fleet members 10.0.0.5:7946")
 def members(where: Where, wait_s: Wait = 2.0, as_json: AsJson = False) -> None:
-    """Who is alive, suspect or dead, as this member sees it."""
+    """Lists the members that are alive, suspect or dead, as seen by this member."""
     view = _request(where, wait_s, k="members")
     if as_json:
         return _json(view)
     ready = "ready" if view["ready"] else "catching up"
     table = Table(
-        title=f"{view['me']}: {ready}{'' if view['whole'] else ', not whole'}, health {view['health']}"
+        title=f"{view['me']}: {ready}{'' if view['whole'] else ', incomplete'}, health {view['health']}"
     )
     for head in ("member", "state", "incarnation", "for s"):
         table.add_column(head, justify="left" if head in ("member", "state") else "right")
@@ -71,11 +71,11 @@
 @app.command(epilog="Example: crowwing fleet state 10.0.0.5:7946 --prefix said/")
 def state(
     where: Where,
-    prefix: Annotated[str, typer.Option(help="Only keys that begin so, such as said/ or zone/.")] = "",
+    prefix: Annotated[str, typer.Option(help="Only keys with this prefix, such as said/ or zone/.")] = "",
     wait_s: Wait = 2.0,
     as_json: AsJson = False,
 ) -> None:
-    """What this member keeps: every entry, who said it when, and when it runs out."""
+    """Lists the replicated entries of this member, with author, time and expiry."""
     answer = _request(where, wait_s, k="state", prefix=prefix)
     while answer["more"]:
         page = _request(where, wait_s, k="state", prefix=prefix, after=answer["rows"][-1][0])
@@ -84,7 +84,7 @@
     if as_json:
         return _json(answer)
     table = Table(title=f"{answer['me']}: {answer['entries']} entries, root {answer['root']}")
-    for head in ("key", "value", "said by", "at", "runs out in s"):
+    for head in ("key", "value", "author", "at", "runs out in s"):
         table.add_column(head, justify="right" if head.startswith("runs") else "left", overflow="fold")
     for key, value, at, _, who, until in answer["rows"]:
         said = datetime.fromtimestamp(at / 1e6, UTC).strftime("%H:%M:%S.%f")[:-3]
@@ -93,7 +93,7 @@
 
 
 def _change(where: str, wait_s: float, as_json: bool, **values: object) -> None:
-    """Exit 1 where no majority is known to hold it: it is kept there all the same, and spreads as it can."""
+    """Exits with 1 if no majority has acknowledged the entry; it is stored and disseminated nevertheless."""
     answer = _request(where, wait_s + 1, wait_ms=round(wait_s * 1000), **values)
     if "why" in answer:
         exit_usage_error(answer["why"])
@@ -102,7 +102,7 @@
     elif answer["acked"]:
         print("held by a majority")
     if not answer["acked"]:
-        exit_failed(f"only {answer['held']} members are known to hold it so far; it spreads as others come")
+        exit_failed(f"only {answer['held']} members have acknowledged it so far; dissemination continues")
 
 
 @app.command(epilog="Example: crowwing fleet put 10.0.0.5:7946 said/incident '\"db slow\"' --life-s 3600")
@@ -110,15 +110,15 @@
     where: Where,
     key: Annotated[str, typer.Argument(help="said/..., or zone/...")],
     value: Annotated[str, typer.Argument(help="JSON, at most 512 bytes.")],
-    life_s: Annotated[float, typer.Option(help="Until it runs out.", min=1, max=86400)] = 3600,
+    life_s: Annotated[float, typer.Option(help="Seconds until it expires.", min=1, max=86400)] = 3600,
     wait_s: Wait = 2.0,
     as_json: AsJson = False,
 ) -> None:
-    """Says something to the whole fleet; the later word on a key wins."""
+    """Sets a key on all members; of two writes to a key the later one wins."""
     try:
         json_value = orjson.loads(value)
     except orjson.JSONDecodeError as error:
-        exit_usage_error(f"VALUE: no JSON: {error}")
+        exit_usage_error(f"VALUE: not valid JSON: {error}")
     _change(where, wait_s, as_json, k="put", key=key, value=json_value, life_ms=round(life_s * 1000))
 
 
@@ -126,13 +126,13 @@
 def mark(
     where: Where,
     key: Annotated[str, typer.Argument(help="mark/SET/WHAT")],
-    out: Annotated[bool, typer.Option("--out", help="Takes it out, as far as it is known there.")] = False,
-    life_s: Annotated[float, typer.Option(help="Until it runs out.", min=1, max=86400)] = 3600,
+    out: Annotated[bool, typer.Option("--out", help="Removes it, as far as that member knows it.")] = False,
+    life_s: Annotated[float, typer.Option(help="Seconds until it expires.", min=1, max=86400)] = 3600,
     wait_s: Wait = 2.0,
     as_json: AsJson = False,
 ) -> None:
-    """Puts something into a set that the whole fleet keeps, or takes it out; who puts it in meanwhile
-    wins."""
+    """Adds an element to a replicated set, or removes it; a concurrent addition wins over a
+    removal."""
     _change(where, wait_s, as_json, k="take_out" if out else "add", key=key, life_ms=round(life_s * 1000))
 
 
@@ -145,22 +145,24 @@
             "not within 10 s" if found.converged_s is None else f"{found.converged_s} s after the last fault"
         )
         print(
-            f"asked {found.asked}, acknowledged {found.acknowledged}, lost {len(found.lost)}, "
+            f"requested {found.asked}, acknowledged {found.acknowledged}, lost {len(found.lost)}, "
             f"differing {len(found.differing)}, agreed {converged}; {folder}"
         )
     if found.lost or found.differing or found.converged_s is None:
-        exit_failed(f"broken; again: crowwing fleet replay {folder}")
+        exit_failed(f"guarantees violated; to repeat: crowwing fleet replay {folder}")
 
 
 @app.command(epilog="Example: crowwing fleet play --seed 7 --out runs/fleet")
 def play(
-    seed: Annotated[int, typer.Option(help="Of asks, faults and clocks.")] = 1,
+    seed: Annotated[int, typer.Option(help="Of requests, faults and clocks.")] = 1,
     size: Annotated[int, typer.Option(help="Backends.", min=3, max=20)] = 5,
-    seconds: Annotated[float, typer.Option(help="Until everything is healed.", min=2, max=600)] = 8.0,
+    seconds: Annotated[
+        float, typer.Option(help="Seconds until all faults are healed.", min=2, max=600)
+    ] = 8.0,
     out: Annotated[Path, typer.Option(help="Folder for the run.")] = Path("runs/fleet"),
     as_json: AsJson = False,
 ) -> None:
-    """Plays a seeded script of faults on real backends, and checks what they promised."""
+    """Runs real backends with seeded faults, and checks their guarantees."""
     from crowwing.emulator.fleet import play as fleetplay
 
     _run_play(lambda: fleetplay.Play(out, fleetplay.plan(seed, size, seconds)).run(), out, as_json)
@@ -168,11 +170,11 @@
 
 @app.command(epilog="Example: crowwing fleet replay runs/fleet")
 def replay(
-    folder: Annotated[Path, typer.Argument(help="Of an earlier play.")],
+    folder: Annotated[Path, typer.Argument(help="Folder of an earlier run.")],
     out: Annotated[Path, typer.Option(help="Folder for the new run.")] = Path("runs/replay"),
     as_json: AsJson = False,
 ) -> None:
-    """Plays the asks and faults of an earlier run once more."""
+    """Repeats the requests and faults of an earlier run."""
     from crowwing.emulator.fleet import play as fleetplay
 
     _run_play(lambda: fleetplay.replay(folder, out), out, as_json)
@@ -186,5 +188,5 @@
     except (OSError, TimeoutError) as error:
         exit_failed(error)
     except KeyboardInterrupt:
-        exit_failed("ended before its time; every process it started has ended")
+        exit_failed("interrupted; all processes that it started have ended")
     _print_result(found, out, as_json)
--- a/crowwing/cli/serve.py
+++ b/crowwing/cli/serve.py
@@ -1,4 +1,4 @@
-"""`crowwing serve`: one backend, as the platform's `run` starts it."""
+"""`crowwing serve`: starts one backend as the platform does."""
 
 import os
 import sys
@@ -14,9 +14,9 @@
     configuration: Annotated[Path, typer.Argument(help="The backend's configuration, JSON.")],
     operator: Annotated[Path | None, typer.Option(help="The operator file, JSON.")] = None,
 ) -> None:
-    """Serves as one backend until SIGTERM drains it."""
+    """Runs one backend until SIGTERM drains it."""
     os.environ["PROXY_CONFIG"] = str(configuration)
     if operator is not None:
         os.environ["CROWWING_OPERATOR"] = str(operator)
-    # A process of its own kind: none of the command line's libraries stay in its memory.
+    # Replaces this process, so that the libraries of the command line take no memory.
     os.execv(sys.executable, [sys.executable, "-O", "-m", "crowwing"])
--- a/crowwing/cli/settings.py
+++ b/crowwing/cli/settings.py
@@ -1,4 +1,4 @@
-"""`crowwing settings`: the operator file, checked, and its schema."""
+"""`crowwing settings`: checks the operator file, and prints its schema."""
 
 import sys
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 @app.command(epilog="Example: crowwing settings check deploy/operator.json")
 def check(file: Annotated[Path, typer.Argument(help="The operator file, JSON.")]) -> None:
-    """Names each mistake with its JSON path; says what is switched on otherwise."""
+    """Prints each error with its JSON path or, if there is none, the sections that are on."""
     try:
         sections = operator.read(file)
     except OperatorFileError as error:
@@ -27,7 +27,7 @@
         for name in sections.__struct_fields__
         if name != "version" and getattr(sections, name) is not UNSET
     ]
-    print(f"{file}: good; on: {', '.join(enabled) or 'nothing'}")
+    print(f"{file}: valid; on: {', '.join(enabled) or 'nothing'}")
 
 
 @app.command(epilog="Example: crowwing settings schema > deploy/operator.schema.json")
--- a/crowwing/program/__init__.py
+++ b/crowwing/program/__init__.py
@@ -1,1 +1,1 @@
-"""The program round the decision module: configuration, wiring, signals, log."""
+"""The process around the decision module: configuration, wiring, signals, log."""
--- a/crowwing/program/backend.py
+++ b/crowwing/program/backend.py
@@ -1,4 +1,4 @@
-"""One real backend: wires the parts, and sees it through its life from start to drain."""
+"""One backend process: connects its parts, and runs it from start to drain."""
 
 import asyncio
 import errno
@@ -27,16 +27,16 @@
     from crowwing.routing.storm_monitor import StormMonitor
 
 
-FIGURES_INTERVAL = 5.0  # seconds between lines of figures
-RELOAD_RETRY_DELAY = 0.25  # seconds to the next reading of a configuration that could not be read
-# Seconds before the end: takes no more connections, and ends those on which nothing is owed; has gone.
+FIGURES_INTERVAL = 5.0  # seconds between `figures` lines, by default
+RELOAD_RETRY_DELAY = 0.25  # seconds before reading an unreadable configuration again
+# Seconds before the end of the drain: when the listener closes; when all connections have to be closed.
 CLOSE_BEFORE_END, FINISH_BEFORE_END = 0.25, 0.06
-BIND_TIMEOUT, BIND_RETRY_DELAY = 5.0, 0.05  # seconds: for an address that is taken, and between tries
-CANCEL_TIMEOUT = 0.05  # seconds for what is given up at the end
+BIND_TIMEOUT, BIND_RETRY_DELAY = 5.0, 0.05  # seconds: while the address is in use, and between attempts
+CANCEL_TIMEOUT = 0.05  # seconds that the process waits for cancelled tasks at its end
 
 
 class Backend:
-    """Also what the module speaks to beyond single tickets."""
+    """Also handles the steps of the decision module that concern no single request."""
 
     def __init__(
         self,
@@ -47,12 +47,13 @@
         operator: "SimpleNamespace | None" = None,
         early_signals: Sequence[int] = (),
     ) -> None:
-        """`told_early`: the notices to leave that came before the loop hears them."""
+        """`early_signals`: SIGTERM and SIGINT received before the event loop handles signals."""
         self.early_signals = early_signals
         self.loop, self.configuration, self.log, self.read = loop, configuration, log, read
         records = operator.records if operator else None
         self.figures_interval = records.figures_every_ms / 1000 if records else FIGURES_INTERVAL
-        self.pending_reload: tuple[str, asyncio.TimerHandle] | None = None  # why, and the next try
+        # The reason of the failure and the timer of the next attempt.
+        self.pending_reload: tuple[str, asyncio.TimerHandle] | None = None
         facts = configuration.facts
         self.recorder, self.pool = EventRecorder(log.write), BufferPool()
         budget = DescriptorBudget(configuration.sockets)
@@ -69,7 +70,7 @@
             self.dispatcher.storm_monitor = self._make_storm_monitor(operator.storm)
         self.fleet = None
         if operator is not None and getattr(operator, "fleet", None):  # UNSET and None alike are off
-            from crowwing.fleet.adapters.endpoint import FleetEndpoint  # only where a fleet is switched on
+            from crowwing.fleet.adapters.endpoint import FleetEndpoint  # only if a fleet is configured
 
             self.fleet = FleetEndpoint(
                 loop,
@@ -96,14 +97,14 @@
                 log.incarnation,
                 self.recorder,
             )
-        self.module_ready: bool | None = None  # the module's word, once it has spoken
-        self.fleet_catching_up = self.fleet is not None  # the fleet's: not caught up
+        self.module_ready: bool | None = None  # None until the decision module reports
+        self.fleet_catching_up = self.fleet is not None  # this member has not caught up yet
         self.drained = asyncio.Event()
         self.loop_lag = 0.0
         self.background_tasks: list[asyncio.Task] = []
 
     def _make_storm_monitor(self, storm: "SimpleNamespace") -> "StormMonitor":
-        # Its libraries are loaded only where it is switched on.
+        # Its libraries are loaded only if it is switched on.
         from crowwing.routing.storm_monitor import StormMonitor
         from crowwing.storm.retry_scheduler import RetryScheduler
 
@@ -118,14 +119,14 @@
         self.front.retry_after = storm.retry_after
         return storm_monitor
 
-    # What the module sets
+    # Set by the decision module
 
     def ready(self, good: bool) -> None:
         self.module_ready = good
         self._update_readiness()
 
     def caught_up(self, good: bool) -> None:
-        """The fleet's word: a member that is behind stays off the list until it has caught up."""
+        """Called by the fleet: a member that has not caught up is reported as not ready."""
         self.fleet_catching_up = not good
         if self.module_ready is not None:
             self._update_readiness()
@@ -142,10 +143,10 @@
     def idle(self, span: float) -> None:
         self.listener.idle_timeout = span / 1e6 or None
 
-    # Its life
+    # Life cycle
 
     async def run(self) -> None:
-        """Until it has drained. OSError if the address cannot be had."""
+        """Returns when it has drained; raises OSError if the address cannot be bound."""
         self.loop.set_exception_handler(self._on_loop_exception)
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.leave)
@@ -155,7 +156,7 @@
         await self._bind()
         if self.fleet is not None:
             await self.fleet.open()
-        self.reload()  # a SIGHUP that came before went unheard
+        self.reload()  # a SIGHUP before this was ignored
         tasks = (
             self.listener.accept,
             self.dispatcher.commands.link.run,
@@ -171,9 +172,8 @@
         await self.drained.wait()
         for task in self.background_tasks:
             task.cancel()
-        await asyncio.wait(
-            self.background_tasks, timeout=CANCEL_TIMEOUT
-        )  # the end waits for none that does not let go
+        # Does not wait longer for a task that ignores its cancellation.
+        await asyncio.wait(self.background_tasks, timeout=CANCEL_TIMEOUT)
         if self.fleet is not None:
             self._run_safely(self.fleet.close)
         self._run_safely(self.figures)
@@ -184,8 +184,8 @@
         return ":".join(map(str, self.configuration.listen))
 
     async def _bind(self) -> None:
-        """Guards against an end for an address that the last life of our name is still letting go. Could harm
-        where another keeps it: that is said only after some seconds. A notice to leave ends the waiting."""
+        """Retries while the address is in use, since the previous process of this name may still be exiting.
+        If another process keeps it, the error comes only after BIND_TIMEOUT. A drain ends the waiting."""
         until, logged = self.loop.time() + BIND_TIMEOUT, False
         while not self.front.draining:
             try:
@@ -199,7 +199,7 @@
             await asyncio.sleep(BIND_RETRY_DELAY)
 
     async def _supervise(self, task: Callable[[], Coroutine]) -> None:
-        """A defect in a duty is logged, and it begins again."""
+        """Runs a background task; an exception in it is logged, and it starts again."""
         while not self.drained.is_set():
             try:
                 await task()
@@ -214,7 +214,7 @@
         self.recorder.event("stray_defect", message=str(context.get("message")), trace=trace)
 
     def reload(self) -> None:
-        """Reads the configuration again. What cannot be read changes nothing, and is tried until it can."""
+        """Reads the configuration again. One that cannot be read changes nothing and is read again later."""
         before, self.pending_reload = self.pending_reload, None
         if before is not None:
             before[1].cancel()
@@ -232,11 +232,11 @@
         self.reporter.set_address(self.configuration.control)
 
     def leave(self) -> None:
-        """The notice to leave; a second one changes nothing."""
+        """Starts the drain; a second call has no effect."""
         if self.front.draining:
             return
         self.front.draining = True
-        # First of all: it ends by itself, whatever fails in the steps below.
+        # First, so that the process ends by itself even if a step below fails.
         self.background_tasks.append(
             self.loop.create_task(self._drain(self.loop.time(), self.configuration.stop / 1e6))
         )
@@ -247,15 +247,15 @@
             self._run_safely(self.fleet.leave)
 
     def _run_safely(self, step: Callable[[], object]) -> None:
-        """Guards the end of the process against a defect in one of its steps."""
+        """Runs one step of the shutdown, so that an exception in it does not stop the others."""
         try:
             step()
         except Exception:
-            with suppress(Exception):  # the log itself may be what fails
+            with suppress(Exception):  # the log itself may be failing
                 self.recorder.defect("leaving", None)
 
     async def _drain(self, began: float, stop: float) -> None:
-        """Stays for what callers still send, until they have all gone or the end is near."""
+        """Serves what callers still send, until all have disconnected or the end of the drain is near."""
         grace, end = self.configuration.facts.drain_grace / 1e6, began + stop
         while self.dispatcher.manager is not None and self.loop.time() < end - CLOSE_BEFORE_END:
             answered = all(request.answered for request in self.dispatcher.open_requests.values())
@@ -269,7 +269,7 @@
             with suppress(Exception):
                 self.recorder.defect("leaving", None)
         self.front.ending = True
-        for _ in range(2):  # what the readers have taken is handed on, and answered at once
+        for _ in range(2):  # lets the readers pass on what they have read, which is answered at once
             await asyncio.sleep(0)
         self._run_safely(self.dispatcher.shut_down)
         for connection in list(self.listener.connections):
@@ -277,7 +277,7 @@
         self.drained.set()
 
     async def _log_figures_regularly(self) -> None:
-        """The figures, and how late the loop runs."""
+        """Logs the figures regularly, and measures how late the event loop runs."""
         next_figures = self.loop.time() + self.figures_interval
         while True:
             due = self.loop.time() + 0.1
--- a/crowwing/program/configuration.py
+++ b/crowwing/program/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration named by the environment, read and checked once."""
+"""Reads and checks the configuration file that the environment names."""
 
 import json
 from collections.abc import Mapping
@@ -8,56 +8,56 @@
 from crowwing.server_facts import InvalidSettingsError, decode
 
 Address = tuple[str, int]
-RELOADABLE_FIELDS = {"agent", "control", "below", "stop"}  # the parts that a reading in service changes
+RELOADABLE_FIELDS = {"agent", "control", "below", "stop"}  # the fields that a reload can change
 
 
 class ConfigurationError(ValueError):
-    """One line that says what cannot be read or served."""
+    """One line that says what is wrong with the configuration."""
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """Where this backend stands, and whom it speaks with."""
+    """The addresses, limits and settings of this backend."""
 
     name: str
-    own: str  # the name that the file itself tells
+    own: str  # the name in the file itself
     listen: Address
     agent: Address
     control: Address
-    below: Address | None  # None: nothing lies below
+    below: Address | None  # None: no downstream service
     seed: int
-    stop: int  # microseconds from the notice to the end
+    stop: int  # microseconds from the signal to the end of the drain
     sockets: int
     facts: ServerFacts
     names: WireNames
 
-    def reloaded_from(self, data: "Configuration") -> tuple["Configuration", list[str], list[str]]:
-        """This one with the parts of another that can change in service; what those are, and what cannot.
+    def reloaded_from(self, other: "Configuration") -> tuple["Configuration", list[str], list[str]]:
+        """Returns the reloaded configuration, the names of changed fields, and of those that cannot change.
 
-        BadConfiguration where the other is not this backend's at all: its addresses are another's.
+        Raises ConfigurationError if `other` belongs to another backend, since its addresses would be wrong.
         """
-        if data.own != self.own:
-            raise ConfigurationError(f"it is the configuration of {data.own}, not of {self.own}")
-        different = [f.name for f in fields(self) if getattr(self, f.name) != getattr(data, f.name)]
+        if other.own != self.own:
+            raise ConfigurationError(f"it is the configuration of {other.own}, not of {self.own}")
+        different = [f.name for f in fields(self) if getattr(self, f.name) != getattr(other, f.name)]
         changed = [name for name in different if name in RELOADABLE_FIELDS]
         fixed = [name for name in different if name not in RELOADABLE_FIELDS]
-        return replace(self, **{name: getattr(data, name) for name in changed}), changed, fixed
+        return replace(self, **{name: getattr(other, name) for name in changed}), changed, fixed
 
 
 def read(environment: Mapping[str, str]) -> Configuration:
     path = environment.get("PROXY_CONFIG")
     if not path:
-        raise ConfigurationError("PROXY_CONFIG names no configuration")
+        raise ConfigurationError("PROXY_CONFIG is not set")
     try:
         with open(path, "rb") as file:
             data = json.load(file)
     except OSError as error:
         raise ConfigurationError(f"{path}: {error.strerror}") from None
     except (ValueError, RecursionError) as error:
-        raise ConfigurationError(f"{path}: no JSON: {error}") from None
+        raise ConfigurationError(f"{path}: not valid JSON: {error}") from None
     try:
         facts, names = decode(data["settings"])
-        # No command tells the farm agent to go on without a call, whatever such an answer would be worth.
+        # The worker agent has no command to continue without a call, so a partial result has no value.
         facts = replace(facts, classes=tuple(replace(kind, partial_value=0.0) for kind in facts.classes))
         configuration = Configuration(
             name=str(environment.get("PROXY_NAME") or data["name"]),
@@ -87,14 +87,14 @@
 def _address(text: str) -> Address:
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"no address: {text!r}")
+        raise ValueError(f"not an address (host:port): {text!r}")
     return host, int(port)
 
 
 def _check(path: str, configuration: Configuration) -> None:
-    """What no page allows is said at the start, not found out by a broken rule."""
+    """Rejects settings that the platform does not allow, at the start."""
     facts = configuration.facts
     if configuration.stop <= 0:
-        raise ConfigurationError(f"{path}: stop_ms is not above 0")
+        raise ConfigurationError(f"{path}: stop_ms must be greater than 0")
     if not facts.classes:
-        raise ConfigurationError(f"{path}: no traffic types")
+        raise ConfigurationError(f"{path}: no request classes")
--- a/crowwing/program/fleet_services.py
+++ b/crowwing/program/fleet_services.py
@@ -1,9 +1,9 @@
-"""What the fleet keeps together meets the module: the pace of calls lent and borrowed, customers' shares by
-use, what others have learned, prints of what others turned away.
+"""Connects the decision module with what the fleet shares: call rates lent and borrowed, customers' quota by
+use, learned starts, fingerprints of requests that other members rejected.
 
-Loaded only where the operator file has a `fleet` section that switches one of them on. Decisions are the pure
-files' under `crowwing/fleet/`; this brings them the module's figures and hands it what they say, four times a
-second and at once when a loan ends.
+Loaded only if the `fleet` section of the operator file switches on one of them. The decisions are made by the
+modules under `crowwing/fleet/`, which do no input or output; this one passes figures and results between them
+and the decision module, four times a second and at once when a loan ends.
 """
 
 import asyncio
@@ -25,13 +25,11 @@
 if TYPE_CHECKING:
     from crowwing.fleet.adapters.endpoint import FleetEndpoint
 
-UPDATE_INTERVAL = 0.25  # seconds between two looks
-USE_AVERAGING_UPDATES = 8  # looks over which the use of calls is averaged
-REJECTIONS_LIFETIME = 8_000_000  # µs; a ring of 16 places comes round in 4 s
-LEARNED_START_INTERVAL, LEARNED_START_LIFETIME = (
-    20,
-    3_600_000_000,
-)  # looks between two lessons told; µs that one stands
+UPDATE_INTERVAL = 0.25  # seconds
+USE_AVERAGING_UPDATES = 8  # updates over which the use of the call rate is averaged
+REJECTIONS_LIFETIME = 8_000_000  # µs; a ring of 16 slots wraps around in 4 s
+# Updates between two published learned starts; µs until one expires.
+LEARNED_START_INTERVAL, LEARNED_START_LIFETIME = 20, 3_600_000_000
 
 
 class FleetServices:
@@ -53,10 +51,8 @@
         )
         self.lends, self.shares, self.teaches = fleet.lends_calls, fleet.shares_quota, fleet.teaches
         self.incarnation, self.window = incarnation, fleet.quota_window_ms * 1000
-        self.call_use, self.last_call_total = (
-            0.0,
-            (0, 0.0),
-        )  # of late, in even parts of the pace; when and how much in all
+        # Recent use as a fraction of the call rate; time and value of the last total.
+        self.call_use, self.last_call_total = 0.0, (0, 0.0)
         self.updates, self.start_applied = 0, False
         self.quota_shares = [1.0] * len(names.customers)
         self.counted_until = quota.window_of(endpoint.wall(), self.window)
@@ -65,7 +61,7 @@
             self.rejections = RejectionPrints(self.member.me, random.Random(f"{incarnation}/turned"))
             dispatcher.storm_monitor.share_rejection = self.rejections.add
         if self.shares:
-            dispatcher.arrivals_by_customer = Counter()  # by customer's place; emptied by each window
+            dispatcher.arrivals_by_customer = Counter()  # by customer index; reset by each window
 
     async def run(self) -> None:
         while True:
@@ -125,7 +121,7 @@
             self.recorder.count("prints_heard", len(prints))
 
     def _publish_learned_start(self, manager: LoadManager) -> None:
-        """Only what was measured here."""
+        """Publishes only what this member has measured itself."""
         kinds = tuple(
             (manager.timeouts[k], manager.medians[k]) if len(runs) >= MIN_SAMPLES else (0, 0)
             for k, runs in enumerate(manager.runs)
@@ -138,7 +134,7 @@
             )
 
     def _apply_learned_start(self, manager: LoadManager) -> None:
-        """Once, when this member has caught up."""
+        """Applies the learned starts of others, once, when this member has caught up."""
         self.start_applied = True
         lessons = (entry.value for _, entry in self.member.replica.with_prefix("lesson/"))
         start = learned_start.combine(lessons, len(manager.facts.classes))
@@ -155,11 +151,11 @@
             self.member.dissemination.put(wall, key, value, lifetime)
         except EntryRejectedError as error:
             self.recorder.count("not_kept")
-            if self.recorder.counts["not_kept"] == 1:  # said once; counted from then on
+            if self.recorder.counts["not_kept"] == 1:  # logged once, then only counted
                 self.recorder.event("fleet_full", why=str(error))
 
     def figures(self) -> dict:
-        """For the line of figures."""
+        """Values for the `figures` line."""
         figures: dict = {
             "fleet_entries": sum(
                 len(dissemination.replica.entries) for dissemination in self.member.disseminations
--- a/crowwing/program/front_end.py
+++ b/crowwing/program/front_end.py
@@ -1,4 +1,4 @@
-"""The sidecars' HTTP in front of the desk: one window a connection."""
+"""HTTP front end for the sidecars: passes their requests to the dispatcher, and answers health checks."""
 
 import asyncio
 from collections import Counter, deque
@@ -11,12 +11,12 @@
 from crowwing.routing.request_resolver import InvalidRequestError
 from crowwing.transport.connection import Connection
 
-# Seconds before one that was turned down is read again: more each time, and at most.
+# Seconds before a connection is read again after a bad request: added each time, and the maximum.
 READ_PAUSE_STEP, MAX_READ_PAUSE = 0.002, 0.02
 
 
 class FrontEnd:
-    """What every answer carries, and the answer to health checks."""
+    """State shared by all connections: what every response carries, and readiness for health checks."""
 
     def __init__(
         self,
@@ -33,37 +33,37 @@
         )
         self.dispatcher: Dispatcher
         self.spare_capacity: float | None = None
-        self.retry_after = False  # advice also goes out in this standard field
-        self.ready = False  # until the module says so
+        self.retry_after = False  # also send the standard Retry-After header
+        self.ready = False  # until the decision module reports it
         self.draining = False
-        self.ending = False  # nothing more is handed to the desk
-        self.bad_requests_by_reason: Counter[str] = Counter()  # by reason; emptied by each line of figures
-        self.pending_checks: set[asyncio.Task] = set()  # deep checks out; each ends within the bound
+        self.ending = False  # no more requests go to the dispatcher
+        self.bad_requests_by_reason: Counter[str] = Counter()  # reset by each `figures` line
+        # Deep checks in progress; each ends within the time-out.
+        self.pending_checks: set[asyncio.Task] = set()
 
     def new_connection(self, connection: Connection) -> "SidecarConnection":
         return SidecarConnection(self, connection)
 
 
 class SidecarConnection:
-    """One sidecar connection: one ticket or check at a time, answered in order."""
+    """One sidecar connection: one request or health check at a time, answered in order."""
 
     __slots__ = ("front", "connection", "reader", "waiting", "request", "last")
 
     def __init__(self, front: FrontEnd, connection: Connection) -> None:
         self.front, self.connection = front, connection
         self.reader = sidecar.SidecarReader()
-        self.waiting: deque[Arrival | sidecar.HealthCheck | sidecar.BadRequest] = (
-            deque()
-        )  # emptied by answers
+        # Removed as they are answered.
+        self.waiting: deque[Arrival | sidecar.HealthCheck | sidecar.BadRequest] = deque()
         self.request: OpenRequest | None = None
-        self.last = False  # the one being answered is the last here
+        self.last = False  # the current request is the last on this connection
 
-    # From the connection
+    # Called by the connection
 
     def received(self, view: memoryview) -> None:
         try:
             self._received(view)
-        except Exception:  # a defect costs this connection, not the others
+        except Exception:  # an error ends this connection, not the others
             self.front.recorder.defect("window", self.request.id if self.request else None)
             self.reader.closed = self.connection.deaf = self.last = True
             self.waiting.clear()
@@ -77,10 +77,9 @@
             self.connection.deaf = True
         if found and (self.connection.busy or len(found) > 1):
             keep = found[:0] if self.connection.busy else found[:1]
-            self.reader.closed = self.connection.deaf = (
-                True  # a second one before the answer: the stream is not one of ours
-            )
-            found = [*keep, sidecar.BadRequest(400, "a second request before the answer", fatal=True)]
+            # A second request before the response: not a stream of a sidecar.
+            self.reader.closed = self.connection.deaf = True
+            found = [*keep, sidecar.BadRequest(400, "a second request before the response", fatal=True)]
         self.waiting += found
         self.connection.began = (
             (self.connection.began or self.connection.since) if self.reader.partial else 0.0
@@ -88,19 +87,21 @@
         self._next()
 
     def ended(self, broken: bool) -> None:
-        """The far side's end, or ours behind what is there."""
+        """Handles the end of the stream, or our close after an incomplete request."""
         if broken and self.request is not None:
             self.front.dispatcher.caller_gone(self.request, self)
             self._release()
         elif not broken and self.connection.began and not (self.connection.busy or self.reader.closed):
             self.connection.busy = self.reader.closed = self.connection.deaf = True
             self.connection.began = 0.0
-            self._send_bad_request(sidecar.BadRequest(400, "ended before it was whole", fatal=True))
+            self._send_bad_request(
+                sidecar.BadRequest(400, "the connection ended before the request was complete", fatal=True)
+            )
 
     def _next(self) -> None:
         while self.waiting and not self.connection.busy:
             item = self.waiting.popleft()
-            self.front.recorder.verify(self.request is None, "one ticket a connection")
+            self.front.recorder.verify(self.request is None, "one request per connection")
             self.connection.busy = True
             self.last = self.reader.closed and not self.waiting
             if isinstance(item, Arrival):
@@ -115,7 +116,7 @@
                 self._send_health(self.front.ready)
 
     def _arrive(self, arrival: Arrival) -> None:
-        if self.front.ending:  # read with the last bytes of all: it never runs
+        if self.front.ending:  # read during the final shutdown: it never runs
             self.front.recorder.count("dismissed_at_the_end")
             self.rejected(0, False)
             return
@@ -128,7 +129,7 @@
     async def _deep_check(self) -> None:
         self._send_health(await self.front.dispatcher.health_probe.exercise(self.front.check_timeout))
 
-    # Answers
+    # Responses
 
     def completed(self, result: bytes) -> None:
         self._send(sidecar.encode_completed(result, self.front.spare_capacity, self._closes()))
@@ -153,7 +154,7 @@
         self.front.recorder.count("bad_requests")
         self.front.bad_requests_by_reason[f"{bad.status} {bad.reason}"] += 1
         self.last |= bad.fatal
-        # Guards against the same again at full speed. Delays no answer, only the reading of what comes after.
+        # Slows a client that keeps sending bad requests; it delays no response, only the next read.
         self.connection.pause = min(MAX_READ_PAUSE, self.connection.pause + READ_PAUSE_STEP)
         self._send(sidecar.encode_bad_request(bad.status, self.front.spare_capacity, self._closes()))
 
@@ -164,7 +165,7 @@
         if self.connection.busy:
             closes = self._closes()
             self.connection.send(data)
-            if closes:  # as the answer said, nothing comes behind it
+            if closes:  # the response said so; nothing follows it
                 self.waiting.clear()
                 self.reader.closed = self.connection.deaf = True
             self._release()
--- a/crowwing/program/log.py
+++ b/crowwing/program/log.py
@@ -1,22 +1,22 @@
-"""One JSON line an event on standard output. A full pipe costs lines, never time."""
+"""Writes one JSON line per event to standard output. Never blocks: lines are dropped if the pipe is full."""
 
 import os
 import time
 
 import orjson
 
-MAX_LINE_BYTES = 4000  # a pipe takes a line of up to this whole or not at all
+MAX_LINE_BYTES = 4000  # bytes; a pipe writes up to this atomically
 
 
 class Log:
     def __init__(self, name: str, descriptor: int = 1) -> None:
         self.name, self.descriptor = name, descriptor
         self.lost_lines = self.seq = 0
-        self.incarnation = os.urandom(4).hex()  # tells two starts under one name apart
+        self.incarnation = os.urandom(4).hex()  # distinguishes restarts under the same name
         os.set_blocking(descriptor, False)
 
     def write(self, event: str, **fields: object) -> None:
-        self.seq += 1  # a line that is lost leaves a gap
+        self.seq += 1  # a dropped line leaves a gap
         line = {
             "at": time.time_ns() // 1000, "backend": self.name, "life": self.incarnation, "seq": self.seq,
             "event": event, **fields,
@@ -25,7 +25,7 @@
             line["lines_lost"] = self.lost_lines
         try:
             data = orjson.dumps(line, default=str)
-        except TypeError:  # text that is no Unicode, such as a path of the system's
+        except TypeError:  # text that is not valid Unicode, such as a file path
             data = orjson.dumps(
                 {key: value if type(value) is int else ascii(value) for key, value in line.items()}
             )
--- a/crowwing/program/main.py
+++ b/crowwing/program/main.py
@@ -1,4 +1,4 @@
-"""Starts one backend; one plain line and a non-zero exit where it cannot."""
+"""Starts one backend; if it cannot, prints one line and exits with a non-zero status."""
 
 import asyncio
 import os
@@ -18,11 +18,11 @@
 
 
 def _read_operator_file(environment: Mapping[str, str]) -> "SimpleNamespace | None":
-    """The operator file, read in this process: so it starts where starting other programs is refused."""
+    """Reads the operator file in this process, as some platforms refuse to start other programs."""
     path = environment.get("CROWWING_OPERATOR")
     if not path:
         return None
-    from crowwing.settings import operator_file  # only where a file is named
+    from crowwing.settings import operator_file  # only if a file is named
 
     try:
         return operator_file.read(path)
@@ -32,11 +32,11 @@
 
 
 def _check_fleet(operator: "SimpleNamespace | None", configuration: Configuration) -> None:
-    """Peers naming this backend, an address that is no IPv4, timings that disagree, a folder that cannot be
-    written, regions named for some, a use that this size does not carry: one line, before anything."""
+    """Checks the fleet section before anything starts: peers, IPv4 addresses, timings, the snapshot folder,
+    regions, and whether the fleet's size supports the features; raises ConfigurationError with one line."""
     if operator is None or not getattr(operator, "fleet", None):  # UNSET and None alike are off
         return
-    # only where a fleet is switched on
+    # only if a fleet is configured
     from crowwing.fleet.adapters.settings import FleetSettingsError, check_size, folder, peers
 
     try:
@@ -45,7 +45,7 @@
         folder(operator.fleet)
         if operator.fleet.shares_prints and operator.storm is None:
             raise FleetSettingsError(
-                "$.fleet.shares_prints: there is no storm section whose prints could be shared"
+                "$.fleet.shares_prints: needs a storm section, whose fingerprints are shared"
             )
     except FleetSettingsError as error:
         raise ConfigurationError(f"{os.environ['CROWWING_OPERATOR']}: {error}") from None
@@ -56,7 +56,7 @@
 
 
 def main(early_signals: Sequence[int] = ()) -> int:
-    """`told_early`: notices to leave, as the first lines of __main__ hear them until the loop does."""
+    """`early_signals`: signals recorded by __main__ until the event loop handles them."""
     try:
         configuration = read(os.environ)
         operator = _read_operator_file(os.environ)
--- a/crowwing/program/reporter.py
+++ b/crowwing/program/reporter.py
@@ -1,4 +1,4 @@
-"""Keeps the control plane told, through its outages and lost replies."""
+"""Reports readiness to the control plane, and retries through outages and lost replies."""
 
 import asyncio
 
@@ -8,12 +8,12 @@
 from crowwing.transport.buffer_pool import BufferPool
 from crowwing.transport.connection_pool import ConnectionPool, ExchangeError, NotSentError
 
-REPORT_INTERVAL = control_plane.REPORT_LIFETIME / 4  # seconds between reports that count
-RETRY_DELAY = control_plane.REPORT_LIFETIME / 15  # after one that did not
+REPORT_INTERVAL = control_plane.REPORT_LIFETIME / 4  # seconds between acknowledged reports
+RETRY_DELAY = control_plane.REPORT_LIFETIME / 15  # after an unacknowledged one
 
 
 class Reporter:
-    """Says nothing until the module has said what to say."""
+    """Sends no report until the decision module has set the readiness."""
 
     def __init__(
         self,
@@ -24,10 +24,10 @@
         recorder: EventRecorder,
     ) -> None:
         self.loop, self.name, self.recorder = loop, name, recorder
-        # Idle connections are looked at by halves of their time: kept for longer than two reports are apart.
+        # An idle connection stays open for at least half of this time, which is two report intervals.
         self.exchanges = ConnectionPool(loop, address, pool, ReplyReader, 4 * REPORT_INTERVAL, 2)
         self.ready = self.started = False
-        self.changed = asyncio.Event()  # what is to be said, or to whom
+        self.changed = asyncio.Event()  # the readiness or the address changed
 
     def set_ready(self, ready: bool) -> None:
         self.ready = ready
@@ -40,13 +40,11 @@
                 self.changed.set()
 
     async def run(self) -> None:
-        if not self.started:  # begun anew after a defect it has something to say at once
+        if not self.started:  # if restarted after an error, it reports at once
             await self.changed.wait()
         self.started = True
-        last_acknowledged, lost = (
-            self.loop.time(),
-            False,
-        )  # when one counted, and whether that was said to be long ago
+        # When a report was last acknowledged, and whether `control_lost` was logged since.
+        last_acknowledged, lost = self.loop.time(), False
         while True:
             self.changed.clear()
             acknowledged = await self._report()
@@ -62,7 +60,7 @@
                 pass
 
     async def _report(self) -> bool:
-        """Whether one counted for sure. Given up where there is something new to say."""
+        """Sends one report; returns whether it was acknowledged. Abandons it if the readiness changes."""
         data = control_plane.encode_report(self.name, self.ready, self.exchanges.host)
         reply_task = self.loop.create_task(self.exchanges.request(data, REPORT_INTERVAL))
         change_task = self.loop.create_task(self.changed.wait())
--- a/crowwing/settings/__init__.py
+++ b/crowwing/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The operator file: what an installation switches on beyond what its platform tells."""
+"""The operator file: features that an installation switches on beyond its platform's settings."""
--- a/crowwing/settings/operator.py
+++ b/crowwing/settings/operator.py
@@ -1,7 +1,8 @@
-"""The operator file as typed values. A subsystem is on only where its section is there; `{}` is all off.
+"""The operator file as typed values. A subsystem is on only if its section is present; `{}` is all off.
 
-Tools use this form, and the schema is written from it; a backend reads the same file by plain.py. Units stand
-in the names.
+Tools use these types, and the JSON Schema is generated from them; a backend reads the same file with
+operator_file.py. Names end in their units. The doc comments of the sections are part of
+the schema.
 """
 
 from pathlib import Path
@@ -14,7 +15,7 @@
 
 
 class Section(Struct, forbid_unknown_fields=True, frozen=True):
-    """What every section shares: unknown names are mistakes."""
+    """Base of all sections: unknown names are errors."""
 
 
 class Records(Section):
@@ -131,10 +132,10 @@
 
 
 def schema() -> bytes:
-    """The JSON Schema that stands beside this file and in deploy/."""
+    """The JSON Schema that is stored beside this file and in deploy/."""
     return msgspec.json.format(msgspec.json.encode(msgspec.json.schema(Operator)), indent=2) + b"\n"
 
 
 def read(path: Path) -> Operator:
-    """BadOperator says all that is wrong, a line each."""
+    """Raises OperatorFileError with one line for each error."""
     return msgspec.convert(load(path), Operator)
--- a/crowwing/settings/operator_file.py
+++ b/crowwing/settings/operator_file.py
@@ -1,7 +1,7 @@
-"""The operator file as the backend reads it: in its one process, and light.
+"""Reads the operator file in the backend process, with little memory.
 
-It is checked against operator.schema.json beside this file, written from the typed form in operator.py. What
-that form imports would stay in each backend's memory for good: 6 MB (docs/measurements/operator.md).
+The file is checked against operator.schema.json in this folder, generated from the types in operator.py.
+Importing those types would cost each backend 6 MB of memory (docs/measurements/operator.md).
 """
 
 import os
@@ -13,8 +13,8 @@
 import orjson
 
 SCHEMA_PATH = Path(__file__).with_name("operator.schema.json")
-# Bytes. Guards against a log or a dump named by mistake, read whole at every start. 5,200 members named with
-# address, region and zone are 0.5 MB, 0.8 MB where each field has its line (docs/measurements/operator.md).
+# Rejects a log or dump that is named by mistake before it is read in full. 5,200 members with address, region
+# and zone take 0.5 MB, or 0.8 MB with one line per field (docs/measurements/operator.md).
 MAX_FILE_BYTES = 1 << 20
 JSON_TYPES = {
     "integer": int,
@@ -24,7 +24,7 @@
     "array": list,
     "object": dict,
 }
-# The words of the schema that are followed; those that say nothing of what is allowed.
+# The schema keywords that are checked, and those that restrict nothing.
 CHECKED_KEYWORDS = {
     "type",
     "enum",
@@ -41,39 +41,39 @@
 
 
 class OperatorFileError(ValueError):
-    """One line a mistake, each with the file and the JSON path."""
+    """One line per error, each with the file and the JSON path."""
 
 
 def load_schema() -> dict:
-    """The schema of the whole file."""
+    """Reads the schema of the file."""
     return orjson.loads(SCHEMA_PATH.read_bytes())
 
 
 def _resolve(part: dict, root: dict) -> dict:
-    """A part of the schema, or the definition that it names."""
+    """Returns a part of the schema, or the definition that it refers to."""
     return root["$defs"][part["$ref"].rpartition("/")[2]] if "$ref" in part else part
 
 
 def find_errors(value: object, part: dict, root: dict, path: str = "$") -> Iterator[str]:
-    """Every mistake in a decoded file, each with its JSON path."""
+    """Yields every error in a decoded file, each with its JSON path."""
     part = _resolve(part, root)
     if (json_type := part.get("type")) is not None:
-        # bool is a kind of int for Python, and none in JSON
+        # bool is a subclass of int in Python, but not a number in JSON
         if not isinstance(value, JSON_TYPES[json_type]) or (
             isinstance(value, bool) and json_type != "boolean"
         ):
-            yield f"{path}: is no {json_type}"
+            yield f"{path}: is not of type {json_type}"
             return
     if "enum" in part and not any(
         value == allowed and type(value) is type(allowed) for allowed in part["enum"]
     ):
-        yield f"{path}: is none of {', '.join(map(str, part['enum']))}"
+        yield f"{path}: is not one of {', '.join(map(str, part['enum']))}"
     if "minimum" in part and value < part["minimum"]:
-        yield f"{path}: is under {part['minimum']}"
+        yield f"{path}: is less than {part['minimum']}"
     if "maximum" in part and value > part["maximum"]:
-        yield f"{path}: is over {part['maximum']}"
+        yield f"{path}: is greater than {part['maximum']}"
     if "minItems" in part and len(value) < part["minItems"]:
-        yield f"{path}: has under {part['minItems']} items"
+        yield f"{path}: has fewer than {part['minItems']} items"
     if "minLength" in part and len(value) < part["minLength"]:
         yield f"{path}: is shorter than {part['minLength']}"
     if "items" in part:
@@ -88,7 +88,7 @@
 
 
 def with_defaults(section_data: dict, part: dict, root: dict) -> SimpleNamespace:
-    """A checked section with the defaults of what it leaves out; None for a section that is not there."""
+    """A valid section with defaults filled in, and None for each section that is absent."""
     section = SimpleNamespace()
     for name, field in part["properties"].items():
         field_schema = _resolve(field, root)
@@ -100,21 +100,21 @@
 
 
 def load(path: str | os.PathLike) -> dict:
-    """The file decoded and free of mistakes. BadOperator says all that is wrong, a line each."""
+    """Returns the decoded, valid file; raises OperatorFileError with one line for each error."""
     try:
-        # Guards against a pipe or a device named by mistake: opening or reading one may never end.
+        # Opening or reading a pipe or device named by mistake could block forever.
         if not stat.S_ISREG(os.stat(path).st_mode):
-            raise OperatorFileError(f"{path}: is no file")
+            raise OperatorFileError(f"{path}: is not a regular file")
         with open(path, "rb") as file:
             text = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         raise OperatorFileError(f"{path}: {error.strerror}") from None
     if len(text) > MAX_FILE_BYTES:
-        raise OperatorFileError(f"{path}: is over {MAX_FILE_BYTES >> 10} kB")
+        raise OperatorFileError(f"{path}: is larger than {MAX_FILE_BYTES >> 10} kB")
     try:
         value = orjson.loads(text)
     except orjson.JSONDecodeError as error:
-        raise OperatorFileError(f"{path}: no JSON: {error}") from None
+        raise OperatorFileError(f"{path}: is not valid JSON: {error}") from None
     root = load_schema()
     if errors := sorted(find_errors(value, root, root)):
         raise OperatorFileError("\n".join(f"{path}: {line}" for line in errors))
@@ -122,6 +122,6 @@
 
 
 def read(path: str | os.PathLike) -> SimpleNamespace:
-    """The file's sections as attributes, defaults filled in, and None for what is not switched on."""
+    """The sections as attributes, with defaults filled in, and None for each that is absent."""
     root = load_schema()
     return with_defaults(load(path), _resolve(root, root), root)
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -197,7 +197,7 @@
             "$.fleet.shares_quota: 6 customers x 128 members x 5 windows are over 3584 entries; "
             "lower cell_most, or leave it off",
         ),
-        (section(20, in_cells=True, cell_most=7), "$.fleet.cell_most: is under 8"),
+        (section(20, in_cells=True, cell_most=7), "$.fleet.cell_most: is less than 8"),
     ],
 )
 def test_the_real_command_prints_one_line_and_exits_with_2(tmp_path: Path, fleet: dict, line: str) -> None:
