--- a/tests/test_broken_replies.py
+++ b/tests/test_broken_replies.py
@@ -1,4 +1,4 @@
-"""What the other parties send breaks off at any byte, comes in single bytes, twice, late, on an old link."""
+"""Messages of other parties: cut at any byte, in single bytes, repeated, late, on an old connection."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 from tests.test_program import ask_one, ident
 
 
-async def held(town: Town, n: int, kind: str = "book") -> asyncio.Task:
+async def run_request(town: Town, n: int, kind: str = "book") -> asyncio.Task:
     town.farm.hold = True
     asked = asyncio.create_task(ask_one(town, n, kind))
     await town.until(lambda: ident(n) in town.farm.running)
@@ -17,23 +17,23 @@
 
 
 def outcome(town: Town, n: int) -> bytes:
-    """The notice of a run's end, noted but not sent."""
+    """The notice that a run has ended, recorded but not sent."""
     writer, town.farm.writer = town.farm.writer, None
     town.farm.end(ident(n), "OK")
     town.farm.writer = writer
     return town.farm.notices[-1]
 
 
-def test_a_notice_that_breaks_off_at_any_byte_is_read_whole_on_the_next_link() -> None:
+def test_a_notice_cut_at_any_byte_is_read_on_the_next_connection() -> None:
     async def scene(town: Town) -> None:
         n = size = 0
         while n <= size:
-            asked = await held(town, n)
+            asked = await run_request(town, n)
             notice = outcome(town, n)
             size = len(notice)
             town.farm.writer.write(notice[:n])
             await town.farm.writer.drain()
-            town.farm.writer.close()  # behind the bytes, not instead of them
+            town.farm.writer.close()  # after the bytes are sent
             status, _, body = await asked
             assert status == 200 and body == town.farm.result(ident(n)) and town.farm.begun[ident(n)] == 1
             n += 1
@@ -44,12 +44,12 @@
     play_in(Town(), scene)
 
 
-def test_notices_in_single_bytes_twice_and_of_a_ticket_that_is_over_are_read_once() -> None:
+def test_notices_in_single_bytes_repeated_or_of_a_closed_request_count_once() -> None:
     async def scene(town: Town) -> None:
         for n in range(8):
-            asked = await held(town, n)
+            asked = await run_request(town, n)
             notice = outcome(town, n)
-            town.farm.mute = True  # no sample's answer between the bytes
+            town.farm.mute = True  # no sample between the bytes
             for byte in notice:
                 town.farm.writer.write(bytes([byte]))
                 await asyncio.sleep(0)
@@ -65,9 +65,9 @@
     play_in(Town(), scene)
 
 
-def test_what_lies_on_an_old_link_as_it_is_given_up_and_comes_again_on_the_new_one_counts_once() -> None:
+def test_notices_unread_on_a_closed_connection_and_repeated_on_the_next_count_once() -> None:
     async def scene(town: Town) -> None:
-        asked = await held(town, 1)
+        asked = await run_request(town, 1)
         notice = outcome(town, 1)
         town.farm.writer.write(notice)
         await town.farm.writer.drain()
@@ -85,9 +85,7 @@
 
 
 @pytest.mark.parametrize("kind", ["safe", "unsafe"])
-def test_a_reply_from_below_that_breaks_off_at_any_byte_is_unsure_and_asked_again_only_if_safe(
-    kind: str,
-) -> None:
+def test_a_downstream_reply_cut_at_any_byte_is_unsure_and_retried_only_if_idempotent(kind: str) -> None:
     settings = SETTINGS | {"lanes": [SETTINGS["lanes"][0] | {"semantics": kind}, *SETTINGS["lanes"][1:]]}
 
     async def one(town: Town, cut: int) -> None:
@@ -110,13 +108,13 @@
         assert town.counts["call_unsure"] == len(WHOLE)
         await town.until(
             lambda: not town.backend.dispatcher.open_requests
-        )  # its run ends at the call that is not made
+        )  # its run ends because the call is not made
         town.check()
 
     play_in(Town(settings), scene)
 
 
-def test_replies_from_below_in_single_bytes_and_for_a_run_that_is_over() -> None:
+def test_downstream_replies_in_single_bytes_and_for_a_run_that_has_ended() -> None:
     async def scene(town: Town) -> None:
         town.below.usual = lambda head, body: "hang"
         slow = asyncio.create_task(ask_one(town, 1, "look"))
@@ -130,7 +128,7 @@
         await town.until(lambda: len(town.below.heard) == 2)
         town.farm.end(ident(2), "ERROR")
         assert (await late)[0] == 500
-        writer.write(WHOLE)  # its connection is given up: no other call can take this for its reply
+        writer.write(WHOLE)  # its connection is closed, so no other call can receive this reply
         town.below.usual = lambda head, body: reply(200, b"its own")
         assert (await ask_one(town, 3, "look"))[0] == 200
         assert town.farm.replies[ident(3)] == b"its own" and ident(2) not in town.farm.replies
@@ -139,18 +137,18 @@
     play_in(Town(), scene)
 
 
-def test_a_spare_connection_that_has_died_or_brings_a_second_reply_is_used_for_no_call() -> None:
+def test_an_idle_connection_that_closed_or_received_data_is_not_reused() -> None:
     async def scene(town: Town) -> None:
         town.below.usual = lambda head, body: WHOLE
         assert (await ask_one(town, 1, "look"))[0] == 200
         (writer,) = town.below.open
-        writer.write(reply(200, b"of nobody"))  # lies on the spare one
+        writer.write(reply(200, b"of nobody"))  # unread on the idle connection
         spare = next(iter(town.backend.dispatcher.calls.exchanges.idle_connections))
         await town.until(lambda: readable(spare))
         assert (await ask_one(town, 2, "look"))[0] == 200
         assert town.farm.replies[ident(2)] == b"the reply of the back end" and town.below.links == 2
         for other in list(town.below.open):
-            other.transport.abort()  # a reset that lies there
+            other.transport.abort()  # the idle connection receives a reset
         spare = next(iter(town.backend.dispatcher.calls.exchanges.idle_connections))
         await town.until(lambda: readable(spare))
         assert (await ask_one(town, 3, "look"))[0] == 200
@@ -166,8 +164,8 @@
     return bool(select.select([sock], [], [], 0)[0])
 
 
-def test_a_spare_connection_that_dies_between_the_look_and_the_write_is_unsure_for_its_call() -> None:
-    """Nothing tells that reset from one that came after the call had run."""
+def test_an_idle_connection_reset_between_check_and_write_makes_its_call_unsure() -> None:
+    """This reset cannot be distinguished from one after the call has run."""
 
     async def scene(town: Town) -> None:
         exchanges = town.backend.dispatcher.calls.exchanges
@@ -195,7 +193,7 @@
 GOOD = b"HTTP/1.1 204 So\r\nDate: now\r\n\r\n"
 
 
-def test_an_answer_of_the_control_plane_that_breaks_off_at_any_byte_does_not_count() -> None:
+def test_a_control_plane_reply_cut_at_any_byte_is_no_acknowledgement() -> None:
     async def scene(town: Town) -> None:
         await town.until(lambda: len(town.control.heard) >= 1)
         for cut in range(0, len(GOOD), 3):
@@ -212,7 +210,7 @@
 
 
 @pytest.mark.parametrize("moved", ["connecting", "calling"])
-def test_an_address_that_moves_in_the_midst_of_a_call_leaves_it_whole(moved: str) -> None:
+def test_an_address_change_during_a_call_leaves_the_call_complete(moved: str) -> None:
     async def scene(town: Town) -> None:
         exchanges = town.backend.dispatcher.calls.exchanges
         town.below.usual = lambda head, body: "hang"
@@ -232,7 +230,7 @@
         (writer,) = town.below.open
         writer.write(WHOLE)
         assert (await asked)[0] == 200
-        assert not exchanges.idle_connections, "the old address keeps no spare connection"
+        assert not exchanges.idle_connections, "an idle connection to the old address is left"
         await town.until(lambda: exchanges.open == 0)
         exchanges.set_address(old)
         town.check()
@@ -240,13 +238,13 @@
     play_in(Town(), scene)
 
 
-def test_an_agent_that_moves_while_its_link_connects_hears_nothing_at_the_old_address() -> None:
+def test_an_agent_address_change_while_connecting_sends_nothing_to_the_old_address() -> None:
     async def scene(town: Town) -> None:
         link, loop = town.backend.dispatcher.commands.link, town.backend.loop
         moved: list[tuple] = []
 
         class Moving:
-            """The loop as the link sees it: in the moment of a connection the agent has moved."""
+            """An event loop that changes the address of the agent when a connection is established."""
 
             def __getattr__(self, name: str) -> object:
                 return getattr(loop, name)
@@ -260,11 +258,11 @@
         silent = FarmAgent()
         other = await asyncio.start_server(silent.serve, "127.0.0.1", 0)
         link.loop = Moving()
-        asked = await held(town, 1)
+        asked = await run_request(town, 1)
         link.set_address(other.sockets[0].getsockname())
         await town.until(lambda: town.farm.links == 2 and town.backend.dispatcher.commands.synchronized)
         assert moved == [other.sockets[0].getsockname()] and silent.writer is None
-        # Sent again and proven, before its run can end: a redoable launch may cross the end of its run.
+        # Sent again and acknowledged before the run ends, as a repeated launch may cross the end of its run.
         await town.until(lambda: not town.backend.dispatcher.commands.unacknowledged)
         town.farm.go_on(ident(1))
         assert (await asked)[0] == 200 and town.farm.begun == {ident(1): 1}
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,7 @@
-"""Events that cross on a connection, each forced at a real socket (docs/crossings.md)."""
+"""Events that cross on a connection, such as a request and a close; each is forced on a real socket.
+
+The cases are listed in docs/crossings.md.
+"""
 
 import asyncio
 import socket
@@ -13,7 +16,7 @@
 from tests.test_program import ask_one, ident
 
 PING = b"GET /ping HTTP/1.1\r\nHost: s\r\n\r\n"
-SMALL = 2304  # the least receive buffer: an answer of 8 kB stays in the sender's
+SMALL = 2304  # the smallest receive buffer, so a response of 8 kB stays in the sender's buffer
 
 
 def plain(address: tuple, room: int = 0) -> socket.socket:
@@ -26,7 +29,7 @@
 
 
 async def rest_of(side: socket.socket) -> bytes:
-    """All that comes until the far side's end; a reset is a failure of the test."""
+    """All data until the peer closes; a reset fails the test."""
     loop, data = asyncio.get_running_loop(), b""
     async with asyncio.timeout(30):
         while part := await loop.sock_recv(side, 4096):
@@ -35,7 +38,7 @@
 
 
 async def proven(town: Town) -> tuple[socket.socket, Connection]:
-    """A connection that has carried a health check and rests."""
+    """An idle connection that has carried a health check."""
     before = set(town.backend.listener.connections)
     side = plain(town.address)
     await asyncio.get_running_loop().sock_sendall(side, PING)
@@ -44,8 +47,8 @@
     return side, connection
 
 
-class Seam:
-    """The loop as a connection sees it; what it calls at a socket can be followed by something at once."""
+class HookedLoop:
+    """An event loop that calls a hook right after each read of a connection."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, then: Callable[[], None]) -> None:
         self.loop, self.then, self.create_task, self.call_later = (
@@ -62,11 +65,11 @@
         return size
 
 
-def test_a_close_after_the_read_and_before_its_bytes_are_handed_on_loses_no_request() -> None:
+def test_a_close_between_a_read_and_its_processing_loses_no_request() -> None:
     async def scene(town: Town) -> None:
         side, connection = await proven(town)
-        # The pending read goes on with the real loop; the one after it closes as soon as it has bytes.
-        connection.loop = Seam(town.backend.loop, connection.close)
+        # The pending read uses the real loop; the next one closes the connection as soon as it has data.
+        connection.loop = HookedLoop(town.backend.loop, connection.close)
         side.send(Sidecar.ticket(ident(1)))
         answer = await asyncio.get_running_loop().sock_recv(side, 8192)
         assert answer.startswith(b"HTTP/1.1 200")
@@ -78,12 +81,12 @@
     play_in(Town(), scene)
 
 
-def test_a_request_that_lies_unread_when_its_connection_is_closed_is_answered() -> None:
+def test_a_request_unread_when_its_connection_is_closed_is_answered() -> None:
     async def scene(town: Town) -> None:
         side, connection = await proven(town)
         side.send(Sidecar.ticket(ident(1)))
         connection.close()
-        assert not connection.shut, "its end goes out only behind the answer"
+        assert not connection.shut, "shut down before the response was sent"
         answer = await rest_of(side)
         assert answer.startswith(b"HTTP/1.1 200") and b"Connection: close" in answer
         town.check()
@@ -91,21 +94,21 @@
     play_in(Town(), scene)
 
 
-def test_a_request_behind_our_end_is_neither_run_nor_reset_at_once() -> None:
+def test_a_request_after_our_shutdown_is_neither_run_nor_reset_at_once() -> None:
     async def scene(town: Town) -> None:
         side, connection = await proven(town)
         connection.close()
         assert connection.shut and await rest_of(side) == b""
         side.send(Sidecar.ticket(ident(1)))
         await town.until(lambda: connection not in town.backend.listener.connections)
-        assert side.recv(1) == b"", "what was unread at the last close would have reset it"
+        assert side.recv(1) == b"", "unread bytes at the final close reset it"
         assert not town.farm.begun and not town.counts["had"]
         town.check()
 
     play_in(Town(), scene)
 
 
-def test_half_a_request_when_its_connection_is_closed_gets_a_word() -> None:
+def test_an_incomplete_request_when_its_connection_is_closed_is_answered() -> None:
     async def scene(town: Town) -> None:
         side, connection = await proven(town)
         side.send(Sidecar.ticket(ident(1))[:40])
@@ -117,7 +120,7 @@
     play_in(Town(), scene)
 
 
-def test_half_a_request_at_the_notice_to_leave_may_be_ended_and_is_answered() -> None:
+def test_an_incomplete_request_when_the_drain_begins_may_be_completed_and_is_answered() -> None:
     async def scene(town: Town) -> None:
         side, connection = await proven(town)
         whole = Sidecar.ticket(ident(1))
@@ -133,8 +136,8 @@
     play_in(Town(stop=20000), scene)
 
 
-def test_bytes_behind_our_end_take_no_answer_along_that_its_caller_reads_late() -> None:
-    """Data for a socket that is shut both ways is answered with a reset, which drops what is queued."""
+def test_bytes_after_our_shutdown_destroy_no_response_that_is_read_late() -> None:
+    """A fully closed socket answers data with a reset, which discards what is queued."""
 
     async def scene(town: Town) -> None:
         side = plain(town.address, SMALL)
@@ -151,10 +154,10 @@
     play_in(Town(), scene)
 
 
-def test_who_waits_to_be_accepted_when_the_listener_closes_is_answered() -> None:
+def test_a_client_in_the_backlog_when_the_listener_closes_is_answered() -> None:
     async def scene(town: Town) -> None:
         listener = town.backend.listener
-        town.backend.background_tasks[0].cancel()  # nobody is accepted any more
+        town.backend.background_tasks[0].cancel()  # stops accepting
         await asyncio.wait([town.backend.background_tasks[0]])
         sides = [plain(town.address) for _ in range(20)]
         for n, side in enumerate(sides):
@@ -170,7 +173,7 @@
     play_in(Town(), scene)
 
 
-def test_who_knocks_as_accepting_is_given_up_is_answered() -> None:
+def test_a_client_that_connects_while_accepting_is_cancelled_is_answered() -> None:
     async def scene(town: Town) -> None:
         listener, (accepting, *_) = town.backend.listener, town.backend.background_tasks
         await town.until(lambda: listener.pending_accept is not None and not listener.pending_accept.done())
@@ -186,7 +189,7 @@
     play_in(Town(), scene)
 
 
-def test_what_is_read_with_the_last_bytes_of_all_is_dismissed_and_never_runs() -> None:
+def test_a_request_read_in_the_final_shutdown_is_rejected_and_never_runs() -> None:
     async def scene(town: Town) -> None:
         side, connection = await proven(town)
         fresh = plain(town.address)
@@ -204,7 +207,7 @@
     play_in(Town(), scene)
 
 
-def test_unread_bytes_at_the_last_close_take_no_answer_along(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unread_bytes_at_the_final_close_destroy_no_response(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scene(town: Town) -> None:
         monkeypatch.setattr("crowwing.transport.connection.MAX_DISCARDED_BYTES", 1)
         town.farm.hold = True
@@ -212,7 +215,7 @@
         side.send(Sidecar.ticket(ident(1), body=bytes(2048)))
         await town.until(lambda: ident(1) in town.farm.running)
         (connection,) = town.backend.listener.connections
-        assert side.send(bytes(40_000)) == 40_000  # more than three reads: the rest is not read any more
+        assert side.send(bytes(40_000)) == 40_000  # more than three reads, after which nothing more is read
         await town.until(lambda: connection.done is not None)
         town.farm.go_on(ident(1))
         await town.until(lambda: connection not in town.backend.listener.connections)
@@ -221,7 +224,7 @@
     play_in(Town(), scene)
 
 
-def test_a_caller_that_ends_its_side_behind_the_request_still_gets_the_answer() -> None:
+def test_a_client_that_half_closes_after_its_request_still_gets_the_response() -> None:
     async def scene(town: Town) -> None:
         town.farm.hold = True
         side = plain(town.address)
@@ -236,7 +239,7 @@
     play_in(Town(), scene)
 
 
-def test_the_same_try_after_a_crossed_close_joins_or_is_answered_and_runs_once() -> None:
+def test_an_attempt_resent_after_a_crossed_close_runs_once() -> None:
     async def scene(town: Town) -> None:
         town.farm.hold = True
         side = plain(town.address)
@@ -252,9 +255,7 @@
     play_in(Town(), scene)
 
 
-def test_the_end_waits_for_an_answer_that_is_still_queued_in_the_process(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
+def test_the_process_end_waits_for_a_response_still_queued(monkeypatch: pytest.MonkeyPatch) -> None:
     # seconds: longer than any stall of the test machine
     monkeypatch.setattr("crowwing.program.backend.CLOSE_BEFORE_END", 11.0)
 
@@ -270,7 +271,7 @@
         await town.until(lambda: connection.sender is not None)
         await town.until(lambda: town.backend.listener.sock is None)
         for _ in range(20):
-            assert not town.backend.front.ending, "it ends though an answer is queued"
+            assert not town.backend.front.ending, "it ends with a response still queued"
             await asyncio.sleep(0)
         assert town.farm.result(ident(1)) in await rest_of(side)
         await town.life
@@ -279,11 +280,9 @@
 
 
 @pytest.mark.parametrize("slow", [False, True])
-def test_what_was_answered_reaches_its_caller_though_the_process_has_ended(
-    tmp_path: Path, slow: bool
-) -> None:
-    """The answer lies in the system's buffers; what its caller writes meanwhile must not turn the end into a
-    reset."""
+def test_a_response_reaches_its_client_after_the_process_has_ended(tmp_path: Path, slow: bool) -> None:
+    """The response is in the kernel's buffers; data that its client sends meanwhile must not cause a reset
+    when the process ends."""
 
     async def scene(street: Street) -> None:
         await street.event("ready")
@@ -294,7 +293,7 @@
         street.signal()
         await street.event("leaving")
         if slow:
-            side.send(b"POST /call/bo")  # half a line behind the request
+            side.send(b"POST /call/bo")  # part of a line after the request
         street.farm.go_on(ident(1))
         await street.ended()
         answer = await rest_of(side)
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -1,4 +1,4 @@
-"""Floods and very slow peers against the real command: others are served, memory and descriptors bounded."""
+"""Floods and very slow clients: others are served, and memory and descriptors stay bounded."""
 
 import asyncio
 import os
@@ -14,8 +14,8 @@
 from tests.test_program import ask_one, ident
 
 SOCKETS = 128
-RESIDENT = 48_000  # kB of memory, which takes 20,000 at rest
-LATE = 1.0  # seconds that an answer may take in a flood, on a machine that others use too
+MAX_RESIDENT_KB = 48_000  # 20,000 kB when idle
+MAX_RESPONSE_S = 1.0  # seconds for a response during a flood, on a shared machine
 
 
 async def connect(street: Street) -> socket.socket:
@@ -30,18 +30,18 @@
         async with asyncio.timeout(WAIT):
             await asyncio.get_running_loop().sock_sendall(side, data)
     except OSError:
-        pass  # it was ended, as it may be
+        pass  # the backend may close it
 
 
-async def silence(street: Street) -> None:
+async def closed_silent_connection(street: Street) -> None:
     (await connect(street)).close()
 
 
-async def held_silence(street: Street) -> socket.socket:
+async def open_silent_connection(street: Street) -> socket.socket:
     return await connect(street)
 
 
-async def no_request(street: Street) -> socket.socket:
+async def random_bytes(street: Street) -> socket.socket:
     side = await connect(street)
     await write(side, os.urandom(200_000))
     return side
@@ -73,7 +73,7 @@
     return side
 
 
-async def answers_unread(street: Street) -> socket.socket:
+async def unread_response(street: Street) -> socket.socket:
     side = socket.socket()
     side.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2304)
     side.setblocking(False)
@@ -90,9 +90,18 @@
 
 
 @pytest.mark.parametrize(
-    "flood", [silence, held_silence, no_request, endless_header, pipelined, a_byte_at_a_time, answers_unread]
+    "flood",
+    [
+        closed_silent_connection,
+        open_silent_connection,
+        random_bytes,
+        endless_header,
+        pipelined,
+        a_byte_at_a_time,
+        unread_response,
+    ],
 )
-def test_a_flood_keeps_nobody_waiting_and_leaves_nothing_behind(
+def test_a_flood_delays_no_other_client_and_leaks_nothing(
     tmp_path: Path, flood: Callable[[Street], Awaitable]
 ) -> None:
     async def scene(street: Street) -> None:
@@ -106,8 +115,8 @@
                 assert (await ask_one(street, 100 * n + m, "look"))[0] == 200
                 slowest = max(slowest, loop.time() - began)
             assert len(os.listdir(f"/proc/{pid}/fd")) <= SOCKETS
-            assert resident(pid) < RESIDENT
-        assert slowest < LATE
+            assert resident(pid) < MAX_RESIDENT_KB
+        assert slowest < MAX_RESPONSE_S
         for task in list(TASKS):
             task.cancel()
         for side in sides:
@@ -117,14 +126,14 @@
         street.signal()
         await street.ended()
         lags = [line["lag_ms"] for line in street.lines if line["event"] == "figures"]
-        assert max(lags) < 1000 * LATE
+        assert max(lags) < 1000 * MAX_RESPONSE_S
 
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS}
     live_in(Street(tmp_path, SETTINGS, 900, limits=limits), scene)
 
 
-def test_a_slow_reader_and_a_slow_writer_have_their_answers(tmp_path: Path) -> None:
-    """A byte at a time, in and out; slower than that they are ended by the rules for half-read requests."""
+def test_a_slow_reader_and_a_slow_writer_get_their_responses(tmp_path: Path) -> None:
+    """One byte at a time in both directions; slower clients run into the time-out for incomplete requests."""
 
     async def scene(street: Street) -> None:
         await street.event("ready")
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""Parsers: the same values whatever pieces the bytes come in, and a word for what cannot be read."""
+"""Parsers give the same values wherever the bytes are split, and reject invalid data."""
 
 import random
 
@@ -21,7 +21,7 @@
 
 
 def pieces(data: bytes, seed: int) -> list[memoryview]:
-    """Byte by byte for seed 0, in chance pieces for others, each in a buffer that is used again."""
+    """Single bytes for seed 0, random pieces for others, each in a buffer that is reused."""
     chance, at, found = random.Random(seed), 0, []
     while at < len(data):
         size = 1 if not seed else chance.randrange(1, 40)
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_sidecar_requests_in_any_pieces(seed: int) -> None:
+def test_sidecar_requests_split_anywhere(seed: int) -> None:
     reader = sidecar.SidecarReader()
     stream = TICKET + b"GET /ping?engine=1 HTTP/1.1\r\nHost: s\r\n\r\n" + TICKET
     found = [value for piece in pieces(stream, seed) for value in reader.feed(piece)]
@@ -82,14 +82,14 @@
     assert fatal or isinstance(reader.feed(memoryview(TICKET))[0], sidecar.Arrival)
 
 
-def test_an_upgrade_is_not_taken_up_and_ends_the_stream() -> None:
+def test_an_upgrade_is_ignored_and_ends_the_stream() -> None:
     reader = sidecar.SidecarReader()
     asked = b"GET /ping HTTP/1.1\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\nother"
     assert reader.feed(memoryview(asked)) == [sidecar.HealthCheck(deep=False)] and reader.closed
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_notices_in_any_pieces(seed: int) -> None:
+def test_notices_split_anywhere(seed: int) -> None:
     reader = worker_agent.AgentReader()
     assert [notice for piece in pieces(NOTICES, seed) for notice in reader.feed(piece)] == [
         worker_agent.Greeting(True, 12500),
@@ -113,20 +113,20 @@
         b"a" * 2000,
     ],
 )  # fmt: skip
-def test_unreadable_notices_end_the_link(data: bytes) -> None:
+def test_invalid_notices_raise_a_protocol_error(data: bytes) -> None:
     with pytest.raises(ValueError):
         worker_agent.AgentReader().feed(memoryview(data))
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_replies_in_any_pieces(seed: int) -> None:
+def test_replies_split_anywhere(seed: int) -> None:
     reader = ReplyReader()
     found = [reader.feed(piece) for piece in pieces(reply(503, b"full", "Turned-Away: 1\r\n"), seed)]
     assert found[:-1] == [None] * (len(found) - 1) and found[-1] == Reply(503, True, b"full")
     assert reader.reusable
 
 
-def test_a_reply_that_breaks_off_is_none_and_a_second_one_is_too_much() -> None:
+def test_an_incomplete_reply_is_none_and_a_second_reply_prevents_reuse() -> None:
     reader = ReplyReader()
     assert reader.feed(memoryview(b"HTTP/1.1 200 So\r\nContent-Length: 5\r\n\r\nab")) is None
     assert reader.end() is None
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_reply_counts_with_words_before_it_and_noise_behind_it(seed: int) -> None:
+def test_a_reply_is_valid_after_interim_responses_and_before_invalid_bytes(seed: int) -> None:
     good, early = (
         reply(200, b"good"),
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Hints\r\nTurned-Away: 1\r\n\r\n",
@@ -156,14 +156,14 @@
         assert reader.feed(memoryview(good + behind)) == Reply(200, False, b"good") and not reader.reusable
 
 
-def test_a_reply_that_has_no_body_by_its_status_leaves_its_connection_to_the_next() -> None:
+def test_a_reply_without_a_body_by_its_status_leaves_its_connection_reusable() -> None:
     for head in (b"HTTP/1.1 204 So\r\n", b"HTTP/1.1 304 So\r\n"):
         reader = ReplyReader()
         assert reader.feed(memoryview(head + b"\r\n")).body == b"" and reader.reusable
         for last in (head + b"Connection: close\r\n\r\n", head + b"\r\nHTTP/1.1 500 So\r\n\r\n"):
             reader = ReplyReader()
             assert reader.feed(memoryview(last)).status != 500 and not reader.reusable
-    reader = ReplyReader()  # this one's body ends with its connection
+    reader = ReplyReader()  # the end of the connection delimits this body
     assert reader.feed(memoryview(b"HTTP/1.1 200 So\r\n\r\nab")) is None
     assert reader.end() == Reply(200, False, b"ab") and not reader.reusable
 
@@ -179,7 +179,7 @@
     )
 
 
-def test_answers_carry_what_they_must() -> None:
+def test_responses_carry_the_required_headers() -> None:
     assert sidecar.encode_completed(b"r", 2.5, False) == (
         b"HTTP/1.1 200 OK\r\nX-Capacity: 2.5000\r\nContent-Length: 1\r\n\r\nr"
     )
--- a/tests/test_process_lifecycle.py
+++ b/tests/test_process_lifecycle.py
@@ -1,4 +1,4 @@
-"""The process in rare states: signals from `exec` on, exceptions in its own tasks, its start and its end."""
+"""Rare states of the process: signals from `exec` on, exceptions in its own tasks, its start and its end."""
 
 import asyncio
 import json
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("signals", [[TERM], [INT], [TERM, TERM, INT], [HUP, TERM], [TERM, HUP]])
-def test_a_notice_before_the_loop_hears_signals_ends_it_in_order(
+def test_sigterm_before_the_loop_handles_signals_ends_the_process_in_order(
     tmp_path: Path, signals: list[signal.Signals]
 ) -> None:
     async def scene(street: BlockedConfiguration) -> None:
@@ -51,7 +51,7 @@
 
 # The second as in `make run`: no shell ignores SIGHUP.
 @pytest.mark.parametrize("run", [RUN, RUN.partition("; ")[2]])
-def test_a_sighup_before_the_loop_hears_signals_is_made_good_for(tmp_path: Path, run: str) -> None:
+def test_a_sighup_before_the_loop_handles_signals_is_followed_by_a_reload(tmp_path: Path, run: str) -> None:
     async def scene(street: BlockedConfiguration) -> None:
         street.signal(HUP)
         street.unblock()
@@ -65,7 +65,7 @@
     live_in(street, scene)
 
 
-def test_a_sighup_before_a_line_of_ours_has_run_does_not_end_it(tmp_path: Path) -> None:
+def test_a_sighup_before_any_code_of_the_program_does_not_end_the_process(tmp_path: Path) -> None:
     """The interpreter is blocked in its own start by a module that Python imports first."""
     hook, pipe = tmp_path / "hook", tmp_path / "pipe"
     hook.mkdir()
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize("agent", ["silent", "down", "greets"])
 @pytest.mark.parametrize("signals", [[TERM], [INT, INT], [HUP, TERM, HUP, TERM]])
-def test_a_notice_ends_it_whether_the_farm_agent_is_up_or_not(
+def test_sigterm_ends_the_process_whether_the_worker_agent_is_up_or_not(
     tmp_path: Path, agent: str, signals: list[signal.Signals]
 ) -> None:
     async def scene(street: Street) -> None:
@@ -111,7 +111,7 @@
     live_in(street, scene)
 
 
-def test_the_file_of_another_backend_changes_nothing_and_ours_is_taken_up_again(tmp_path: Path) -> None:
+def test_another_backends_file_changes_nothing_and_the_own_file_is_applied_later(tmp_path: Path) -> None:
     async def scene(street: Street) -> None:
         await street.event("ready")
         links, own = street.farm.links, street.told
@@ -155,7 +155,7 @@
 # Successive incarnations of a backend
 
 
-def test_an_address_still_held_by_the_last_life_is_waited_for(tmp_path: Path) -> None:
+def test_an_address_still_in_use_by_the_previous_process_is_waited_for(tmp_path: Path) -> None:
     async def scene(street: Street) -> None:
         await street.event("address_taken")
         street.blocker.close()
@@ -167,7 +167,7 @@
     live_in(AddressInUse(tmp_path, stop=900), scene)
 
 
-def test_a_notice_ends_the_waiting_for_an_address(tmp_path: Path) -> None:
+def test_sigterm_ends_the_wait_for_an_address(tmp_path: Path) -> None:
     async def scene(street: Street) -> None:
         await street.event("address_taken")
         street.signal()
@@ -184,7 +184,7 @@
         await super().exec()
 
 
-def test_the_next_life_of_a_name_is_ready_at_once_and_its_word_is_the_last_one_heard(tmp_path: Path) -> None:
+def test_the_next_incarnation_is_ready_at_once_and_its_report_is_the_last(tmp_path: Path) -> None:
     async def scene(street: Street) -> None:
         await street.event("ready")
         assert (await ask_one(street, 1, X_Txn_Key="k"))[0] == 200
@@ -226,7 +226,7 @@
         lambda b: setattr(b.log, "write", failing),
     ],
 )
-def test_it_ends_by_itself_whatever_fails_in_its_drain(break_part: Callable) -> None:
+def test_the_process_ends_whatever_fails_in_its_drain(break_part: Callable) -> None:
     async def scene(town: Town) -> None:
         assert (await ask_one(town, 1))[0] == 200
         sidecar = await Sidecar(town).open()
@@ -239,7 +239,7 @@
     play_in(Town(stop=700), scene)
 
 
-def test_a_duty_that_does_not_let_go_holds_up_no_end() -> None:
+def test_a_task_that_ignores_cancellation_does_not_delay_the_end() -> None:
     async def scene(town: Town) -> None:
         async def ignores_cancellation() -> None:
             while True:
@@ -258,7 +258,7 @@
     play_in(Town(stop=500), scene)
 
 
-def test_a_defect_in_a_report_is_followed_by_reports() -> None:
+def test_reports_continue_after_an_error_in_one() -> None:
     async def scene(town: Town) -> None:
         await town.until(lambda: len(town.control.heard) >= 1)
         exchanges = town.backend.reporter.exchanges
@@ -272,7 +272,7 @@
     play_in(Town(), scene)
 
 
-def test_a_defect_in_the_look_at_idle_connections_is_followed_by_looks() -> None:
+def test_idle_checks_continue_after_an_error_in_one() -> None:
     async def scene(town: Town) -> None:
         sidecar = await Sidecar(town).open()
         assert (await sidecar.ask(b"GET /ping HTTP/1.1\r\n\r\n"))[0] == 200
@@ -299,7 +299,7 @@
 
 
 @pytest.mark.parametrize("late", ["agent", "control", "below", "all"])
-def test_it_is_ready_soon_after_the_last_party_that_it_needs_is_up(tmp_path: Path, late: str) -> None:
+def test_it_is_ready_soon_after_the_last_required_party_is_up(tmp_path: Path, late: str) -> None:
     """Ready within the required 10 s after the party is up; a machine ten times slower would pass."""
 
     class LateParty(Street):
@@ -336,7 +336,7 @@
     live_in(LateParty(tmp_path, stop=900), scene)
 
 
-def test_twenty_that_start_together_are_ready_within_the_page_s_time(tmp_path: Path) -> None:
+def test_twenty_backends_started_together_are_ready_within_the_required_time(tmp_path: Path) -> None:
     async def live() -> None:
         streets = []
         for n in range(20):
@@ -366,7 +366,9 @@
 # Idle connections that use up the file descriptors
 
 
-def test_idle_callers_that_fill_the_table_while_discovery_is_down_keep_nobody_out(tmp_path: Path) -> None:
+def test_idle_connections_up_to_the_limit_during_a_discovery_outage_keep_no_client_out(
+    tmp_path: Path,
+) -> None:
     async def scene(street: Street) -> None:
         await street.event("ready")
         control_address = street.servers[2].sockets[0].getsockname()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The whole backend among stand-ins: the rules, broken links, bad input, drains."""
+"""The complete backend with stand-ins for the other parties: rules, broken connections, bad input, limits."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
     return await (await Sidecar(town).open()).ask(Sidecar.ticket(ident(n), kind, **changes))
 
 
-def test_a_ticket_is_settled_with_its_own_result_and_the_free_value() -> None:
+def test_a_request_completes_with_its_own_result_and_the_spare_capacity() -> None:
     async def scene(town: Town) -> None:
         side = await Sidecar(town).open()
         for n, kind in enumerate(("book", "look", "pay")):
@@ -41,8 +41,8 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_rules_hold_while_everything_breaks(seed: int) -> None:
-    """Links are cut, calls turned away, lost and garbled, the control plane is gone."""
+def test_the_rules_hold_under_random_faults_of_all_parties(seed: int) -> None:
+    """Connections are cut, calls rejected, lost and corrupted, the control plane is down."""
     chance = random.Random(seed)
     below = [
         reply(200, b"r"), reply(503, b"", "Turned-Away: 1\r\n"), reply(409, b"", "Turned-Away: 1\r\n"),
@@ -83,26 +83,26 @@
     play_in(Town(), scene)
 
 
-def test_commands_given_while_the_farm_agent_is_away_are_done_once_it_is_back() -> None:
+def test_commands_issued_while_the_worker_agent_is_disconnected_are_carried_out_once() -> None:
     async def scene(town: Town) -> None:
         town.farm.hold = True
         held = asyncio.create_task(ask_one(town, 1))
         await town.until(lambda: ident(1) in town.farm.running)
         town.farm.cut()
-        town.farm.end(ident(1), "OK")  # noted while no link is there
+        town.farm.end(ident(1), "OK")  # happens while disconnected
         second = asyncio.create_task(ask_one(town, 2, "look"))
         await town.until(lambda: ident(2) in town.farm.running)
         assert (await held)[0] == 200
         town.farm.go_on(ident(2))
         assert (await second)[0] == 200
         assert town.farm.begun == {ident(1): 1, ident(2): 1}
-        await town.until(lambda: not town.backend.dispatcher.commands.unacknowledged)  # emptied by a sample
+        await town.until(lambda: not town.backend.dispatcher.commands.unacknowledged)  # removed by a sample
         town.check()
 
     play_in(Town(), scene)
 
 
-def test_outer_limits_are_kept_without_gauges_and_without_a_link() -> None:
+def test_deadlines_are_kept_without_gauges_and_without_a_connection() -> None:
     async def scene(town: Town) -> None:
         town.farm.hold = town.farm.mute = True
         town.servers[0].close()
@@ -116,8 +116,8 @@
     play_in(Town(), scene)
 
 
-def test_the_watch_goes_on_by_its_own_timers_when_no_gauges_and_no_news_come() -> None:
-    """A timer fired early is, for the module, still out: it would ask for no other and watch no more."""
+def test_periodic_checks_continue_by_timer_without_gauges_or_notices() -> None:
+    """If a timer fires early, the decision module considers it still set and would never request another."""
 
     async def scene(town: Town) -> None:
         dispatcher, turns = town.backend.dispatcher, []
@@ -131,7 +131,7 @@
     play_in(Town(), scene)
 
 
-def test_a_link_that_falls_silent_is_opened_anew() -> None:
+def test_a_silent_agent_connection_is_reopened() -> None:
     async def scene(town: Town) -> None:
         town.farm.hold = town.farm.mute = True
         asked = asyncio.create_task(ask_one(town, 1))
@@ -146,7 +146,7 @@
     play_in(Town(SETTINGS | {"lanes": lanes}), scene)
 
 
-def test_before_the_farm_agent_is_up_nothing_is_taken_and_checks_are_bad() -> None:
+def test_before_the_worker_agent_is_up_requests_and_health_checks_are_rejected() -> None:
     async def scene(town: Town) -> None:
         assert (await (await Sidecar(town).open()).ask(b"GET /ping HTTP/1.1\r\n\r\n"))[0] == 503
         assert (await ask_one(town, 1))[0] == 503
@@ -165,7 +165,7 @@
     play_in(town, scene)
 
 
-def test_a_full_log_pipe_costs_lines_and_says_so() -> None:
+def test_a_full_log_pipe_drops_lines_and_reports_it() -> None:
     read, write = os.pipe()
     log = Log("n1", write)
     for _ in range(100):
@@ -190,7 +190,7 @@
     os.close(write)
 
 
-def test_a_line_that_cannot_be_read_is_a_break() -> None:
+def test_an_invalid_agent_line_closes_the_connection() -> None:
     async def scene(town: Town) -> None:
         town.farm.hold = True
         asked = asyncio.create_task(ask_one(town, 1))
@@ -199,7 +199,7 @@
         await town.until(lambda: town.farm.links > 1)
         town.farm.go_on(ident(1))
         assert (await asked)[0] == 200
-        town.farm.note(f"outcome {{}} {ident(1)} OK 3 0", b"")  # news of a ticket that is over
+        town.farm.note(f"outcome {{}} {ident(1)} OK 3 0", b"")  # a notice for a closed request
         town.farm.hold = False
         assert (await ask_one(town, 2))[0] == 200
         town.check()
@@ -207,14 +207,14 @@
     play_in(Town(), scene)
 
 
-def test_calls_below_reuse_their_connection_and_never_run_is_told_from_unsure() -> None:
+def test_downstream_calls_reuse_connections_and_distinguish_never_run_from_unsure() -> None:
     async def scene(town: Town) -> None:
         for n in range(3):
             assert (await ask_one(town, n, "look"))[0] == 200
         assert town.below.links == 1
         town.below.answers += [reply(503, b"", "Turned-Away: 1\r\n")]
         assert (await ask_one(town, 3, "look"))[0] == 200 and town.counts["call_never_ran"] == 1
-        town.below.answers += ["break"]  # after the request was read: it proves nothing
+        town.below.answers += ["break"]  # after the request was read, so the call may have run
         assert (await ask_one(town, 4, "look"))[0] == 200 and town.counts["call_unsure"] == 1
         town.servers[1].close()
         town.backend.dispatcher.calls.exchanges.close()
@@ -224,7 +224,7 @@
     play_in(Town(), scene)
 
 
-def test_a_run_that_ends_gives_up_its_call() -> None:
+def test_a_run_that_ends_cancels_its_call() -> None:
     async def scene(town: Town) -> None:
         town.below.answers += ["hang"]
         asked = asyncio.create_task(ask_one(town, 1, "look"))
@@ -237,7 +237,7 @@
     play_in(Town(), scene)
 
 
-def test_bad_input_never_reaches_the_module_and_a_second_request_waits_its_turn() -> None:
+def test_bad_input_never_reaches_the_decision_module() -> None:
     async def scene(town: Town) -> None:
         side = await Sidecar(town).open()
         for bad in (Sidecar.ticket(ident(1), "nothing"), Sidecar.ticket(ident(1), X_Merchant="who"),
@@ -251,7 +251,7 @@
         assert (await side.answer())[0] == 400 and await side.reader.read() == b""
         wrong = await Sidecar(town).open()
         assert (await wrong.ask(b"POST /call/book HTTP/1.1\r\nContent-Length: x\r\n"))[0] == 400
-        assert await wrong.reader.read() == b""  # and nothing behind it
+        assert await wrong.reader.read() == b""  # and nothing after it
         slow = await Sidecar(town).open()
         slow.writer.write(Sidecar.ticket(ident(5))[:-1])
         assert (await ask_one(town, 6))[0] == 200
@@ -267,20 +267,20 @@
     play_in(Town(), scene)
 
 
-def test_the_same_try_over_two_connections_runs_once_and_answers_both() -> None:
+def test_the_same_attempt_on_two_connections_runs_once_and_answers_both() -> None:
     async def scene(town: Town) -> None:
         town.farm.hold = True
         asked = [asyncio.create_task(ask_one(town, 1, "pay")) for _ in range(2)]
         await town.until(lambda: town.counts["joined"] == 1 and ident(1) in town.farm.running)
         town.farm.go_on(ident(1))
         assert [status for status, _, _ in await asyncio.gather(*asked)] == [200, 200]
-        assert (await ask_one(town, 1, "pay"))[0] == 500  # irreversible: it ran, and does not again
+        assert (await ask_one(town, 1, "pay"))[0] == 500  # non-idempotent: it has run and is not run again
         town.check()
 
     play_in(Town(), scene)
 
 
-def test_a_caller_whose_connection_is_reset_waits_no_more() -> None:
+def test_a_request_whose_connection_is_reset_is_no_longer_pending() -> None:
     async def scene(town: Town) -> None:
         town.farm.hold = True
         side = await Sidecar(town).open()
@@ -289,28 +289,30 @@
         side.writer.get_extra_info("socket").setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, bytes([1] + [0] * 7)
         )
-        side.writer.transport.abort()  # with a reset
+        side.writer.transport.abort()  # sends a reset
         await town.until(lambda: town.counts["gone"] == 1 and not town.backend.dispatcher.open_requests)
         town.check()
 
     play_in(Town(), scene)
 
 
-def test_strangers_get_a_word_or_a_close_and_leave_room_for_others() -> None:
+def test_silent_and_invalid_clients_are_closed_and_leave_capacity_for_others() -> None:
     async def scene(town: Town) -> None:
         good, most = await Sidecar(town).open(), town.backend.listener.max_connections
         assert (await good.ask(Sidecar.ticket(ident(1))))[0] == 200
         silent = [await Sidecar(town).open() for _ in range(3 * most)]
-        assert (await ask_one(town, 2))[0] == 200  # at once, whoever else is there
+        assert (await ask_one(town, 2))[0] == 200  # at once, despite the other clients
         assert len(town.backend.listener.connections) <= most
-        assert (await good.ask(Sidecar.ticket(ident(3))))[0] == 200  # proven ones stay where others can go
+        assert (await good.ask(Sidecar.ticket(ident(3))))[
+            0
+        ] == 200  # connections with a complete request are evicted last
         for side in silent:
             assert await side.reader.read() == b""
         huge = await Sidecar(town).open()
         huge.writer.write(Sidecar.ticket(ident(4), body=b"x" * 60_000_000))
         assert (await huge.answer())[0] == 413
         dropped = town.backend.listener.connections.copy()
-        with suppress(OSError):  # the end, or a reset for what was not read
+        with suppress(OSError):  # closed, or reset because of unread data
             assert await huge.reader.read() == b""
         await town.until(lambda: not dropped & town.backend.listener.connections)
         town.check()
@@ -318,7 +320,7 @@
     play_in(Town(sockets=96), scene)
 
 
-def test_idle_connections_close_as_asked_and_make_room_at_the_limit() -> None:
+def test_idle_connections_close_on_time_and_are_evicted_at_the_limit() -> None:
     async def scene(town: Town) -> None:
         town.farm.hold = True
         most = town.backend.listener.max_connections
@@ -337,22 +339,22 @@
     play_in(Town(sockets=64), scene)
 
 
-def test_one_just_accepted_is_not_closed_to_make_room_before_its_request_can_have_come() -> None:
+def test_a_connection_just_accepted_is_not_evicted_before_its_request_can_arrive() -> None:
     async def scene(town: Town) -> None:
         listener = town.backend.listener
         sides = [await Sidecar(town).open() for _ in range(listener.max_connections - listener.reserve)]
-        for side in sides:  # all have brought something less than a second ago
+        for side in sides:  # all have sent a request less than a second ago
             assert (await side.ask(b"GET /ping HTTP/1.1\r\n\r\n"))[0] == 200
         held = set(listener.connections)
         late = await Sidecar(town).open()
-        await town.until(lambda: any(connection.closing for connection in held))  # room has been made
+        await town.until(lambda: any(connection.closing for connection in held))  # some were evicted
         assert (await late.ask(b"GET /ping HTTP/1.1\r\n\r\n"))[0] == 200
         town.check()
 
     play_in(Town(sockets=64), scene)
 
 
-def test_a_ticket_that_lies_there_when_an_idle_connection_closes_is_answered() -> None:
+def test_a_request_unread_when_its_idle_connection_closes_is_answered() -> None:
     async def scene(town: Town) -> None:
         with socket.create_connection(town.address) as side:
             await town.until(lambda: len(town.backend.listener.connections) == 1)
--- a/tests/test_program_life.py
+++ b/tests/test_program_life.py
@@ -1,4 +1,4 @@
-"""The life of a whole backend among stand-ins: defects, the list, drains, new configurations, its start."""
+"""The life cycle of a complete backend with stand-ins: errors, readiness reports, drains, reloads, start."""
 
 import asyncio
 import dataclasses
@@ -17,7 +17,7 @@
 from tests.test_program import ask_one, ident
 
 
-def test_a_defect_in_one_ticket_costs_no_other() -> None:
+def test_an_error_in_one_request_affects_no_other() -> None:
     async def scene(town: Town) -> None:
         launch = town.backend.dispatcher.commands.launch
 
@@ -42,11 +42,11 @@
     play_in(Town(), scene)
 
 
-def test_reports_that_count_go_over_one_connection() -> None:
-    async def scene(town: Town) -> None:  # it answers 204 with no length, as it has no body
+def test_acknowledged_reports_use_one_connection() -> None:
+    async def scene(town: Town) -> None:  # answers 204 without a length, as it has no body
         await town.until(lambda: len(town.control.heard) >= 4)
         assert town.control.links == 1
-        town.control.cut()  # an idle one that ends costs no report
+        town.control.cut()  # losing an idle connection loses no report
         heard = len(town.control.heard)
         await town.until(lambda: len(town.control.heard) >= heard + 2)
         assert town.control.links == 2 and town.counts["control_lost"] == 0
@@ -54,7 +54,7 @@
     play_in(Town(), scene)
 
 
-def test_the_control_plane_is_told_again_after_an_outage_and_at_once_of_a_change() -> None:
+def test_reports_resume_after_an_outage_and_a_change_is_reported_at_once() -> None:
     async def scene(town: Town) -> None:
         town.control.answers += ["break", reply(500), "hang"]
         await town.until(lambda: len(town.control.heard) >= 5)
@@ -62,7 +62,7 @@
         assert town.control.heard[0][0].startswith("PUT /v2/endpoints/n1 HTTP/1.1\r\n")
         town.control.usual = lambda head, body: "hang"
         await town.until(lambda: town.counts["control_lost"] > 0)
-        town.backend.ready(False)  # said at once, whatever is still out
+        town.backend.ready(False)  # reported at once, even while a report is pending
         await town.until(lambda: town.control.heard[-1][1] == b'{"condition":"NotReady"}')
         assert town.backend.reporter.exchanges.open <= 2
         town.control.usual = lambda head, body: reply(204)
@@ -72,7 +72,7 @@
     play_in(Town(), scene)
 
 
-def test_a_drain_answers_all_it_has_and_takes_nothing_after_the_grace() -> None:
+def test_a_drain_completes_open_requests_and_accepts_none_after_the_grace_period() -> None:
     async def scene(town: Town) -> None:
         town.farm.hold = True
         sides = [await Sidecar(town).open() for _ in range(2)]
@@ -98,7 +98,7 @@
     play_in(Town(stop=20000), scene)
 
 
-def test_the_notice_ends_idle_connections_and_what_lies_there_is_answered() -> None:
+def test_a_drain_closes_idle_connections_and_answers_unread_requests() -> None:
     async def scene(town: Town) -> None:
         town.farm.hold = True
         idle, late, busy = [await Sidecar(town).open() for _ in range(3)]
@@ -106,9 +106,9 @@
             assert (await side.ask(b"GET /ping HTTP/1.1\r\n\r\n"))[0] == 200
         first = asyncio.create_task(busy.ask(Sidecar.ticket(ident(1))))
         await town.until(lambda: ident(1) in town.farm.running)
-        late.writer.write(Sidecar.ticket(ident(2)))  # in the socket, not read yet
+        late.writer.write(Sidecar.ticket(ident(2)))  # in the socket buffer, not read yet
         town.backend.leave()
-        async with asyncio.timeout(4):  # an idle time of a third of 15 s would end it later
+        async with asyncio.timeout(4):  # the idle time-out, a third of 15 s, would close it later
             assert await idle.reader.read() == b""
         await town.until(lambda: ident(2) in town.farm.running)
         town.farm.go_on(ident(1))
@@ -123,7 +123,7 @@
     play_in(Town(stop=20000), scene)
 
 
-def test_a_drain_answers_for_what_does_not_end_in_time() -> None:
+def test_a_drain_fails_requests_that_do_not_end_in_time() -> None:
     async def scene(town: Town) -> None:
         town.farm.hold = True
         asked = asyncio.create_task(ask_one(town, 1))
@@ -135,7 +135,7 @@
     play_in(Town(stop=600), scene)
 
 
-def test_new_addresses_are_taken_up_in_service_and_nothing_had_is_lost() -> None:
+def test_a_reload_changes_addresses_and_loses_no_request() -> None:
     async def scene(town: Town) -> None:
         town.farm.hold = True
         asked = asyncio.create_task(ask_one(town, 1, "look"))
@@ -160,7 +160,7 @@
     play_in(Town(), scene)
 
 
-def test_what_cannot_be_read_again_changes_nothing_and_is_tried_until_it_can() -> None:
+def test_an_unreadable_reload_changes_nothing_and_is_retried() -> None:
     async def scene(town: Town) -> None:
         good, tries = town.backend.read, []
 
@@ -182,7 +182,7 @@
     play_in(Town(), scene)
 
 
-def test_another_ticket_under_an_open_id_joins_nothing_and_an_unknown_one_is_no_error() -> None:
+def test_a_different_request_with_an_open_id_does_not_join_it() -> None:
     async def scene(town: Town) -> None:
         town.farm.hold = True
         asked = asyncio.create_task(ask_one(town, 1))
@@ -203,7 +203,7 @@
     play_in(Town(), scene)
 
 
-# As a process
+# As a process of its own
 
 ROOT = Path(__file__).parent.parent
 
@@ -230,7 +230,7 @@
     }  # fmt: skip
 
 
-def test_it_starts_from_its_configuration_and_leaves_on_the_notice(tmp_path: Path) -> None:
+def test_the_process_starts_from_its_configuration_and_drains_on_sigterm(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as farm:
         with socket.create_server(("127.0.0.1", 0)) as free:
             listen = at(free)
@@ -256,7 +256,7 @@
         link.close()
 
 
-def test_what_cannot_be_served_is_one_plain_line(tmp_path: Path) -> None:
+def test_an_invalid_configuration_is_one_line(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         good = told(at(taken), "127.0.0.1:9")
         unknown = [SETTINGS["lanes"][0] | {"semantics": "now and then"}]
--- a/tests/test_renewed_terms.py
+++ b/tests/test_renewed_terms.py
@@ -1,8 +1,8 @@
-"""The terms that the standing page renewed, forced against the real command (docs/standing.md names each).
+"""Races that docs/standing.md requires the backend to survive, forced against the real command.
 
-A reload that meets the drain, a list or a farm agent that falls silent late and comes whole, a kill right
-after an accept, requests in pieces. What has to cross is held by a pipe that the process reads, by SIGSTOP or
-by a stand-in that is silent until it is told; no test waits in the hope of a moment.
+A reload during the drain, a kill right after an accept, requests split into parts. Each order of events is
+forced by a pipe that the process reads, by SIGSTOP, or by a stand-in that does not answer until told; no test
+relies on timing.
 """
 
 import asyncio
@@ -26,8 +26,8 @@
 GRACE_MS = SETTINGS["invariants"]["stop_sending_within"]
 
 
-async def has_read(street: Street) -> None:
-    """All that was written before this has been accepted and read: a whole exchange came behind it, twice."""
+async def until_data_is_read(street: Street) -> None:
+    """Waits until all data sent before has been accepted and read: two full exchanges follow it."""
     for _ in range(2):
         assert (await (await Sidecar(street).open()).ask(PING))[0] in (200, 503)
 
@@ -39,20 +39,20 @@
     return side
 
 
-def whole(answer: bytes) -> tuple[int, bytes]:
-    """Status and body of the one answer that this is, to its last byte."""
+def complete_response(answer: bytes) -> tuple[int, bytes]:
+    """Status and body of data that is exactly one complete response."""
     head, _, body = answer.partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 "), answer
     size = int(head.lower().partition(b"content-length:")[2].split()[0])
-    assert len(body) == size, f"cut off, or more than one answer: {answer!r}"
+    assert len(body) == size, f"truncated, or more than one response: {answer!r}"
     return int(head.split()[1]), body
 
 
 # A reload followed by a drain
 
 
-class Moving(Street):
-    """All parties open again elsewhere; the new control plane and back end are others than the old."""
+class MovingStreet(Street):
+    """All parties move to new addresses; the control plane and the downstream service are replaced."""
 
     async def move(self) -> None:
         self.before, self.servers = self.servers, []
@@ -70,19 +70,21 @@
             party.cut()
 
 
-async def read_while_the_drain_begins(street: Moving) -> None:
-    """The notice comes while the process stands in the reading of the new file."""
+async def drain_during_the_reload(street: MovingStreet) -> None:
+    """The signal arrives while the process is blocked reading the new file."""
     street.path.unlink()
     os.mkfifo(street.path)
     street.signal(SIGHUP)
-    pipe = await asyncio.to_thread(os.open, street.path, os.O_WRONLY)  # returns once it has begun to read
+    pipe = await asyncio.to_thread(
+        os.open, street.path, os.O_WRONLY
+    )  # returns once the process has opened it
     street.signal(SIGTERM)
     os.write(pipe, street.next)
     street.path.unlink()
     os.close(pipe)
 
 
-async def both_at_once(street: Moving) -> None:
+async def reload_and_drain_at_once(street: MovingStreet) -> None:
     street.path.write_bytes(street.next)
     await street.stand_still()
     street.signal(SIGHUP)
@@ -90,14 +92,14 @@
     street.signal(SIGCONT)
 
 
-async def in_the_drain(street: Moving) -> None:
+async def reload_during_the_drain(street: MovingStreet) -> None:
     street.signal(SIGTERM)
     await street.event("leaving")
     street.path.write_bytes(street.next)
     street.signal(SIGHUP)
 
 
-async def half_a_file_that_is_whole_in_the_drain(street: Moving) -> None:
+async def incomplete_file_completed_during_the_drain(street: MovingStreet) -> None:
     street.path.write_bytes(street.next[:-30])
     street.signal(SIGHUP)
     await street.event("not_reloaded")
@@ -108,14 +110,19 @@
 
 @pytest.mark.parametrize(
     "crossing",
-    [read_while_the_drain_begins, both_at_once, in_the_drain, half_a_file_that_is_whole_in_the_drain],
+    [
+        drain_during_the_reload,
+        reload_and_drain_at_once,
+        reload_during_the_drain,
+        incomplete_file_completed_during_the_drain,
+    ],
 )
-def test_new_addresses_that_meet_the_drain_are_followed_and_nothing_had_is_lost(
+def test_address_changes_around_the_drain_are_applied_and_lose_no_request(
     tmp_path: Path, crossing: Callable
 ) -> None:
-    """Guards against a drain that speaks to the old control plane, or leaves runs with the old farm agent."""
+    """A drain must not report to the old control plane, nor leave runs with the old worker agent."""
 
-    async def scene(street: Moving) -> None:
+    async def scene(street: MovingStreet) -> None:
         await street.event("ready")
         await street.until(lambda: street.control.heard)
         street.farm.hold = True
@@ -124,7 +131,7 @@
         calls = asyncio.create_task(ask_one(street, 2, "look"))
         await street.until(lambda: {ident(1), ident(2)} <= set(street.farm.running))
         street.farm.go_on(ident(2))
-        await street.until(lambda: street.below.heard)  # a call is out at the old address
+        await street.until(lambda: street.below.heard)  # a call to the old address is in progress
         await street.move()
         await crossing(street)
 
@@ -133,19 +140,19 @@
         notice = (await street.event("leaving"))["at"] // 1000
         await street.until(lambda: street.farm.links == 2)
         await street.until(lambda: street.control.heard and street.control.heard[-1][1] == NOT_READY)
-        # One that came within the grace runs over the new link, and calls at the new address.
+        # A request within the grace period runs over the new connection and calls the new address.
         late = asyncio.create_task(ask_one(street, 3, "look", X_Ingress_Time=str(notice)))
         await street.until(lambda: ident(3) in street.farm.running)
         street.farm.go_on(ident(3))
         status, head, _ = await late
         assert status == 200 and "Connection: close" in head
         assert street.farm.replies[ident(3)] == b"moved" and len(street.below.heard) == 1
-        # One that came after it never runs.
+        # A request after it never runs.
         after = round(notice + GRACE_MS + 60)
-        await street.until(lambda: time.time() * 1000 > after)  # a stamp ahead of its clock counts as now
+        await street.until(lambda: time.time() * 1000 > after)  # a timestamp ahead of its clock counts as now
         status, head, _ = await ask_one(street, 4, X_Ingress_Time=str(after))
         assert status == 503 and "Connection: close" in head
-        # The call that was out ends where it is, and its run over the new link.
+        # The pending call ends at the old address, and its run over the new connection.
         (writer,) = street.old_below.open
         writer.write(reply(200, b"the old one's"))
         assert (await calls)[0] == 200 and street.farm.replies[ident(2)] == b"the old one's"
@@ -154,19 +161,17 @@
         await street.ended()
         assert street.farm.begun == {ident(1): 1, ident(2): 1, ident(3): 1}
         words = [body for _, body in street.control.heard]
-        assert words[-1] == NOT_READY and READY not in words[1:], "Ready only before the notice"
+        assert words[-1] == NOT_READY and READY not in words[1:], "reported Ready after the signal"
         street.accounted()
 
-    live_in(Moving(tmp_path, stop=20000), scene)
+    live_in(MovingStreet(tmp_path, stop=20000), scene)
 
 
 @pytest.mark.parametrize("wrong", ["half", "another's"])
-def test_a_file_that_cannot_be_followed_as_the_drain_begins_changes_nothing(
-    tmp_path: Path, wrong: str
-) -> None:
-    """Guards against an end that waits for a whole file, and against following another backend out."""
+def test_an_invalid_file_when_the_drain_begins_changes_nothing(tmp_path: Path, wrong: str) -> None:
+    """The end must not wait for a valid file, nor may another backend's file be applied."""
 
-    async def scene(street: Moving) -> None:
+    async def scene(street: MovingStreet) -> None:
         await street.event("ready")
         street.farm.hold = True
         runs = asyncio.create_task(ask_one(street, 1))
@@ -174,8 +179,8 @@
         await street.move()
         other = json.dumps(json.loads(street.next) | {"name": "n2"}).encode()
         street.next = street.next[:-30] if wrong == "half" else other
-        await read_while_the_drain_begins(street)
-        street.path.write_bytes(street.next)  # for as long as it is tried again
+        await drain_during_the_reload(street)
+        street.path.write_bytes(street.next)  # while the reload is being retried
         await street.event("not_reloaded")
         await street.event("leaving")
         await street.until(lambda: street.old_control.heard[-1][1] == NOT_READY)
@@ -186,14 +191,14 @@
         assert not any(line["event"] == "reloaded" for line in street.lines)
         street.accounted()
 
-    live_in(Moving(tmp_path, stop=20000), scene)
+    live_in(MovingStreet(tmp_path, stop=20000), scene)
 
 
-# Kills and notices right after an accept
+# Kills and drains right after an accept
 
 
-def test_a_kill_right_after_an_accept_is_a_reset_and_the_next_life_runs_each_once(tmp_path: Path) -> None:
-    """Proven resets: what the killed life had not read ran nowhere, and the next one runs each once."""
+def test_a_kill_after_an_accept_is_a_reset_and_the_next_incarnation_runs_each_once(tmp_path: Path) -> None:
+    """Requests that the killed process had not read never ran; the next incarnation runs each once."""
 
     async def scene(street: Street) -> None:
         await street.event("ready")
@@ -205,7 +210,7 @@
         sides[2] = plain(street.address)  # accepted, nothing read
         sides[3] = plain(street.address)  # accepted, half a request read
         sides[3].send(Sidecar.ticket(ident(3))[:70])
-        await has_read(street)
+        await until_data_is_read(street)
         await street.stand_still()
         sides[2].send(Sidecar.ticket(ident(2)))
         sides[3].send(Sidecar.ticket(ident(3))[70:])
@@ -223,7 +228,7 @@
         assert street.farm.begun == {ident(1): 1}
         with pytest.raises(ConnectionRefusedError):
             plain(street.address)
-        # The next life numbers notices anew, and is asked the same again.
+        # The next incarnation numbers notices from the start, and gets the same requests.
         street.lines.clear()
         street.farm.notices.clear()
         street.process._transport.close()
@@ -241,8 +246,8 @@
 
 
 @pytest.mark.parametrize("place", ["in the line", "accepted", "half read", "rests", "behind the notice"])
-def test_a_notice_right_after_an_accept_costs_no_request(tmp_path: Path, place: str) -> None:
-    """The request and the notice lie there together as the process goes on; ten callers in each place."""
+def test_sigterm_right_after_an_accept_loses_no_request(tmp_path: Path, place: str) -> None:
+    """The request and the signal are both pending when the process continues; ten clients in each state."""
 
     async def scene(street: Street) -> None:
         await street.event("ready")
@@ -253,7 +258,7 @@
                 side.send(requests[n][:90])
         if place == "rests":
             sides = {n: await proven(street) for n in requests}
-        await has_read(street)
+        await until_data_is_read(street)
         if place == "behind the notice":
             street.signal()
             await street.event("leaving")
@@ -266,8 +271,8 @@
         street.signal(SIGCONT)
         for n, side in sides.items():
             answer = await rest_of(side)
-            status, body = whole(answer)
-            assert status == 200 and body == street.farm.result(n), "it came within the grace"
+            status, body = complete_response(answer)
+            assert status == 200 and body == street.farm.result(n), "it arrived within the grace period"
             assert b"Connection: close" in answer
         await street.ended()
         assert street.farm.begun == dict.fromkeys(requests, 1)
@@ -276,11 +281,11 @@
     live_in(Street(tmp_path, stop=20000), scene)
 
 
-# Requests that come in pieces
+# Requests split into parts
 
 
-def test_a_request_in_two_pieces_cut_at_any_byte_is_one_request(tmp_path: Path) -> None:
-    """The first piece has been read alone, whatever byte it ends with; also across the notice to leave."""
+def test_a_request_in_two_parts_split_at_any_byte_is_one_request(tmp_path: Path) -> None:
+    """The first part is read alone, whatever byte it ends with; also across the start of the drain."""
 
     async def scene(street: Street) -> None:
         await street.event("ready")
@@ -292,7 +297,7 @@
             asked = [Sidecar.ticket(ident(cut), body=b"x\r\n\r\ny") for cut in cuts]
             for side, cut, data in zip(sides, cuts, asked, strict=False):
                 side.writer.write(data[:cut])
-            await has_read(street)
+            await until_data_is_read(street)
             if cuts[-1] == size - 1:
                 street.signal()
                 await street.event("leaving")
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -1,4 +1,4 @@
-"""What a page allows is served by the real command; only what none allows is one line and exit 2."""
+"""Allowed settings are served by the real command; only invalid ones end with one line and exit code 2."""
 
 import copy
 import json
@@ -21,12 +21,12 @@
     return changed
 
 
-def test_a_deployment_with_nothing_below_has_no_address_for_it_and_is_served(tmp_path: Path) -> None:
+def test_a_deployment_without_a_downstream_service_needs_no_address_for_it(tmp_path: Path) -> None:
     async def scene(street: Street) -> None:
         await street.event("ready")
         side = await Sidecar(street).open()
         assert (await side.ask(Sidecar.ticket(ident(1))))[0] == 200
-        # A run that asks for a call all the same fails at once: there is nobody to ask.
+        # A run that requests a call nevertheless fails at once: there is no downstream service.
         status, _, _ = await side.ask(Sidecar.ticket(ident(2), "look"))
         assert status == 500
         street.signal()
@@ -35,7 +35,7 @@
     live_in(Street(tmp_path, settings(downstream="none"), backend=None), scene)
 
 
-def test_calls_with_no_address_to_make_them_at_are_refused_at_the_start(tmp_path: Path) -> None:
+def test_calls_without_a_downstream_address_are_refused_at_the_start(tmp_path: Path) -> None:
     async def scene(street: Street) -> None:
         assert await street.process.wait() == 2
         wrong = (await street.process.stderr.read()).decode().splitlines()
@@ -44,9 +44,7 @@
     live_in(Street(tmp_path, backend=None), scene)
 
 
-def test_a_backend_that_may_start_at_no_speed_at_all_and_part_of_a_core_serves_from_its_first_moment(
-    tmp_path: Path,
-) -> None:
+def test_a_backend_with_no_initial_speed_and_part_of_a_core_serves_from_the_start(tmp_path: Path) -> None:
     async def scene(street: Street) -> None:
         await street.event("ready")
         for n in range(3):
@@ -62,7 +60,7 @@
 
 
 @pytest.mark.parametrize("odd", ["1e999", "NaN"])
-def test_numbers_that_are_none_are_one_line(odd: str) -> None:
+def test_invalid_numbers_are_one_line(odd: str) -> None:
     text = json.dumps(SETTINGS).replace('"promise": 20000.0', f'"promise": {odd}')
     with pytest.raises(InvalidSettingsError):
         decode(text)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,7 +1,7 @@
-"""The standing test's terms for what `run` starts: one process, no other program, TCP and UDP over IPv4.
+"""The constraints on what `run` starts: one process, no other program, only TCP and UDP over IPv4.
 
-The real command of deploy/balancer.toml is watched through its life, from outside (/proc) and from inside (an
-audit hook).
+The command of deploy/balancer.toml is observed until it ends, from outside (/proc) and from inside (an audit
+hook).
 """
 
 import ast
@@ -30,44 +30,42 @@
     "records": {"figures_every_ms": 200},
     "storm": {"lowers_repeats": True, "paces_returns": True, "retry_after": True},
 }
-RUNS_MOST = 5.0  # seconds of processor time in one go; the standing test calls 20 s without waiting a crash
+RUNS_MOST = 5.0  # seconds of CPU time without a wait; the acceptance test counts 20 s as a crash
 
 
 class Watch(threading.Thread):
-    """Looks at a process every few milliseconds until it ends; `breaches` says what it must not have done."""
+    """Samples a process every few milliseconds until it ends; `breaches` returns the constraints it broke."""
 
     def __init__(self, process: subprocess.Popen) -> None:
         super().__init__(daemon=True)
         self.root = Path(f"/proc/{process.pid}")
         self.seen: set[str] = set()
         self.children: set[str] = set()
-        self.reaped = 0  # page faults of children that it has waited for
-        self.spans: dict[
-            str, tuple[int, int]
-        ] = {}  # thread -> waits so far, processor time at the last of them
+        self.reaped = 0  # page faults of children it has waited for
+        self.spans: dict[str, tuple[int, int]] = {}  # thread -> waits so far, CPU time at the last of them
         self.longest = 0.0
-        self.filters = _line(Path("/proc/self/status"), "Seccomp")
+        self.filters = _status_value(Path("/proc/self/status"), "Seccomp")
         self.start()
 
     def run(self) -> None:
         try:
-            while self._look():
+            while self._sample():
                 time.sleep(0.003)
-        except Exception as wrong:  # a watch that has died must not pass for one that saw nothing
+        except Exception as wrong:  # a failed watch must not pass as one without findings
             self.seen.add(f"the watch itself: {wrong!r}")
 
-    def _look(self) -> bool:
+    def _sample(self) -> bool:
         try:
             fields = (self.root / "stat").read_text().rpartition(")")[2].split()
-            self.reaped = int(fields[8])  # cminflt; still there while it has ended and nobody waited for it
+            self.reaped = int(fields[8])  # cminflt; readable as long as the process is a zombie
             if fields[0] in "ZX":
                 return False
             self._threads()
             self._sockets()
-            if _line(self.root / "status", "Seccomp") != self.filters:
+            if _status_value(self.root / "status", "Seccomp") != self.filters:
                 self.seen.add("a system-call filter")
         except FileNotFoundError:
-            pass  # a thread or a descriptor that went while it was looked at
+            pass  # a thread or descriptor closed meanwhile
         except (OSError, IndexError):
             return self.root.exists()
         return True
@@ -75,7 +73,7 @@
     def _threads(self) -> None:
         for thread in (self.root / "task").iterdir():
             self.children |= set((thread / "children").read_text().split())
-            waits = int(_line(thread / "status", "voluntary_ctxt_switches"))
+            waits = int(_status_value(thread / "status", "voluntary_ctxt_switches"))
             used = int((thread / "schedstat").read_text().split()[0])
             before, since = self.spans.get(thread.name, (-1, used))
             if waits != before:
@@ -99,13 +97,13 @@
                 self.seen.add(f"a {kind} socket")
 
     def _table(self, kind: str) -> dict[str, str]:
-        """The sockets of a kind by inode."""
+        """The sockets of one kind by inode."""
         place = {"unix": 6, "packet": 8, "netlink": 9}.get(kind, 9)
         lines = (self.root / "net" / kind).read_text().splitlines()[1:]
         return {line.split()[place]: line for line in lines}
 
     def breaches(self, noted: Path) -> set[str]:
-        """Once it has ended, and before it is waited for."""
+        """Call it after the process has ended and before it is reaped."""
         self.join(30)
         found = self.seen | set(noted.read_text().splitlines())
         if self.children:
@@ -117,7 +115,7 @@
         return found
 
 
-def _line(path: Path, name: str) -> str:
+def _status_value(path: Path, name: str) -> str:
     return re.search(rf"^{name}:\s*(\S+)", path.read_text(), re.MULTILINE)[1]
 
 
@@ -145,7 +143,7 @@
 
 
 @pytest.mark.parametrize("switched", [None, ALL_ON])
-def test_what_run_starts_is_one_process_that_keeps_the_terms_all_its_life(
+def test_run_starts_one_process_that_keeps_the_terms_until_it_ends(
     tmp_path: Path, switched: dict | None
 ) -> None:
     told_at, more = tmp_path / "configuration.json", {}
@@ -162,7 +160,9 @@
         link, _ = farm.accept()
         link.sendall(b"greeting WARM 60000\r\n")
         until_event(process, "started", "greeted")
-        assert os.path.samefile(f"/proc/{process.pid}/exe", sys.executable), "run has to end by exec"
+        assert os.path.samefile(f"/proc/{process.pid}/exe", sys.executable), (
+            "run must replace its shell by exec"
+        )
         for _ in range(3):
             asked = http.client.HTTPConnection(listen, timeout=30)
             asked.request("GET", "/ping")
@@ -189,7 +189,7 @@
         ("import os; os.system('true')", "os.system (b'true',)"),
         ("import socket; s = socket.create_server(('::1', 0), family=socket.AF_INET6)", "a tcp6 socket"),
         (
-            # Abstract names are one for the whole machine: another run of this test may hold a fixed one.
+            # Abstract names are shared by the whole machine: another run of this test may hold a fixed one.
             "import os, socket; s = socket.socket(socket.AF_UNIX); s.bind(f'\\0x{os.getpid()}')",
             "a Unix socket with a name",
         ),
@@ -197,7 +197,7 @@
         ("list(iter(lambda: time.process_time() < 5.5, False))", "s of processor time without waiting"),
     ],
 )
-def test_the_watch_sees_each_thing_that_it_is_there_for(tmp_path: Path, code: str, breach: str) -> None:
+def test_the_watch_detects_each_kind_of_breach(tmp_path: Path, code: str, breach: str) -> None:
     words = [sys.executable, "-c", f"import time; {code}; time.sleep(1)"]
     process, watch, noted = watched(words, tmp_path)
     os.waitid(os.P_PID, process.pid, os.WEXITED | os.WNOWAIT)
@@ -205,7 +205,7 @@
     process.communicate(timeout=30)
 
 
-# The operator file, in the one process
+# The operator file, read by the backend process
 
 
 def deep(levels: int) -> str:
@@ -231,9 +231,7 @@
         ("/proc/self/mem", "Input/output error"),
     ],
 )
-def test_an_operator_file_that_cannot_be_followed_is_one_line_and_exit_2(
-    tmp_path: Path, text: str | None, says: str
-) -> None:
+def test_an_invalid_operator_file_is_one_line_and_exit_2(tmp_path: Path, text: str | None, says: str) -> None:
     path = tmp_path / "operator.json"
     if text == "folder":
         path.mkdir()
@@ -252,8 +250,8 @@
     assert not more and line.startswith(f"crowwing: {path}: ") and says in line
 
 
-def test_the_plain_reader_and_the_typed_form_agree() -> None:
-    """The schema has only words that the plain reader follows; what that fills in are the typed defaults."""
+def test_the_schema_reader_and_the_types_agree() -> None:
+    """The schema has only keywords that the reader knows, and the reader uses the types' defaults."""
 
     def words(part: object) -> set[str]:
         if isinstance(part, list):
@@ -268,7 +266,7 @@
     assert words(root) <= operator_file.CHECKED_KEYWORDS | operator_file.IGNORED_KEYWORDS
     assert operator_file.SCHEMA_PATH.read_bytes() == operator.schema()
     for part in root["$defs"].values():
-        assert part["additionalProperties"] is False, "unknown names are refused throughout"
+        assert part["additionalProperties"] is False, "every section rejects unknown names"
     storm = operator_file.with_defaults({"storm": {}}, root["$defs"]["Operator"], root).storm
     typed = operator.Storm()
     for name in typed.__struct_fields__:
@@ -280,7 +278,7 @@
 
 
 def imported(start: str) -> set[str]:
-    """The top names of all that a module of ours imports, itself and through others of ours, types aside."""
+    """The top-level packages that a module imports, directly or through others, except for type checking."""
     found, seen, waiting = set(), set(), [start]
     while waiting:
         name = waiting.pop()
@@ -303,7 +301,7 @@
     return found - set(sys.stdlib_module_names) - {"crowwing"}
 
 
-def test_build_installs_what_run_and_sim_need_and_no_more() -> None:
+def test_build_installs_exactly_what_run_and_sim_need() -> None:
     assert "requirements.txt" in DEPLOY["build"]
     listed = {line.partition("==")[0] for line in (ROOT / "requirements.txt").read_text().split()}
     assert listed == imported("crowwing.program.main") | imported("crowwing.simulator_adapter.__main__")
@@ -314,12 +312,14 @@
 
 
 def test_the_emulator_starts_backends_as_they_are(tmp_path: Path) -> None:
-    """It loads nothing into them and filters nothing: only the kit's bench does that."""
+    """No library is preloaded and no system call filtered; only the external bench does that."""
     folder = {"name": "n1"} | told("127.0.0.1:9", "127.0.0.1:9")
     process = processes.Process(tmp_path, folder, None, None)
     try:
         root = Path(f"/proc/{process.child.pid}")
         assert "LD_PRELOAD" not in (root / "environ").read_text()
-        assert _line(root / "status", "Seccomp") == _line(Path("/proc/self/status"), "Seccomp")
+        assert _status_value(root / "status", "Seccomp") == _status_value(
+            Path("/proc/self/status"), "Seccomp"
+        )
     finally:
         process.kill()
