--- a/crowwing/cli/emulate.py
+++ b/crowwing/cli/emulate.py
@@ -1,4 +1,4 @@
-"""`crowwing emulate`: plays a fleet of real backends on loopback and says what became of its tickets."""
+"""`crowwing emulate`: runs a fleet of real backends on loopback and reports the results of its requests."""
 
 import asyncio
 import signal
@@ -15,52 +15,51 @@
 from rich.table import Table
 from rich.text import Text
 
-from crowwing.cli.say import failed, wrong_use
+from crowwing.cli.exit_status import exit_failed, exit_usage_error
 from crowwing.emulator import outcome, stage
 from crowwing.emulator.plan import HABITS, BadPlan, Plan, check, read
-from crowwing.settings import plain
+from crowwing.settings import operator_file
 
 EXAMPLE = "Example: crowwing emulate deploy/demo.json --seed 3 --habit capped"
 
 
 def emulate(
-    plan: Annotated[Path | None, typer.Argument(help="The plan, JSON; without one, all defaults.")] = None,
-    faults: Annotated[Path | None, typer.Option(help="A script of faults, in place of the plan's.")] = None,
+    plan: Annotated[Path | None, typer.Argument(help="The plan, JSON; default: all defaults.")] = None,
+    faults: Annotated[Path | None, typer.Option(help="A file of faults, instead of the plan's.")] = None,
     out: Annotated[
-        Path, typer.Option(help="Folder for the records; an earlier emulation's is replaced.")
+        Path, typer.Option(help="Folder for the results; those of an earlier run are replaced.")
     ] = Path("runs/emulation"),
-    seed: Annotated[int | None, typer.Option(help="In place of the plan's.")] = None,
-    seconds: Annotated[float | None, typer.Option(help="Of traffic, in place of the plan's.")] = None,
-    backends: Annotated[int | None, typer.Option(help="In place of the plan's.")] = None,
+    seed: Annotated[int | None, typer.Option(help="Instead of the plan's.")] = None,
+    seconds: Annotated[float | None, typer.Option(help="Seconds of traffic, instead of the plan's.")] = None,
+    backends: Annotated[int | None, typer.Option(help="Instead of the plan's.")] = None,
     load: Annotated[
-        float | None, typer.Option(help="Part of what all cores can do, in place of the plan's.")
+        float | None,
+        typer.Option(help="Load as a fraction of the capacity of all cores, instead of the plan's."),
     ] = None,
-    habit: Annotated[str | None, typer.Option(help=f"Of the sidecars: {', '.join(HABITS)}.")] = None,
-    net: Annotated[
-        str | None, typer.Option(help="First two numbers of the addresses, such as 127.40.")
-    ] = None,
-    program: Annotated[Path | None, typer.Option(help="Another checkout whose backend is played.")] = None,
+    habit: Annotated[str | None, typer.Option(help=f"How the sidecars behave: {', '.join(HABITS)}.")] = None,
+    net: Annotated[str | None, typer.Option(help="First two bytes of the addresses, such as 127.40.")] = None,
+    program: Annotated[Path | None, typer.Option(help="Another checkout, whose backend is run.")] = None,
     operator: Annotated[Path | None, typer.Option(help="An operator file for the backends.")] = None,
     as_json: Annotated[bool, typer.Option("--json", help="The result as JSON on standard output.")] = False,
 ) -> None:
-    """Plays a whole fleet on loopback, with faults, and checks the four rules on what really happened."""
+    """Runs a fleet on loopback, with faults, and checks the four rules against its records."""
     try:
-        told = _changed(read(plan, faults), seed, seconds, backends, load, habit)
+        plan_data = _apply_options(read(plan, faults), seed, seconds, backends, load, habit)
         folder = stage.fresh_folder(out)
-    except (BadPlan, stage.NotPlayed) as wrong:
-        wrong_use(wrong)
-    except OSError as wrong:
-        failed(f"{out}: {wrong.strerror}")
+    except (BadPlan, stage.NotPlayed) as error:
+        exit_usage_error(error)
+    except OSError as error:
+        exit_failed(f"{out}: {error.strerror}")
     if net is not None and not _loopback(net):
-        wrong_use(f"--net {net}: no loopback addresses, such as 127.40")
+        exit_usage_error(f"--net {net}: not the start of a loopback address, such as 127.40")
     if program is not None and not (program / "crowwing" / "__main__.py").exists():
-        wrong_use(f"--program {program}: no checkout of crowwing")
+        exit_usage_error(f"--program {program}: not a checkout of crowwing")
     if operator is not None:
         try:
-            plain.load(operator)
-        except plain.BadOperator as wrong:
-            wrong_use(str(wrong).splitlines()[0])
-    result = _play(told, folder, net, program, operator, as_json)
+            operator_file.load(operator)
+        except operator_file.OperatorFileError as error:
+            exit_usage_error(str(error).splitlines()[0])
+    result = _play(plan_data, folder, net, program, operator, as_json)
     if as_json:
         sys.stdout.buffer.write(orjson.dumps(result, option=orjson.OPT_INDENT_2) + b"\n")
     else:
@@ -69,7 +68,7 @@
         raise typer.Exit(1)
 
 
-def _changed(
+def _apply_options(
     plan: Plan,
     seed: int | None,
     seconds: float | None,
@@ -77,19 +76,19 @@
     load: float | None,
     habit: str | None,
 ) -> Plan:
-    """The plan with what the command line says otherwise, checked again as a file would be."""
-    told = msgspec.to_builtins(plan)
+    """Applies the options of the command line to the plan, and checks the result like a file."""
+    plan_data = msgspec.to_builtins(plan)
     for name, value in {"seed": seed, "seconds": seconds, "backends": backends}.items():
         if value is not None:
-            told[name] = value
+            plan_data[name] = value
     if load is not None:
-        told["traffic"]["load"] = load
+        plan_data["traffic"]["load"] = load
     if habit is not None:
-        told["sidecars"]["habit"] = habit
+        plan_data["sidecars"]["habit"] = habit
     try:
-        return check(msgspec.convert(told, Plan))
-    except ValueError as wrong:
-        raise BadPlan(f"options: {wrong}") from None
+        return check(msgspec.convert(plan_data, Plan))
+    except ValueError as error:
+        raise BadPlan(f"options: {error}") from None
 
 
 def _loopback(net: str) -> bool:
@@ -101,32 +100,36 @@
     plan: Plan, folder: Path, net: str | None, program: Path | None, operator: Path | None, quiet: bool
 ) -> dict:
     console = Console(stderr=True)
-    shows = console.is_terminal and not quiet
-    with Live(Text(""), console=console, refresh_per_second=4, transient=True) if shows else _Still() as live:
-        show = (lambda now: live.update(_line(plan, now))) if shows else (lambda _: None)
-        played = stage.Stage(
+    is_shown = console.is_terminal and not quiet
+    with (
+        Live(Text(""), console=console, refresh_per_second=4, transient=True)
+        if is_shown
+        else _Still() as live
+    ):
+        show = (lambda now: live.update(_progress_line(plan, now))) if is_shown else (lambda _: None)
+        emulation = stage.Stage(
             plan, folder, net, program and program.resolve(), operator and operator.resolve(), show
         )
         try:
-            truth = uvloop.run(_until_told(played))
-        except OSError as wrong:
-            failed(f"an address is taken: {wrong}")
-        except stage.NotPlayed as wrong:
-            failed(wrong)
+            truth = uvloop.run(_play_until_signal(emulation))
+        except OSError as error:
+            exit_failed(f"an address is already taken: {error}")
+        except stage.NotPlayed as error:
+            exit_failed(error)
         except (asyncio.CancelledError, KeyboardInterrupt):
-            failed("ended before its time; every process it started has ended")
-    result = outcome.of(plan, truth, played.too_busy(), str(folder))
+            exit_failed("interrupted; all processes that it started have ended")
+    result = outcome.of(plan, truth, emulation.too_busy(), str(folder))
     (folder / "result.json").write_bytes(orjson.dumps(result, option=orjson.OPT_INDENT_2))
     return result
 
 
-async def _until_told(played: stage.Stage) -> object:
+async def _play_until_signal(emulation: stage.Stage) -> object:
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, asyncio.current_task().cancel)
-    return await played.play()
+    return await emulation.play()
 
 
 class _Still:
-    """Nothing is shown into a pipe."""
+    """Shows nothing, for output that is not a terminal."""
 
     def __enter__(self) -> "_Still":
         return self
@@ -135,20 +138,20 @@
         pass
 
 
-def _line(plan: Plan, now: stage.Now) -> Text:
+def _progress_line(plan: Plan, now: stage.Now) -> Text:
     done = min(1.0, now.seconds / plan.seconds)
     bar = "█" * round(30 * done) + "░" * (30 - round(30 * done))
     faults = f"  fault: {', '.join(now.faults)}" if now.faults else ""
     return Text(
         f"{bar} {now.seconds:4.0f} of {plan.seconds:.0f} s  backends {now.up}/{plan.backends}  "
-        f"tickets {now.tickets}  settled {now.settled}  open {now.open}  tries {now.tries}{faults}"
+        f"requests {now.tickets}  completed {now.settled}  open {now.open}  attempts {now.tries}{faults}"
     )
 
 
 def _print(result: dict) -> None:
     console = Console()
     table = Table(title=f"{result['backends']} backends, load {result['load']}, sidecars {result['habit']}")
-    heads = "phase, s, in time, worst 10 s, tickets, tries, dismissed, forfeited, p50 ms, p99 ms"
+    heads = "phase, s, in time, worst 10 s, requests, attempts, rejected, failed, p50 ms, p99 ms"
     for name in heads.split(", "):
         table.add_column(name, justify="left" if name == "phase" else "right", no_wrap=True)
     for row in result["phases"]:
@@ -159,18 +162,20 @@
         console.width = 110
     console.print(table)
     console.print(
-        "in time: credit answered within the expected time; tries: of one ticket, a client's repeats too"
+        "in time: value completed within the latency target; attempts: per request, including client retries"
     )
     if result["recovery_s"] is not None:
         console.print(
-            f"Back to 95% of the level before {result['recovery_s']:.0f} s after the last fault's end."
+            f"Recovered to 95% of the earlier level {result['recovery_s']:.0f} s after the last fault's end."
         )
     elif result["faults"]:
-        console.print("Not back for good to 95% of the level before by the end.")
+        console.print("Did not recover to 95% of the earlier level for good by the end.")
     for breach in result["breaches"][:10]:
-        console.print(f"Rule {breach['rule']} broken: {breach['backend']} {breach['id']}: {breach['what']}")
+        console.print(f"Rule {breach['rule']} violated: {breach['backend']} {breach['id']}: {breach['what']}")
     total = len(result["breaches"])
-    console.print(f"Rules broken {total} times." if total else "All four rules kept.")
+    console.print(f"Rules violated {total} times." if total else "No rule violated.")
     if result["late_part"] is not None:
-        console.print(f"Void: the emulator itself was late in {result['late_part']:.0%} of its looks.")
-    console.print(f"Records: {result['folder']} (truth.jsonl, a log a backend, result.json)", soft_wrap=True)
+        console.print(f"Invalid: the emulator itself was late in {result['late_part']:.0%} of its checks.")
+    console.print(
+        f"Results: {result['folder']} (truth.jsonl, one log per backend, result.json)", soft_wrap=True
+    )
--- a/crowwing/cli/settings.py
+++ b/crowwing/cli/settings.py
@@ -1,4 +1,4 @@
-"""`crowwing settings`: the operator file, checked, and its schema."""
+"""`crowwing settings`: checks the operator file, and prints its schema."""
 
 import sys
 from pathlib import Path
@@ -8,22 +8,26 @@
 from msgspec import UNSET
 
 from crowwing.settings import operator
-from crowwing.settings.plain import BadOperator
+from crowwing.settings.operator_file import OperatorFileError
 
 app = typer.Typer(no_args_is_help=True, help="The operator file: check it, or write its JSON Schema.")
 
 
 @app.command(epilog="Example: crowwing settings check deploy/operator.json")
 def check(file: Annotated[Path, typer.Argument(help="The operator file, JSON.")]) -> None:
-    """Names each mistake with its JSON path; says what is switched on otherwise."""
+    """Prints each error with its JSON path or, if there is none, the sections that are on."""
     try:
-        told = operator.read(file)
-    except BadOperator as wrong:
-        for line in str(wrong).splitlines():
+        sections = operator.read(file)
+    except OperatorFileError as error:
+        for line in str(error).splitlines():
             print(f"crowwing: {line}", file=sys.stderr)
         raise typer.Exit(2) from None
-    on = [name for name in told.__struct_fields__ if name != "version" and getattr(told, name) is not UNSET]
-    print(f"{file}: good; on: {', '.join(on) or 'nothing'}")
+    enabled = [
+        name
+        for name in sections.__struct_fields__
+        if name != "version" and getattr(sections, name) is not UNSET
+    ]
+    print(f"{file}: valid; on: {', '.join(enabled) or 'nothing'}")
 
 
 @app.command(epilog="Example: crowwing settings schema > deploy/operator.schema.json")
--- a/crowwing/program/configuration.py
+++ b/crowwing/program/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration named by the environment, read and checked once."""
+"""Reads and checks the configuration file that the environment names."""
 
 import json
 from collections.abc import Mapping
@@ -8,78 +8,78 @@
 from crowwing.server_facts import InvalidSettingsError, decode
 
 Address = tuple[str, int]
-IN_SERVICE = {"agent", "control", "below", "stop"}  # the parts that a reading in service changes
+RELOADABLE_FIELDS = {"agent", "control", "below", "stop"}  # the fields that a reload can change
 
 
-class BadConfiguration(ValueError):
-    """One line that says what cannot be read or served."""
+class ConfigurationError(ValueError):
+    """One line that says what is wrong with the configuration."""
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """Where this backend stands, and whom it speaks with."""
+    """The addresses, limits and settings of this backend."""
 
     name: str
-    own: str  # the name that the file itself tells
+    own: str  # the name in the file itself
     listen: Address
     agent: Address
     control: Address
-    below: Address | None  # None: nothing lies below
+    below: Address | None  # None: no downstream service
     seed: int
-    stop: int  # microseconds from the notice to the end
+    stop: int  # microseconds from the signal to the end of the drain
     sockets: int
     facts: ServerFacts
     names: WireNames
 
-    def follow(self, told: "Configuration") -> tuple["Configuration", list[str], list[str]]:
-        """This one with the parts of another that can change in service; what those are, and what cannot.
+    def reloaded_from(self, other: "Configuration") -> tuple["Configuration", list[str], list[str]]:
+        """Returns the reloaded configuration, the names of changed fields, and of those that cannot change.
 
-        BadConfiguration where the other is not this backend's at all: its addresses are another's.
+        Raises ConfigurationError if `other` belongs to another backend, since its addresses would be wrong.
         """
-        if told.own != self.own:
-            raise BadConfiguration(f"it is the configuration of {told.own}, not of {self.own}")
-        differs = [f.name for f in fields(self) if getattr(self, f.name) != getattr(told, f.name)]
-        changed = [name for name in differs if name in IN_SERVICE]
-        fixed = [name for name in differs if name not in IN_SERVICE]
-        return replace(self, **{name: getattr(told, name) for name in changed}), changed, fixed
+        if other.own != self.own:
+            raise ConfigurationError(f"it is the configuration of {other.own}, not of {self.own}")
+        different = [f.name for f in fields(self) if getattr(self, f.name) != getattr(other, f.name)]
+        changed = [name for name in different if name in RELOADABLE_FIELDS]
+        fixed = [name for name in different if name not in RELOADABLE_FIELDS]
+        return replace(self, **{name: getattr(other, name) for name in changed}), changed, fixed
 
 
 def read(environment: Mapping[str, str]) -> Configuration:
     path = environment.get("PROXY_CONFIG")
     if not path:
-        raise BadConfiguration("PROXY_CONFIG names no configuration")
+        raise ConfigurationError("PROXY_CONFIG is not set")
     try:
         with open(path, "rb") as file:
-            told = json.load(file)
-    except OSError as wrong:
-        raise BadConfiguration(f"{path}: {wrong.strerror}") from None
-    except (ValueError, RecursionError) as wrong:
-        raise BadConfiguration(f"{path}: no JSON: {wrong}") from None
+            data = json.load(file)
+    except OSError as error:
+        raise ConfigurationError(f"{path}: {error.strerror}") from None
+    except (ValueError, RecursionError) as error:
+        raise ConfigurationError(f"{path}: not valid JSON: {error}") from None
     try:
-        facts, names = decode(told["settings"])
-        # No command tells the farm agent to go on without a call, whatever such an answer would be worth.
+        facts, names = decode(data["settings"])
+        # The worker agent has no command to continue without a call, so a partial result has no value.
         facts = replace(facts, classes=tuple(replace(kind, partial_value=0.0) for kind in facts.classes))
         configuration = Configuration(
-            name=str(environment.get("PROXY_NAME") or told["name"]),
-            own=str(told.get("name", environment.get("PROXY_NAME"))),
-            listen=_address(environment.get("PROXY_LISTEN") or told["listen"]),
-            agent=_address(told["agent"]),
-            control=_address(told["control"]),
-            below=_address(told["backend"])
-            if told.get("backend") or any(k.makes_calls for k in facts.classes)
+            name=str(environment.get("PROXY_NAME") or data["name"]),
+            own=str(data.get("name", environment.get("PROXY_NAME"))),
+            listen=_address(environment.get("PROXY_LISTEN") or data["listen"]),
+            agent=_address(data["agent"]),
+            control=_address(data["control"]),
+            below=_address(data["backend"])
+            if data.get("backend") or any(k.makes_calls for k in facts.classes)
             else None,
-            seed=int(str(told["seed"]), 16),
-            stop=round(float(told["stop_ms"]) * 1000),
-            sockets=int(told.get("limits", {}).get("sockets", 1024)),
+            seed=int(str(data["seed"]), 16),
+            stop=round(float(data["stop_ms"]) * 1000),
+            sockets=int(data.get("limits", {}).get("sockets", 1024)),
             facts=facts,
             names=names,
         )
     except KeyError as missing:
-        raise BadConfiguration(f"{path}: {missing} is missing") from None
-    except InvalidSettingsError as wrong:
-        raise BadConfiguration(f"{path}: {wrong}") from None
-    except (ValueError, TypeError, AttributeError, OverflowError) as wrong:
-        raise BadConfiguration(f"{path}: {wrong}") from None
+        raise ConfigurationError(f"{path}: {missing} is missing") from None
+    except InvalidSettingsError as error:
+        raise ConfigurationError(f"{path}: {error}") from None
+    except (ValueError, TypeError, AttributeError, OverflowError) as error:
+        raise ConfigurationError(f"{path}: {error}") from None
     _check(path, configuration)
     return configuration
 
@@ -87,14 +87,14 @@
 def _address(text: str) -> Address:
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"no address: {text!r}")
+        raise ValueError(f"not an address (host:port): {text!r}")
     return host, int(port)
 
 
 def _check(path: str, configuration: Configuration) -> None:
-    """What no page allows is said at the start, not found out by a broken rule."""
+    """Rejects settings that the platform does not allow, at the start."""
     facts = configuration.facts
     if configuration.stop <= 0:
-        raise BadConfiguration(f"{path}: stop_ms is not above 0")
+        raise ConfigurationError(f"{path}: stop_ms must be greater than 0")
     if not facts.classes:
-        raise BadConfiguration(f"{path}: no traffic types")
+        raise ConfigurationError(f"{path}: no request classes")
--- a/tests/test_fleet_settings.py
+++ b/tests/test_fleet_settings.py
@@ -11,7 +11,7 @@
 
 from crowwing.emulator.processes import ROOT
 from crowwing.fleet.adapters.settings import FleetSettingsError, check_size, locations
-from crowwing.settings import plain
+from crowwing.settings import operator_file
 
 REGIONS = 5
 ZONES = 11  # in all regions
@@ -36,7 +36,7 @@
 def read(tmp_path: Path, fleet: dict) -> SimpleNamespace:
     path = tmp_path / "operator.json"
     path.write_bytes(orjson.dumps({"version": 1, "fleet": fleet}))
-    return plain.read(path).fleet
+    return operator_file.read(path).fleet
 
 
 def without(fleet: dict, number: int, field: str) -> dict:
@@ -197,7 +197,7 @@
             "$.fleet.shares_quota: 6 customers x 128 members x 5 windows are over 3584 entries; "
             "lower cell_most, or leave it off",
         ),
-        (section(20, in_cells=True, cell_most=7), "$.fleet.cell_most: is under 8"),
+        (section(20, in_cells=True, cell_most=7), "$.fleet.cell_most: is less than 8"),
     ],
 )
 def test_the_real_command_prints_one_line_and_exits_with_2(tmp_path: Path, fleet: dict, line: str) -> None:
