--- a/crowwing/cli/emulate.py
+++ b/crowwing/cli/emulate.py
@@ -16,8 +16,8 @@
 from rich.text import Text
 
 from crowwing.cli.say import failed, wrong_use
-from crowwing.emulator import outcome, stage
-from crowwing.emulator.plan import HABITS, BadPlan, Plan, check, read
+from crowwing.emulator import emulation_run, run_report
+from crowwing.emulator.plan import HABITS, Plan, PlanError, check, read
 from crowwing.settings import plain
 
 EXAMPLE = "Example: crowwing emulate deploy/demo.json --seed 3 --habit capped"
@@ -46,8 +46,8 @@
     """Plays a whole fleet on loopback, with faults, and checks the four rules on what really happened."""
     try:
         told = _changed(read(plan, faults), seed, seconds, backends, load, habit)
-        folder = stage.fresh_folder(out)
-    except (BadPlan, stage.NotPlayed) as wrong:
+        folder = emulation_run.fresh_folder(out)
+    except (PlanError, emulation_run.EmulationStartError) as wrong:
         wrong_use(wrong)
     except OSError as wrong:
         failed(f"{out}: {wrong.strerror}")
@@ -89,7 +89,7 @@
     try:
         return check(msgspec.convert(told, Plan))
     except ValueError as wrong:
-        raise BadPlan(f"options: {wrong}") from None
+        raise PlanError(f"options: {wrong}") from None
 
 
 def _loopback(net: str) -> bool:
@@ -104,25 +104,25 @@
     shows = console.is_terminal and not quiet
     with Live(Text(""), console=console, refresh_per_second=4, transient=True) if shows else _Still() as live:
         show = (lambda now: live.update(_line(plan, now))) if shows else (lambda _: None)
-        played = stage.Stage(
+        run = emulation_run.EmulationRun(
             plan, folder, net, program and program.resolve(), operator and operator.resolve(), show
         )
         try:
-            truth = uvloop.run(_until_told(played))
+            truth = uvloop.run(_run_until_signalled(run))
         except OSError as wrong:
             failed(f"an address is taken: {wrong}")
-        except stage.NotPlayed as wrong:
+        except emulation_run.EmulationStartError as wrong:
             failed(wrong)
         except (asyncio.CancelledError, KeyboardInterrupt):
             failed("ended before its time; every process it started has ended")
-    result = outcome.of(plan, truth, played.too_busy(), str(folder))
+    result = run_report.build_report(plan, truth, run.excessive_lateness(), str(folder))
     (folder / "result.json").write_bytes(orjson.dumps(result, option=orjson.OPT_INDENT_2))
     return result
 
 
-async def _until_told(played: stage.Stage) -> object:
+async def _run_until_signalled(run: emulation_run.EmulationRun) -> object:
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, asyncio.current_task().cancel)
-    return await played.play()
+    return await run.run()
 
 
 class _Still:
@@ -135,13 +135,13 @@
         pass
 
 
-def _line(plan: Plan, now: stage.Now) -> Text:
+def _line(plan: Plan, now: emulation_run.Progress) -> Text:
     done = min(1.0, now.seconds / plan.seconds)
     bar = "█" * round(30 * done) + "░" * (30 - round(30 * done))
     faults = f"  fault: {', '.join(now.faults)}" if now.faults else ""
     return Text(
         f"{bar} {now.seconds:4.0f} of {plan.seconds:.0f} s  backends {now.up}/{plan.backends}  "
-        f"tickets {now.tickets}  settled {now.settled}  open {now.open}  tries {now.tries}{faults}"
+        f"tickets {now.requests}  settled {now.completed}  open {now.open}  tries {now.attempts}{faults}"
     )
 
 
--- a/crowwing/emulator/clock.py
+++ b/crowwing/emulator/clock.py
@@ -4,7 +4,7 @@
 import time
 from collections.abc import Callable
 
-from crowwing.emulator.models.sharing import NEVER
+from crowwing.emulator.models.processor_sharing import NEVER
 
 
 def now() -> int:
@@ -12,11 +12,11 @@
     return time.time_ns() // 1000
 
 
-class Alarm:
-    """One timer for a model's next moment; it is moved whenever the model has changed."""
+class RestartableTimer:
+    """One timer for a model's next current; it is moved whenever the model has changed."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, ring: Callable[[int], None]) -> None:
-        self.loop, self.ring = loop, ring
+    def __init__(self, loop: asyncio.AbstractEventLoop, callback: Callable[[int], None]) -> None:
+        self.loop, self.callback = loop, callback
         self.at = NEVER
         self.handle: asyncio.TimerHandle | None = None
 
@@ -28,16 +28,16 @@
             self.handle = None
         self.at = at
         if at < NEVER:
-            self.handle = self.loop.call_later(max(0, at - now()) / 1e6, self._due)
+            self.handle = self.loop.call_later(max(0, at - now()) / 1e6, self._fire)
 
-    def _due(self) -> None:
+    def _fire(self) -> None:
         self.handle = None
-        moment = now()
-        if moment < self.at:  # the loop's timers round to milliseconds and may fire early
-            self.handle = self.loop.call_later(0.001, self._due)
+        current = now()
+        if current < self.at:  # the loop's timers round to milliseconds and may fire early
+            self.handle = self.loop.call_later(0.001, self._fire)
             return
         self.at = NEVER
-        self.ring(moment)
+        self.callback(current)
 
     def cancel(self) -> None:
         if self.handle is not None:
--- a/crowwing/emulator/faults.py
+++ b/crowwing/emulator/faults.py
@@ -6,7 +6,7 @@
 from crowwing.emulator.plan import Fault, Plan
 
 
-class Moment(NamedTuple):
+class FaultEvent(NamedTuple):
     at: int  # microseconds from the start of the traffic
     begins: bool
     number: int  # of the fault in the plan
@@ -14,7 +14,7 @@
     backends: tuple[int, ...]
 
 
-def victims(plan: Plan, number: int) -> tuple[int, ...]:
+def affected_backends(plan: Plan, number: int) -> tuple[int, ...]:
     """The backends of one fault: those named, or a part of all, drawn by the seed."""
     fault = plan.faults[number]
     if fault.backends or not fault.part:
@@ -23,22 +23,25 @@
     return tuple(sorted(Random(f"{plan.seed}/fault/{number}").sample(range(plan.backends), count)))
 
 
-def moments(plan: Plan) -> list[Moment]:
+def schedule(plan: Plan) -> list[FaultEvent]:
     """In order of time; at one moment ends come before beginnings."""
-    found = []
+    events = []
     for number, fault in enumerate(plan.faults):
         begin, end = round(fault.at_s * 1e6), round((fault.at_s + fault.for_s) * 1e6)
-        who = victims(plan, number)
-        found += [Moment(begin, True, number, fault, who), Moment(end, False, number, fault, who)]
-    return sorted(found, key=lambda m: (m.at, m.begins, m.number))
+        backends = affected_backends(plan, number)
+        events += [
+            FaultEvent(begin, True, number, fault, backends),
+            FaultEvent(end, False, number, fault, backends),
+        ]
+    return sorted(events, key=lambda event: (event.at, event.begins, event.number))
 
 
-def factor(plan: Plan, on: set[int], kind: str, backend: int | None = None) -> float:
+def speed_factor(plan: Plan, active: set[int], kind: str, backend: int | None = None) -> float:
     """What faults that are on together make of a speed: they multiply, and a hang is 0."""
     speed = 1.0
-    for number in on:
+    for number in active:
         fault = plan.faults[number]
-        if backend is not None and backend not in victims(plan, number):
+        if backend is not None and backend not in affected_backends(plan, number):
             continue
         if fault.kind == ("slow" if kind == "machine" else "crawl_below"):
             speed *= fault.size
--- a/crowwing/emulator/fleet/hollow.py
+++ b/crowwing/emulator/fleet/hollow.py
@@ -22,7 +22,7 @@
 from crowwing.emulator.fleet import pure
 from crowwing.emulator.fleet.hollow_member import Hollow, Tally, now_us, wall_us
 from crowwing.emulator.fleet.places import Between, Ways
-from crowwing.emulator.processes import _end_with_parent
+from crowwing.emulator.processes import set_parent_death_signal
 from crowwing.fleet.state.replica import EntryRejectedError
 
 LINE_MOST = 64 << 20  # bytes of one line on standard input: the first names the whole fleet
@@ -304,7 +304,7 @@
 
 
 def main() -> None:
-    _end_with_parent()
+    set_parent_death_signal()
     uvloop.run(serve())
 
 
--- a/crowwing/emulator/fleet/rig.py
+++ b/crowwing/emulator/fleet/rig.py
@@ -19,7 +19,7 @@
 import orjson
 
 from crowwing.emulator.fleet.relay import Relay, script
-from crowwing.emulator.processes import ROOT, _end_with_parent
+from crowwing.emulator.processes import ROOT, set_parent_death_signal
 
 HOST = "127.0.0.1"
 EXAMPLE = ROOT / "deploy" / "example.json"
@@ -182,7 +182,7 @@
         with (self.folder / f"{name}.log").open("ab") as log:
             self.children[name] = subprocess.Popen(
                 [sys.executable, "-O", "-m", "crowwing"], stdin=subprocess.DEVNULL, stdout=log, stderr=log,
-                env=environment, cwd=ROOT, preexec_fn=_end_with_parent,
+                env=environment, cwd=ROOT, preexec_fn=set_parent_death_signal,
             )  # fmt: skip
 
     def kill(self, name: str) -> None:
--- a/crowwing/emulator/fleet/wide.py
+++ b/crowwing/emulator/fleet/wide.py
@@ -21,7 +21,7 @@
 from crowwing.emulator.fleet.places import Ways
 from crowwing.emulator.fleet.relay import Fault
 from crowwing.emulator.fleet.rig import EXAMPLE, FleetRig, free_port
-from crowwing.emulator.processes import ROOT, Process, _end_with_parent
+from crowwing.emulator.processes import ROOT, BackendProcess, set_parent_death_signal
 
 ANSWER_S = 120.0  # for one line back: building thousands of members takes its time
 A_BLOCK = 250  # hollow addresses that differ in their last number only
@@ -42,7 +42,7 @@
             self.child = subprocess.Popen(
                 [sys.executable, "-O", "-m", "crowwing.emulator.fleet.hollow"],
                 stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=log, env=environment, cwd=ROOT,
-                preexec_fn=_end_with_parent,
+                preexec_fn=set_parent_death_signal,
             )  # fmt: skip
 
         self.poll = select.poll()  # select() takes no descriptor over 1023, and the relay has a thousand
@@ -125,7 +125,7 @@
         self.hosts: list[HollowProcess] = []
         processes = processes if self.hollow else 0
         self.mine = [self.hollow[n::processes] for n in range(processes)]
-        self.alone: Process | None = None
+        self.alone: BackendProcess | None = None
         self.cut_now: list[Fault] = []
         self.asked: dict[str, Counter[str]] = {name: Counter() for name in chosen}
 
@@ -175,7 +175,7 @@
         """One more real backend, without a fleet section: what it takes is no fleet's."""
         told = orjson.loads(EXAMPLE.read_bytes())
         ports = {key: f"{self.host}:{free_port(1, self.host)}" for key in ("listen", "agent")}
-        self.alone = Process(self.folder, told | ports | {"name": "alone"}, None, None)
+        self.alone = BackendProcess(self.folder, told | ports | {"name": "alone"}, None, None)
 
     def _section(self, name: str) -> dict:
         """What this real member's fleet section says of the others."""
@@ -254,7 +254,7 @@
     def end(self) -> None:
         for host in self.hosts:
             host.end()
-        if self.alone is not None and self.alone.ended() is None:
+        if self.alone is not None and self.alone.exit_code() is None:
             self.alone.kill()
         super().end()
 
--- a/crowwing/emulator/truth.py
+++ b/crowwing/emulator/ground_truth.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class Try:
+class Attempt:
     """One ticket id on one backend. `cause`: first, client, dismissed, forfeited, lost, unreached, copy."""
 
     id: str
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Ticket:
+class Request:
     """What one client asked for; its repeats are folded into it."""
 
     number: int
@@ -48,11 +48,11 @@
     over: int = 0  # when the client had its answer, or gave up for good
     ending: str = "open"
     asks: int = 1  # by the client itself
-    tries: list[Try] = field(default_factory=list)
+    tries: list[Attempt] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Life:
+class Incarnation:
     """One life of one backend. `how`: killed, drained, crashed, fell, stopped (at the end), or running."""
 
     backend: int
@@ -65,25 +65,25 @@
 
 
 @dataclass(slots=True)
-class Truth:
+class GroundTruth:
     began: int = 0  # of the traffic
-    tickets: list[Ticket] = field(default_factory=list)
-    lives: list[Life] = field(default_factory=list)
-    fallen: list[tuple[int, int | None, str]] = field(
+    requests: list[Request] = field(default_factory=list)
+    incarnations: list[Incarnation] = field(default_factory=list)
+    failures: list[tuple[int, int | None, str]] = field(
         default_factory=list
     )  # when, backend (None: below), what
     late_loop: list[tuple[int, int]] = field(default_factory=list)  # when, by how much our own loop was late
     below_most: float = 0.0  # the most that what lies below had in hand, in parts of what it falls at
 
-    def tries(self) -> Iterator[Try]:
-        for ticket in self.tickets:
-            yield from ticket.tries
+    def attempts(self) -> Iterator[Attempt]:
+        for request in self.requests:
+            yield from request.tries
 
     def write(self, path: Path) -> None:
         """One JSON line a ticket with its tries, then the lives."""
         with path.open("wb") as file:
-            for ticket in self.tickets:
-                file.write(orjson.dumps(ticket) + b"\n")
-            for life in self.lives:
-                file.write(orjson.dumps({"life": life}) + b"\n")
-            file.write(orjson.dumps({"fallen": self.fallen, "began": self.began}) + b"\n")
+            for request in self.requests:
+                file.write(orjson.dumps(request) + b"\n")
+            for incarnation in self.incarnations:
+                file.write(orjson.dumps({"life": incarnation}) + b"\n")
+            file.write(orjson.dumps({"fallen": self.failures, "began": self.began}) + b"\n")
--- a/crowwing/emulator/models/machine.py
+++ b/crowwing/emulator/models/machine.py
@@ -10,13 +10,13 @@
 from collections import deque
 from typing import NamedTuple
 
-from crowwing.emulator.models.sharing import NEVER, Mean, Sharing, Warming
-from crowwing.emulator.plan import MachineFacts
+from crowwing.emulator.models.processor_sharing import NEVER, ProcessorSharing, SlidingMean, WarmUp
+from crowwing.emulator.plan import MachineSettings
 
-BOOKED_AFTER = 100_000  # microseconds after it is written from which a ticket counts against the memory
+RESERVE_DELAY_US = 100_000  # microseconds after it is written from which a ticket counts against the memory
 
 
-class Happened(NamedTuple):
+class MachineEvent(NamedTuple):
     """`what`: "read" (it can be written to the backend), "calls", "ended" or "fell" (`ident`: of what)."""
 
     what: str
@@ -34,45 +34,49 @@
 class Machine:
     """Of one life; a killed one is thrown away."""
 
-    def __init__(self, now: int, facts: MachineFacts, speed: float, cold: bool) -> None:
-        self.facts, self.own_speed, self.born = facts, speed, now
-        span = round(facts.cold_s * 1e6) if cold else 0
-        self.warming = Warming(now, span, facts.cold_from)
-        self.cores = Sharing(now, facts.cores, self.warming, facts.crowd_from, facts.crowd_cost)
+    def __init__(self, now: int, settings: MachineSettings, speed: float, cold: bool) -> None:
+        self.settings, self.base_speed, self.born = settings, speed, now
+        span = round(settings.cold_s * 1e6) if cold else 0
+        self.warm_up = WarmUp(now, span, settings.cold_from)
+        self.cores = ProcessorSharing(
+            now, settings.cores, self.warm_up, settings.crowd_from, settings.crowd_cost
+        )
         self.cores.speed = speed
-        self.line: deque[tuple[str, float]] = deque()  # emptied by reading
+        self.read_queue: deque[tuple[str, float]] = deque()  # emptied by reading
         self.runs: dict[str, Run] = {}  # emptied by ends and stops
-        self.booked: dict[str, float] = {}  # held tickets, by what they book; emptied by answers and runs
-        self.crowd = Mean(now, round(facts.fall_s * 1e6))
-        self.held_kb = 0.0
-        self.fallen: str | None = None
+        self.reserved_kb: dict[
+            str, float
+        ] = {}  # held tickets, by what they book; emptied by answers and runs
+        self.mean_running = SlidingMean(now, round(settings.fall_s * 1e6))
+        self.used_kb = 0.0
+        self.failure: str | None = None
         self.reading = 0
 
     # Faults
 
-    def slow(self, now: int, factor: float) -> None:
+    def set_speed_factor(self, now: int, factor: float) -> None:
         """All runs at `factor` times the speed; 0 hangs them."""
-        self.cores.set_speed(now, self.own_speed * factor)
+        self.cores.set_speed(now, self.base_speed * factor)
 
     # Tickets
 
-    def arrive(self, now: int, ident: str, work: float) -> None:
+    def enqueue(self, now: int, ident: str, work: float) -> None:
         """A ticket has come to the machine and waits to be read."""
-        self.line.append((ident, work * self.facts.read_part))
-        self._read(now)
+        self.read_queue.append((ident, work * self.settings.read_part))
+        self._start_reads(now)
 
-    def book(self, ident: str, kb: float) -> None:
-        self.booked[ident] = kb
-        self.held_kb += kb
-        self._weigh()
+    def reserve(self, ident: str, kb: float) -> None:
+        self.reserved_kb[ident] = kb
+        self.used_kb += kb
+        self._check_memory()
 
-    def unbook(self, ident: str) -> None:
+    def release(self, ident: str) -> None:
         """It was answered or given up."""
-        self.held_kb -= self.booked.pop(ident, 0.0)
+        self.used_kb -= self.reserved_kb.pop(ident, 0.0)
 
-    def _weigh(self) -> None:
-        if self.held_kb > self.facts.memory_kb:
-            self.fallen = self.fallen or "memory"
+    def _check_memory(self) -> None:
+        if self.used_kb > self.settings.memory_kb:
+            self.failure = self.failure or "memory"
 
     # Runs
 
@@ -80,10 +84,10 @@
         """`calls_after`: the part of the work that is done before a call, None without one."""
         first = work if calls_after is None else work * calls_after
         self.runs[ident] = Run(now, kb, first, None if calls_after is None else work - first)
-        self.held_kb += kb * self.facts.run_factor - self.booked.pop(ident, 0.0)
-        self._weigh()
+        self.used_kb += kb * self.settings.run_factor - self.reserved_kb.pop(ident, 0.0)
+        self._check_memory()
         self.cores.add(now, ident, first)
-        self._crowd(now)
+        self._update_running(now)
 
     def deliver(self, now: int, ident: str) -> bool:
         """The reply to its call is there: it goes on. Whether it waited for one."""
@@ -93,7 +97,7 @@
         run.calling = False
         self.cores.add(now, ident, run.second)
         run.second = None
-        self._crowd(now)
+        self._update_running(now)
         return True
 
     def stop(self, now: int, ident: str) -> int | None:
@@ -103,9 +107,9 @@
             return None
         if ident in self.cores.ends:
             self.cores.remove(now, ident)
-        self.held_kb -= run.kb * self.facts.run_factor
-        self._crowd(now)
-        self._read(now)
+        self.used_kb -= run.kb * self.settings.run_factor
+        self._update_running(now)
+        self._start_reads(now)
         return now - run.began
 
     def on_cores(self) -> int:
@@ -114,46 +118,46 @@
     # Time
 
     def next_at(self) -> int:
-        return min(self.cores.next_at(), self._falls_at())
+        return min(self.cores.next_at(), self._overload_check_at())
 
-    def happened(self, now: int) -> list[Happened]:
+    def process_events(self, now: int) -> list[MachineEvent]:
         """All that is over at `now`."""
-        found: list[Happened] = []
+        events: list[MachineEvent] = []
         while (job := self.cores.ended(now)) is not None:
             if isinstance(job, tuple):
                 self.reading -= 1
-                found.append(Happened("read", job[1]))
-                self._read(now)
+                events.append(MachineEvent("read", job[1]))
+                self._start_reads(now)
                 continue
             run = self.runs[job]
             if run.second is not None:
                 run.calling = True
-                found.append(Happened("calls", job))
+                events.append(MachineEvent("calls", job))
             else:
-                found.append(Happened("ended", job))
-            self._crowd(now)
-        self.cores.pass_to(now)
-        if self.fallen is None and self.crowd.mean(now) > self.crowd_most(now):
-            self.fallen = "crowd"
-        if self.fallen is not None:
-            found.append(Happened("fell", self.fallen))
-        return found
-
-    def crowd_most(self, now: int) -> float:
-        return self.facts.cores * (1 + (self.facts.fall_multiple - 1) * self.warming.at(now))
-
-    def _crowd(self, now: int) -> None:
-        self.crowd.set(now, self.on_cores())
-
-    def _falls_at(self) -> int:
+                events.append(MachineEvent("ended", job))
+            self._update_running(now)
+        self.cores.advance_to(now)
+        if self.failure is None and self.mean_running.mean(now) > self.max_running(now):
+            self.failure = "crowd"
+        if self.failure is not None:
+            events.append(MachineEvent("fell", self.failure))
+        return events
+
+    def max_running(self, now: int) -> float:
+        return self.settings.cores * (1 + (self.settings.fall_multiple - 1) * self.warm_up.at(now))
+
+    def _update_running(self, now: int) -> None:
+        self.mean_running.set(now, self.on_cores())
+
+    def _overload_check_at(self) -> int:
         """A moment to look at the crowd again while it is over what may stay."""
-        if self.on_cores() <= self.crowd_most(self.cores.now):
+        if self.on_cores() <= self.max_running(self.cores.now):
             return NEVER
-        return self.cores.now + self.crowd.span // 20
+        return self.cores.now + self.mean_running.span // 20
 
-    def _read(self, now: int) -> None:
+    def _start_reads(self, now: int) -> None:
         """At most one a core at a time, in the order in which they came."""
-        while self.line and self.reading < self.facts.cores:
-            ident, work = self.line.popleft()
+        while self.read_queue and self.reading < self.settings.cores:
+            ident, work = self.read_queue.popleft()
             self.cores.add(now, ("read", ident), work)
             self.reading += 1
--- a/crowwing/emulator/models/traffic.py
+++ b/crowwing/emulator/models/traffic.py
@@ -13,10 +13,10 @@
 
 from crowwing.emulator.plan import Plan
 
-EQUAL_TO = 200  # the tickets of late that an equal one is drawn from
+RECENT_ARRIVALS = 200  # the tickets of late that an equal one is drawn from
 
 
-class Asked(NamedTuple):
+class Arrival(NamedTuple):
     """One ticket as its client knows it. Times in microseconds, `at` from the start of the traffic."""
 
     at: int
@@ -29,21 +29,21 @@
     body: bytes
     pauses: tuple[int, ...]  # before each repeat
     sidecar: int
-    heeds: bool
+    follows_hints: bool
 
 
-def _log_normal(chance: Random, mean: float, cv: float) -> float:
+def _log_normal(rng: Random, mean: float, cv: float) -> float:
     if cv == 0:
         return mean
-    spread = sqrt(log(1 + cv * cv))
-    return chance.lognormvariate(log(mean) - spread * spread / 2, spread)
+    sigma = sqrt(log(1 + cv * cv))
+    return rng.lognormvariate(log(mean) - sigma * sigma / 2, sigma)
 
 
-def _times(chance: Random, rate_at: "RateCurve", end: int) -> Iterator[int]:
+def _poisson_times(rng: Random, rate_at: "RateCurve", end: int) -> Iterator[int]:
     """A Poisson stream under a rate (a second) that is constant between its steps."""
     now = 0.0
     while now < end:
-        left = chance.expovariate(1.0)  # of the integral of the rate
+        left = rng.expovariate(1.0)  # of the integral of the rate
         while now < end:
             rate, until = rate_at(now)
             area = rate * (min(until, end) - now) / 1e6
@@ -59,7 +59,7 @@
 class RateCurve:
     """The rate of the usual traffic: constant or bursty, times what faults make of it."""
 
-    def __init__(self, plan: Plan, chance: Random, rate: float) -> None:
+    def __init__(self, plan: Plan, rng: Random, rate: float) -> None:
         self.end = round(plan.seconds * 1e6)
         self.bursts = [
             (round(f.at_s * 1e6), round((f.at_s + f.for_s) * 1e6), f.size)
@@ -74,7 +74,7 @@
         low = 2 * rate / (1 + traffic.burst_size)
         high = False
         while at < self.end:
-            at += max(1, round(chance.expovariate(1 / traffic.burst_s) * 1e6))
+            at += max(1, round(rng.expovariate(1 / traffic.burst_s) * 1e6))
             self.steps.append((at, low * traffic.burst_size if high else low))
             high = not high
 
@@ -88,12 +88,12 @@
         return rate, until
 
 
-def tickets(plan: Plan) -> Iterator[Asked]:
-    """All that is asked, in order of time."""
+def arrivals(plan: Plan) -> Iterator[Arrival]:
+    """All that is arrival, in order of time."""
     end, streams = round(plan.seconds * 1e6), []
-    chance = Random(f"{plan.seed}/arrivals")
-    usual = RateCurve(plan, Random(f"{plan.seed}/bursts"), plan.rate_per_s())
-    streams.append((at, -1) for at in _times(chance, usual, end))
+    rng = Random(f"{plan.seed}/arrivals")
+    base_rate = RateCurve(plan, Random(f"{plan.seed}/bursts"), plan.rate_per_s())
+    streams.append((at, -1) for at in _poisson_times(rng, base_rate, end))
     shares = sum(customer.share for customer in plan.customers)
     for n, fault in enumerate(plan.faults):
         if fault.kind != "flood":
@@ -101,38 +101,36 @@
         customer = next(k for k, c in enumerate(plan.customers) if c.name == fault.customer)
         extra = plan.rate_per_s() * plan.customers[customer].share / shares * max(0.0, fault.size - 1)
         begin, span = round(fault.at_s * 1e6), round(fault.for_s * 1e6)
-        flood = _times(Random(f"{plan.seed}/flood/{n}"), lambda _, r=extra, s=span: (r, s), span)
+        flood = _poisson_times(Random(f"{plan.seed}/flood/{n}"), lambda _, r=extra, s=span: (r, s), span)
         streams.append((begin + at, customer) for at in flood if begin + at < end)
-    draws = {-1: Random(f"{plan.seed}/tickets"), 0: Random(f"{plan.seed}/flooders")}
-    late: deque[Asked] = deque(maxlen=EQUAL_TO)
+    rngs = {-1: Random(f"{plan.seed}/tickets"), 0: Random(f"{plan.seed}/flooders")}
+    recent: deque[Arrival] = deque(maxlen=RECENT_ARRIVALS)
     for at, customer in merge(*streams):
-        asked = _ticket(plan, draws[min(customer, 0)], at, customer, late)
-        late.append(asked)
-        yield asked
+        arrival = _draw_arrival(plan, rngs[min(customer, 0)], at, customer, recent)
+        recent.append(arrival)
+        yield arrival
 
 
-def _ticket(plan: Plan, chance: Random, at: int, customer: int, late: deque[Asked]) -> Asked:
-    kind = chance.choices(range(len(plan.types)), [k.share for k in plan.types])[0]
-    drawn = chance.choices(range(len(plan.customers)), [c.share for c in plan.customers])[0]
-    facts = plan.types[kind]
-    asked = Asked(
+def _draw_arrival(plan: Plan, rng: Random, at: int, customer: int, recent: deque[Arrival]) -> Arrival:
+    kind = rng.choices(range(len(plan.types)), [k.share for k in plan.types])[0]
+    drawn = rng.choices(range(len(plan.customers)), [c.share for c in plan.customers])[0]
+    settings = plan.types[kind]
+    arrival = Arrival(
         at=at,
         kind=kind,
         customer=drawn if customer < 0 else customer,
-        work=max(1, round(_log_normal(chance, facts.work_ms * 1000, facts.cv))),
-        call_work=max(1, round(_log_normal(chance, plan.below.work_ms * 1000, 0.5))),
-        kb=round(chance.uniform(*plan.traffic.kb), 1),
-        rank=round(chance.random() * 0.9999, 4),
-        body=chance.randbytes(plan.traffic.body_bytes),
-        pauses=tuple(
-            round(chance.uniform(*plan.clients.pause_ms) * 1000) for _ in range(plan.clients.repeats)
-        ),
-        sidecar=chance.randrange(plan.sidecars.count),
-        heeds=chance.random() < plan.clients.heed,
+        work=max(1, round(_log_normal(rng, settings.work_ms * 1000, settings.cv))),
+        call_work=max(1, round(_log_normal(rng, plan.below.work_ms * 1000, 0.5))),
+        kb=round(rng.uniform(*plan.traffic.kb), 1),
+        rank=round(rng.random() * 0.9999, 4),
+        body=rng.randbytes(plan.traffic.body_bytes),
+        pauses=tuple(round(rng.uniform(*plan.clients.pause_ms) * 1000) for _ in range(plan.clients.repeats)),
+        sidecar=rng.randrange(plan.sidecars.count),
+        follows_hints=rng.random() < plan.clients.heed,
     )
-    if late and chance.random() < plan.traffic.equal_part:
-        like = late[chance.randrange(len(late))]
-        if customer < 0 or like.customer == customer:
-            same = {name: getattr(like, name) for name in ("kind", "customer", "kb", "rank", "body")}
-            asked = asked._replace(**same)
-    return asked
+    if recent and rng.random() < plan.traffic.equal_part:
+        equal = recent[rng.randrange(len(recent))]
+        if customer < 0 or equal.customer == customer:
+            same = {name: getattr(equal, name) for name in ("kind", "customer", "kb", "rank", "body")}
+            arrival = arrival._replace(**same)
+    return arrival
--- a/crowwing/emulator/wires/peers.py
+++ b/crowwing/emulator/network/http_servers.py
@@ -7,21 +7,23 @@
 import orjson
 
 
-class Server(asyncio.Protocol):
+class HttpServer(asyncio.Protocol):
     """One connection; `heard(method, path, headers, body, answer)` is called for each request."""
 
-    def __init__(self, heard: Callable[..., Callable[[], None] | None]) -> None:
-        self.heard = heard
-        self.gone: Callable[[], None] | None = None  # told when the connection goes before the answer
+    def __init__(self, handler: Callable[..., Callable[[], None] | None]) -> None:
+        self.handler = handler
+        self.on_disconnect: Callable[[], None] | None = (
+            None  # told when the connection goes before the answer
+        )
         self.parser = httptools.HttpRequestParser(self)
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
 
     def connection_lost(self, _: Exception | None) -> None:
-        gone, self.gone = self.gone, None
-        if gone is not None:
-            gone()
+        on_disconnect, self.on_disconnect = self.on_disconnect, None
+        if on_disconnect is not None:
+            on_disconnect()
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -42,21 +44,21 @@
         self.body += part
 
     def on_message_complete(self) -> None:
-        self.gone = self.heard(
-            self.parser.get_method(), self.url, self.headers, bytes(self.body), self.answer
+        self.on_disconnect = self.handler(
+            self.parser.get_method(), self.url, self.headers, bytes(self.body), self.respond
         )
 
-    def answer(self, status: int, body: bytes = b"", extra: bytes = b"") -> None:
-        self.gone = None
+    def respond(self, status: int, body: bytes = b"", extra: bytes = b"") -> None:
+        self.on_disconnect = None
         if not self.transport.is_closing():
             length = b"" if status == 204 else b"Content-Length: %d\r\n" % len(body)
             self.transport.write(b"HTTP/1.1 %d So\r\n%s%s\r\n" % (status, extra, length) + body)
 
 
-def condition(body: bytes) -> bool | None:
+def parse_condition(body: bytes) -> bool | None:
     """Whether a report says ready; None for what is no report."""
     try:
-        told = orjson.loads(body)["condition"]
+        condition = orjson.loads(body)["condition"]
     except (ValueError, KeyError, TypeError):
         return None
-    return {"Ready": True, "NotReady": False}.get(told)
+    return {"Ready": True, "NotReady": False}.get(condition)
--- a/crowwing/emulator/plan.py
+++ b/crowwing/emulator/plan.py
@@ -9,137 +9,144 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-Part = Annotated[float, Meta(ge=0, le=1)]
-Above = Annotated[float, Meta(gt=0)]
-From0 = Annotated[float, Meta(ge=0)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
+Positive = Annotated[float, Meta(gt=0)]
+NonNegative = Annotated[float, Meta(ge=0)]
 Count = Annotated[int, Meta(ge=1, le=200)]
 
 HABITS = ("none", "capped", "uncapped", "next", "copy")
 Habit = Literal["none", "capped", "uncapped", "next", "copy"]
 
 
-class BadPlan(ValueError):
+class PlanError(ValueError):
     """One line that names the file and the place in it."""
 
 
-class Told(Struct, forbid_unknown_fields=True, frozen=True):
+class PlanPart(Struct, forbid_unknown_fields=True, frozen=True):
     """What every part of a plan shares."""
 
 
-class TypeFacts(Told):
+class RequestClassSettings(PlanPart):
     """One traffic type. Work is log-normal, in milliseconds of one core at speed 1."""
 
     name: str
-    share: Above = 1.0
-    work_ms: Above = 60.0
-    cv: From0 = 0.6
-    expected_ms: Above = 1000.0
-    outer_ms: Above = 2500.0
-    credit: Above = 1.0
-    late_part: Part = 0.2  # of the credit, for an answer between expected time and outer limit
+    share: Positive = 1.0
+    work_ms: Positive = 60.0
+    cv: NonNegative = 0.6
+    expected_ms: Positive = 1000.0
+    outer_ms: Positive = 2500.0
+    credit: Positive = 1.0
+    late_part: Fraction = 0.2  # of the credit, for an answer between expected time and outer limit
     repeat: Literal["safe", "unsafe"] = "safe"
     calls: bool = False
 
 
-class CustomerFacts(Told):
+class CustomerSettings(PlanPart):
     name: str
-    share: Above = 1.0
+    share: Positive = 1.0
 
 
-class MachineFacts(Told):
+class MachineSettings(PlanPart):
     cores: Annotated[int, Meta(ge=1, le=64)] = 4
-    speeds: tuple[Above, ...] = (0.8, 1.2)  # dealt out in turn
-    crowd_from: Above = 1.4  # runs a core past which all get slower
-    crowd_cost: From0 = 0.25  # so much for each further run a core
+    speeds: tuple[Positive, ...] = (0.8, 1.2)  # dealt out in turn
+    crowd_from: Positive = 1.4  # runs a core past which all get slower
+    crowd_cost: NonNegative = 0.25  # so much for each further run a core
     cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.25
-    cold_s: From0 = 8.0
-    read_part: Part = 0.2  # of a ticket's mean work, to read it
-    memory_kb: Above = 60000.0
+    cold_s: NonNegative = 8.0
+    read_part: Fraction = 0.2  # of a ticket's mean work, to read it
+    memory_kb: Positive = 60000.0
     run_factor: Annotated[float, Meta(ge=1)] = 8.0
     fall_multiple: Annotated[float, Meta(ge=1)] = 8.0
-    fall_s: Above = 2.0
+    fall_s: Positive = 2.0
 
 
-class BelowFacts(Told):
-    slots: Above = 12.0
-    work_ms: Above = 15.0
-    crowd_from: Above = 1.0
-    crowd_cost: From0 = 0.2
-    turns_away_at: From0 = 0.0  # calls a slot from which it turns calls away; 0: never
-    fall_multiple: Above = 5.0
-    fall_s: Above = 5.0
-    down_s: Above = 5.0
-    lingers_ms: From0 = 200.0
+class DownstreamSettings(PlanPart):
+    slots: Positive = 12.0
+    work_ms: Positive = 15.0
+    crowd_from: Positive = 1.0
+    crowd_cost: NonNegative = 0.2
+    turns_away_at: NonNegative = 0.0  # calls a slot from which it turns calls away; 0: never
+    fall_multiple: Positive = 5.0
+    fall_s: Positive = 5.0
+    down_s: Positive = 5.0
+    lingers_ms: NonNegative = 200.0
 
 
-class SidecarFacts(Told):
+class SidecarSettings(PlanPart):
     count: Count = 4
     habit: Habit = "uncapped"
-    heed: Part = 0.9  # share of sidecars that follow advice and free values
+    heed: Fraction = 0.9  # share of sidecars that follow advice and free values
     tries_most: Annotated[int, Meta(ge=1, le=50)] = 4  # tries of one ticket, the first included
-    cap_part: Part = 0.2  # habit 'capped': repeats for each first try
-    copy_after_ms: Above = 400.0  # habit 'copy': without an answer for so long, a second one goes out
-    notice_s: tuple[From0, From0] = (1.0, 2.0)  # how late each learns what the control plane lists
-    idle_s: Above = 15.0
+    cap_part: Fraction = 0.2  # habit 'capped': repeats for each first try
+    copy_after_ms: Positive = 400.0  # habit 'copy': without an answer for so long, a second one goes out
+    notice_s: tuple[NonNegative, NonNegative] = (
+        1.0,
+        2.0,
+    )  # how late each learns what the control plane lists
+    idle_s: Positive = 15.0
 
 
-class ClientFacts(Told):
+class ClientSettings(PlanPart):
     repeats: Annotated[int, Meta(ge=0, le=5)] = 1  # by a client itself, unmarked
-    pause_ms: tuple[From0, From0] = (100.0, 400.0)  # before a repeat
-    heed: Part = 0.0  # share of clients that come back only when told to
+    pause_ms: tuple[NonNegative, NonNegative] = (100.0, 400.0)  # before a repeat
+    heed: Fraction = 0.0  # share of clients that come back only when told to
 
 
-class ControlFacts(Told):
-    lapse_s: Above = 3.0
+class ControlPlaneSettings(PlanPart):
+    lapse_s: Positive = 3.0
 
 
-class TrafficFacts(Told):
-    load: Above = 0.8  # mean work asked for, reading included, against what all cores can do
+class TrafficSettings(PlanPart):
+    load: Positive = 0.8  # mean work asked for, reading included, against what all cores can do
     shape: Literal["poisson", "bursty"] = "poisson"
     burst_size: Annotated[float, Meta(ge=1)] = 2.0  # 'bursty': times the low rate
-    burst_s: Above = 2.0  # mean length of a burst and of the time between
-    equal_part: Part = 0.0  # tickets whose body equals that of another ticket of late
-    kb: tuple[Above, Above] = (13.0, 60.0)
+    burst_s: Positive = 2.0  # mean length of a burst and of the time between
+    equal_part: Fraction = 0.0  # tickets whose body equals that of another ticket of late
+    kb: tuple[Positive, Positive] = (13.0, 60.0)
     body_bytes: Annotated[int, Meta(ge=8, le=2048)] = 64
 
 
-class Fault(Told):
+class Fault(PlanPart):
     """`at_s` from the start of the traffic. `backends` by place, or a `part` of them drawn by the seed."""
 
     kind: Literal["kill", "slow", "hang", "drain", "crawl_below", "hang_below", "burst", "no_roster", "flood"]
-    at_s: From0
-    for_s: From0 = 5.0
+    at_s: NonNegative
+    for_s: NonNegative = 5.0
     backends: tuple[Annotated[int, Meta(ge=0)], ...] = ()
-    part: Part = 0.0
-    size: Above = 1.0  # slow, crawl_below: times the speed; burst, flood: times the usual rate
+    part: Fraction = 0.0
+    size: Positive = 1.0  # slow, crawl_below: times the speed; burst, flood: times the usual rate
     customer: str = ""  # flood
     cold: bool = True  # kill, drain: whether the successor starts cold
 
 
 DEFAULT_TYPES = (
-    TypeFacts(name="look-up", share=0.67, calls=True),
-    TypeFacts(name="reserve", share=0.33, credit=2.0, late_part=0.0, cv=0.8),
+    RequestClassSettings(name="look-up", share=0.67, calls=True),
+    RequestClassSettings(name="reserve", share=0.33, credit=2.0, late_part=0.0, cv=0.8),
+)
+DEFAULT_CUSTOMERS = (
+    CustomerSettings("acme", 0.5),
+    CustomerSettings("globex", 0.3),
+    CustomerSettings("initech", 0.2),
 )
-DEFAULT_CUSTOMERS = (CustomerFacts("acme", 0.5), CustomerFacts("globex", 0.3), CustomerFacts("initech", 0.2))
 
 
-class Plan(Told):
+class Plan(PlanPart):
     seed: int = 1
-    seconds: Above = 30.0
-    warm_up_s: From0 = 4.0
+    seconds: Positive = 30.0
+    warm_up_s: NonNegative = 4.0
     backends: Count = 6
-    stop_ms: Above = 3200.0
-    grace_ms: From0 = 1000.0
-    over_share_credit: Part = 0.1
-    stay_away_most_ms: From0 = 1000.0
-    traffic: TrafficFacts = field(default_factory=TrafficFacts)
-    types: tuple[TypeFacts, ...] = DEFAULT_TYPES
-    customers: tuple[CustomerFacts, ...] = DEFAULT_CUSTOMERS
-    machine: MachineFacts = field(default_factory=MachineFacts)
-    below: BelowFacts = field(default_factory=BelowFacts)
-    sidecars: SidecarFacts = field(default_factory=SidecarFacts)
-    clients: ClientFacts = field(default_factory=ClientFacts)
-    control: ControlFacts = field(default_factory=ControlFacts)
+    stop_ms: Positive = 3200.0
+    grace_ms: NonNegative = 1000.0
+    over_share_credit: Fraction = 0.1
+    stay_away_most_ms: NonNegative = 1000.0
+    traffic: TrafficSettings = field(default_factory=TrafficSettings)
+    types: tuple[RequestClassSettings, ...] = DEFAULT_TYPES
+    customers: tuple[CustomerSettings, ...] = DEFAULT_CUSTOMERS
+    machine: MachineSettings = field(default_factory=MachineSettings)
+    below: DownstreamSettings = field(default_factory=DownstreamSettings)
+    sidecars: SidecarSettings = field(default_factory=SidecarSettings)
+    clients: ClientSettings = field(default_factory=ClientSettings)
+    control: ControlPlaneSettings = field(default_factory=ControlPlaneSettings)
     faults: tuple[Fault, ...] = ()
 
     def speed_of(self, backend: int) -> float:
@@ -192,10 +199,10 @@
 def _decode(path: Path, kind: object) -> object:
     try:
         return msgspec.json.decode(path.read_bytes(), type=kind)
-    except OSError as wrong:
-        raise BadPlan(f"{path}: {wrong.strerror}") from None
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as wrong:
-        raise BadPlan(f"{path}: {wrong}") from None
+    except OSError as error:
+        raise PlanError(f"{path}: {error.strerror}") from None
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise PlanError(f"{path}: {error}") from None
 
 
 def read(path: Path | None, script: Path | None = None, **changes: object) -> Plan:
@@ -208,7 +215,7 @@
         changes["faults"] = _decode(script, tuple[Fault, ...])
     try:
         return check(msgspec.structs.replace(plan, **changes))
-    except ValueError as wrong:
-        place = script if script is not None and "$.faults" in str(wrong) else path
-        text = str(wrong).replace("$.faults", "$") if place is not None and place == script else str(wrong)
-        raise BadPlan(f"{place or 'plan'}: {text}") from None
+    except ValueError as error:
+        place = script if script is not None and "$.faults" in str(error) else path
+        text = str(error).replace("$.faults", "$") if place is not None and place == script else str(error)
+        raise PlanError(f"{place or 'plan'}: {text}") from None
--- a/crowwing/emulator/processes.py
+++ b/crowwing/emulator/processes.py
@@ -21,12 +21,12 @@
 _libc = ctypes.CDLL(None)
 
 
-def _end_with_parent() -> None:
+def set_parent_death_signal() -> None:
     """In the child: guards against backends that stay behind when the emulator itself is killed."""
     _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
-def configuration(plan: Plan, name: str, host: str, life: int) -> dict:
+def configuration(plan: Plan, name: str, host: str, number: int) -> dict:
     """What the platform would tell one backend."""
     machine, below = plan.machine, plan.below
     rate = plan.rate_per_s() / plan.traffic.load
@@ -56,38 +56,38 @@
     }  # fmt: skip
     return {
         "name": name, "listen": f"{host}:7001", "agent": f"{host}:7300", "control": f"{host}:8500",
-        "backend": f"{host}:5432", "seed": f"{plan.seed * 1000003 + life * 7919 + hash_of(name):016x}",
+        "backend": f"{host}:5432", "seed": f"{plan.seed * 1000003 + number * 7919 + name_hash(name):016x}",
         "stop_ms": plan.stop_ms, "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS},
         "settings": settings,
     }  # fmt: skip
 
 
-def hash_of(name: str) -> int:
+def name_hash(name: str) -> int:
     """The same in every process."""
     return sum(ord(letter) * 31**n for n, letter in enumerate(name)) % 9973
 
 
-class Process:
+class BackendProcess:
     """One backend process; its lines go to a file that all lives of the backend share."""
 
-    def __init__(self, folder: Path, told: dict, program: Path | None, operator: Path | None) -> None:
-        self.path = folder / f"{told['name']}.json"
-        self.path.write_bytes(orjson.dumps(told, option=orjson.OPT_INDENT_2))
+    def __init__(self, folder: Path, config: dict, program: Path | None, operator: Path | None) -> None:
+        self.path = folder / f"{config['name']}.json"
+        self.path.write_bytes(orjson.dumps(config, option=orjson.OPT_INDENT_2))
         environment = os.environ | {"PROXY_CONFIG": str(self.path), "PYTHONPATH": str(program or ROOT)}
         environment.pop("CROWWING_OPERATOR", None)
         if operator is not None:
             environment["CROWWING_OPERATOR"] = str(operator)
-        with (folder / f"{told['name']}.log").open("ab") as log:
+        with (folder / f"{config['name']}.log").open("ab") as log:
             self.child = subprocess.Popen(
                 [sys.executable, "-O", "-m", "crowwing"], stdin=subprocess.DEVNULL, stdout=log, stderr=log,
-                env=environment, cwd=program or ROOT, preexec_fn=_end_with_parent,
+                env=environment, cwd=program or ROOT, preexec_fn=set_parent_death_signal,
             )  # fmt: skip
 
-    def ended(self) -> int | None:
+    def exit_code(self) -> int | None:
         """Its exit code once it has ended."""
         return self.child.poll()
 
-    def leave(self) -> None:
+    def terminate(self) -> None:
         self.child.send_signal(signal.SIGTERM)
 
     def kill(self) -> None:
--- a/crowwing/emulator/rules.py
+++ b/crowwing/emulator/rules.py
@@ -2,13 +2,13 @@
 
 from typing import NamedTuple
 
+from crowwing.emulator.ground_truth import Attempt, GroundTruth, Incarnation
 from crowwing.emulator.plan import Plan
-from crowwing.emulator.truth import Life, Truth, Try
 
-SLACK = 80_000 + 50_000  # microseconds: the platform's slack for an answer, and that of sockets
+ANSWER_SLACK_US = 80_000 + 50_000  # microseconds: the platform's slack for an answer, and that of sockets
 
 
-ANSWERS = (
+FINAL_ENDINGS = (
     "settled",
     "dismissed",
     "forfeited",
@@ -24,65 +24,98 @@
     what: str
 
 
-def check(plan: Plan, truth: Truth) -> list[Breach]:
+def check(plan: Plan, truth: GroundTruth) -> list[Breach]:
     """All breaches, in order of time; empty where the rules were kept."""
-    lives = {(life.backend, life.number): life for life in truth.lives}
+    incarnations = {
+        (incarnation.backend, incarnation.number): incarnation for incarnation in truth.incarnations
+    }
     found: list[Breach] = []
-    for one in truth.tries():
-        life = lives[(one.backend, one.life)]
-        found += _answers(one, life)
-        found += _effects(one, plan.types[truth.tickets[one.ticket].kind].repeat == "safe")
-        found += _drain(one, life, round(plan.grace_ms * 1000))
-    for life in truth.lives:
-        if life.how == "crashed":
-            found.append(Breach(4, life.ended, life.backend, "", f"the process ended with {life.code}"))
-        elif life.how == "drained" and (life.code or life.ended > life.notice + plan.stop_ms * 1000 + SLACK):
-            found.append(Breach(3, life.ended, life.backend, "", "stopped later than it was told"))
-    for at, backend, what in truth.fallen:
+    for attempt in truth.attempts():
+        incarnation = incarnations[(attempt.backend, attempt.life)]
+        found += _check_answers(attempt, incarnation)
+        found += _check_side_effects(
+            attempt, plan.types[truth.requests[attempt.ticket].kind].repeat == "safe"
+        )
+        found += _check_drain(attempt, incarnation, round(plan.grace_ms * 1000))
+    for incarnation in truth.incarnations:
+        if incarnation.how == "crashed":
+            found.append(
+                Breach(
+                    4,
+                    incarnation.ended,
+                    incarnation.backend,
+                    "",
+                    f"the process ended with {incarnation.code}",
+                )
+            )
+        elif incarnation.how == "drained" and (
+            incarnation.code or incarnation.ended > incarnation.notice + plan.stop_ms * 1000 + ANSWER_SLACK_US
+        ):
+            found.append(
+                Breach(3, incarnation.ended, incarnation.backend, "", "stopped later than it was told")
+            )
+    for at, backend, what in truth.failures:
         found.append(Breach(4, at, backend, "", f"fell over: {what}"))
     return sorted(found, key=lambda breach: breach.at)
 
 
-def owed(one: Try) -> int:
+def answer_deadline(attempt: Attempt) -> int:
     """Until when its answer is owed; a long reading line may bring it when its time has passed."""
-    return max(one.due, one.written)
+    return max(attempt.due, attempt.written)
 
 
-def _answers(one: Try, life: Life) -> list[Breach]:
+def _check_answers(attempt: Attempt, incarnation: Incarnation) -> list[Breach]:
     """Rule 1: one whole, final answer in time for what was written, unless its backend was killed."""
-    if not one.written:
+    if not attempt.written:
         return []
-    if not one.right:
+    if not attempt.right:
         return [
-            Breach(1, one.over, one.backend, one.id, "an answer or a launch that is not the ticket's own")
+            Breach(
+                1,
+                attempt.over,
+                attempt.backend,
+                attempt.id,
+                "an answer or a launch that is not the ticket's own",
+            )
         ]
-    last = owed(one) + SLACK
-    if one.ending in ANSWERS:
-        late = one.over > last
-        return [Breach(1, one.over, one.backend, one.id, "answered after its outer limit")] if late else []
-    taken = life.how in ("killed", "fell") and (not one.over or life.ended <= one.over + SLACK)
-    if taken and life.ended <= last:
+    last = answer_deadline(attempt) + ANSWER_SLACK_US
+    if attempt.ending in FINAL_ENDINGS:
+        late = attempt.over > last
+        return (
+            [Breach(1, attempt.over, attempt.backend, attempt.id, "answered after its outer limit")]
+            if late
+            else []
+        )
+    taken = incarnation.how in ("killed", "fell") and (
+        not attempt.over or incarnation.ended <= attempt.over + ANSWER_SLACK_US
+    )
+    if taken and incarnation.ended <= last:
         return []
-    return [Breach(1, one.over or last, one.backend, one.id, f"no final answer: {one.ending}")]
+    return [
+        Breach(1, attempt.over or last, attempt.backend, attempt.id, f"no final answer: {attempt.ending}")
+    ]
 
 
-def _effects(one: Try, safe: bool) -> list[Breach]:
+def _check_side_effects(attempt: Attempt, safe: bool) -> list[Breach]:
     """Rule 2: what is irreversible runs once, is not dismissed then, and repeats no call that had run."""
     if safe:
         return []
     found = []
-    if len(one.runs) > 1:
-        found.append(Breach(2, one.runs[1][0], one.backend, one.id, "run twice"))
-    if one.runs and one.ending == "dismissed":
-        found.append(Breach(2, one.over, one.backend, one.id, "dismissed after it ran"))
-    for (_, _, how), (again, _, _) in zip(one.calls, one.calls[1:], strict=False):
+    if len(attempt.runs) > 1:
+        found.append(Breach(2, attempt.runs[1][0], attempt.backend, attempt.id, "run twice"))
+    if attempt.runs and attempt.ending == "dismissed":
+        found.append(Breach(2, attempt.over, attempt.backend, attempt.id, "dismissed after it ran"))
+    for (_, _, how), (again, _, _) in zip(attempt.calls, attempt.calls[1:], strict=False):
         if how != "turned_away":
-            found.append(Breach(2, again, one.backend, one.id, f"its call was repeated after: {how}"))
+            found.append(Breach(2, again, attempt.backend, attempt.id, f"its call was repeated after: {how}"))
     return found
 
 
-def _drain(one: Try, life: Life, grace: int) -> list[Breach]:
+def _check_drain(attempt: Attempt, incarnation: Incarnation, grace: int) -> list[Breach]:
     """Rule 3: nothing is run that came later than the grace after the notice."""
-    if not life.notice or one.came <= life.notice + grace + SLACK:
+    if not incarnation.notice or attempt.came <= incarnation.notice + grace + ANSWER_SLACK_US:
         return []
-    return [Breach(3, run[0], one.backend, one.id, "run though it came after the grace") for run in one.runs]
+    return [
+        Breach(3, run[0], attempt.backend, attempt.id, "run though it came after the grace")
+        for run in attempt.runs
+    ]
--- a/crowwing/emulator/outcome.py
+++ b/crowwing/emulator/run_report.py
@@ -1,11 +1,11 @@
 """What is kept and shown of one emulation: plain values, ready for JSON. Pure."""
 
-from crowwing.emulator import credit, rules
+from crowwing.emulator import rules, served_value
+from crowwing.emulator.ground_truth import GroundTruth
 from crowwing.emulator.plan import Plan
-from crowwing.emulator.truth import Truth
 
 
-def of(plan: Plan, truth: Truth, late_part: float | None, folder: str) -> dict:
+def build_report(plan: Plan, truth: GroundTruth, late_part: float | None, folder: str) -> dict:
     """`late_part`: the part of its looks in which the emulator was late, None where that voids nothing."""
     return {
         "backends": plan.backends,
@@ -13,10 +13,10 @@
         "habit": plan.sidecars.habit,
         "seed": plan.seed,
         "faults": [fault.kind for fault in plan.faults],
-        "phases": [phase._asdict() for phase in credit.phases(plan, truth)],
-        "seconds": [round(second.share, 4) for second in credit.by_second(plan, truth)],
-        "tries_by_second": [second.tries for second in credit.by_second(plan, truth)],
-        "recovery_s": credit.recovery(plan, truth),
+        "phases": [phase._asdict() for phase in served_value.phases(plan, truth)],
+        "seconds": [round(second.share, 4) for second in served_value.by_second(plan, truth)],
+        "tries_by_second": [second.tries for second in served_value.by_second(plan, truth)],
+        "recovery_s": served_value.recovery(plan, truth),
         "breaches": [breach._asdict() for breach in rules.check(plan, truth)],
         "below_most": truth.below_most,
         "late_part": late_part,
--- a/crowwing/emulator/credit.py
+++ b/crowwing/emulator/served_value.py
@@ -8,10 +8,13 @@
 from typing import NamedTuple
 
 from crowwing.emulator import faults
+from crowwing.emulator.ground_truth import GroundTruth
 from crowwing.emulator.plan import Plan
-from crowwing.emulator.truth import Truth
 
-RECOVERED, MEAN_OVER = 0.95, 5  # part of the level before; seconds that a level is the mean of
+RECOVERY_THRESHOLD, RECOVERY_WINDOW_S = (
+    0.95,
+    5,
+)  # part of the level before; seconds that a level is the mean of
 
 
 class Second(NamedTuple):
@@ -28,21 +31,21 @@
         return self.in_time / self.asked if self.asked else 1.0
 
 
-def by_second(plan: Plan, truth: Truth) -> list[Second]:
+def by_second(plan: Plan, truth: GroundTruth) -> list[Second]:
     count = int(plan.seconds + 0.999)
     sums = [[0.0, 0.0, 0.0, 0, 0, 0, 0] for _ in range(count)]
-    for ticket in truth.tickets:
-        row = sums[min(count - 1, (ticket.born - truth.began) // 1_000_000)]
-        row[0] += ticket.credit
-        if ticket.ending == "settled":
-            if ticket.over <= ticket.expected:
-                row[1] += ticket.credit
+    for request in truth.requests:
+        row = sums[min(count - 1, (request.born - truth.began) // 1_000_000)]
+        row[0] += request.credit
+        if request.ending == "settled":
+            if request.over <= request.expected:
+                row[1] += request.credit
             else:
-                row[2] += ticket.credit * plan.types[ticket.kind].late_part
+                row[2] += request.credit * plan.types[request.kind].late_part
         row[3] += 1
-        row[4] += len(ticket.tries)
-        row[5] += sum(one.ending == "dismissed" for one in ticket.tries)
-        row[6] += sum(one.ending == "forfeited" for one in ticket.tries)
+        row[4] += len(request.tries)
+        row[5] += sum(attempt.ending == "dismissed" for attempt in request.tries)
+        row[6] += sum(attempt.ending == "forfeited" for attempt in request.tries)
     return [Second(*row) for row in sums]
 
 
@@ -60,7 +63,7 @@
     p99_ms: float
 
 
-def phases(plan: Plan, truth: Truth) -> list[Phase]:
+def phases(plan: Plan, truth: GroundTruth) -> list[Phase]:
     """Before, during and after the faults; without faults all in one."""
     rows, end = by_second(plan, truth), int(plan.seconds)
     begin = min(end - 1, int(plan.warm_up_s))
@@ -71,22 +74,22 @@
     return [_phase(name, rows, a, b, plan, truth) for name, a, b in bounds if b > a]
 
 
-def _phase(name: str, rows: Sequence[Second], begin: int, end: int, plan: Plan, truth: Truth) -> Phase:
+def _phase(name: str, rows: Sequence[Second], begin: int, end: int, plan: Plan, truth: GroundTruth) -> Phase:
     part = rows[begin:end]
     asked = sum(row.asked for row in part)
     count = sum(row.tickets for row in part)
     low, high = truth.began + begin * 1_000_000, truth.began + end * 1_000_000
     spans = sorted(
-        (t.over - t.born) / 1000 for t in truth.tickets if low <= t.born < high and t.ending == "settled"
+        (t.over - t.born) / 1000 for t in truth.requests if low <= t.born < high and t.ending == "settled"
     )
     return Phase(
         name, begin, end, sum(row.in_time for row in part) / asked if asked else 1.0, worst(part), count,
         sum(row.tries for row in part) / max(1, count), sum(row.dismissed for row in part),
-        sum(row.forfeited for row in part), _at(spans, 0.5), _at(spans, 0.99),
+        sum(row.forfeited for row in part), _quantile(spans, 0.5), _quantile(spans, 0.99),
     )  # fmt: skip
 
 
-def _at(ordered: Sequence[float], part: float) -> float:
+def _quantile(ordered: Sequence[float], part: float) -> float:
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else 0.0
 
 
@@ -100,18 +103,18 @@
     return min(shares, default=1.0)
 
 
-def recovery(plan: Plan, truth: Truth) -> float | None:
+def recovery(plan: Plan, truth: GroundTruth) -> float | None:
     """Seconds from the faults' end until the level, a mean over five seconds, is back for good at 95% of that
     before. None: not before the end, or nothing to compare with."""
     spans, rows = faults.span(plan), by_second(plan, truth)
     found = phases(plan, truth)
     if spans is None or found[0].name != "before" or found[-1].name != "after":
         return None
-    aim, last = RECOVERED * found[0].in_time, int(spans[1] + 0.999)
+    aim, last = RECOVERY_THRESHOLD * found[0].in_time, int(spans[1] + 0.999)
     levels = [
-        sum(row.in_time for row in rows[n : n + MEAN_OVER])
-        / max(1e-9, sum(row.asked for row in rows[n : n + MEAN_OVER]))
-        for n in range(last, len(rows) - MEAN_OVER + 1)
+        sum(row.in_time for row in rows[n : n + RECOVERY_WINDOW_S])
+        / max(1e-9, sum(row.asked for row in rows[n : n + RECOVERY_WINDOW_S]))
+        for n in range(last, len(rows) - RECOVERY_WINDOW_S + 1)
     ]
     low = [n for n, level in enumerate(levels) if level < aim]
     if not levels or (low and low[-1] == len(levels) - 1):
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -316,7 +316,7 @@
 def test_the_emulator_starts_backends_as_they_are(tmp_path: Path) -> None:
     """It loads nothing into them and filters nothing: only the kit's bench does that."""
     folder = {"name": "n1"} | told("127.0.0.1:9", "127.0.0.1:9")
-    process = processes.Process(tmp_path, folder, None, None)
+    process = processes.BackendProcess(tmp_path, folder, None, None)
     try:
         root = Path(f"/proc/{process.child.pid}")
         assert "LD_PRELOAD" not in (root / "environ").read_text()
