--- a/crowwing/emulator/__init__.py
+++ b/crowwing/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""A whole fleet on loopback addresses: real backends among stand-ins for everything they speak with."""
+"""Emulates a fleet on loopback addresses: real backend processes among stand-ins for all their peers."""
--- a/crowwing/emulator/clock.py
+++ b/crowwing/emulator/clock.py
@@ -1,4 +1,4 @@
-"""Times and timers of an emulation on sockets."""
+"""Wall-clock time and timers of an emulation that uses real sockets."""
 
 import asyncio
 import time
@@ -8,12 +8,12 @@
 
 
 def now() -> int:
-    """Unix microseconds, the clock that the platform's rules are read from."""
+    """Unix time in microseconds, the clock that the platform's rules refer to."""
     return time.time_ns() // 1000
 
 
 class RestartableTimer:
-    """One timer for a model's next current; it is moved whenever the model has changed."""
+    """Timer for the next event of a model; it is set again whenever the model changes."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, callback: Callable[[int], None]) -> None:
         self.loop, self.callback = loop, callback
@@ -33,7 +33,7 @@
     def _fire(self) -> None:
         self.handle = None
         current = now()
-        if current < self.at:  # the loop's timers round to milliseconds and may fire early
+        if current < self.at:  # the event loop rounds timers to milliseconds and may fire early
             self.handle = self.loop.call_later(0.001, self._fire)
             return
         self.at = NEVER
--- a/crowwing/emulator/emulation_run.py
+++ b/crowwing/emulator/emulation_run.py
@@ -1,4 +1,7 @@
-"""Plays a plan on loopback: clients, sidecars and faults round real backends, and keeps the truth of it."""
+"""Runs a plan on loopback: emulated clients, sidecars and faults around real backends.
+
+Records the ground truth of the run.
+"""
 
 import asyncio
 import gc
@@ -24,33 +27,31 @@
 from crowwing.emulator.plan import Plan
 from crowwing.emulator.rules import answer_deadline
 
-READY_TIMEOUT_S = 15.0  # seconds in which every backend has to answer a health check
-TICK_S = 0.02  # seconds between looks at processes, roster and our own lateness
-ANSWER_GRACE_US = (
-    500_000  # microseconds past its time for which the answer to a ticket is waited for at the end
-)
+READY_TIMEOUT_S = 15.0  # every backend has to answer a health check within this time
+TICK_S = 0.02  # interval for polling processes, the registry and the event loop's lateness
+ANSWER_GRACE_US = 500_000  # how long the end of the run waits for an answer that is past its deadline
 FLEET_PORT = 7946
-LATE_TICK_S = 0.025  # seconds over the tick from which our own loop counts as late
-MAX_LATE_FRACTION = 0.02  # part of late ticks from which the figures of a run are void
+LATE_TICK_S = 0.025  # delay beyond the tick from which the emulator's event loop counts as late
+MAX_LATE_FRACTION = 0.02  # a run with more late ticks than this is invalid
 
 
 class EmulationStartError(RuntimeError):
-    """One line that says why an emulation could not begin."""
+    """One line that says why an emulation could not start."""
 
 
 class ClientRequest:
-    """One ask of a client at its sidecar, with all tries that the sidecar makes of it."""
+    """One request sent by a client to its sidecar, with all attempts that the sidecar makes for it."""
 
     __slots__ = ("ticket", "asked", "due", "tried", "open", "done", "away")
 
-    def __init__(self, ticket: Request, asked: traffic.Arrival, due: int) -> None:
-        self.ticket, self.asked, self.due = ticket, asked, due
+    def __init__(self, request: Request, arrival: traffic.Arrival, due: int) -> None:
+        self.ticket, self.asked, self.due = request, arrival, due
         self.tried: list[int] = []
         self.open, self.done, self.away = 0, False, 0
 
 
 class Progress(NamedTuple):
-    """What is shown while it plays."""
+    """State of a run, for the progress display."""
 
     seconds: float
     requests: int
@@ -66,19 +67,19 @@
         self, plan: Plan, folder: Path, net: str | None = None, program: Path | None = None,
         operator: Path | None = None, show: Callable[[Progress], None] = lambda _: None,
     ) -> None:  # fmt: skip
-        """`net`: the first two numbers of the addresses, such as '127.40'; None: the first that is free."""
+        """`net` is the first two octets of the addresses, such as '127.40'; None takes the first free one."""
         self.plan, self.folder, self.net, self.show = plan, folder, net, show
         self.program, self.operator = program, operator
         self.truth = GroundTruth()
         self.rng = Random(f"{plan.seed}/fleet")
         self.open_requests = self.completed = self.attempts = 0
-        self.active_faults: set[int] = set()  # faults that are on
-        self.listing_updates: list[tuple[int, int, int, bool]] = []  # (when, sidecar, backend, listed); heap
+        self.active_faults: set[int] = set()  # indices of active faults
+        self.listing_updates: list[tuple[int, int, int, bool]] = []  # heap: time, sidecar, backend, listed
         self.notified_at = [0] * plan.sidecars.count
-        self.unanswered: set[Work] = set()  # on a backend without an answer; emptied by endings
+        self.unanswered: set[Work] = set()  # sent to a backend, no answer yet
 
     async def run(self) -> GroundTruth:
-        """OSError where an address is taken; EmulationStartError where a backend does not come up."""
+        """Raises OSError if an address is taken, EmulationStartError if a backend does not start."""
         self.loop = asyncio.get_running_loop()
         self.folder.mkdir(parents=True, exist_ok=True)
         (self.folder / "plan.json").write_bytes(msgspec.json.format(msgspec.json.encode(self.plan), indent=2))
@@ -89,7 +90,7 @@
         background_tasks: list[asyncio.Task] = []
         gc.collect()
         gc.freeze()
-        gc.disable()  # its pauses would be ours, not the backends'
+        gc.disable()  # a collection would delay the emulator and distort the measured latencies
         try:
             await self._open()
             self.sidecars = [
@@ -136,7 +137,7 @@
         raise last
 
     def _operator_file_for(self, number: int, net: str) -> Path | None:
-        """The operator file of one backend: a `fleet` section gets the addresses of this emulation."""
+        """Returns the operator file of one backend, with the addresses of this run in its `fleet` section."""
         if self.operator is None:
             return None
         settings = orjson.loads(self.operator.read_bytes())
@@ -163,7 +164,7 @@
             while not await self._ping(node):
                 if node.process.exit_code() is not None or self.loop.time() > until:
                     raise EmulationStartError(
-                        f"backend {node.name} does not come up: see {self.folder / node.name}.log"
+                        f"backend {node.name} does not start: see {self.folder / node.name}.log"
                     )
                 await asyncio.sleep(0.05)
 
@@ -182,28 +183,28 @@
     # Clients
 
     async def _run_clients(self) -> None:
-        """Open loop: each ticket goes out at its time, whatever became of the others."""
+        """Sends each request at its scheduled time, independent of earlier answers (open loop)."""
         self.truth.began = began = clock.now()
-        for asked in traffic.arrivals(self.plan):
-            while (left := began + asked.at - clock.now()) > 0:
+        for arrival in traffic.arrivals(self.plan):
+            while (left := began + arrival.at - clock.now()) > 0:
                 await asyncio.sleep(left / 1e6)
-            kind = self.plan.types[asked.kind]
-            born = began + asked.at
-            credit = kind.credit * (0.5 + asked.rank)
-            ticket = Request(
-                len(self.truth.requests), asked.kind, asked.customer, credit, born,
+            kind = self.plan.types[arrival.kind]
+            born = began + arrival.at
+            value = kind.credit * (0.5 + arrival.rank)
+            request = Request(
+                len(self.truth.requests), arrival.kind, arrival.customer, value, born,
                 born + round(kind.expected_ms * 1000),
             )  # fmt: skip
-            self.truth.requests.append(ticket)
+            self.truth.requests.append(request)
             self.open_requests += 1
-            self._send_request(ticket, asked, "first")
+            self._send_request(request, arrival, "first")
 
-    def _send_request(self, ticket: Request, asked: traffic.Arrival, cause: str) -> None:
+    def _send_request(self, request: Request, arrival: traffic.Arrival, cause: str) -> None:
         now = clock.now()
         client_request = ClientRequest(
-            ticket, asked, now + round(self.plan.types[asked.kind].outer_ms * 1000)
+            request, arrival, now + round(self.plan.types[arrival.kind].outer_ms * 1000)
         )
-        sidecar = self.sidecars[asked.sidecar]
+        sidecar = self.sidecars[arrival.sidecar]
         backend = sidecar.choose_first(now)
         if backend is None:
             return self._finish(client_request, "unreached")
@@ -214,19 +215,19 @@
         return None
 
     def _finish(self, client_request: ClientRequest, ending: str) -> None:
-        """The client has its answer, or waits no longer."""
+        """Ends the client's wait: it has an answer, or its deadline has passed."""
         if client_request.done:
             return
         client_request.done = True
-        ticket, asked = client_request.ticket, client_request.asked
-        if ending != "settled" and ticket.asks <= len(asked.pauses):
-            pause = asked.pauses[ticket.asks - 1]
-            ticket.asks += 1
-            if asked.follows_hints:
+        request, arrival = client_request.ticket, client_request.asked
+        if ending != "settled" and request.asks <= len(arrival.pauses):
+            pause = arrival.pauses[request.asks - 1]
+            request.asks += 1
+            if arrival.follows_hints:
                 pause = max(pause, client_request.away)
-            self.loop.call_later(pause / 1e6, self._send_request, ticket, asked, "client")
+            self.loop.call_later(pause / 1e6, self._send_request, request, arrival, "client")
             return
-        ticket.ending, ticket.over = ending, clock.now()
+        request.ending, request.over = ending, clock.now()
         self.open_requests -= 1
         self.completed += ending == "settled"
 
@@ -241,47 +242,54 @@
                 self._start_attempt(client_request, backend, "copy")
 
     def _start_attempt(self, client_request: ClientRequest, backend: int, cause: str) -> None:
-        now, asked, node = clock.now(), client_request.asked, self.nodes[backend]
+        now, arrival, node = clock.now(), client_request.asked, self.nodes[backend]
         ident = f"{self.rng.getrandbits(64):016x}"
         incarnation = node.incarnation
-        one = Attempt(
+        attempt = Attempt(
             ident,
             client_request.ticket.number,
             cause,
             backend,
             incarnation.number,
-            asked.sidecar,
+            arrival.sidecar,
             now,
             client_request.due,
         )
-        kind = self.plan.types[asked.kind]
+        kind = self.plan.types[arrival.kind]
         work = Work(
-            one, kind.name, asked.body, asked.kb, asked.work, kind.calls, asked.call_work, client_request
+            attempt,
+            kind.name,
+            arrival.body,
+            arrival.kb,
+            arrival.work,
+            kind.calls,
+            arrival.call_work,
+            client_request,
         )
-        client_request.ticket.tries.append(one)
+        client_request.ticket.tries.append(attempt)
         client_request.tried.append(backend)
         client_request.open += 1
         self.attempts += 1
-        self.sidecars[asked.sidecar].in_flight[backend] += 1
+        self.sidecars[arrival.sidecar].in_flight[backend] += 1
         if node.process is None:
             self.loop.call_later(0.001, self.on_unreached, node, work)
         else:
             node.enqueue(work, kind.work_ms * 1000)
 
     def forward(self, node: Node, work: Work) -> None:
-        """The machine has read it: it goes to the backend."""
-        one, asked = work.one, work.attempt.asked
-        came = one.came // 1000
-        left = max(1, (one.due - one.came) // 1000)
-        one.due = (came + left) * 1000
+        """Sends a request that the machine has read to the backend."""
+        attempt, arrival = work.one, work.attempt.asked
+        came = attempt.came // 1000
+        left = max(1, (attempt.due - attempt.came) // 1000)
+        attempt.due = (came + left) * 1000
         head = (
-            f"POST /call/{work.kind} HTTP/1.1\r\nHost: service.internal\r\nX-Txn: {one.id}\r\n"
-            f"X-Ingress-Time: {came}\r\nX-Router: {one.sidecar}\r\n"
-            f"X-Merchant: {self.plan.customers[asked.customer].name}\r\nX-Ttl-Ms: {left}\r\n"
-            f"X-Working-Set-Kb: {asked.kb}\r\nX-Shed-Order: {asked.rank}\r\n"
+            f"POST /call/{work.kind} HTTP/1.1\r\nHost: service.internal\r\nX-Txn: {attempt.id}\r\n"
+            f"X-Ingress-Time: {came}\r\nX-Router: {attempt.sidecar}\r\n"
+            f"X-Merchant: {self.plan.customers[arrival.customer].name}\r\nX-Ttl-Ms: {left}\r\n"
+            f"X-Working-Set-Kb: {arrival.kb}\r\nX-Shed-Order: {arrival.rank}\r\n"
             f"Content-Length: {len(work.body)}\r\n\r\n"
         )
-        self.pools[one.sidecar][node.number].send(
+        self.pools[attempt.sidecar][node.number].send(
             head.encode() + work.body,
             partial(self._on_response, node, node.incarnation, work),
             partial(self._on_attempt_end, node, node.incarnation, work, "lost"),
@@ -295,7 +303,7 @@
         self.loop.call_later(0.1, node.reserve_memory, incarnation, work)
 
     def on_unreached(self, node: Node, work: Work) -> None:
-        """It never came to the backend."""
+        """Ends an attempt that did not reach the backend."""
         if not work.one.over:
             self._on_attempt_end(node, None, work, "unreached")
 
@@ -308,37 +316,39 @@
         headers: dict[bytes, bytes],
         body: bytes,
     ) -> None:
-        one = work.one
+        attempt = work.one
         endings = {200: "settled", 429: "dismissed", 503: "dismissed"}
         ending = endings.get(status, "forfeited" if status >= 500 else "turned_down")
         if ending == "settled":
-            one.right &= body == b"result of " + one.id.encode() and any(r[2] == "OK" for r in one.runs)
+            attempt.right &= body == b"result of " + attempt.id.encode() and any(
+                r[2] == "OK" for r in attempt.runs
+            )
         free, away = headers.get(b"x-capacity"), headers.get(b"x-throttle-ms")
-        one.away = int(away) * 1000 if away else 0
-        one.give_up = headers.get(b"x-give-up") == b"1"
-        self.sidecars[one.sidecar].on_response(
-            clock.now(), one.backend, float(free) if free else None, one.away
+        attempt.away = int(away) * 1000 if away else 0
+        attempt.give_up = headers.get(b"x-give-up") == b"1"
+        self.sidecars[attempt.sidecar].on_response(
+            clock.now(), attempt.backend, float(free) if free else None, attempt.away
         )
         self._on_attempt_end(node, incarnation, work, ending)
 
     def _on_attempt_end(self, node: Node, incarnation: Incarnation | None, work: Work, ending: str) -> None:
-        """A try is over, as its sidecar sees it; the sidecar decides what follows."""
-        one, client_request, now = work.one, work.attempt, clock.now()
-        one.over, one.ending = now, ending
+        """Ends an attempt from the sidecar's view; the sidecar then decides about a retry."""
+        attempt, client_request, now = work.one, work.attempt, clock.now()
+        attempt.over, attempt.ending = now, ending
         self.unanswered.discard(work)
         client_request.open -= 1
-        sidecar = self.sidecars[one.sidecar]
-        sidecar.in_flight[one.backend] -= 1
+        sidecar = self.sidecars[attempt.sidecar]
+        sidecar.in_flight[attempt.backend] -= 1
         if incarnation is not None:
             node.release_memory(incarnation, work)
-        client_request.away = max(client_request.away, one.away)
+        client_request.away = max(client_request.away, attempt.away)
         if client_request.done:
             return
         if ending == "settled":
             return self._finish(client_request, "settled")
         safe = self.plan.types[client_request.asked.kind].repeat == "safe"
         backend = (
-            sidecar.choose_retry(now, client_request.tried, ending, safe, one.give_up)
+            sidecar.choose_retry(now, client_request.tried, ending, safe, attempt.give_up)
             if now < client_request.due
             else None
         )
@@ -348,7 +358,7 @@
             self._finish(client_request, ending)
         return None
 
-    # Below
+    # Dependency
 
     def dependency_changed(self) -> None:
         self.dependency_timer.set(self.dependency.next_at())
@@ -357,9 +367,9 @@
         deaths = self.dependency.deaths
         ended = self.dependency.ended(now)
         if self.dependency.deaths > deaths:
-            self.truth.failures.append((now, None, "what lies below"))
+            self.truth.failures.append((now, None, "dependency"))
             for node in self.nodes:
-                for call in list(node.replying):
+                for call in list(node.pending_calls):
                     node.abort_call(call)
         else:
             for call in ended:
@@ -369,7 +379,7 @@
     # Time
 
     async def _tick(self) -> None:
-        """Processes, the roster and what sidecars learn of it, idle connections, and our own lateness."""
+        """Polls processes, the registry and its updates to sidecars, idle connections and loop lateness."""
         shown = 0.0
         while True:
             due = self.loop.time() + TICK_S
@@ -396,9 +406,11 @@
                 kinds = tuple(self.plan.faults[n].kind for n in sorted(self.active_faults))
                 up = sum(node.process is not None for node in self.nodes)
                 seconds = (now - self.truth.began) / 1e6
-                asked = len(self.truth.requests)
+                request_count = len(self.truth.requests)
                 self.show(
-                    Progress(seconds, asked, self.completed, self.open_requests, self.attempts, up, kinds)
+                    Progress(
+                        seconds, request_count, self.completed, self.open_requests, self.attempts, up, kinds
+                    )
                 )
 
     async def _inject_faults(self) -> None:
@@ -427,7 +439,7 @@
                     elif self.nodes[n].process is None:
                         self.nodes[n].start(event.fault.cold)
                     else:
-                        self.nodes[n].restart_at = now  # as soon as it has gone
+                        self.nodes[n].restart_at = now  # restarts once the draining process has exited
             case "slow" | "hang":
                 for n in event.backends:
                     self.nodes[n].set_speed_factor(
@@ -442,7 +454,7 @@
                 self.registry.suspended = event.begins
 
     async def _wait_until_complete(self, background_tasks: list[asyncio.Task]) -> None:
-        """Until every client has its answer and every try was answered or is past its outer limit."""
+        """Waits until every client is done and every attempt was answered or is past its deadline."""
         while self.open_requests or any(
             answer_deadline(work.one) + ANSWER_GRACE_US > clock.now() for work in self.unanswered
         ):
@@ -452,17 +464,17 @@
                     raise task.exception()
 
     def excessive_lateness(self) -> float | None:
-        """The part of late ticks, where it voids the figures."""
+        """Returns the part of late ticks if it makes the run invalid, else None."""
         late = sum(by > LATE_TICK_S * 1e6 for _, by in self.truth.late_loop)
         part = late / max(1, len(self.truth.late_loop))
         return part if part > MAX_LATE_FRACTION else None
 
 
 def fresh_folder(path: Path) -> Path:
-    """Made empty; only what an emulation writes is removed."""
+    """Creates an empty folder; an existing one is removed only if it holds an earlier run."""
     if path.exists():
         if not (path / "plan.json").exists() and any(path.iterdir()):
-            raise EmulationStartError(f"{path}: is not empty, and holds no emulation")
+            raise EmulationStartError(f"{path}: folder is not empty and holds no earlier emulation")
         shutil.rmtree(path)
     path.mkdir(parents=True)
     return path
--- a/crowwing/emulator/faults.py
+++ b/crowwing/emulator/faults.py
@@ -1,4 +1,4 @@
-"""The script of faults as moments: what begins and ends when, for which backends. Pure."""
+"""Expands a script of faults into timed begin and end events. Free of I/O."""
 
 from random import Random
 from typing import NamedTuple
@@ -7,15 +7,15 @@
 
 
 class FaultEvent(NamedTuple):
-    at: int  # microseconds from the start of the traffic
+    at: int  # microseconds since the start of the traffic
     begins: bool
-    number: int  # of the fault in the plan
+    number: int  # index of the fault in the plan
     fault: Fault
     backends: tuple[int, ...]
 
 
 def affected_backends(plan: Plan, number: int) -> tuple[int, ...]:
-    """The backends of one fault: those named, or a part of all, drawn by the seed."""
+    """Returns the backends hit by a fault: those named, or a seeded random sample of the given part."""
     fault = plan.faults[number]
     if fault.backends or not fault.part:
         return fault.backends
@@ -24,7 +24,7 @@
 
 
 def schedule(plan: Plan) -> list[FaultEvent]:
-    """In order of time; at one moment ends come before beginnings."""
+    """Returns the events by time; at the same time, ends come before beginnings."""
     events = []
     for number, fault in enumerate(plan.faults):
         begin, end = round(fault.at_s * 1e6), round((fault.at_s + fault.for_s) * 1e6)
@@ -37,7 +37,7 @@
 
 
 def speed_factor(plan: Plan, active: set[int], kind: str, backend: int | None = None) -> float:
-    """What faults that are on together make of a speed: they multiply, and a hang is 0."""
+    """Returns the combined speed factor of all active faults: factors multiply, and a hang counts as 0."""
     speed = 1.0
     for number in active:
         fault = plan.faults[number]
@@ -51,7 +51,7 @@
 
 
 def span(plan: Plan) -> tuple[float, float] | None:
-    """From the first fault's beginning to the last one's end, in seconds; None without faults."""
+    """Returns the start of the first fault and the end of the last one, in seconds; None without faults."""
     if not plan.faults:
         return None
     return min(f.at_s for f in plan.faults), max(f.at_s + f.for_s for f in plan.faults)
--- a/crowwing/emulator/ground_truth.py
+++ b/crowwing/emulator/ground_truth.py
@@ -1,6 +1,6 @@
-"""What really happened, kept for every ticket and every try, by those who did it.
+"""Ground truth of an emulation: each request and attempt, recorded by the emulated parties themselves.
 
-Times in Unix microseconds.
+Times are in Unix microseconds.
 """
 
 from collections.abc import Iterator
@@ -15,7 +15,10 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One ticket id on one backend. `cause`: first, client, dismissed, forfeited, lost, unreached, copy."""
+    """One attempt of a request at one backend, under an id of its own.
+
+    `cause` is one of first, client, dismissed, forfeited, lost, unreached, copy.
+    """
 
     id: str
     ticket: int
@@ -23,37 +26,40 @@
     backend: int
     life: int
     sidecar: int
-    came: int  # to the machine
+    came: int  # arrival at the machine
     due: int
-    written: int = 0  # its last byte
+    written: int = 0  # when its last byte was sent to the backend
     over: int = 0
     ending: Ending = "open"
-    right: bool = True  # the result is that of its run, and what the farm agent was told is what was sent
+    right: bool = True  # the result belongs to its run, and the worker agent received what was sent
     away: int = 0
     give_up: bool = False
-    runs: list[tuple[int, int, str]] = field(default_factory=list)  # begun, over, how; over 0: still on
+    runs: list[tuple[int, int, str]] = field(default_factory=list)  # begin, end (0: still running), outcome
     calls: list[tuple[int, int, str]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Request:
-    """What one client asked for; its repeats are folded into it."""
+    """One request of a client, including the client's own retries."""
 
     number: int
     kind: int
     customer: int
     credit: float
     born: int
-    expected: int  # until when an answer is in time
-    over: int = 0  # when the client had its answer, or gave up for good
+    expected: int  # latest time of an answer that counts as in time
+    over: int = 0  # when the client got its answer or gave up
     ending: str = "open"
-    asks: int = 1  # by the client itself
+    asks: int = 1  # times that the client itself has sent it
     tries: list[Attempt] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Incarnation:
-    """One life of one backend. `how`: killed, drained, crashed, fell, stopped (at the end), or running."""
+    """One incarnation of a backend.
+
+    `how` is one of killed, drained, crashed, fell, stopped (at the end of the run), running.
+    """
 
     backend: int
     number: int
@@ -66,21 +72,21 @@
 
 @dataclass(slots=True)
 class GroundTruth:
-    began: int = 0  # of the traffic
+    began: int = 0  # start of the traffic
     requests: list[Request] = field(default_factory=list)
     incarnations: list[Incarnation] = field(default_factory=list)
     failures: list[tuple[int, int | None, str]] = field(
         default_factory=list
-    )  # when, backend (None: below), what
-    late_loop: list[tuple[int, int]] = field(default_factory=list)  # when, by how much our own loop was late
-    below_most: float = 0.0  # the most that what lies below had in hand, in parts of what it falls at
+    )  # time, backend (None: the dependency), cause
+    late_loop: list[tuple[int, int]] = field(default_factory=list)  # time and lateness of each tick
+    below_most: float = 0.0  # peak load of the dependency as a fraction of the load at which it fails
 
     def attempts(self) -> Iterator[Attempt]:
         for request in self.requests:
             yield from request.tries
 
     def write(self, path: Path) -> None:
-        """One JSON line a ticket with its tries, then the lives."""
+        """Writes one JSON line per request with its attempts, then one per incarnation."""
         with path.open("wb") as file:
             for request in self.requests:
                 file.write(orjson.dumps(request) + b"\n")
--- a/crowwing/emulator/models/__init__.py
+++ b/crowwing/emulator/models/__init__.py
@@ -1,1 +1,1 @@
-"""What a machine, what lies below, and callers do: pure."""
+"""Models of machines, the shared dependency, sidecars and clients. Free of I/O."""
--- a/crowwing/emulator/models/dependency.py
+++ b/crowwing/emulator/models/dependency.py
@@ -1,4 +1,4 @@
-"""What lies below: slots that all backends share, slower when crowded, dead past its limit. Pure."""
+"""The dependency shared by all backends: slows down under load and fails above its limit. Free of I/O."""
 
 from crowwing.emulator.models.processor_sharing import NEVER, ProcessorSharing, SlidingMean, WarmUp
 from crowwing.emulator.plan import DownstreamSettings
@@ -11,20 +11,20 @@
             now, settings.slots, WarmUp(now), settings.crowd_from, settings.crowd_cost
         )
         self.mean_in_flight = SlidingMean(now, round(settings.fall_s * 1e6))
-        self.lingering: dict[str, int] = {}  # calls given up -> when they leave
+        self.lingering: dict[str, int] = {}  # cancelled calls -> when they free their slot
         self.dead_until = 0
         self.deaths = 0
-        self.peak = 0.0  # of what is in hand, against what it falls at
+        self.peak = 0.0  # highest mean load, as a fraction of the load at which it fails
 
     def dead(self, now: int) -> bool:
         return now < self.dead_until
 
     def set_speed_factor(self, now: int, factor: float) -> None:
-        """All calls at `factor` times the speed; 0 hangs them."""
+        """Runs all calls at `factor` times the speed; 0 hangs them."""
         self.slots.set_speed(now, factor)
 
     def admit(self, now: int, call: str, work: float) -> bool:
-        """Whether the call is let in; False: turned away, it never ran."""
+        """Admits a call; False means that it was rejected and never ran."""
         if self.dead(now) or 0 < self.settings.turns_away_at <= len(self.slots) / self.settings.slots:
             return False
         self.slots.add(now, call, work)
@@ -32,7 +32,7 @@
         return True
 
     def give_up(self, now: int, call: str) -> None:
-        """Its caller has gone; it lingers for a while and takes its slot until then."""
+        """Cancels a call whose caller has gone; it keeps its slot for `lingers_ms`."""
         if call in self.slots.ends:
             self.lingering[call] = now + round(self.settings.lingers_ms * 1000)
 
@@ -42,7 +42,7 @@
         )
 
     def ended(self, now: int) -> list[str]:
-        """Calls whose reply can go out at `now`."""
+        """Returns the calls that are complete at `now`."""
         found = []
         while (call := self.slots.ended(now)) is not None:
             if self.lingering.pop(call, None) is None:
--- a/crowwing/emulator/models/machine.py
+++ b/crowwing/emulator/models/machine.py
@@ -1,10 +1,10 @@
-"""A backend's machine: a reading line, cores that all runs share, memory, and the crowd it dies of. Pure.
+"""A backend's machine: read queue, shared cores, memory, and failure by overload. Free of I/O.
 
-Facts from the platform's pages: reading a ticket costs part of its work whatever is decided; runs share the
-cores, and past a crowd all get slower; a fresh machine is cold; work at a call holds its memory but no
-core; a machine dies when the runs on its cores, in the mean of some seconds, are over a multiple of the
-cores (less while cold), or when more memory is booked than it has. Moments come from next_at(); happened()
-then says what they brought.
+As documented for the platform: reading a request costs part of its work whatever is decided; runs share
+the cores and slow down when there are too many; a new machine warms up; a run that waits for a downstream
+call holds its memory but no core. A machine fails when the mean number of runs on its cores over some
+seconds exceeds a multiple of the cores (a smaller one during warm-up), or when more memory is reserved than
+it has. next_at() gives the time of the next event, process_events() the events due.
 """
 
 from collections import deque
@@ -13,11 +13,11 @@
 from crowwing.emulator.models.processor_sharing import NEVER, ProcessorSharing, SlidingMean, WarmUp
 from crowwing.emulator.plan import MachineSettings
 
-RESERVE_DELAY_US = 100_000  # microseconds after it is written from which a ticket counts against the memory
+RESERVE_DELAY_US = 100_000  # microseconds after sending from which a request counts towards the memory
 
 
 class MachineEvent(NamedTuple):
-    """`what`: "read" (it can be written to the backend), "calls", "ended" or "fell" (`ident`: of what)."""
+    """`what` is "read" (can be sent to the backend), "calls", "ended" or "fell" (`ident`: the cause)."""
 
     what: str
     ident: str
@@ -27,12 +27,12 @@
     __slots__ = ("kb", "first", "second", "began", "calling")
 
     def __init__(self, now: int, kb: float, first: float, second: float | None) -> None:
-        """`second`: the work after the call; None where none is made."""
+        """`second` is the work after the downstream call; None if there is none."""
         self.kb, self.first, self.second, self.began, self.calling = kb, first, second, now, False
 
 
 class Machine:
-    """Of one life; a killed one is thrown away."""
+    """The machine of one incarnation; a killed one is discarded."""
 
     def __init__(self, now: int, settings: MachineSettings, speed: float, cold: bool) -> None:
         self.settings, self.base_speed, self.born = settings, speed, now
@@ -42,11 +42,9 @@
             now, settings.cores, self.warm_up, settings.crowd_from, settings.crowd_cost
         )
         self.cores.speed = speed
-        self.read_queue: deque[tuple[str, float]] = deque()  # emptied by reading
-        self.runs: dict[str, Run] = {}  # emptied by ends and stops
-        self.reserved_kb: dict[
-            str, float
-        ] = {}  # held tickets, by what they book; emptied by answers and runs
+        self.read_queue: deque[tuple[str, float]] = deque()
+        self.runs: dict[str, Run] = {}
+        self.reserved_kb: dict[str, float] = {}  # by request, until it is answered or runs
         self.mean_running = SlidingMean(now, round(settings.fall_s * 1e6))
         self.used_kb = 0.0
         self.failure: str | None = None
@@ -55,13 +53,13 @@
     # Faults
 
     def set_speed_factor(self, now: int, factor: float) -> None:
-        """All runs at `factor` times the speed; 0 hangs them."""
+        """Runs everything at `factor` times the speed; 0 hangs it."""
         self.cores.set_speed(now, self.base_speed * factor)
 
-    # Tickets
+    # Requests
 
     def enqueue(self, now: int, ident: str, work: float) -> None:
-        """A ticket has come to the machine and waits to be read."""
+        """Queues a request that has arrived until it is read."""
         self.read_queue.append((ident, work * self.settings.read_part))
         self._start_reads(now)
 
@@ -71,7 +69,7 @@
         self._check_memory()
 
     def release(self, ident: str) -> None:
-        """It was answered or given up."""
+        """Frees the memory of a request that was answered or cancelled."""
         self.used_kb -= self.reserved_kb.pop(ident, 0.0)
 
     def _check_memory(self) -> None:
@@ -81,7 +79,7 @@
     # Runs
 
     def launch(self, now: int, ident: str, kb: float, work: float, calls_after: float | None) -> None:
-        """`calls_after`: the part of the work that is done before a call, None without one."""
+        """`calls_after` is the part of the work done before the downstream call; None without one."""
         first = work if calls_after is None else work * calls_after
         self.runs[ident] = Run(now, kb, first, None if calls_after is None else work - first)
         self.used_kb += kb * self.settings.run_factor - self.reserved_kb.pop(ident, 0.0)
@@ -90,7 +88,7 @@
         self._update_running(now)
 
     def deliver(self, now: int, ident: str) -> bool:
-        """The reply to its call is there: it goes on. Whether it waited for one."""
+        """Continues a run after the reply to its call; False if it was not waiting for one."""
         run = self.runs.get(ident)
         if run is None or not run.calling:
             return False
@@ -101,7 +99,7 @@
         return True
 
     def stop(self, now: int, ident: str) -> int | None:
-        """Takes it off at once; for how long it ran, None if it did not."""
+        """Stops a run at once; returns for how long it ran, or None if it did not run."""
         run = self.runs.pop(ident, None)
         if run is None:
             return None
@@ -121,7 +119,7 @@
         return min(self.cores.next_at(), self._overload_check_at())
 
     def process_events(self, now: int) -> list[MachineEvent]:
-        """All that is over at `now`."""
+        """Returns the events due at `now`."""
         events: list[MachineEvent] = []
         while (job := self.cores.ended(now)) is not None:
             if isinstance(job, tuple):
@@ -150,13 +148,13 @@
         self.mean_running.set(now, self.on_cores())
 
     def _overload_check_at(self) -> int:
-        """A moment to look at the crowd again while it is over what may stay."""
+        """Returns when to check for overload again, while more runs are on the cores than allowed."""
         if self.on_cores() <= self.max_running(self.cores.now):
             return NEVER
         return self.cores.now + self.mean_running.span // 20
 
     def _start_reads(self, now: int) -> None:
-        """At most one a core at a time, in the order in which they came."""
+        """Starts reading queued requests in order of arrival, at most one per core at a time."""
         while self.read_queue and self.reading < self.settings.cores:
             ident, work = self.read_queue.popleft()
             self.cores.add(now, ("read", ident), work)
--- a/crowwing/emulator/models/processor_sharing.py
+++ b/crowwing/emulator/models/processor_sharing.py
@@ -1,9 +1,9 @@
-"""Processor sharing, exactly: jobs that advance together at one rate. Pure; the clock is handed in.
+"""Exact processor sharing: jobs that advance together at one rate. Free of I/O; time is passed in.
 
 All jobs get the same rate at the same time, so one number, the work done for a job since the start
 (`work_done`), is enough: a job added at `work_done` with work w ends when `work_done` has grown by w. Between
 two changes the rate is constant, or rises linearly during warm-up; both can be inverted, so no ticks are
-needed and the same models serve sockets and simulated time. Work is in microseconds at speed 1 on a place
+needed and the same models serve sockets and simulated time. Work is in microseconds at speed 1 on a slot
 of its own.
 """
 
@@ -16,7 +16,7 @@
 
 
 class WarmUp:
-    """A speed that rises in a line from `least` to 1 over `span` microseconds from `born`."""
+    """A speed that rises linearly from `least` to 1 over `span` microseconds from `born`."""
 
     __slots__ = ("born", "span", "least")
 
@@ -29,7 +29,7 @@
         return self.least + (1 - self.least) * max(0, now - self.born) / self.span
 
     def integral(self, start: int, end: int) -> float:
-        """The integral of the speed, in microseconds of full speed."""
+        """Returns the integral of the speed, in microseconds at full speed."""
         warm_at = self.born + self.span
         cold_end = min(end, warm_at)
         area = max(0, end - max(start, warm_at))
@@ -38,7 +38,7 @@
         return float(area)
 
     def time_to_reach(self, start: int, area: float) -> int:
-        """The first whole microsecond by which the integral from `start` has reached `area`."""
+        """Returns the first whole microsecond by which the integral from `start` has reached `area`."""
         warm_at = self.born + self.span
         if start >= warm_at:
             return start + ceil(area)
@@ -52,26 +52,27 @@
 
 
 class ProcessorSharing:
-    """Jobs on `places`; over `crowd_from` jobs a place, each job a place more costs all `crowd_cost`."""
+    """Jobs that share `slots`.
+
+    Above `crowd_from` jobs per slot, each further job per slot slows all of them by `crowd_cost`.
+    """
 
     def __init__(
         self, now: int, slots: float, warm_up: WarmUp, crowd_from: float = NEVER, crowd_cost: float = 0.0
     ) -> None:
         self.now, self.slots, self.warm_up = now, slots, warm_up
         self.crowd_from, self.crowd_cost = crowd_from, crowd_cost
-        self.speed = 1.0  # of a place; faults change it, 0 stops it
+        self.speed = 1.0  # of one slot; faults change it, 0 stops all jobs
         self.work_done = 0.0
-        self.ends: dict[
-            Hashable, tuple[float, int]
-        ] = {}  # job -> at what `work_done` it ends; emptied by ends
-        self.heap: list[tuple[float, int, Hashable]] = []  # heap; entries without their job are skipped
+        self.ends: dict[Hashable, tuple[float, int]] = {}  # job -> value of `work_done` at which it ends
+        self.heap: list[tuple[float, int, Hashable]] = []  # entries of removed jobs are skipped
         self.serial = count()
 
     def __len__(self) -> int:
         return len(self.ends)
 
     def rate(self) -> float:
-        """For each job, before warming."""
+        """Returns the rate of each job, before the warm-up factor."""
         load = len(self.ends) / self.slots
         if not load:
             return 0.0
@@ -79,7 +80,7 @@
         return self.speed * min(1.0, 1 / load) / slowdown
 
     def utilization(self) -> float:
-        """Part of the places that is taken."""
+        """Returns the part of the slots that is in use."""
         return min(1.0, len(self.ends) / self.slots)
 
     def add(self, now: int, job: Hashable, work: float) -> None:
@@ -89,7 +90,7 @@
         heapq.heappush(self.heap, (*entry, job))
 
     def remove(self, now: int, job: Hashable) -> float:
-        """Takes a job off; the work that it had left."""
+        """Removes a job and returns its remaining work."""
         self.advance_to(now)
         return max(0.0, self.ends.pop(job)[0] - self.work_done)
 
@@ -98,13 +99,13 @@
         self.speed = speed
 
     def advance_to(self, now: int) -> None:
-        """Nothing may end before `now`: ask next_at() and take ended() first."""
+        """Advances the clock; no job may end before `now`, so drain ended() at each next_at() first."""
         if now > self.now:
             self.work_done += self.rate() * self.warm_up.integral(self.now, now)
             self.now = now
 
     def next_at(self) -> int:
-        """When the next job ends, if nothing changes before."""
+        """Returns when the next job ends, if nothing changes before."""
         while self.heap and self.ends.get(self.heap[0][2]) != self.heap[0][:2]:
             heapq.heappop(self.heap)
         rate = self.rate()
@@ -115,7 +116,7 @@
         )
 
     def ended(self, now: int) -> Hashable | None:
-        """One job that is over at `now`, or None; call it until None, at each next_at()."""
+        """Takes one job that has ended by `now`, or None; call it until None at each next_at()."""
         if self.next_at() > now:
             return None
         self.advance_to(now)
@@ -125,12 +126,12 @@
 
 
 class SlidingMean:
-    """The exact mean of a figure over the last `span` microseconds; it keeps the changes in that span."""
+    """Exact mean of a value over the last `span` microseconds; keeps the changes within that span."""
 
     def __init__(self, now: int, span: int) -> None:
         self.span, self.value, self.area = span, 0.0, 0.0
         self.at = self.first = now
-        self.steps: list[tuple[int, float]] = []  # (until, value); the oldest leave as they fall out
+        self.steps: list[tuple[int, float]] = []  # (until, value), oldest first
         self.head = 0
 
     def set(self, now: int, value: float) -> None:
--- a/crowwing/emulator/models/sidecar_policy.py
+++ b/crowwing/emulator/models/sidecar_policy.py
@@ -1,15 +1,16 @@
-"""What a sidecar decides: which backend a try goes to, and whether there is another. Pure.
+"""Decides to which backend a sidecar sends an attempt, and whether it retries. Free of I/O.
 
-Facts from the platform's pages: each goes through its own list in its own order, knows what the control
-plane lists some time late, and only some follow the advice and the free values that answers carry.
+As documented for the platform: each sidecar goes through its own list in its own order, learns of changes
+in the control plane's list with a delay, and only some follow the retry-after and spare-capacity hints in
+responses.
 """
 
 from random import Random
 
 from crowwing.emulator.plan import SidecarSettings
 
-SPARE_CAPACITY_TTL_US = 1_000_000  # microseconds that a free value is believed without a newer one
-MAX_RETRY_TOKENS = 10.0  # repeats that habit 'capped' can save up
+SPARE_CAPACITY_TTL_US = 1_000_000  # microseconds for which a reported spare capacity is trusted
+MAX_RETRY_TOKENS = 10.0  # retries that habit 'capped' can accumulate
 
 
 class Sidecar:
@@ -18,17 +19,15 @@
         self.order = list(range(backends))
         rng.shuffle(self.order)
         self.follows_hints = rng.random() < settings.heed
-        self.listed = set(self.order)  # as far as it knows
-        self.backoff_until: dict[int, int] = {}  # backend -> until when it stays away; one entry a backend
-        self.spare_capacity: dict[
-            int, tuple[float, int]
-        ] = {}  # backend -> free value, when it was reported_at
+        self.listed = set(self.order)  # backends that it believes to be listed
+        self.backoff_until: dict[int, int] = {}  # backend -> end of its back-off
+        self.spare_capacity: dict[int, tuple[float, int]] = {}  # backend -> (spare capacity, when reported)
         self.in_flight = [0] * backends
         self.next_index = 0
         self.tokens = MAX_RETRY_TOKENS / 2
 
     def on_response(self, now: int, backend: int, spare_capacity: float | None, retry_after: int) -> None:
-        """What an answer carried; `away` in microseconds."""
+        """Takes the hints of a response; `retry_after` is in microseconds."""
         if not self.follows_hints:
             return
         if spare_capacity is not None:
@@ -37,18 +36,21 @@
             self.backoff_until[backend] = now + retry_after
 
     def choose_first(self, now: int) -> int | None:
-        """For the first try of a ticket: on in turn; None where none may be had."""
+        """Returns the backend for a first attempt, round robin; None if none is available."""
         self.tokens = min(MAX_RETRY_TOKENS, self.tokens + self.settings.cap_part)
         return self._next(now, ())
 
     def choose_retry(
         self, now: int, tried: list[int], ending: str, idempotent: bool, give_up: bool
     ) -> int | None:
-        """Where the ticket goes after a try that ended 'dismissed', 'forfeited', 'lost' or 'unreached'."""
+        """Returns the backend for a retry, or None.
+
+        `ending` is how the last attempt ended: 'dismissed', 'forfeited', 'lost' or 'unreached'.
+        """
         habit = self.settings.habit
         if len(tried) >= self.settings.tries_most:
             return None
-        if ending == "unreached":  # it never came there, so any habit goes on
+        if ending == "unreached":  # never reached a backend, so every habit retries
             return self._next(now, tried)
         if give_up and self.follows_hints:
             return None
@@ -63,11 +65,11 @@
         return self._next(now, tried)
 
     def choose_hedge(self, now: int, tried: list[int]) -> int | None:
-        """Where a second copy of a slow ticket goes."""
+        """Returns the backend for a hedged second attempt of a slow request, or None."""
         return self._next(now, tried) if len(tried) < self.settings.tries_most else None
 
     def _next(self, now: int, tried: list[int] | tuple[int, ...]) -> int | None:
-        """The next of its list in turn that is not tried yet; with all tried, 'uncapped' begins again."""
+        """Returns the next available backend not tried yet; once all are tried, 'uncapped' starts over."""
         count = len(self.order)
         for step in range(count):
             backend = self.order[(self.next_index + step) % count]
--- a/crowwing/emulator/models/traffic.py
+++ b/crowwing/emulator/models/traffic.py
@@ -1,7 +1,7 @@
-"""What clients ask: open-loop arrivals and what each ticket is, all from the seed. Pure.
+"""Generates the clients' requests: open-loop arrivals and their contents, all from the seed. Free of I/O.
 
-The streams of the usual traffic and of each flood have chance of their own, so that a fault more or less in
-a plan changes none of the other arrivals.
+The normal traffic and each flood have their own random generators, so that adding or removing a fault in a
+plan changes none of the other arrivals.
 """
 
 from collections import deque
@@ -13,11 +13,11 @@
 
 from crowwing.emulator.plan import Plan
 
-RECENT_ARRIVALS = 200  # the tickets of late that an equal one is drawn from
+RECENT_ARRIVALS = 200  # recent requests from which an equal one is drawn
 
 
 class Arrival(NamedTuple):
-    """One ticket as its client knows it. Times in microseconds, `at` from the start of the traffic."""
+    """One request as its client sees it. Times in microseconds, `at` since the start of the traffic."""
 
     at: int
     kind: int
@@ -27,7 +27,7 @@
     kb: float
     rank: float
     body: bytes
-    pauses: tuple[int, ...]  # before each repeat
+    pauses: tuple[int, ...]  # before each retry
     sidecar: int
     follows_hints: bool
 
@@ -40,10 +40,10 @@
 
 
 def _poisson_times(rng: Random, rate_at: "RateCurve", end: int) -> Iterator[int]:
-    """A Poisson stream under a rate (a second) that is constant between its steps."""
+    """Yields the times of a Poisson process whose rate per second is piecewise constant."""
     now = 0.0
     while now < end:
-        left = rng.expovariate(1.0)  # of the integral of the rate
+        left = rng.expovariate(1.0)  # remaining integral of the rate until the next event
         while now < end:
             rate, until = rate_at(now)
             area = rate * (min(until, end) - now) / 1e6
@@ -57,7 +57,7 @@
 
 
 class RateCurve:
-    """The rate of the usual traffic: constant or bursty, times what faults make of it."""
+    """Rate of the normal traffic: constant or bursty, multiplied by active burst faults."""
 
     def __init__(self, plan: Plan, rng: Random, rate: float) -> None:
         self.end = round(plan.seconds * 1e6)
@@ -89,7 +89,7 @@
 
 
 def arrivals(plan: Plan) -> Iterator[Arrival]:
-    """All that is arrival, in order of time."""
+    """Yields all requests in order of time."""
     end, streams = round(plan.seconds * 1e6), []
     rng = Random(f"{plan.seed}/arrivals")
     base_rate = RateCurve(plan, Random(f"{plan.seed}/bursts"), plan.rate_per_s())
--- a/crowwing/emulator/network/__init__.py
+++ b/crowwing/emulator/network/__init__.py
@@ -1,1 +1,1 @@
-"""The stand-ins on sockets."""
+"""Stand-ins for the backends' peers, on real sockets."""
--- a/crowwing/emulator/network/http_servers.py
+++ b/crowwing/emulator/network/http_servers.py
@@ -1,4 +1,4 @@
-"""The back end and the control plane as HTTP/1.1 servers, one listener a backend that speaks with them."""
+"""HTTP/1.1 servers for the dependency and the control plane, with one listener per backend."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,13 +8,11 @@
 
 
 class HttpServer(asyncio.Protocol):
-    """One connection; `heard(method, path, headers, body, answer)` is called for each request."""
+    """One connection; `handler(method, path, headers, body, respond)` is called for each request."""
 
     def __init__(self, handler: Callable[..., Callable[[], None] | None]) -> None:
         self.handler = handler
-        self.on_disconnect: Callable[[], None] | None = (
-            None  # told when the connection goes before the answer
-        )
+        self.on_disconnect: Callable[[], None] | None = None  # called if it closes before the response
         self.parser = httptools.HttpRequestParser(self)
 
     def connection_made(self, transport: asyncio.Transport) -> None:
@@ -56,7 +54,7 @@
 
 
 def parse_condition(body: bytes) -> bool | None:
-    """Whether a report says ready; None for what is no report."""
+    """Returns whether a health report says ready; None if it is malformed."""
     try:
         condition = orjson.loads(body)["condition"]
     except (ValueError, KeyError, TypeError):
--- a/crowwing/emulator/network/node.py
+++ b/crowwing/emulator/network/node.py
@@ -1,7 +1,4 @@
-"""One backend's machine on loopback: the process.
-
-Its farm agent, and its ways below and to the control plane.
-"""
+"""One backend's machine on loopback: the backend process, its worker agent, dependency and control plane."""
 
 import asyncio
 from pathlib import Path
@@ -15,11 +12,11 @@
 from crowwing.emulator.network import http_servers, worker_agent
 from crowwing.emulator.plan import Plan
 
-RESTART_DELAY_S = 2.0  # seconds to the next life of one that fell over or crashed
+RESTART_DELAY_S = 2.0  # until a backend that crashed or failed by overload starts again
 
 
 class Work:
-    """A try as its backend's machine knows it."""
+    """An attempt as its backend's machine sees it."""
 
     __slots__ = ("one", "kind", "body", "kb", "work", "calls", "call_work", "attempt")
 
@@ -39,7 +36,7 @@
 
 
 class NodeContext(Protocol):
-    """What a node shares with the others."""
+    """State and callbacks that all nodes share."""
 
     plan: Plan
     truth: GroundTruth
@@ -49,10 +46,10 @@
     def dependency_changed(self) -> None: ...
 
     def forward(self, node: "Node", work: Work) -> None:
-        """The machine has read it: it goes to the backend now."""
+        """Sends a request that the machine has read to the backend."""
 
     def on_unreached(self, node: "Node", work: Work) -> None:
-        """It never came to the backend."""
+        """Ends an attempt that did not reach the backend."""
 
 
 class Node:
@@ -74,20 +71,18 @@
         self.agent: worker_agent.WorkerAgent | None = None
         self.process: processes.BackendProcess | None = None
         self.incarnation: Incarnation | None = None
-        self.works: dict[str, Work] = {}  # of this incarnation, which empties it
-        self.pending_calls: dict[
-            str, http_servers.HttpServer
-        ] = {}  # calls below that are out -> who waits; emptied by ends
+        self.works: dict[str, Work] = {}  # of the current incarnation
+        self.pending_calls: dict[str, http_servers.HttpServer] = {}  # downstream calls in flight
         self.call_count = self.incarnations = 0
-        self.speed = 1.0  # what faults make of it
-        self.restart_at: int | None = None  # when the next life begins; None: it has one, or a fault decides
+        self.speed = 1.0  # factor set by faults
+        self.restart_at: int | None = None  # None: it runs, or a fault decides about its restart
 
     @property
     def name(self) -> str:
         return f"n{self.number + 1}"
 
     async def open(self) -> None:
-        """Takes its addresses; OSError where one is taken."""
+        """Binds its addresses; OSError if one is taken."""
         makers = {
             7300: lambda: worker_agent.Link(self.agent),
             5432: lambda: http_servers.HttpServer(self._on_call),
@@ -104,7 +99,7 @@
             self.process.kill()
             self.process = None
 
-    # Lives
+    # Incarnations
 
     def start(self, cold: bool) -> None:
         now = clock.now()
@@ -122,7 +117,7 @@
         self.context.registry.started(now, self.number)
 
     def kill(self, how: str) -> None:
-        """The machine and all on it are gone at once."""
+        """Ends the machine and everything on it at once."""
         if self.process is not None:
             self.process.kill()
             self._end_incarnation(how, None)
@@ -133,7 +128,7 @@
             self.process.terminate()
 
     def poll_process(self, now: int) -> None:
-        """Whether the process is still there, and whether it stays beyond its stop."""
+        """Detects an exited process, kills one that exceeds its shutdown deadline, restarts one if due."""
         if self.process is None:
             if self.restart_at is not None and now >= self.restart_at:
                 self.start(cold=True)
@@ -191,7 +186,7 @@
         self.reschedule()
 
     def reserve_memory(self, incarnation: Incarnation, work: Work) -> None:
-        """Some time after it was written a ticket that is still open counts against the memory."""
+        """Counts a request towards the memory if it is still open some time after it was sent."""
         if (
             self.incarnation is incarnation
             and self.machine is not None
@@ -223,7 +218,7 @@
                 return
         self.reschedule()
 
-    # Below
+    # Dependency
 
     def _on_call(
         self,
@@ -242,7 +237,7 @@
         self.call_count += 1
         call = f"{self.number}/{ident}/{self.call_count}"
         for earlier in [c for c in self.pending_calls if c.startswith(f"{self.number}/{ident}/")]:
-            self._cancel_call(earlier)  # a second call for a ticket gives up the first one
+            self._cancel_call(earlier)  # a second call for a request cancels the first one
         work.one.calls.append((now, 0, "out"))
         if not self.context.dependency.admit(now, call, work.call_work):
             work.one.calls[-1] = (now, now, "turned_away")
@@ -264,7 +259,7 @@
         respond(200, b"reply to " + body)
 
     def abort_call(self, call: str) -> None:
-        """What lies below has died with the call on it."""
+        """Drops the connection of a call on which the dependency failed."""
         respond, work, _ = self.pending_calls.pop(call)
         self._record_call_end(work, "broken")
         respond.__self__.transport.abort()
@@ -287,7 +282,7 @@
     ) -> None:
         ready = http_servers.parse_condition(body)
         if self.context.registry.suspended:
-            return  # it hangs
+            return  # no answer: the control plane hangs
         if method != b"PUT" or url != f"/v2/endpoints/{self.name}".encode() or ready is None:
             respond(400)
             return
--- a/crowwing/emulator/network/sidecar_connections.py
+++ b/crowwing/emulator/network/sidecar_connections.py
@@ -1,18 +1,16 @@
-"""A sidecar's HTTP/1.1 connections to backends: kept alive, one ticket at a time."""
+"""A sidecar's HTTP/1.1 connections to backends: kept alive, one request at a time."""
 
 import asyncio
 from collections.abc import Callable
 
 import httptools
 
-RESEND_WINDOW_S = (
-    0.05  # seconds in which a ticket that crossed a close is sent once more, on a new connection
-)
+RESEND_WINDOW_S = 0.05  # a request that crossed a close within this time is resent once on a new connection
 CONNECT_TIMEOUT_S = 2.0
 
 
 class SidecarConnection(asyncio.Protocol):
-    """One connection. `answered(status, headers, body)` or `lost()` is called for what was asked on it."""
+    """One connection; each request ends with `on_reply(status, headers, body)` or `on_lost()`."""
 
     def __init__(self, pool: "Pool") -> None:
         self.pool = pool
@@ -34,7 +32,7 @@
     def data_received(self, data: bytes) -> None:
         self.started = True
         if self.parser is None:
-            return self.transport.abort()  # an answer that nobody asked for
+            return self.transport.abort()  # a response without a request
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -76,14 +74,14 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], idle_s: float) -> None:
         self.loop, self.address, self.idle_s = loop, address, idle_s
-        self.idle: list[SidecarConnection] = []  # the last used last; emptied by use, age and closes
+        self.idle: list[SidecarConnection] = []  # most recently used last
         self.opening: set[asyncio.Task] = set()
 
     def send(
         self, data: bytes, on_reply: Callable, on_lost: Callable, on_unreached: Callable, on_sent: Callable,
         resend: bool = False,
     ) -> None:  # fmt: skip
-        """`written` is called once the ticket is on a connection, `unreached` where none can be had."""
+        """Calls `on_sent` once the request is written, `on_unreached` if no connection can be opened."""
         while self.idle and not resend:
             connection = self.idle.pop()
             if not connection.transport.is_closing():
--- a/crowwing/emulator/network/worker_agent.py
+++ b/crowwing/emulator/network/worker_agent.py
@@ -1,6 +1,7 @@
-"""The farm agent's side of its link, as its lines are told: launches onto a machine, notices back.
+"""Worker agent: launches runs on the emulated machine on a backend's command and sends notices back.
 
-One serves one life of a machine. Notices are kept and numbered from 1; a new link replaces the one before.
+One agent serves one incarnation of a machine. Notices are numbered from 1 and kept for resending; a new
+link replaces the one before.
 """
 
 import asyncio
@@ -15,7 +16,7 @@
 
 
 class Work(Protocol):
-    """What the emulation knows of a ticket that came to this machine."""
+    """An attempt that has arrived at this machine."""
 
     one: Attempt
     kind: str
@@ -26,7 +27,7 @@
 
 
 class AgentHost(Protocol):
-    """Who the farm agent asks about tickets, and tells that something changed."""
+    """Owner of the agent: looks up requests and reschedules the machine's timer after changes."""
 
     machine: Machine
 
@@ -41,10 +42,10 @@
         self.notices: deque[bytes] = deque(maxlen=MAX_NOTICES)
         self.number = 0
         self.link: Link | None = None
-        self.waiting: dict[str, bytes] = {}  # runs at a call -> its body; emptied by replies and ends
+        self.waiting: dict[str, bytes] = {}  # runs that wait for a downstream call -> its body
 
     def notify(self, line: str, payload: bytes | None = None) -> None:
-        """A notice; `line` has its number's place open."""
+        """Sends and keeps a notice; '#' in `line` is replaced by its number."""
         self.number += 1
         data = line.replace("#", str(self.number), 1).encode() + b"\r\n"
         if payload is not None:
@@ -57,7 +58,7 @@
         first = self.number - len(self.notices)
         return b"".join(list(self.notices)[max(0, number - first) :])
 
-    # What the machine tells
+    # Events of the machine
 
     def report_call(self, now: int, work: Work) -> None:
         body = b"ask:" + work.one.id.encode()
@@ -71,10 +72,10 @@
         runs[-1] = (runs[-1][0], now, how)
         self.notify(f"outcome # {work.one.id} {how} {max(0, now - began) / 1000:.3f} {len(result)}", result)
 
-    # What the backend tells
+    # Commands of the backend
 
     def handle_command(self, words: list[str], payload: bytes, link: "Link") -> bool:
-        """Carries one command out; False for what is none, which closes the link."""
+        """Carries out one command; False for an unknown one, upon which the link is closed."""
         now = clock.now()
         match words:
             case ["subscribe", number] if number.isdigit():
@@ -135,7 +136,7 @@
             self.report_outcome(now, work, how, now - elapsed)
 
     def on_answered(self, ident: str) -> None:
-        """The ticket has its answer: a run that waits at a call ends with it."""
+        """Stops a run that waits for a downstream call once its request has been answered."""
         if ident in self.waiting:
             self._stop(clock.now(), ident, "STOPPED")
             self.machine_host.reschedule()
@@ -146,7 +147,7 @@
 
 
 class Link(asyncio.Protocol):
-    """One connection of a backend; `farm` is asked for anew, since a machine may begin another life."""
+    """One connection of a backend to the agent of the machine's current incarnation."""
 
     def __init__(self, agent: WorkerAgent | None) -> None:
         self.agent, self.buffer = agent, bytearray()
--- a/crowwing/emulator/plan.py
+++ b/crowwing/emulator/plan.py
@@ -1,6 +1,7 @@
-"""What an emulation is: the fleet, its load, the habits of those around it, and its faults. Read from JSON.
+"""Plan of an emulation, read from JSON: the fleet, its load, the behaviour of its peers, and the faults.
 
-Every field has a default, so `{}` is a plan. Times have their unit in the name. Unknown names are refused.
+Every field has a default, so `{}` is a valid plan. Names of times carry their unit. Unknown fields are
+rejected.
 """
 
 from pathlib import Path
@@ -19,15 +20,15 @@
 
 
 class PlanError(ValueError):
-    """One line that names the file and the place in it."""
+    """One line that names the file and the JSON path of the mistake."""
 
 
 class PlanPart(Struct, forbid_unknown_fields=True, frozen=True):
-    """What every part of a plan shares."""
+    """Base of all parts of a plan."""
 
 
 class RequestClassSettings(PlanPart):
-    """One traffic type. Work is log-normal, in milliseconds of one core at speed 1."""
+    """One request class. Work is log-normal, in milliseconds of one core at speed 1."""
 
     name: str
     share: Positive = 1.0
@@ -36,7 +37,7 @@
     expected_ms: Positive = 1000.0
     outer_ms: Positive = 2500.0
     credit: Positive = 1.0
-    late_part: Fraction = 0.2  # of the credit, for an answer between expected time and outer limit
+    late_part: Fraction = 0.2  # part of the value earned by an answer between latency target and deadline
     repeat: Literal["safe", "unsafe"] = "safe"
     calls: bool = False
 
@@ -48,12 +49,12 @@
 
 class MachineSettings(PlanPart):
     cores: Annotated[int, Meta(ge=1, le=64)] = 4
-    speeds: tuple[Positive, ...] = (0.8, 1.2)  # dealt out in turn
-    crowd_from: Positive = 1.4  # runs a core past which all get slower
-    crowd_cost: NonNegative = 0.25  # so much for each further run a core
+    speeds: tuple[Positive, ...] = (0.8, 1.2)  # assigned to the backends in turn
+    crowd_from: Positive = 1.4  # runs per core above which all runs slow down
+    crowd_cost: NonNegative = 0.25  # slowdown for each further run per core
     cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.25
     cold_s: NonNegative = 8.0
-    read_part: Fraction = 0.2  # of a ticket's mean work, to read it
+    read_part: Fraction = 0.2  # cost of reading a request, as a part of its mean work
     memory_kb: Positive = 60000.0
     run_factor: Annotated[float, Meta(ge=1)] = 8.0
     fall_multiple: Annotated[float, Meta(ge=1)] = 8.0
@@ -65,7 +66,7 @@
     work_ms: Positive = 15.0
     crowd_from: Positive = 1.0
     crowd_cost: NonNegative = 0.2
-    turns_away_at: NonNegative = 0.0  # calls a slot from which it turns calls away; 0: never
+    turns_away_at: NonNegative = 0.0  # calls per slot from which calls are rejected; 0: never
     fall_multiple: Positive = 5.0
     fall_s: Positive = 5.0
     down_s: Positive = 5.0
@@ -75,10 +76,10 @@
 class SidecarSettings(PlanPart):
     count: Count = 4
     habit: Habit = "uncapped"
-    heed: Fraction = 0.9  # share of sidecars that follow advice and free values
-    tries_most: Annotated[int, Meta(ge=1, le=50)] = 4  # tries of one ticket, the first included
-    cap_part: Fraction = 0.2  # habit 'capped': repeats for each first try
-    copy_after_ms: Positive = 400.0  # habit 'copy': without an answer for so long, a second one goes out
+    heed: Fraction = 0.9  # share of sidecars that follow retry-after and spare-capacity hints
+    tries_most: Annotated[int, Meta(ge=1, le=50)] = 4  # attempts per request, the first included
+    cap_part: Fraction = 0.2  # habit 'capped': retries allowed per first attempt
+    copy_after_ms: Positive = 400.0  # habit 'copy': delay before a hedged second attempt
     notice_s: tuple[NonNegative, NonNegative] = (
         1.0,
         2.0,
@@ -87,9 +88,9 @@
 
 
 class ClientSettings(PlanPart):
-    repeats: Annotated[int, Meta(ge=0, le=5)] = 1  # by a client itself, unmarked
-    pause_ms: tuple[NonNegative, NonNegative] = (100.0, 400.0)  # before a repeat
-    heed: Fraction = 0.0  # share of clients that come back only when told to
+    repeats: Annotated[int, Meta(ge=0, le=5)] = 1  # retries by the client itself, not marked as such
+    pause_ms: tuple[NonNegative, NonNegative] = (100.0, 400.0)  # before a retry
+    heed: Fraction = 0.0  # share of clients that honour retry-after
 
 
 class ControlPlaneSettings(PlanPart):
@@ -97,26 +98,29 @@
 
 
 class TrafficSettings(PlanPart):
-    load: Positive = 0.8  # mean work asked for, reading included, against what all cores can do
+    load: Positive = 0.8  # offered work, reading included, relative to the capacity of all cores
     shape: Literal["poisson", "bursty"] = "poisson"
-    burst_size: Annotated[float, Meta(ge=1)] = 2.0  # 'bursty': times the low rate
-    burst_s: Positive = 2.0  # mean length of a burst and of the time between
-    equal_part: Fraction = 0.0  # tickets whose body equals that of another ticket of late
+    burst_size: Annotated[float, Meta(ge=1)] = 2.0  # 'bursty': high rate as a multiple of the low rate
+    burst_s: Positive = 2.0  # mean length of a burst and of the time between bursts
+    equal_part: Fraction = 0.0  # share of requests whose body equals that of a recent request
     kb: tuple[Positive, Positive] = (13.0, 60.0)
     body_bytes: Annotated[int, Meta(ge=8, le=2048)] = 64
 
 
 class Fault(PlanPart):
-    """`at_s` from the start of the traffic. `backends` by place, or a `part` of them drawn by the seed."""
+    """`at_s` counts from the start of the traffic.
+
+    `backends` are indices; instead, `part` hits a seeded random sample of that share of all backends.
+    """
 
     kind: Literal["kill", "slow", "hang", "drain", "crawl_below", "hang_below", "burst", "no_roster", "flood"]
     at_s: NonNegative
     for_s: NonNegative = 5.0
     backends: tuple[Annotated[int, Meta(ge=0)], ...] = ()
     part: Fraction = 0.0
-    size: Positive = 1.0  # slow, crawl_below: times the speed; burst, flood: times the usual rate
+    size: Positive = 1.0  # slow, crawl_below: factor on the speed; burst, flood: factor on the normal rate
     customer: str = ""  # flood
-    cold: bool = True  # kill, drain: whether the successor starts cold
+    cold: bool = True  # kill, drain: whether the next incarnation starts cold
 
 
 DEFAULT_TYPES = (
@@ -153,20 +157,20 @@
         return self.machine.speeds[backend % len(self.machine.speeds)]
 
     def mean_work_ms(self) -> float:
-        """Of one ticket that runs, reading included."""
+        """Returns the mean work of one request that runs, reading included."""
         total = sum(kind.share for kind in self.types)
         return sum(kind.share * kind.work_ms for kind in self.types) / total * (1 + self.machine.read_part)
 
     def rate_per_s(self) -> float:
-        """First tries a second, over the fleet."""
+        """Returns the first attempts per second over the whole fleet."""
         power = sum(self.speed_of(n) for n in range(self.backends)) * self.machine.cores
         return self.traffic.load * power * 1000 / self.mean_work_ms()
 
 
 def check(plan: Plan) -> Plan:
-    """What types alone do not say; ValueError with the JSON path."""
+    """Checks constraints that the types cannot express; raises ValueError with the JSON path."""
     if not plan.types:
-        raise ValueError("no traffic types - at `$.types`")
+        raise ValueError("no request classes - at `$.types`")
     if not plan.customers:
         raise ValueError("no customers - at `$.customers`")
     if not plan.machine.speeds:
@@ -176,10 +180,10 @@
         "$.traffic.kb": plan.traffic.kb,
     }.items():  # fmt: skip
         if low > high:
-            raise ValueError(f"the first of a range is above the second - at `{place}`")
+            raise ValueError(f"lower end of a range is above its upper end - at `{place}`")
     for n, kind in enumerate(plan.types):
         if kind.expected_ms > kind.outer_ms:
-            raise ValueError(f"expected time over outer limit - at `$.types[{n}].expected_ms`")
+            raise ValueError(f"latency target is above the deadline - at `$.types[{n}].expected_ms`")
     names = [customer.name for customer in plan.customers]
     for n, fault in enumerate(plan.faults):
         for backend in fault.backends:
@@ -188,11 +192,11 @@
                     f"no backend {backend}, there are {plan.backends} - at `$.faults[{n}].backends`"
                 )
         if fault.kind in ("kill", "slow", "hang", "drain") and not (fault.backends or fault.part):
-            raise ValueError(f"names no backends and no part - at `$.faults[{n}]`")
+            raise ValueError(f"needs either backends or a part - at `$.faults[{n}]`")
         if fault.kind == "flood" and fault.customer not in names:
             raise ValueError(f"no customer {fault.customer!r} - at `$.faults[{n}].customer`")
         if fault.at_s >= plan.seconds:
-            raise ValueError(f"begins after the end - at `$.faults[{n}].at_s`")
+            raise ValueError(f"starts after the end of the run - at `$.faults[{n}].at_s`")
     return plan
 
 
@@ -206,9 +210,9 @@
 
 
 def read(path: Path | None, script: Path | None = None, **changes: object) -> Plan:
-    """The plan in a file, or the defaults; faults from a file of their own go in place of the plan's.
+    """Reads a plan from a file, or returns the defaults; a separate fault script replaces the plan's faults.
 
-    `changes` are fields of Plan that were told otherwise; BadPlan is one line with the file and the place.
+    `changes` override fields of Plan. Raises PlanError with the file and the JSON path.
     """
     plan = Plan() if path is None else _decode(path, Plan)
     if script is not None:
--- a/crowwing/emulator/processes.py
+++ b/crowwing/emulator/processes.py
@@ -1,6 +1,6 @@
-"""Real backend processes: started as `run` in deploy/balancer.toml does.
+"""Runs real backend processes, started the same way as `run` in deploy/balancer.toml.
 
-Watched, and ended by their id only.
+Processes are monitored and ended by process id only.
 """
 
 import ctypes
@@ -22,12 +22,12 @@
 
 
 def set_parent_death_signal() -> None:
-    """In the child: guards against backends that stay behind when the emulator itself is killed."""
+    """Runs in the child: without it, backends would keep running after the emulator is killed."""
     _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 def configuration(plan: Plan, name: str, host: str, number: int) -> dict:
-    """What the platform would tell one backend."""
+    """Builds the configuration that the platform would give one backend."""
     machine, below = plan.machine, plan.below
     rate = plan.rate_per_s() / plan.traffic.load
     shares = sum(customer.share for customer in plan.customers)
@@ -63,12 +63,12 @@
 
 
 def name_hash(name: str) -> int:
-    """The same in every process."""
+    """Hash that, unlike `hash`, is the same in every process."""
     return sum(ord(letter) * 31**n for n, letter in enumerate(name)) % 9973
 
 
 class BackendProcess:
-    """One backend process; its lines go to a file that all lives of the backend share."""
+    """One backend process; all incarnations of a backend append to the same log file."""
 
     def __init__(self, folder: Path, config: dict, program: Path | None, operator: Path | None) -> None:
         self.path = folder / f"{config['name']}.json"
@@ -84,7 +84,7 @@
             )  # fmt: skip
 
     def exit_code(self) -> int | None:
-        """Its exit code once it has ended."""
+        """Returns the exit code, or None while the process runs."""
         return self.child.poll()
 
     def terminate(self) -> None:
--- a/crowwing/emulator/rules.py
+++ b/crowwing/emulator/rules.py
@@ -1,11 +1,11 @@
-"""The four rules, checked on the truth of an emulation after it is over. Pure."""
+"""Checks the four rules on the ground truth of a finished emulation. Free of I/O."""
 
 from typing import NamedTuple
 
 from crowwing.emulator.ground_truth import Attempt, GroundTruth, Incarnation
 from crowwing.emulator.plan import Plan
 
-ANSWER_SLACK_US = 80_000 + 50_000  # microseconds: the platform's slack for an answer, and that of sockets
+ANSWER_SLACK_US = 80_000 + 50_000  # microseconds: the platform's slack for an answer, plus socket latency
 
 
 FINAL_ENDINGS = (
@@ -13,7 +13,7 @@
     "dismissed",
     "forfeited",
     "turned_down",
-)  # the last: a 4xx, which callers take as failed
+)  # turned_down is a 4xx response, which callers treat as failed
 
 
 class Breach(NamedTuple):
@@ -25,7 +25,7 @@
 
 
 def check(plan: Plan, truth: GroundTruth) -> list[Breach]:
-    """All breaches, in order of time; empty where the rules were kept."""
+    """Returns all breaches in order of time; empty if every rule was kept."""
     incarnations = {
         (incarnation.backend, incarnation.number): incarnation for incarnation in truth.incarnations
     }
@@ -45,27 +45,30 @@
                     incarnation.ended,
                     incarnation.backend,
                     "",
-                    f"the process ended with {incarnation.code}",
+                    f"process exited with code {incarnation.code}",
                 )
             )
         elif incarnation.how == "drained" and (
             incarnation.code or incarnation.ended > incarnation.notice + plan.stop_ms * 1000 + ANSWER_SLACK_US
         ):
             found.append(
-                Breach(3, incarnation.ended, incarnation.backend, "", "stopped later than it was told")
+                Breach(3, incarnation.ended, incarnation.backend, "", "stopped after its shutdown deadline")
             )
     for at, backend, what in truth.failures:
-        found.append(Breach(4, at, backend, "", f"fell over: {what}"))
+        found.append(Breach(4, at, backend, "", f"failed by overload: {what}"))
     return sorted(found, key=lambda breach: breach.at)
 
 
 def answer_deadline(attempt: Attempt) -> int:
-    """Until when its answer is owed; a long reading line may bring it when its time has passed."""
+    """Returns the time by which an answer is due.
+
+    A long read queue may deliver the request after its deadline, so the time of delivery counts if later.
+    """
     return max(attempt.due, attempt.written)
 
 
 def _check_answers(attempt: Attempt, incarnation: Incarnation) -> list[Breach]:
-    """Rule 1: one whole, final answer in time for what was written, unless its backend was killed."""
+    """Rule 1: one complete, final answer in time for each sent request, unless its backend was killed."""
     if not attempt.written:
         return []
     if not attempt.right:
@@ -75,14 +78,14 @@
                 attempt.over,
                 attempt.backend,
                 attempt.id,
-                "an answer or a launch that is not the ticket's own",
+                "an answer or a launch that does not belong to the request",
             )
         ]
     last = answer_deadline(attempt) + ANSWER_SLACK_US
     if attempt.ending in FINAL_ENDINGS:
         late = attempt.over > last
         return (
-            [Breach(1, attempt.over, attempt.backend, attempt.id, "answered after its outer limit")]
+            [Breach(1, attempt.over, attempt.backend, attempt.id, "answered after its deadline")]
             if late
             else []
         )
@@ -97,25 +100,25 @@
 
 
 def _check_side_effects(attempt: Attempt, safe: bool) -> list[Breach]:
-    """Rule 2: what is irreversible runs once, is not dismissed then, and repeats no call that had run."""
+    """Rule 2: non-idempotent work runs once, is not rejected afterwards, and repeats no call that ran."""
     if safe:
         return []
     found = []
     if len(attempt.runs) > 1:
         found.append(Breach(2, attempt.runs[1][0], attempt.backend, attempt.id, "run twice"))
     if attempt.runs and attempt.ending == "dismissed":
-        found.append(Breach(2, attempt.over, attempt.backend, attempt.id, "dismissed after it ran"))
+        found.append(Breach(2, attempt.over, attempt.backend, attempt.id, "rejected after it ran"))
     for (_, _, how), (again, _, _) in zip(attempt.calls, attempt.calls[1:], strict=False):
         if how != "turned_away":
-            found.append(Breach(2, again, attempt.backend, attempt.id, f"its call was repeated after: {how}"))
+            found.append(Breach(2, again, attempt.backend, attempt.id, f"call repeated after: {how}"))
     return found
 
 
 def _check_drain(attempt: Attempt, incarnation: Incarnation, grace: int) -> list[Breach]:
-    """Rule 3: nothing is run that came later than the grace after the notice."""
+    """Rule 3: nothing runs that arrived after the grace period following the shutdown notice."""
     if not incarnation.notice or attempt.came <= incarnation.notice + grace + ANSWER_SLACK_US:
         return []
     return [
-        Breach(3, run[0], attempt.backend, attempt.id, "run though it came after the grace")
+        Breach(3, run[0], attempt.backend, attempt.id, "run although it arrived after the grace period")
         for run in attempt.runs
     ]
--- a/crowwing/emulator/served_value.py
+++ b/crowwing/emulator/served_value.py
@@ -1,7 +1,7 @@
-"""Credit in time: what clients got of what they asked for, by second and by phase of a fault. Pure.
+"""Share of the requested value that clients received in time, by second and by fault phase. Free of I/O.
 
-A client's repeats belong to its first try: the credit is asked for in the second of that try, and in time
-or not counts from it.
+A client's retries belong to its first attempt: the value is counted in the second of that attempt, and
+lateness is measured from it.
 """
 
 from collections.abc import Sequence
@@ -11,24 +11,21 @@
 from crowwing.emulator.ground_truth import GroundTruth
 from crowwing.emulator.plan import Plan
 
-RECOVERY_THRESHOLD, RECOVERY_WINDOW_S = (
-    0.95,
-    5,
-)  # part of the level before; seconds that a level is the mean of
+RECOVERY_THRESHOLD, RECOVERY_WINDOW_S = (0.95, 5)  # fraction of the level before the faults; averaging window
 
 
 class Second(NamedTuple):
-    asked: float
+    requested: float
     in_time: float
     late: float
-    tickets: int
-    tries: int
-    dismissed: int
-    forfeited: int
+    requests: int
+    attempts: int
+    rejected: int
+    failed: int
 
     @property
     def share(self) -> float:
-        return self.in_time / self.asked if self.asked else 1.0
+        return self.in_time / self.requested if self.requested else 1.0
 
 
 def by_second(plan: Plan, truth: GroundTruth) -> list[Second]:
@@ -53,18 +50,18 @@
     name: str
     begin: float
     end: float
-    in_time: float  # share of the credit asked for
-    worst: float  # of the spans of ten seconds (or the whole phase) in it
+    in_time: float  # share of the requested value
+    worst: float  # lowest share over any ten seconds (or over the whole phase if it is shorter)
     tickets: int
-    tries: float  # a ticket
+    tries: float  # attempts per request
     dismissed: int
     forfeited: int
-    median_ms: float  # of settled tickets, from the client's first try
+    median_ms: float  # of completed requests, from the client's first attempt
     p99_ms: float
 
 
 def phases(plan: Plan, truth: GroundTruth) -> list[Phase]:
-    """Before, during and after the faults; without faults all in one."""
+    """Returns the phases before, during and after the faults; a single phase without faults."""
     rows, end = by_second(plan, truth), int(plan.seconds)
     begin = min(end - 1, int(plan.warm_up_s))
     if (faulty := faults.span(plan)) is None:
@@ -76,16 +73,16 @@
 
 def _phase(name: str, rows: Sequence[Second], begin: int, end: int, plan: Plan, truth: GroundTruth) -> Phase:
     part = rows[begin:end]
-    asked = sum(row.asked for row in part)
-    count = sum(row.tickets for row in part)
+    requested = sum(row.requested for row in part)
+    count = sum(row.requests for row in part)
     low, high = truth.began + begin * 1_000_000, truth.began + end * 1_000_000
     spans = sorted(
         (t.over - t.born) / 1000 for t in truth.requests if low <= t.born < high and t.ending == "settled"
     )
     return Phase(
-        name, begin, end, sum(row.in_time for row in part) / asked if asked else 1.0, worst(part), count,
-        sum(row.tries for row in part) / max(1, count), sum(row.dismissed for row in part),
-        sum(row.forfeited for row in part), _quantile(spans, 0.5), _quantile(spans, 0.99),
+        name, begin, end, sum(row.in_time for row in part) / requested if requested else 1.0, worst(part), count,
+        sum(row.attempts for row in part) / max(1, count), sum(row.rejected for row in part),
+        sum(row.failed for row in part), _quantile(spans, 0.5), _quantile(spans, 0.99),
     )  # fmt: skip
 
 
@@ -94,18 +91,21 @@
 
 
 def worst(rows: Sequence[Second], span: int = 10) -> float:
-    """The least share in `span` seconds on end."""
+    """Returns the lowest share over any `span` consecutive seconds."""
     span = min(span, len(rows))
     shares = []
     for n in range(len(rows) - span + 1):
-        asked = sum(row.asked for row in rows[n : n + span])
-        shares.append(sum(row.in_time for row in rows[n : n + span]) / asked if asked else 1.0)
+        requested = sum(row.requested for row in rows[n : n + span])
+        shares.append(sum(row.in_time for row in rows[n : n + span]) / requested if requested else 1.0)
     return min(shares, default=1.0)
 
 
 def recovery(plan: Plan, truth: GroundTruth) -> float | None:
-    """Seconds from the faults' end until the level, a mean over five seconds, is back for good at 95% of that
-    before. None: not before the end, or nothing to compare with."""
+    """Returns the seconds from the end of the faults until the share has recovered for good.
+
+    Recovered means that the mean over five seconds stays at or above 95% of the level before the faults.
+    None if it does not recover by the end, or if there is no phase to compare with.
+    """
     spans, rows = faults.span(plan), by_second(plan, truth)
     found = phases(plan, truth)
     if spans is None or found[0].name != "before" or found[-1].name != "after":
@@ -113,7 +113,7 @@
     aim, last = RECOVERY_THRESHOLD * found[0].in_time, int(spans[1] + 0.999)
     levels = [
         sum(row.in_time for row in rows[n : n + RECOVERY_WINDOW_S])
-        / max(1e-9, sum(row.asked for row in rows[n : n + RECOVERY_WINDOW_S]))
+        / max(1e-9, sum(row.requested for row in rows[n : n + RECOVERY_WINDOW_S]))
         for n in range(last, len(rows) - RECOVERY_WINDOW_S + 1)
     ]
     low = [n for n, level in enumerate(levels) if level < aim]
--- a/tests/test_emulator_models.py
+++ b/tests/test_emulator_models.py
@@ -1,4 +1,4 @@
-"""The emulator's pure parts: sharing, machines, what lies below, traffic, faults, sidecars, credit, rules."""
+"""Tests of the emulator's models: sharing, machines, the dependency, traffic, faults, sidecars, rules."""
 
 import random
 from dataclasses import replace
@@ -294,7 +294,7 @@
 
 def test_the_checker_sees_what_fell_over() -> None:
     truth = truth_of()
-    truth.failures = [(S, 0, "crowd"), (2 * S, None, "what lies below")]
+    truth.failures = [(S, 0, "crowd"), (2 * S, None, "dependency")]
     assert [(b.rule, b.backend) for b in rules.check(PLAN, truth)] == [(4, 0), (4, None)]
 
 
