--- a/benchmarks/fleet_emulated.py
+++ b/benchmarks/fleet_emulated.py
@@ -20,7 +20,7 @@
 
 import orjson
 
-from crowwing.emulator.fleet.rig import FleetRig
+from crowwing.emulator.fleet.process_fleet import FleetRig
 
 KILL_AT, SECONDS = 10, 32
 KILL = [{"kind": "kill", "at_s": KILL_AT, "for_s": 8, "part": 0.2}]
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -13,7 +13,7 @@
 import time
 from pathlib import Path
 
-from crowwing.emulator.fleet.rig import FleetRig
+from crowwing.emulator.fleet.process_fleet import FleetRig
 
 FAST = {"period_ms": 200, "probe_timeout_ms": 60, "sync_every_ms": 200, "catch_up_most_ms": 10_000}
 
--- a/benchmarks/membership_processes.py
+++ b/benchmarks/membership_processes.py
@@ -10,7 +10,7 @@
 import tempfile
 from pathlib import Path
 
-from crowwing.emulator.fleet.rig import FleetRig
+from crowwing.emulator.fleet.process_fleet import FleetRig
 
 FAST = {"period_ms": 200, "probe_timeout_ms": 60}
 
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -20,8 +20,8 @@
 
 from benchmarks.scale import lonely, scripts, weigh
 from benchmarks.scale.record import Recorder, Stopped, say
-from crowwing.emulator.fleet.places import Ways
-from crowwing.emulator.fleet.wide import Lost, Wide
+from crowwing.emulator.fleet.mixed_fleet import Lost, Wide
+from crowwing.emulator.fleet.topology import Ways
 
 SIZES = [20, 100, 500, 1000, 2600, 5200]
 SCRIPTS = [*scripts.SCRIPTS, "lonely"]
--- a/benchmarks/scale/lonely.py
+++ b/benchmarks/scale/lonely.py
@@ -6,7 +6,7 @@
 
 from benchmarks.scale import figures
 from benchmarks.scale.record import Recorder, log_events, wait_for_real
-from crowwing.emulator.fleet.wide import Wide
+from crowwing.emulator.fleet.mixed_fleet import Wide
 
 
 def play(folder: Path, size: int, seed: int, cells: bool, silent: bool, span_s: float, most_kb: int) -> dict:
--- a/benchmarks/scale/record.py
+++ b/benchmarks/scale/record.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from crowwing.emulator.fleet.wide import Wide, cpu_s, memory_kb
+from crowwing.emulator.fleet.mixed_fleet import Wide, cpu_s, memory_kb
 
 BIN_S = 10.0
 ASK_S = 1.0
--- a/benchmarks/scale/scripts.py
+++ b/benchmarks/scale/scripts.py
@@ -13,9 +13,9 @@
 
 from benchmarks.scale import figures
 from benchmarks.scale.record import Recorder, log_events
-from crowwing.emulator.fleet import pure
-from crowwing.emulator.fleet.places import ZONES
-from crowwing.emulator.fleet.wide import Wide
+from crowwing.emulator.fleet import member_access
+from crowwing.emulator.fleet.mixed_fleet import Wide
+from crowwing.emulator.fleet.topology import ZONES
 
 LETTER = 5200  # members that the day's figures are for
 FAILURES, RESTARTS, CHANGES = 110, 4800, 3400  # a day
@@ -131,12 +131,12 @@
     rig.tell("off", names=names)
     for name in real:
         rig.kill(name)
-    groups = pure.cells(rig.everyone, rig.layout)
+    groups = member_access.cells(rig.everyone, rig.layout)
     cell = {name: group for group in groups for name in group}
     off = set(names)
     few = {name: [one for one in cell[name] if one not in off] for name in names}
     of = few if len(groups) > 1 else {}  # of one group, whoever saw it is one of those
-    dead = pure.dead_cells(rig.layout, off)
+    dead = member_access.dead_cells(rig.layout, off)
     others = len([name for name in rig.hollow if name not in off])
     known: dict[str, int] = {}
     cells_known: dict[str, int] = {}
@@ -190,7 +190,7 @@
     rig, real = run.rig, set(run.rig.names)
     if rig.layout is None:
         return result(run.recorder.span("no cell to lose", 1.0), skipped=True)
-    groups = pure.cells(rig.everyone, rig.layout)
+    groups = member_access.cells(rig.everyone, rig.layout)
     names = min(groups, key=lambda group: (len(real & set(group)), len(group)))
     return _gone(run, "cell", names, [name for name in names if name in real])
 
--- a/benchmarks/scale/weigh.py
+++ b/benchmarks/scale/weigh.py
@@ -14,9 +14,9 @@
 
 import orjson
 
-from crowwing.emulator.fleet import pure
-from crowwing.emulator.fleet.places import places
-from crowwing.emulator.fleet.wide import memory_kb
+from crowwing.emulator.fleet import member_access
+from crowwing.emulator.fleet.mixed_fleet import memory_kb
+from crowwing.emulator.fleet.topology import places
 from crowwing.emulator.processes import ROOT
 
 ENTRIES = 400_000  # of all members' tables together: enough to weigh, and little beside what is to come
@@ -71,8 +71,8 @@
 def main() -> None:
     size, fleet = int(sys.argv[1]), orjson.loads(sys.argv[3])
     names = [f"m{n}" for n in range(size)]
-    shared = pure.layout(places(names) if sys.argv[2] == "cells" else None, fleet)
-    make = pure.maker(names, shared, fleet)
+    shared = member_access.layout(places(names) if sys.argv[2] == "cells" else None, fleet)
+    make = member_access.maker(names, shared, fleet)
     count = max(4, min(size, ENTRIES // size))
     kept = [make(names[0], 0, random.Random(0))]  # what all share is there before the first is weighed
     gc.collect()
--- a/crowwing/cli/fleet.py
+++ b/crowwing/cli/fleet.py
@@ -161,9 +161,9 @@
     as_json: AsJson = False,
 ) -> None:
     """Plays a seeded script of faults on real backends, and checks what they promised."""
-    from crowwing.emulator.fleet import play as fleetplay
+    from crowwing.emulator.fleet import fault_run
 
-    _played(lambda: fleetplay.Play(out, fleetplay.plan(seed, size, seconds)).run(), out, as_json)
+    _played(lambda: fault_run.Play(out, fault_run.plan(seed, size, seconds)).run(), out, as_json)
 
 
 @app.command(epilog="Example: crowwing fleet replay runs/fleet")
@@ -173,9 +173,9 @@
     as_json: AsJson = False,
 ) -> None:
     """Plays the asks and faults of an earlier run once more."""
-    from crowwing.emulator.fleet import play as fleetplay
+    from crowwing.emulator.fleet import fault_run
 
-    _played(lambda: fleetplay.replay(folder, out), out, as_json)
+    _played(lambda: fault_run.replay(folder, out), out, as_json)
 
 
 def _played(run: object, out: Path, as_json: bool) -> None:
--- a/crowwing/emulator/fleet/play.py
+++ b/crowwing/emulator/fleet/fault_run.py
@@ -15,8 +15,8 @@
 
 import orjson
 
-from crowwing.emulator.fleet import check as fleetcheck
-from crowwing.emulator.fleet.rig import HOST, FleetRig
+from crowwing.emulator.fleet import history_check
+from crowwing.emulator.fleet.process_fleet import HOST, FleetRig
 
 FAST = {
     "period_ms": 200, "probe_timeout_ms": 60, "sync_every_ms": 250, "catch_up_most_ms": 3000,
@@ -101,7 +101,7 @@
     def note(self, event: str, **brings: object) -> None:
         self.history.append({"at": time.time_ns() // 1000, "event": event, **brings})
 
-    def run(self) -> fleetcheck.Found:
+    def run(self) -> history_check.Found:
         for name in self.rig.names:
             (self.folder / f"disk-{name}").mkdir(exist_ok=True)
         self.rig.operator_of = {
@@ -201,22 +201,22 @@
             held[name] = [row for page in pages for row in page["rows"]]
         return held
 
-    def _settle(self) -> fleetcheck.Found:
+    def _settle(self) -> history_check.Found:
         began, held = time.monotonic(), None
         converged = None
         while converged is None and time.monotonic() - began < CONVERGE_S:
             time.sleep(0.05)
             self._answers()
             held = self._held()
-            if held is not None and not fleetcheck.differing(held):
+            if held is not None and not history_check.differing(held):
                 converged = round(time.monotonic() - began, 2)
         time.sleep(WAIT_MS / 1000)  # what was asked last is answered by now
         self._answers()
         self.rig.until(lambda: (self._held() or {}).keys() == set(self.rig.names), 5)
-        return fleetcheck.check(self.history, self._held() or held or {}, converged)
+        return history_check.check(self.history, self._held() or held or {}, converged)
 
 
-def replay(folder: Path, into: Path) -> fleetcheck.Found:
+def replay(folder: Path, into: Path) -> history_check.Found:
     """The run whose folder it is once more. ValueError where there is none."""
     try:
         told = orjson.loads((folder / "play.json").read_bytes())
--- a/crowwing/emulator/fleet/growth.py
+++ b/crowwing/emulator/fleet/growth.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from crowwing.emulator.fleet.places import Ways
-from crowwing.emulator.fleet.wide import Wide
+from crowwing.emulator.fleet.mixed_fleet import Wide
+from crowwing.emulator.fleet.topology import Ways
 
 SETTLE, PERIODS = 4, 30  # protocol periods before anything happens, and counted
 CHANGES = 4
--- a/crowwing/emulator/fleet/pure.py
+++ b/crowwing/emulator/fleet/member_access.py
@@ -9,13 +9,13 @@
 
 import msgspec
 
-from crowwing.emulator.fleet.places import Place
-from crowwing.fleet.adapters import full_transfer
-from crowwing.fleet.adapters.settings import member_settings
+from crowwing.emulator.fleet.topology import Place
 from crowwing.fleet.member import Member, MemberSettings
 from crowwing.fleet.membership.cells import CellLayout, covers
 from crowwing.fleet.membership.swim import GONE
 from crowwing.fleet.state.keyspaces import KEYSPACES
+from crowwing.fleet.adapters import full_transfer
+from crowwing.fleet.adapters.settings import member_settings
 from crowwing.settings.operator import Fleet
 
 Make = Callable[[str, int, random.Random], Member]
--- a/crowwing/emulator/fleet/wide.py
+++ b/crowwing/emulator/fleet/mixed_fleet.py
@@ -17,10 +17,10 @@
 
 import orjson
 
-from crowwing.emulator.fleet import places, pure
-from crowwing.emulator.fleet.places import Ways
+from crowwing.emulator.fleet import member_access, topology
+from crowwing.emulator.fleet.process_fleet import EXAMPLE, FleetRig, free_port
 from crowwing.emulator.fleet.relay import Fault
-from crowwing.emulator.fleet.rig import EXAMPLE, FleetRig, free_port
+from crowwing.emulator.fleet.topology import Ways
 from crowwing.emulator.processes import ROOT, BackendProcess, set_parent_death_signal
 
 ANSWER_S = 120.0  # for one line back: building thousands of members takes its time
@@ -40,7 +40,7 @@
         environment = os.environ | {"PYTHONPATH": str(ROOT)}
         with (folder / f"{self.name}.log").open("ab") as log:
             self.child = subprocess.Popen(
-                [sys.executable, "-O", "-m", "crowwing.emulator.fleet.hollow"],
+                [sys.executable, "-O", "-m", "crowwing.emulator.fleet.stub_process"],
                 stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=log, env=environment, cwd=ROOT,
                 preexec_fn=set_parent_death_signal,
             )  # fmt: skip
@@ -108,12 +108,12 @@
         """`processes` for the hollow members; 0: nobody listens at their addresses. `build_s`: what building
         them is thought to take; `asleep`: they have sockets and never say a word."""
         self.everyone = [f"m{n}" for n in range(size)]
-        self.placed = places.places(self.everyone)
-        self.layout = pure.layout(self.placed if cells else None, fleet or {})
-        chosen = pick(pure.cells(self.everyone, self.layout), real)
+        self.placed = topology.places(self.everyone)
+        self.layout = member_access.layout(self.placed if cells else None, fleet or {})
+        chosen = pick(member_access.cells(self.everyone, self.layout), real)
         super().__init__(folder, real, seed, [], names=chosen, **(fleet or {}))
         self.hollow = [name for name in self.everyone if name not in set(chosen)]
-        self.speak_first = pure.speak_first(self.layout)
+        self.speak_first = member_access.speak_first(self.layout)
         self.cells, self.ways, self.build_s, self.asleep = cells, ways or Ways(), build_s, asleep
         block = 128 + os.getpid() % 120
         number = int(self.host.rpartition(".")[2])  # of this rig in this process
@@ -198,7 +198,7 @@
         ways = self.ways
         near = {"kind": "delay", "size": 1000 * ways.near_least}
         self.relay.impose([near | {"jitter_ms": 1000 * (ways.near_most - ways.near_least)}])
-        for region in places.ZONES:
+        for region in topology.ZONES:
             across = {"from": self.real_in(region), "to": self.real_in(region, not_there=True)}
             if all(across.values()):
                 self.relay.impose([across | {"kind": "delay", "size": 1000 * ways.far}])
--- a/crowwing/emulator/fleet/hollow_member.py
+++ b/crowwing/emulator/fleet/stub_member.py
@@ -1,5 +1,5 @@
-"""One hollow member: the pure decider of a real backend, fed from a socket as
-`fleet/adapters/endpoint.py` feeds it, without the backend around it.
+"""One hollow member: the pure decider of a real backend, fed from a socket as `fleet/adapters/endpoint.py` feeds it,
+without the backend around it.
 
 Many share a process (hollow.py), each with a UDP socket and a TCP port of its own. What it sends, and what
 real backends send it, is delayed, lost or cut as its region and theirs say (places.py). A member that is off
@@ -14,13 +14,13 @@
 
 import orjson
 
-from crowwing.emulator.fleet import pure
+from crowwing.emulator.fleet import member_access
+from crowwing.fleet.member import Member
 from crowwing.fleet.adapters import full_transfer
 from crowwing.fleet.adapters.endpoint import FETCH_TIMEOUT_S, MAX_DATAGRAM_BYTES
-from crowwing.fleet.member import Member
 
 if TYPE_CHECKING:
-    from crowwing.emulator.fleet.hollow import Host
+    from crowwing.emulator.fleet.stub_process import Host
 
 AT_ONCE = 32  # datagrams read from one socket before the others have their turn
 
@@ -63,7 +63,7 @@
         self.ended_periods = 0  # of lives that are over
         self.socket: socket.socket | None = None
         self.listener: asyncio.Server | None = None
-        self.server = pure.server(self._missing, host.addresses.__contains__)
+        self.server = member_access.server(self._missing, host.addresses.__contains__)
         self.wake: asyncio.TimerHandle | None = None
         self.wake_at = 0
         self.fetching: set[asyncio.Task] = set()  # emptied by each one's end
@@ -75,9 +75,7 @@
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
         self.socket.bind(self.where)
         self.host.loop.add_reader(self.socket.fileno(), self._readable)
-        self.listener = await asyncio.start_server(
-            self._serve, *self.where, limit=full_transfer.MAX_LINE_BYTES
-        )
+        self.listener = await asyncio.start_server(self._serve, *self.where, limit=full_transfer.MAX_LINE_BYTES)
 
     # Its lives
 
@@ -87,10 +85,10 @@
         chance = random.Random(f"{self.host.seed}/{self.name}/{self.life}")
         self.member = self.host.make(self.name, now - chance.randrange(self.host.period), chance)
         self.held.clear()
-        self.seen_changes = pure.changes(self.member)
+        self.seen_changes = member_access.changes(self.member)
 
     def warm(self) -> None:
-        pure.warm(self.member)
+        member_access.warm(self.member)
 
     def turn(self) -> None:
         if self.member is not None:
@@ -101,7 +99,7 @@
     def off(self) -> None:
         """Gone without a word."""
         if self.member is not None:
-            self.ended_periods += pure.periods(self.member)
+            self.ended_periods += member_access.periods(self.member)
         self.member = None
         if self.wake is not None:
             self.wake.cancel()
@@ -115,7 +113,7 @@
             self.carry_out()
 
     def all_periods(self) -> int:
-        return self.ended_periods + (pure.periods(self.member) if self.member is not None else 0)
+        return self.ended_periods + (member_access.periods(self.member) if self.member is not None else 0)
 
     # Datagrams
 
@@ -178,10 +176,10 @@
         for event, brings in member.events:
             host.happened(self, event, brings)
         member.events.clear()
-        if host.watched and self.seen_changes != pure.changes(member):
-            self.seen_changes = pure.changes(member)
+        if host.watched and self.seen_changes != member_access.changes(member):
+            self.seen_changes = member_access.changes(member)
             for key in host.watched.keys() - self.held:
-                if pure.holds(member, key):
+                if member_access.holds(member, key):
                     self.held.add(key)
                     host.watched[key].saw(self.name)
         now = now_us()
@@ -223,9 +221,7 @@
                 raise TimeoutError
             if name in host.real:  # a hollow one sees to it itself
                 await asyncio.sleep(way)
-            rows = await full_transfer.fetch(
-                host.addresses[name], pure.question(self.member), FETCH_TIMEOUT_S
-            )
+            rows = await full_transfer.fetch(host.addresses[name], member_access.question(self.member), FETCH_TIMEOUT_S)
         except (OSError, TimeoutError):
             host.dropped["fetch"] += 1
         finally:
--- a/crowwing/emulator/fleet/hollow.py
+++ b/crowwing/emulator/fleet/stub_process.py
@@ -1,6 +1,6 @@
 """A process that hosts many hollow members, told what to do by lines of JSON on its standard input.
 
-    python -O -m crowwing.emulator.fleet.hollow
+    python -O -m crowwing.emulator.fleet.stub_process
 
 The first line says the fleet (`Told`); each later one is `{"do": ..., "n": ...}` and is answered by one line
 with the same `n`, in order. It ends with its input, with `{"do": "end"}`, or with its parent. What is sent
@@ -19,9 +19,9 @@
 import orjson
 import uvloop
 
-from crowwing.emulator.fleet import pure
-from crowwing.emulator.fleet.hollow_member import Hollow, Tally, now_us, wall_us
-from crowwing.emulator.fleet.places import Between, Ways
+from crowwing.emulator.fleet import member_access
+from crowwing.emulator.fleet.stub_member import Hollow, Tally, now_us, wall_us
+from crowwing.emulator.fleet.topology import Between, Ways
 from crowwing.emulator.processes import set_parent_death_signal
 from crowwing.fleet.state.replica import EntryRejectedError
 
@@ -62,9 +62,9 @@
         names = list(told.addresses)
         zones = told.zones
         places = None if zones is None else {name: (told.regions[name], zones[name]) for name in names}
-        self.layout = pure.layout(places, told.fleet)
-        self.make = pure.maker(names, self.layout, told.fleet)
-        self.period = pure.settings(told.fleet).period_ms * 1000
+        self.layout = member_access.layout(places, told.fleet)
+        self.make = member_access.maker(names, self.layout, told.fleet)
+        self.period = member_access.settings(told.fleet).period_ms * 1000
         self.members = {name: Hollow(self, name) for name in told.mine}
         self.watched: dict[str, Watch] = {}  # keys, until they are no longer asked for
         self.deaths: dict[str, Watch] = {}  # members that are said to be off
@@ -101,7 +101,7 @@
             self.took.append(brings["took_ms"])
         elif event == "cells_out":
             for cell, watch in self.dead_cells.items():
-                if pure.told_out(brings, cell):
+                if member_access.told_out(brings, cell):
                     watch.saw(member.name)
         self.events[event] += 1
 
@@ -142,7 +142,7 @@
         """`names` are off from now on; deaths seen are noted for them."""
         self.gone |= set(told["names"])
         self.deaths |= {name: Watch() for name in told["names"]}
-        self.dead_cells |= {cell: Watch() for cell in pure.dead_cells(self.layout, self.gone)}
+        self.dead_cells |= {cell: Watch() for cell in member_access.dead_cells(self.layout, self.gone)}
         for name in self._mine(told):
             self.members[name].off()
         return {"at": now_us()}
@@ -184,7 +184,7 @@
         for name, key, value in told["puts"]:
             if (member := self.members.get(name)) is not None:
                 try:
-                    pure.put(member.member, wall_us(), key, value, LIFE)
+                    member_access.put(member.member, wall_us(), key, value, LIFE)
                 except EntryRejectedError as wrong:
                     refused.append(str(wrong))
                 member.carry_out()
@@ -219,10 +219,10 @@
     async def views(self, told: dict) -> dict:
         """How many of the members that are on have a view without a mistake, and all mistakes."""
         gone, right, wrong, on = set(told["gone"]), 0, 0, 0
-        dead = pure.dead_cells(self.layout, gone)
+        dead = member_access.dead_cells(self.layout, gone)
         for number, member in enumerate(self.members.values()):
             if member.member is not None:
-                mistakes = pure.wrong(member.member, gone, dead)
+                mistakes = member_access.wrong(member.member, gone, dead)
                 on, right, wrong = on + 1, right + (mistakes == 0), wrong + mistakes
             if number % SLICE == 0:
                 await asyncio.sleep(0)
@@ -248,7 +248,7 @@
                 max(most_bytes, now[0] - was[0]),
                 max(most_datagrams, now[1] - was[1]),
             )
-            if member.member is not None and pure.speaks(member.member):
+            if member.member is not None and member_access.speaks(member.member):
                 speaking.append(now[0] - was[0])
             self.before[name] = now
         lag, used, self.lag_most = self.lag_most, self.lag_used, 0.0
--- a/crowwing/emulator/served_value.py
+++ b/crowwing/emulator/served_value.py
@@ -11,7 +11,7 @@
 from crowwing.emulator.ground_truth import GroundTruth
 from crowwing.emulator.plan import Plan
 
-RECOVERY_THRESHOLD, RECOVERY_WINDOW_S = (0.95, 5)  # fraction of the level before the faults; averaging window
+RECOVERY_THRESHOLD, RECOVERY_WINDOW_S = 0.95, 5  # fraction of the earlier level; averaging window
 
 
 class Second(NamedTuple):
@@ -73,14 +73,14 @@
 
 def _phase(name: str, rows: Sequence[Second], begin: int, end: int, plan: Plan, truth: GroundTruth) -> Phase:
     part = rows[begin:end]
-    requested = sum(row.requested for row in part)
+    total = sum(row.requested for row in part)
     count = sum(row.requests for row in part)
     low, high = truth.began + begin * 1_000_000, truth.began + end * 1_000_000
     spans = sorted(
         (t.over - t.born) / 1000 for t in truth.requests if low <= t.born < high and t.ending == "settled"
     )
     return Phase(
-        name, begin, end, sum(row.in_time for row in part) / requested if requested else 1.0, worst(part), count,
+        name, begin, end, sum(row.in_time for row in part) / total if total else 1.0, worst(part), count,
         sum(row.attempts for row in part) / max(1, count), sum(row.rejected for row in part),
         sum(row.failed for row in part), _quantile(spans, 0.5), _quantile(spans, 0.99),
     )  # fmt: skip
@@ -95,8 +95,8 @@
     span = min(span, len(rows))
     shares = []
     for n in range(len(rows) - span + 1):
-        requested = sum(row.requested for row in rows[n : n + span])
-        shares.append(sum(row.in_time for row in rows[n : n + span]) / requested if requested else 1.0)
+        total = sum(row.requested for row in rows[n : n + span])
+        shares.append(sum(row.in_time for row in rows[n : n + span]) / total if total else 1.0)
     return min(shares, default=1.0)
 
 
--- a/tests/test_cells_processes.py
+++ b/tests/test_cells_processes.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from crowwing.emulator.fleet.rig import FleetRig
+from crowwing.emulator.fleet.process_fleet import FleetRig
 from crowwing.emulator.processes import ROOT
 from crowwing.fleet.membership.cells import CellLayout
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -9,20 +9,20 @@
 import orjson
 import pytest
 
-from crowwing.emulator.fleet import rig as rig_module
-from crowwing.emulator.fleet.rig import FleetRig, free_port
+from crowwing.emulator.fleet import process_fleet
+from crowwing.emulator.fleet.process_fleet import ProcessFleet, free_port
 from crowwing.emulator.processes import ROOT
 
 FAST = {"period_ms": 200, "probe_timeout_ms": 60}
 
 
-def agree(rig: FleetRig, expected: set[str]) -> bool:
+def agree(rig: ProcessFleet, expected: set[str]) -> bool:
     return all(rig.alive_in(name) == expected for name in expected)
 
 
 def test_no_member_is_given_a_port_that_the_relay_holds(tmp_path: Path) -> None:
-    with FleetRig(tmp_path, 20, seed=6, faults=[], **FAST) as rig:
-        mine = [port for _, port in rig.fleet_at.values()]
+    with ProcessFleet(tmp_path, 20, seed=6, faults=[], **FAST) as rig:
+        mine = [port for _, port in rig.fleet_addresses.values()]
         assert len(set(mine)) == 20 and not set(mine) & set(rig.relay.ports.values())
         everyone = set(rig.names)
         assert rig.until(lambda: agree(rig, everyone), 20) is not None
@@ -31,11 +31,11 @@
 def test_no_member_is_given_an_address_reserved_for_another(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig = FleetRig(tmp_path, 4, 6, [], **FAST)
+    rig = ProcessFleet(tmp_path, 4, 6, [], **FAST)
     rig.connect()
     # The system may return a port as free that m3 has not bound yet.
-    monkeypatch.setattr(rig_module, "free_port", lambda kind, host="": rig.fleet_at["m3"][1])
-    told = [[orjson.loads(path.read_bytes()) for path in rig._files(name)] for name in rig.names]
+    monkeypatch.setattr(process_fleet, "free_port", lambda kind, host="": rig.fleet_addresses["m3"][1])
+    told = [[orjson.loads(path.read_bytes()) for path in rig._write_files(name)] for name in rig.names]
     rig.end()
     every = [one["listen"] for one, _ in told] + [one["agent"] for one, _ in told]
     every += [operator["fleet"]["listen"] for _, operator in told]
@@ -43,21 +43,21 @@
 
 
 def test_a_wait_ends_with_the_error_of_a_member_that_could_not_start(tmp_path: Path) -> None:
-    rig = FleetRig(tmp_path, 3, 6, [], **FAST)
+    rig = ProcessFleet(tmp_path, 3, 6, [], **FAST)
     rig.connect()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
-        taken.bind(rig.fleet_at["m2"])
+        taken.bind(rig.fleet_addresses["m2"])
         for name in rig.names:
             rig.launch(name)
         try:
-            with pytest.raises(rig_module.MemberEnded, match="m2 ended with 1: .*fleet.: could not bind"):
+            with pytest.raises(process_fleet.MemberExitedError, match="m2 ended with 1: .*fleet.: could not bind"):
                 rig.until(lambda: False, 20)
         finally:
             rig.end()
 
 
 def test_a_killed_member_is_detected_by_all_and_comes_back_after_a_restart(tmp_path: Path) -> None:
-    with FleetRig(tmp_path, 5, seed=1, faults=[], **FAST) as rig:
+    with ProcessFleet(tmp_path, 5, seed=1, faults=[], **FAST) as rig:
         everyone = set(rig.names)
         assert rig.until(lambda: agree(rig, everyone), 15) is not None
         rig.kill("m2")
@@ -74,7 +74,7 @@
 
 
 def test_a_paused_member_is_suspected_and_refutes_it_afterwards(tmp_path: Path) -> None:
-    with FleetRig(tmp_path, 4, seed=2, faults=[], **FAST) as rig:
+    with ProcessFleet(tmp_path, 4, seed=2, faults=[], **FAST) as rig:
         everyone = set(rig.names)
         assert rig.until(lambda: agree(rig, everyone), 15) is not None
         rig.pause("m1")
@@ -86,7 +86,7 @@
 
 def test_both_sides_of_a_partition_lose_each_other_and_agree_again_after_it(tmp_path: Path) -> None:
     left, right = ["m0", "m1"], ["m2", "m3", "m4"]
-    with FleetRig(tmp_path, 5, seed=3, faults=[], **FAST) as rig:
+    with ProcessFleet(tmp_path, 5, seed=3, faults=[], **FAST) as rig:
         everyone = set(rig.names)
         assert rig.until(lambda: agree(rig, everyone), 15) is not None
         cut = rig.relay.impose(
@@ -98,7 +98,7 @@
 
 
 def test_a_one_way_partition_is_a_death_for_those_without_messages_and_heals(tmp_path: Path) -> None:
-    with FleetRig(tmp_path, 4, seed=5, faults=[], **FAST) as rig:
+    with ProcessFleet(tmp_path, 4, seed=5, faults=[], **FAST) as rig:
         everyone = set(rig.names)
         assert rig.until(lambda: agree(rig, everyone), 15) is not None
         # M0 receives everything, and nobody receives from it
@@ -115,7 +115,7 @@
         {"kind": "duplicate", "size": 0.05},
         {"kind": "reorder", "size": 0.1, "jitter_ms": 20},
     ]
-    with FleetRig(tmp_path, 5, seed=4, faults=rough, **FAST) as rig:
+    with ProcessFleet(tmp_path, 5, seed=4, faults=rough, **FAST) as rig:
         everyone = set(rig.names)
         assert rig.until(lambda: agree(rig, everyone), 15) is not None
         assert rig.until(lambda: False, 6) is None  # six seconds, about thirty periods
@@ -182,7 +182,7 @@
 
 
 def test_a_member_counts_datagrams_and_fetches(tmp_path: Path) -> None:
-    with FleetRig(tmp_path, 3, seed=8, faults=[], **FAST) as rig:
+    with ProcessFleet(tmp_path, 3, seed=8, faults=[], **FAST) as rig:
         everyone = set(rig.names)
         assert rig.until(lambda: agree(rig, everyone), 20) is not None
         begun = [rig.ask(name, k="counts") for name in rig.names]
--- a/tests/test_fleet_replicas.py
+++ b/tests/test_fleet_replicas.py
@@ -12,9 +12,8 @@
 import orjson
 import pytest
 
-from crowwing.emulator.fleet import check as fleetcheck
-from crowwing.emulator.fleet import play as fleetplay
-from crowwing.emulator.fleet.rig import FleetRig
+from crowwing.emulator.fleet import fault_run, history_check
+from crowwing.emulator.fleet.process_fleet import FleetRig
 from crowwing.emulator.processes import ROOT
 from crowwing.memory import snapshot
 
@@ -253,7 +252,7 @@
 def test_a_random_script_of_faults_loses_no_acknowledged_update_and_ends_in_agreement(
     tmp_path: Path, seed: int
 ) -> None:
-    found = fleetplay.Play(tmp_path, fleetplay.plan(seed, 5, 5.0)).run()
+    found = fault_run.Play(tmp_path, fault_run.plan(seed, 5, 5.0)).run()
     assert found.lost == [] and found.differing == [] and found.converged_s is not None
     assert found.acknowledged > 0.5 * found.asked
     kept = {path.name for path in tmp_path.iterdir()}
@@ -262,8 +261,8 @@
 
 def test_a_run_is_replayed_from_its_folder_and_a_wrong_folder_is_named(tmp_path: Path) -> None:
     first, again = tmp_path / "first", tmp_path / "again"
-    fleetplay.Play(first, fleetplay.plan(5, 3, 2.0)).run()
-    fleetplay.replay(first, again)
+    fault_run.Play(first, fault_run.plan(5, 3, 2.0)).run()
+    fault_run.replay(first, again)
     one, two = (orjson.loads((folder / "play.json").read_bytes()) for folder in (first, again))
     assert one["asks"] == two["asks"] and one["offsets"] == two["offsets"]
     plain = [{k: v for k, v in fault.items() if k not in ("as", "on")} for fault in two["faults"]]
@@ -319,11 +318,11 @@
         {"event": "asked"}, {"event": "answered", "acked": True, "rows": [said]},
         {"event": "asked"}, {"event": "answered", "acked": False, "rows": [["said/y", 1, 1, 0, "a", 9]]},
     ]  # fmt: skip
-    good = fleetcheck.check(history, {"a": [said], "b": [said]}, 0.5)
+    good = history_check.check(history, {"a": [said], "b": [said]}, 0.5)
     assert (good.asked, good.acknowledged, good.lost, good.differing) == (2, 1, [], [])
-    assert fleetcheck.check(history, {"a": [later], "b": [later]}, 0.5).lost == []
-    assert fleetcheck.check(history, {"a": [said], "b": []}, 0.5).lost == ["said/x at b"]
-    assert fleetcheck.check(history, {"a": [said], "b": [earlier]}, None).lost == ["said/x at b"]
-    assert fleetcheck.check(history, {"a": [said], "b": [later]}, None).differing == ["said/x"]
-    assert fleetcheck.outranked(put_in, out) and not fleetcheck.outranked(out, put_in)
-    assert not fleetcheck.outranked(out, None)
+    assert history_check.check(history, {"a": [later], "b": [later]}, 0.5).lost == []
+    assert history_check.check(history, {"a": [said], "b": []}, 0.5).lost == ["said/x at b"]
+    assert history_check.check(history, {"a": [said], "b": [earlier]}, None).lost == ["said/x at b"]
+    assert history_check.check(history, {"a": [said], "b": [later]}, None).differing == ["said/x"]
+    assert history_check.outranked(put_in, out) and not history_check.outranked(out, put_in)
+    assert not history_check.outranked(out, None)
--- a/tests/test_scale_parts.py
+++ b/tests/test_scale_parts.py
@@ -16,9 +16,9 @@
 
 from benchmarks.scale import figures, fit, weigh
 from benchmarks.scale.page import page
-from crowwing.emulator.fleet import pure
-from crowwing.emulator.fleet.places import ZONES, Between, Ways, places
-from crowwing.emulator.fleet.wide import Wide, pick
+from crowwing.emulator.fleet import member_access
+from crowwing.emulator.fleet.mixed_fleet import Wide, pick
+from crowwing.emulator.fleet.topology import ZONES, Between, Ways, places
 from crowwing.emulator.processes import ROOT
 
 
@@ -53,10 +53,10 @@
 
 def test_real_members_are_speakers_and_others_in_turn_of_cells_that_lie_apart() -> None:
     names = [f"m{n}" for n in range(2600)]
-    layout = pure.layout(places(names), {})
-    chosen = pick(pure.cells(names, layout), 24)
+    layout = member_access.layout(places(names), {})
+    chosen = pick(member_access.cells(names, layout), 24)
     assert len(set(chosen)) == 24
-    speak = [name in pure.speak_first(layout) for name in chosen]
+    speak = [name in member_access.speak_first(layout) for name in chosen]
     assert speak == [True, False] * 12
     assert len({layout.cell_of[name] for name in chosen}) == 24
     assert len({layout.cell_of[name].split("/")[1] for name in chosen}) >= 9
