--- a/benchmarks/fleet_emulated.py
+++ b/benchmarks/fleet_emulated.py
@@ -20,7 +20,7 @@
 
 import orjson
 
-from crowwing.emulator.fleet.process_fleet import FleetRig
+from crowwing.emulator.fleet.process_fleet import ProcessFleet
 
 KILL_AT, SECONDS = 10, 32
 KILL = [{"kind": "kill", "at_s": KILL_AT, "for_s": 8, "part": 0.2}]
@@ -66,7 +66,7 @@
     """Labels tried at two backends or more; of them run twice without claims, and with; run at all with."""
     chance = random.Random(seed)
     fast = {"period_ms": 200, "probe_timeout_ms": 60, "sync_every_ms": 500, "catch_up_most_ms": 3000}
-    with FleetRig(folder, size, seed, [], **fast) as rig:
+    with ProcessFleet(folder, size, seed, [], **fast) as rig:
         rig.until(lambda: all((rig.view(name) or {}).get("whole") for name in rig.names), 30)
 
         def claim(name: str, label: str) -> str:
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -13,40 +13,40 @@
 import time
 from pathlib import Path
 
-from crowwing.emulator.fleet.process_fleet import FleetRig
+from crowwing.emulator.fleet.process_fleet import ProcessFleet
 
 FAST = {"period_ms": 200, "probe_timeout_ms": 60, "sync_every_ms": 200, "catch_up_most_ms": 10_000}
 
 
-def whole(rig: FleetRig, names: set[str]) -> bool:
+def whole(rig: ProcessFleet, names: set[str]) -> bool:
     views = [rig.view(name) for name in names]
     return all(view is not None and view["whole"] for view in views)
 
 
-def alike(rig: FleetRig) -> bool:
+def alike(rig: ProcessFleet) -> bool:
     roots = [rig.ask(name, k="state", prefix="-") for name in rig.names]
     return all(root is not None and root["root"] == roots[0]["root"] for root in roots)
 
 
-def say(rig: FleetRig, name: str, begin: int, count: int, size: int = 100) -> None:
+def say(rig: ProcessFleet, name: str, begin: int, count: int, size: int = 100) -> None:
     for n in range(begin, begin + count):
         rig.ask(name, 3, k="put", key=f"said/{n}", value="z" * size, wait_ms=0)
 
 
-def dead(rig: FleetRig, but: str = "") -> int:
+def dead(rig: ProcessFleet, but: str = "") -> int:
     lines = (line for line in rig.history() if line["event"] == "member")
     return sum(line["state"] == "dead" and line["name"] != but for line in lines)
 
 
 def false_deaths(size: int, seed: int, folder: Path) -> tuple[int, int]:
     """With a tenth of messages lost for 15 s; with one paused for 4 s: others held dead."""
-    with FleetRig(folder / "loss", size, seed, [], **FAST) as rig:
+    with ProcessFleet(folder / "loss", size, seed, [], **FAST) as rig:
         rig.until(lambda: whole(rig, set(rig.names)), 30)
         lossy = rig.relay.impose([{"kind": "loss", "size": 0.1}])
         time.sleep(15)
         rig.relay.lift(lossy)
         lost = dead(rig)
-    with FleetRig(folder / "pause", size, seed, [], **FAST) as rig:
+    with ProcessFleet(folder / "pause", size, seed, [], **FAST) as rig:
         rig.until(lambda: whole(rig, set(rig.names)), 30)
         rig.pause("m1")
         time.sleep(4)
@@ -58,7 +58,7 @@
 def healed(size: int, seed: int, folder: Path) -> tuple[float | None, float]:
     """Seconds from the heal of a cut of a fifth until all copies are alike; bytes a second a member at
     rest."""
-    with FleetRig(folder, size, seed, [], **FAST) as rig:
+    with ProcessFleet(folder, size, seed, [], **FAST) as rig:
         rig.until(lambda: whole(rig, set(rig.names)), 30)
         say(rig, "m0", 0, 100)
         rig.until(lambda: alike(rig), 20)
@@ -80,9 +80,9 @@
 def caught_up(seed: int, folder: Path, kept: int, missed: int, disk: bool) -> float | None:
     """Milliseconds not ready of one of five that was killed while `missed` of `kept` entries were said."""
     folder.mkdir(parents=True, exist_ok=True)
-    with FleetRig(folder, 5, seed, [], **(FAST | {"snapshot_every_ms": 200})) as rig:
+    with ProcessFleet(folder, 5, seed, [], **(FAST | {"snapshot_every_ms": 200})) as rig:
         if disk:
-            rig.operator_of["m2"] = {"snapshot_folder": str(folder)}
+            rig.operator_overrides["m2"] = {"snapshot_folder": str(folder)}
             rig.kill("m2")
             rig.launch("m2")
         rig.until(lambda: whole(rig, set(rig.names)), 30)
--- a/benchmarks/membership_processes.py
+++ b/benchmarks/membership_processes.py
@@ -10,14 +10,14 @@
 import tempfile
 from pathlib import Path
 
-from crowwing.emulator.fleet.process_fleet import FleetRig
+from crowwing.emulator.fleet.process_fleet import ProcessFleet
 
 FAST = {"period_ms": 200, "probe_timeout_ms": 60}
 
 
 def one(size: int, seed: int, loss: float, folder: Path) -> tuple[float | None, int]:
     faults = [{"kind": "loss", "size": loss}] if loss else []
-    with FleetRig(folder, size, seed, faults, **FAST) as rig:
+    with ProcessFleet(folder, size, seed, faults, **FAST) as rig:
         everyone = set(rig.names)
         rig.until(lambda: all(rig.alive_in(n) == everyone for n in everyone), 30)
         rig.until(lambda: False, 3)
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -20,8 +20,8 @@
 
 from benchmarks.scale import lonely, scripts, weigh
 from benchmarks.scale.record import Recorder, Stopped, say
-from crowwing.emulator.fleet.mixed_fleet import Lost, Wide
-from crowwing.emulator.fleet.topology import Ways
+from crowwing.emulator.fleet.mixed_fleet import MixedFleet, StubProcessError
+from crowwing.emulator.fleet.topology import LinkModel
 
 SIZES = [20, 100, 500, 1000, 2600, 5200]
 SCRIPTS = [*scripts.SCRIPTS, "lonely"]
@@ -70,25 +70,25 @@
         run["weight"] = weight._asdict()
         run["takes_kb"] = weigh.check(size, real, hosts, weight, machine)
         build_s = 1.5 * weight.build_s * (size - real) / hosts
-        rig = Wide(
+        rig = MixedFleet(
             folder / "fleet", size, real, seed, cells=cells, processes=hosts, build_s=build_s,
-            ways=Ways(loss=told.loss), fleet=fleet,
+            links=LinkModel(loss=told.loss), fleet=fleet,
         )  # fmt: skip
         recorder = Recorder(rig, f"{mode} {size} seed {seed}", most)
         with rig:
-            rig.begin_alone()
+            rig.start_standalone()
             run["settled_s"], run["real_whole"] = settle(rig, recorder)
             player = scripts.Run(rig, recorder, told.span_s, told.cut_s, told.most_s)
             for name in wanted:
                 run["scripts"][name] = scripts.SCRIPTS[name](player)
                 recorder.span("between", SETTLE_S)
         run["memory_kb"] = recorder.memory
-    except (Stopped, Lost, weigh.TooLarge) as wrong:
+    except (Stopped, StubProcessError, weigh.TooLarge) as wrong:
         run["stopped"] = str(wrong)
     return run
 
 
-def settle(rig: Wide, recorder: Recorder) -> tuple[float, int]:
+def settle(rig: MixedFleet, recorder: Recorder) -> tuple[float, int]:
     """Until every real backend has caught up, or the time for it is over; s, and how many have."""
     began = time.monotonic()
 
--- a/benchmarks/scale/lonely.py
+++ b/benchmarks/scale/lonely.py
@@ -6,13 +6,13 @@
 
 from benchmarks.scale import figures
 from benchmarks.scale.record import Recorder, log_events, wait_for_real
-from crowwing.emulator.fleet.mixed_fleet import Wide
+from crowwing.emulator.fleet.mixed_fleet import MixedFleet
 
 
 def play(folder: Path, size: int, seed: int, cells: bool, silent: bool, span_s: float, most_kb: int) -> dict:
     """`silent`: peers' ports take a stream and say nothing; else nobody listens there."""
     processes = max(1, size // 1300) if silent else 0
-    rig = Wide(folder, size, 1, seed, cells=cells, processes=processes, asleep=True)
+    rig = MixedFleet(folder, size, 1, seed, cells=cells, processes=processes, silent=True)
     with rig:
         label = "silent" if silent else "refused"
         wait_for_real(rig, 20.0)
--- a/benchmarks/scale/record.py
+++ b/benchmarks/scale/record.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from crowwing.emulator.fleet.mixed_fleet import Wide, cpu_s, memory_kb
+from crowwing.emulator.fleet.mixed_fleet import MixedFleet, cpu_s, memory_kb
 
 BIN_S = 10.0
 ASK_S = 1.0
@@ -28,7 +28,7 @@
 class Recorder:
     """`memory_most` (kB): a run that comes to hold more ends (Stopped)."""
 
-    def __init__(self, rig: Wide, title: str, memory_most: int) -> None:
+    def __init__(self, rig: MixedFleet, title: str, memory_most: int) -> None:
         self.rig, self.title, self.memory_most = rig, title, memory_most
         self.began = time.monotonic()
         self.memory = 0  # kB, the most that all processes held together
@@ -43,7 +43,7 @@
         real = {}
         for name, pid in rig.pids(rig.names).items():
             rss, hwm = memory_kb(pid)
-            ours = dict(rig.asked[name])  # what it counts of our own asking is no fleet's
+            ours = dict(rig.request_counts[name])  # what it counts of our own asking is no fleet's
             counts = rig.ask(name, ASK_S, k="counts")
             if counts is not None:
                 counts.pop("n")
@@ -51,9 +51,9 @@
             stream = sum(asked.get(name, [0, 0, 0])[1:])
             real[name] = {
                 "pid": pid, "cpu_s": cpu_s(pid), "rss_kb": rss, "hwm_kb": hwm, "stream_bytes": stream,
-                "counts": counts, "speaks": name in rig.speak_first,
+                "counts": counts, "speaks": name in rig.initial_speakers,
             }  # fmt: skip
-        hosts = [memory_kb(host.child.pid) for host in rig.hosts]
+        hosts = [memory_kb(host.child.pid) for host in rig.stub_processes]
         self.memory = max(self.memory, memory_kb(os.getpid())[0] + sum(rss for rss, _ in hosts)
                           + sum(one["rss_kb"] for one in real.values()))  # fmt: skip
         if self.memory > self.memory_most:
@@ -82,8 +82,8 @@
                 "took_ms": [took for one in hollow for took in one["took_ms"]],
             },
         }  # fmt: skip
-        if rig.alone is not None:
-            pid = rig.alone.child.pid
+        if rig.standalone is not None:
+            pid = rig.standalone.child.pid
             told["alone"] = {
                 "cpu_s": cpu_s(pid),
                 **dict(zip(("rss_kb", "hwm_kb"), memory_kb(pid), strict=True)),
@@ -131,7 +131,7 @@
         return samples
 
 
-def wait_for_real(rig: Wide, most_s: float) -> None:
+def wait_for_real(rig: MixedFleet, most_s: float) -> None:
     """Until every real backend answers, or the time is over."""
     rig.until(lambda: all(rig.ask(name, ASK_S, k="counts") for name in rig.names), most_s, 0.2)
 
--- a/benchmarks/scale/scripts.py
+++ b/benchmarks/scale/scripts.py
@@ -14,7 +14,7 @@
 from benchmarks.scale import figures
 from benchmarks.scale.record import Recorder, log_events
 from crowwing.emulator.fleet import member_access
-from crowwing.emulator.fleet.mixed_fleet import Wide
+from crowwing.emulator.fleet.mixed_fleet import MixedFleet
 from crowwing.emulator.fleet.topology import ZONES
 
 LETTER = 5200  # members that the day's figures are for
@@ -29,17 +29,19 @@
 class Run:
     """One fleet, on which scripts are played in turn."""
 
-    def __init__(self, rig: Wide, recorder: Recorder, span_s: float, cut_s: float, most_s: float) -> None:
+    def __init__(
+        self, rig: MixedFleet, recorder: Recorder, span_s: float, cut_s: float, most_s: float
+    ) -> None:
         """`span_s` of each script at least; `cut_s` that regions are cut; `most_s` to wait for an end."""
         self.rig, self.recorder, self.span_s, self.cut_s, self.most_s = rig, recorder, span_s, cut_s, most_s
         self.chance = random.Random(f"{rig.seed}/scripts")
-        self.size = len(rig.everyone)
+        self.size = len(rig.all_names)
         self.keys = itertools.count()
 
     def restarts(self, span_s: float, within_s: float) -> list:
         """Moments of restarts, evenly over `span_s`, at the pace of a day's within `within_s`."""
         count = max(1, round(RESTARTS * self.size / LETTER * span_s / within_s))
-        few = self.chance.sample(self.rig.hollow, min(count, len(self.rig.hollow)))
+        few = self.chance.sample(self.rig.stubs, min(count, len(self.rig.stubs)))
         return [
             (span_s * n / len(few), lambda name=name: self.rig.tell("restart", names=[name], down_s=DOWN_S))
             for n, name in enumerate(few)
@@ -94,7 +96,7 @@
     """A day's pace."""
     moments = run.restarts(run.span_s, DAY_S)
     failures = max(1, round(FAILURES * run.size / LETTER * run.span_s / DAY_S))
-    gone = run.chance.sample(run.rig.hollow, failures)
+    gone = run.chance.sample(run.rig.stubs, failures)
     moments.append((0.0, lambda: run.rig.tell("off", names=gone)))
     moments.append((run.span_s, lambda: run.rig.tell("on", names=gone)))
     restarts = len(moments) - 2
@@ -114,14 +116,14 @@
 def rack(run: Run) -> dict:
     """A switch: 40 at once of one zone (at most half of it), and back."""
     names = run.rig.in_zone(f"{next(iter(ZONES))}a")
-    hollow = [name for name in names if name in run.rig.hollow_at]
+    hollow = [name for name in names if name in run.rig.stub_addresses]
     return _gone(run, "rack", hollow[: min(RACK, max(1, len(names) // 2))], [])
 
 
 def zone(run: Run) -> dict:
     """All of one zone, its real backends too, and back with empty memories."""
     names = run.rig.in_zone(f"{next(iter(ZONES))}b")
-    real = [name for name in names if name in run.rig.fleet_at]
+    real = [name for name in names if name in run.rig.fleet_addresses]
     return _gone(run, "zone", names, real)
 
 
@@ -131,13 +133,13 @@
     rig.tell("off", names=names)
     for name in real:
         rig.kill(name)
-    groups = member_access.cells(rig.everyone, rig.layout)
+    groups = member_access.cells(rig.all_names, rig.layout)
     cell = {name: group for group in groups for name in group}
     off = set(names)
     few = {name: [one for one in cell[name] if one not in off] for name in names}
     of = few if len(groups) > 1 else {}  # of one group, whoever saw it is one of those
     dead = member_access.dead_cells(rig.layout, off)
-    others = len([name for name in rig.hollow if name not in off])
+    others = len([name for name in rig.stubs if name not in off])
     known: dict[str, int] = {}
     cells_known: dict[str, int] = {}
 
@@ -190,7 +192,7 @@
     rig, real = run.rig, set(run.rig.names)
     if rig.layout is None:
         return result(run.recorder.span("no cell to lose", 1.0), skipped=True)
-    groups = member_access.cells(rig.everyone, rig.layout)
+    groups = member_access.cells(rig.all_names, rig.layout)
     names = min(groups, key=lambda group: (len(real & set(group)), len(group)))
     return _gone(run, "cell", names, [name for name in names if name in real])
 
@@ -198,7 +200,7 @@
 def regions(run: Run) -> dict:
     """Every region alone for `cut_s`, and back."""
     rig, begin = run.rig, time.time_ns() // 1000
-    rig.cut(list(itertools.combinations(ZONES, 2)))
+    rig.partition(list(itertools.combinations(ZONES, 2)))
     samples = run.recorder.span("regions cut", run.cut_s)
     ready_cut = min(one["hollow"]["ready"] for one in samples)
     at = now_us()
@@ -224,12 +226,12 @@
     def put(count: int) -> None:
         keys = [f"said/scale-{next(run.keys)}" for _ in range(count)]
         rig.tell("watch", keys=keys)
-        at = rig.put([(run.chance.choice(rig.hollow), key, {"set": "x" * 80}) for key in keys])
+        at = rig.put([(run.chance.choice(rig.stubs), key, {"set": "x" * 80}) for key in keys])
         put_at.update(dict.fromkeys(keys, at))
 
     def look() -> bool:
         for key, (count, at) in _keys(rig).items():
-            if count == len(rig.hollow) and key not in held:
+            if count == len(rig.stubs) and key not in held:
                 held[key] = at
         for name, seen in real_held.items():
             while waits := [key for key in put_at if key not in seen]:
@@ -256,7 +258,7 @@
     )  # fmt: skip
 
 
-def _keys(rig: Wide) -> dict[str, tuple[int, int]]:
+def _keys(rig: MixedFleet) -> dict[str, tuple[int, int]]:
     """For each watched key how many hollow members hold it, and when the last came to."""
     sums: dict[str, tuple[int, int]] = {}
     for one in rig.tell("seen"):
--- a/benchmarks/scale/weigh.py
+++ b/benchmarks/scale/weigh.py
@@ -16,7 +16,7 @@
 
 from crowwing.emulator.fleet import member_access
 from crowwing.emulator.fleet.mixed_fleet import memory_kb
-from crowwing.emulator.fleet.topology import places
+from crowwing.emulator.fleet.topology import assign_locations
 from crowwing.emulator.processes import ROOT
 
 ENTRIES = 400_000  # of all members' tables together: enough to weigh, and little beside what is to come
@@ -71,8 +71,8 @@
 def main() -> None:
     size, fleet = int(sys.argv[1]), orjson.loads(sys.argv[3])
     names = [f"m{n}" for n in range(size)]
-    shared = member_access.layout(places(names) if sys.argv[2] == "cells" else None, fleet)
-    make = member_access.maker(names, shared, fleet)
+    shared = member_access.layout(assign_locations(names) if sys.argv[2] == "cells" else None, fleet)
+    make = member_access.member_factory(names, shared, fleet)
     count = max(4, min(size, ENTRIES // size))
     kept = [make(names[0], 0, random.Random(0))]  # what all share is there before the first is weighed
     gc.collect()
--- a/crowwing/cli/fleet.py
+++ b/crowwing/cli/fleet.py
@@ -163,7 +163,7 @@
     """Plays a seeded script of faults on real backends, and checks what they promised."""
     from crowwing.emulator.fleet import fault_run
 
-    _played(lambda: fault_run.Play(out, fault_run.plan(seed, size, seconds)).run(), out, as_json)
+    _played(lambda: fault_run.FaultRun(out, fault_run.make_plan(seed, size, seconds)).run(), out, as_json)
 
 
 @app.command(epilog="Example: crowwing fleet replay runs/fleet")
--- a/crowwing/emulator/fleet/fault_run.py
+++ b/crowwing/emulator/fleet/fault_run.py
@@ -16,66 +16,61 @@
 import orjson
 
 from crowwing.emulator.fleet import history_check
-from crowwing.emulator.fleet.process_fleet import HOST, FleetRig
+from crowwing.emulator.fleet.process_fleet import HOST, ProcessFleet
 
 FAST = {
     "period_ms": 200, "probe_timeout_ms": 60, "sync_every_ms": 250, "catch_up_most_ms": 3000,
     "snapshot_every_ms": 300,
 }  # fmt: skip
-ASK_EVERY_S, WAIT_MS = 0.06, 1500
-CONVERGE_S = 10.0
-LINKS = ("cut", "one_way", "loss", "delay", "duplicate", "reorder")
-STOPS = ("pause", "kill", "wipe")  # wipe: killed, and its disk lost
+REQUEST_INTERVAL_S, ACK_TIMEOUT_MS = 0.06, 1500
+CONVERGENCE_TIMEOUT_S = 10.0
+LINK_FAULTS = ("cut", "one_way", "loss", "delay", "duplicate", "reorder")
+PROCESS_FAULTS = ("pause", "kill", "wipe")  # wipe: killed, and its disk lost
 
 
-def plan(seed: int, size: int, seconds: float) -> dict:
+def make_plan(seed: int, size: int, seconds: float) -> dict:
     """Everything of one run but what chance on the machine adds."""
-    chance = Random(f"{seed}/play")
+    rng = Random(f"{seed}/play")
     names = [f"m{n}" for n in range(size)]
-    asks, at = [], 0.0
+    requests, at = [], 0.0
     while at < seconds:
-        key = chance.choice(["said", "said", "mark"])
-        how = "put" if key == "said" else chance.choice(["add", "add", "take_out"])
-        asks.append(
-            {
-                "at_s": round(at, 3),
-                "of": chance.choice(names),
-                "k": how,
-                "key": f"{key}/{chance.randrange(12)}",
-            }
+        key = rng.choice(["said", "said", "mark"])
+        how = "put" if key == "said" else rng.choice(["add", "add", "take_out"])
+        requests.append(
+            {"at_s": round(at, 3), "of": rng.choice(names), "k": how, "key": f"{key}/{rng.randrange(12)}"}
         )
-        at += ASK_EVERY_S * (0.5 + chance.random())
+        at += REQUEST_INTERVAL_S * (0.5 + rng.random())
     faults, at, stopped_until = [], 0.5, 0.0
     while at < seconds - 1.0:
-        span = round(min(0.4 + 2.0 * chance.random(), seconds - at), 3)
-        kind = chance.choice(LINKS + STOPS)
+        span = round(min(0.4 + 2.0 * rng.random(), seconds - at), 3)
+        kind = rng.choice(LINK_FAULTS + PROCESS_FAULTS)
         fault = {"at_s": round(at, 3), "for_s": span, "kind": kind}
-        if kind in STOPS:
+        if kind in PROCESS_FAULTS:
             if at >= stopped_until:  # one member at a time
-                faults.append(fault | {"of": chance.choice(names)})
+                faults.append(fault | {"of": rng.choice(names)})
                 stopped_until = at + span + 0.5
         else:
-            few = sorted(chance.sample(names, chance.randint(1, size // 2)))
-            faults.append(fault | {"few": few, "size": _size(kind, chance), "jitter_ms": 40})
-        at += 0.3 + 1.2 * chance.random()
-    offsets = {name: chance.randint(-2000, 2000) for name in names}
+            few = sorted(rng.sample(names, rng.randint(1, size // 2)))
+            faults.append(fault | {"few": few, "size": _size(kind, rng), "jitter_ms": 40})
+        at += 0.3 + 1.2 * rng.random()
+    offsets = {name: rng.randint(-2000, 2000) for name in names}
     return {
         "seed": seed,
         "size": size,
         "seconds": seconds,
-        "asks": asks,
+        "asks": requests,
         "faults": faults,
         "offsets": offsets,
     }
 
 
-def _size(kind: str, chance: Random) -> float:
+def _size(kind: str, rng: Random) -> float:
     if kind == "delay":
-        return round(80 * chance.random(), 1)
-    return round(0.05 + 0.35 * chance.random(), 2) if kind != "cut" else 1.0
+        return round(80 * rng.random(), 1)
+    return round(0.05 + 0.35 * rng.random(), 2) if kind != "cut" else 1.0
 
 
-def on_links(fault: dict, names: list[str]) -> list[dict]:
+def relay_faults(fault: dict, names: list[str]) -> list[dict]:
     """A fault between members as the relay takes it."""
     few, rest = fault["few"], [name for name in names if name not in fault["few"]]
     told = {"kind": "cut" if fault["kind"] == "one_way" else fault["kind"], "size": fault["size"]}
@@ -84,29 +79,29 @@
     return ways if fault["kind"] == "one_way" else [*ways, told | {"from": rest, "to": few}]
 
 
-class Play:
+class FaultRun:
     """One run of a plan; every process it starts has ended when `run` returns or raises."""
 
-    def __init__(self, folder: Path, told: dict, **fleet: object) -> None:
-        self.folder, self.told = folder, told
+    def __init__(self, folder: Path, plan: dict, **fleet: object) -> None:
+        self.folder, self.plan = folder, plan
         folder.mkdir(parents=True, exist_ok=True)
-        (folder / "play.json").write_bytes(orjson.dumps(told | {"fleet": fleet}, option=orjson.OPT_INDENT_2))
-        self.rig = FleetRig(folder, told["size"], told["seed"], [], **(FAST | fleet))
+        (folder / "play.json").write_bytes(orjson.dumps(plan | {"fleet": fleet}, option=orjson.OPT_INDENT_2))
+        self.rig = ProcessFleet(folder, plan["size"], plan["seed"], [], **(FAST | fleet))
         self.history: list[dict] = []
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.bind((HOST, 0))
         self.socket.setblocking(False)
         self.number = 0
 
-    def note(self, event: str, **brings: object) -> None:
+    def record(self, event: str, **brings: object) -> None:
         self.history.append({"at": time.time_ns() // 1000, "event": event, **brings})
 
     def run(self) -> history_check.Found:
         for name in self.rig.names:
             (self.folder / f"disk-{name}").mkdir(exist_ok=True)
-        self.rig.operator_of = {
+        self.rig.operator_overrides = {
             name: {
-                "clock_offset_ms": self.told["offsets"][name],
+                "clock_offset_ms": self.plan["offsets"][name],
                 "snapshot_folder": str(self.folder / f"disk-{name}"),
             }
             for name in self.rig.names
@@ -119,8 +114,8 @@
                     is None
                 ):
                     raise TimeoutError("the members did not find each other")
-                self._play()
-                found = self._settle()
+                self._run_schedule()
+                found = self._wait_for_convergence()
         finally:
             self.socket.close()
             lines = b"".join(orjson.dumps(line) + b"\n" for line in self.history)
@@ -128,31 +123,31 @@
         (self.folder / "found.json").write_bytes(orjson.dumps(found._asdict(), option=orjson.OPT_INDENT_2))
         return found
 
-    def _play(self) -> None:
+    def _run_schedule(self) -> None:
         began = time.monotonic()
-        for at, what, told in self._moments():
+        for at, what, told in self._schedule():
             while (left := began + at - time.monotonic()) > 0:
                 time.sleep(min(left, 0.02))
-                self._answers()
+                self._read_responses()
             what(told)
 
-    def _moments(self) -> Iterator[tuple]:
+    def _schedule(self) -> Iterator[tuple]:
         """(s, what to do, with what), in order; the ends of faults among them."""
-        moments = [(ask["at_s"], self._ask, ask) for ask in self.told["asks"]]
-        for fault in self.told["faults"]:
-            moments.append((fault["at_s"], self._begin, fault))
-            moments.append((fault["at_s"] + fault["for_s"], self._end, fault))
+        moments = [(request["at_s"], self._send_request, request) for request in self.plan["asks"]]
+        for fault in self.plan["faults"]:
+            moments.append((fault["at_s"], self._start_fault, fault))
+            moments.append((fault["at_s"] + fault["for_s"], self._end_fault, fault))
         return iter(sorted(moments, key=lambda moment: moment[0]))
 
-    def _ask(self, ask: dict) -> None:
+    def _send_request(self, request: dict) -> None:
         self.number += 1
-        told = {"k": ask["k"], "key": ask["key"], "wait_ms": WAIT_MS, "n": self.number}
-        if ask["k"] == "put":
+        told = {"k": request["k"], "key": request["key"], "wait_ms": ACK_TIMEOUT_MS, "n": self.number}
+        if request["k"] == "put":
             told["value"] = self.number
-        self.note("asked", of=ask["of"], **told)
-        self.socket.sendto(orjson.dumps(told), self.rig.fleet_at[ask["of"]])
+        self.record("asked", of=request["of"], **told)
+        self.socket.sendto(orjson.dumps(told), self.rig.fleet_addresses[request["of"]])
 
-    def _answers(self) -> None:
+    def _read_responses(self) -> None:
         while True:
             try:
                 told = orjson.loads(self.socket.recv(65536))
@@ -160,38 +155,38 @@
                 return
             except OSError:
                 continue  # nobody listens there just now
-            self.note("answered", acked=bool(told.get("acked")), rows=told.get("rows", []), n=told["n"])
+            self.record("answered", acked=bool(told.get("acked")), rows=told.get("rows", []), n=told["n"])
 
-    def _begin(self, fault: dict) -> None:
+    def _start_fault(self, fault: dict) -> None:
         kind = fault["kind"]
-        if kind in STOPS and kind != "pause" and not self._all_whole():
+        if kind in PROCESS_FAULTS and kind != "pause" and not self._all_caught_up():
             kind = "pause"  # another is without its memory: this one keeps its own
         fault["as"] = kind
-        self.note("fault", **fault)
+        self.record("fault", **fault)
         if kind == "pause":
             self.rig.pause(fault["of"])
-        elif kind in STOPS:
+        elif kind in PROCESS_FAULTS:
             self.rig.kill(fault["of"])
             if kind == "wipe":
                 for file in (self.folder / f"disk-{fault['of']}").iterdir():
                     file.unlink()
         else:
-            fault["on"] = self.rig.relay.impose(on_links(fault, self.rig.names))
+            fault["on"] = self.rig.relay.impose(relay_faults(fault, self.rig.names))
 
-    def _end(self, fault: dict) -> None:
+    def _end_fault(self, fault: dict) -> None:
         if fault["as"] == "pause":
             self.rig.resume(fault["of"])
-        elif fault["as"] in STOPS:
+        elif fault["as"] in PROCESS_FAULTS:
             self.rig.launch(fault["of"])
         else:
             self.rig.relay.lift(fault.pop("on"))
-        self.note("healed", kind=fault["kind"], of=fault.get("of"))
+        self.record("healed", kind=fault["kind"], of=fault.get("of"))
 
-    def _all_whole(self) -> bool:
+    def _all_caught_up(self) -> bool:
         views = [self.rig.view(name, 0.2) for name in self.rig.names]
         return all(view is not None and view["whole"] for view in views)
 
-    def _held(self) -> dict[str, list] | None:
+    def _stored_rows(self) -> dict[str, list] | None:
         """The operators' entries of every member; None if one does not answer."""
         held = {}
         for name in self.rig.names:
@@ -201,26 +196,26 @@
             held[name] = [row for page in pages for row in page["rows"]]
         return held
 
-    def _settle(self) -> history_check.Found:
+    def _wait_for_convergence(self) -> history_check.Found:
         began, held = time.monotonic(), None
         converged = None
-        while converged is None and time.monotonic() - began < CONVERGE_S:
+        while converged is None and time.monotonic() - began < CONVERGENCE_TIMEOUT_S:
             time.sleep(0.05)
-            self._answers()
-            held = self._held()
+            self._read_responses()
+            held = self._stored_rows()
             if held is not None and not history_check.differing(held):
                 converged = round(time.monotonic() - began, 2)
-        time.sleep(WAIT_MS / 1000)  # what was asked last is answered by now
-        self._answers()
-        self.rig.until(lambda: (self._held() or {}).keys() == set(self.rig.names), 5)
-        return history_check.check(self.history, self._held() or held or {}, converged)
+        time.sleep(ACK_TIMEOUT_MS / 1000)  # what was asked last is answered by now
+        self._read_responses()
+        self.rig.until(lambda: (self._stored_rows() or {}).keys() == set(self.rig.names), 5)
+        return history_check.check(self.history, self._stored_rows() or held or {}, converged)
 
 
 def replay(folder: Path, into: Path) -> history_check.Found:
     """The run whose folder it is once more. ValueError where there is none."""
     try:
         told = orjson.loads((folder / "play.json").read_bytes())
-    except (OSError, orjson.JSONDecodeError) as wrong:
-        raise ValueError(f"{folder / 'play.json'}: {wrong}") from None
+    except (OSError, orjson.JSONDecodeError) as error:
+        raise ValueError(f"{folder / 'play.json'}: {error}") from None
     fleet = told.pop("fleet")
-    return Play(into, told, **fleet).run()
+    return FaultRun(into, told, **fleet).run()
--- a/crowwing/emulator/fleet/growth.py
+++ b/crowwing/emulator/fleet/growth.py
@@ -11,22 +11,22 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from crowwing.emulator.fleet.mixed_fleet import Wide
-from crowwing.emulator.fleet.topology import Ways
+from crowwing.emulator.fleet.mixed_fleet import MixedFleet
+from crowwing.emulator.fleet.topology import LinkModel
 
-SETTLE, PERIODS = 4, 30  # protocol periods before anything happens, and counted
+SETTLE_PERIODS, MEASURED_PERIODS = 4, 30  # protocol periods before anything happens, and counted
 CHANGES = 4
 FLEET = {"probe_timeout_ms": 600, "cell_most": 12}
-WAYS = Ways(far=0.005)
-A_HOST = 100  # hollow members a process
-LONGEST_S = 120.0  # guards against a fleet that stands still
+LINKS = LinkModel(far=0.005)
+STUBS_PER_PROCESS = 100  # hollow members a process
+TIMEOUT_S = 120.0  # guards against a fleet that stands still
 
 
-class Slow(TimeoutError):
+class FleetTimeoutError(TimeoutError):
     """A fleet did not go through its periods, or a real backend does not answer: one line."""
 
 
-class Spent(NamedTuple):
+class MemberCost(NamedTuple):
     """Of one fleet: by one member in a period on the average, but where it says otherwise."""
 
     size: int
@@ -38,87 +38,91 @@
     lag_s: float  # of the slowest hollow process's loop: over the probe timeout, all counts are too high
 
 
-def grown(small: Spent, large: Spent, most: float) -> list[str]:
+def find_growth(small: MemberCost, large: MemberCost, most: float) -> list[str]:
     """What is over `most` times as much in the larger fleet, each with its figures."""
     return [
         f"{name}: {one:.1f} with {small.size} members, {other:.1f} with {large.size}"
-        for name, one, other in zip(Spent._fields[1:6], small[1:6], large[1:6], strict=True)
+        for name, one, other in zip(MemberCost._fields[1:6], small[1:6], large[1:6], strict=True)
         if other > most * max(one, 1.0)
     ]
 
 
-def play(folder: Path, sizes: Sequence[tuple[int, bool]], real: int = 3, seed: int = 1) -> list[Spent]:
+def measure(
+    folder: Path, sizes: Sequence[tuple[int, bool]], real: int = 3, seed: int = 1
+) -> list[MemberCost]:
     """All fleets at once, each (members, whether in cells); every process has ended when this returns. Slow
     where one does not get on."""
-    with ExitStack() as ends:
+    with ExitStack() as stack:
         fleets = []
         for size, cells in sizes:
-            hosts = -(-(size - real) // A_HOST)
-            place = folder / f"{'cells' if cells else 'flat'}-{size}"
-            rig = Wide(place, size, real, seed, cells=cells, processes=hosts, ways=WAYS, fleet=FLEET)
-            fleets.append(Counted(ends.enter_context(rig)))
-        until(fleets, lambda fleet: fleet.real() and fleet.periods() >= SETTLE)
+            hosts = -(-(size - real) // STUBS_PER_PROCESS)
+            subfolder = folder / f"{'cells' if cells else 'flat'}-{size}"
+            rig = MixedFleet(
+                subfolder, size, real, seed, cells=cells, processes=hosts, links=LINKS, fleet=FLEET
+            )
+            fleets.append(MeasuredFleet(stack.enter_context(rig)))
+        wait_until(fleets, lambda fleet: fleet.real_counts() and fleet.periods() >= SETTLE_PERIODS)
         for fleet in fleets:
-            fleet.begin()
-        until(fleets, lambda fleet: fleet.periods() >= fleet.began["periods"] + PERIODS)
-        return [fleet.spent() for fleet in fleets]
+            fleet.start()
+        wait_until(fleets, lambda fleet: fleet.periods() >= fleet.began["periods"] + MEASURED_PERIODS)
+        return [fleet.cost() for fleet in fleets]
 
 
-def until(fleets: Sequence["Counted"], check: Callable[["Counted"], object]) -> None:
+def wait_until(fleets: Sequence["MeasuredFleet"], check: Callable[["MeasuredFleet"], object]) -> None:
     began, left = time.monotonic(), list(fleets)
     while left := [fleet for fleet in left if not check(fleet)]:
-        if time.monotonic() - began > LONGEST_S:
-            raise Slow(f"{len(left[0].rig.everyone)} members: not there after {LONGEST_S:g} s")
+        if time.monotonic() - began > TIMEOUT_S:
+            raise FleetTimeoutError(f"{len(left[0].rig.all_names)} members: not there after {TIMEOUT_S:g} s")
         time.sleep(0.2)
 
 
-class Counted:
-    def __init__(self, rig: Wide) -> None:
+class MeasuredFleet:
+    def __init__(self, rig: MixedFleet) -> None:
         self.rig = rig
         self.began: dict[str, float] = {}
 
     def periods(self) -> float:
         """That went by, on a hollow member's average."""
-        return sum(one["periods"] for one in self.rig.tell("periods")) / len(self.rig.hollow)
+        return sum(one["periods"] for one in self.rig.tell("periods")) / len(self.rig.stubs)
 
-    def real(self) -> list[dict]:
+    def real_counts(self) -> list[dict]:
         """What each real backend counts; empty where one does not answer."""
         found = [self.rig.ask(name, 1.0, k="counts") for name in self.rig.names]
         return [one for one in found if one is not None] if all(found) else []
 
     def counts(self) -> dict[str, float]:
-        told = self.rig.tell("counts")
+        responses = self.rig.tell("counts")
         sums: dict[str, float] = {}
-        for one in told:
+        for one in responses:
             for key, value in one["sums"].items():
                 sums[key] = sums.get(key, 0) + value
-        sums["periods"] /= len(self.rig.hollow)
-        most = {key: max(one[key] for one in told) for key in ("most_bytes", "most_datagrams", "lag_s")}
+        sums["periods"] /= len(self.rig.stubs)
+        most = {key: max(one[key] for one in responses) for key in ("most_bytes", "most_datagrams", "lag_s")}
         return sums | most
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """What happens, and from where it is counted."""
         rig = self.rig
         self.began = self.counts()
-        zone = rig.placed[rig.names[0]][1]
+        zone = rig.locations[rig.names[0]][1]
         inside = set(rig.in_zone(zone))
-        outside = [name for name in rig.hollow if name not in inside]
+        outside = [name for name in rig.stubs if name not in inside]
         rig.put([(outside[n], f"said/growth-{n}", "x" * 80) for n in range(CHANGES)])
         rig.tell("restart", names=[outside[-1]], down_s=1.0)
         rig.kill(rig.names[-1])
         rig.launch(rig.names[-1])
-        rig.tell("off", names=[name for name in rig.hollow if name in inside])
+        rig.tell("off", names=[name for name in rig.stubs if name in inside])
 
-    def spent(self) -> Spent:
+    def cost(self) -> MemberCost:
         now, began = self.counts(), self.began
         passed = now["periods"] - began["periods"]
         moved = {key: now[key] - began[key] for key in now}
-        shares = passed * len(self.rig.hollow)
-        real = self.real()
+        shares = passed * len(self.rig.stubs)
+        real = self.real_counts()
         if not real:
-            raise Slow("a real backend does not answer")
-        return Spent(
-            len(self.rig.everyone),
+            raise FleetTimeoutError("a real backend does not answer")
+        return MemberCost(
+            len(self.rig.all_names),
             (moved["sent"] + moved["read"]) / shares,
             (moved["sent_bytes"] + moved["read_bytes"] + 2 * moved["stream_bytes"]) / shares,
             now["most_datagrams"] / passed,
--- a/crowwing/emulator/fleet/member_access.py
+++ b/crowwing/emulator/fleet/member_access.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from crowwing.emulator.fleet.topology import Place
+from crowwing.emulator.fleet.topology import Location
 from crowwing.fleet.member import Member, MemberSettings
 from crowwing.fleet.membership.cells import CellLayout, covers
 from crowwing.fleet.membership.swim import GONE
@@ -18,51 +18,51 @@
 from crowwing.fleet.adapters.settings import member_settings
 from crowwing.settings.operator import Fleet
 
-Make = Callable[[str, int, random.Random], Member]
+MemberFactory = Callable[[str, int, random.Random], Member]
 
 
 def settings(fleet: Mapping) -> SimpleNamespace:
     """A whole fleet section: what is given, and the defaults of the rest."""
-    least = {"listen": "127.0.0.1:1", "peers": [{"name": "x", "address": "127.0.0.1:2"}]}
-    whole_section = msgspec.convert(least | dict(fleet), Fleet)
-    return SimpleNamespace(**{name: getattr(whole_section, name) for name in Fleet.__struct_fields__})
+    required = {"listen": "127.0.0.1:1", "peers": [{"name": "x", "address": "127.0.0.1:2"}]}
+    section = msgspec.convert(required | dict(fleet), Fleet)
+    return SimpleNamespace(**{name: getattr(section, name) for name in Fleet.__struct_fields__})
 
 
-def layout(places: Mapping[str, Place] | None, fleet: Mapping) -> CellLayout | None:
+def layout(locations: Mapping[str, Location] | None, fleet: Mapping) -> CellLayout | None:
     """None for a flat fleet, which has no places."""
-    return None if places is None else CellLayout(places, settings(fleet).cell_most)
+    return None if locations is None else CellLayout(locations, settings(fleet).cell_most)
 
 
-def maker(names: Sequence[str], shared: CellLayout | None, fleet: Mapping) -> Make:
+def member_factory(names: Sequence[str], shared: CellLayout | None, fleet: Mapping) -> MemberFactory:
     """`make(name, now, chance)` for members of one fleet, whose layout all of a process share."""
-    how: MemberSettings = member_settings(settings(fleet))
+    settings_of_members: MemberSettings = member_settings(settings(fleet))
 
-    def make(name: str, now: int, chance: random.Random) -> Member:
+    def make(name: str, now: int, rng: random.Random) -> Member:
         others = [other for other in names if other != name]
-        return Member(name, others, now, chance, how, KEYSPACES, shared)
+        return Member(name, others, now, rng, settings_of_members, KEYSPACES, shared)
 
     return make
 
 
-def warm(member: Member) -> None:
+def mark_caught_up(member: Member) -> None:
     """As one of a fleet that runs long since: caught up."""
     member.catch_up.started_at = None
     member.was_ready = True
     member.catch_up.was_isolated = False
 
 
-def server(missing: Callable, known: Callable[[str], bool]) -> full_transfer.Server:
+def transfer_server(missing: Callable, known: Callable[[str], bool]) -> full_transfer.Server:
     return full_transfer.Server(missing, known)
 
 
-def question(member: Member) -> dict:
+def transfer_request(member: Member) -> dict:
     """The line that asks for a whole copy."""
     return {"from": member.me, **member.digests()}
 
 
-def put(member: Member, wall: int, key: str, value: object, life: int) -> None:
+def put(member: Member, wall: int, key: str, value: object, ttl: int) -> None:
     """EntryRejectedError where it cannot be."""
-    member.dissemination_of(key).put(wall, key, value, life)
+    member.dissemination_of(key).put(wall, key, value, ttl)
 
 
 def holds(member: Member, key: str) -> bool:
@@ -79,12 +79,12 @@
     return member.membership.periods
 
 
-def speaks(member: Member) -> bool:
+def is_speaker(member: Member) -> bool:
     """Whether it speaks for its cell now."""
     return member.reachability is not None and member.reachability.speaks
 
 
-def speak_first(shared: CellLayout | None) -> frozenset[str]:
+def initial_speakers(shared: CellLayout | None) -> frozenset[str]:
     """Who speaks for its cell while all are alive."""
     if shared is None:
         return frozenset()
@@ -97,21 +97,21 @@
     return [list(names)] if shared is None else [list(roster) for roster in shared.rosters.values()]
 
 
-def told_out(brings: Mapping, cell: str) -> bool:
+def reports_cell_out(brings: Mapping, cell: str) -> bool:
     """Whether an event `cells_out` says that this cell is out of reach."""
-    return any(covers(word, cell) for word in brings["cells"])
+    return any(covers(prefix, cell) for prefix in brings["cells"])
 
 
-def dead_cells(shared: CellLayout | None, gone: Collection[str]) -> set[str]:
+def dead_cells(shared: CellLayout | None, down: Collection[str]) -> set[str]:
     """Cells all of whose members are off."""
     if shared is None:
         return set()
-    return {cell for cell, roster in shared.rosters.items() if all(name in gone for name in roster)}
+    return {cell for cell, roster in shared.rosters.items() if all(name in down for name in roster)}
 
 
-def wrong(member: Member, gone: Collection[str], dead: Collection[str]) -> int:
+def count_mistakes(member: Member, down: Collection[str], dead: Collection[str]) -> int:
     """Members that it watches over and holds for gone where they are not, or the other way round; and cells
     out of reach alike (`dead`: those that are)."""
     watched = member.membership.members.values()
-    mistakes = sum((one.state in GONE) != (one.name in gone) for one in watched)
+    mistakes = sum((one.state in GONE) != (one.name in down) for one in watched)
     return mistakes + len(member.unreachable_cells() ^ frozenset(dead))
--- a/crowwing/emulator/fleet/mixed_fleet.py
+++ b/crowwing/emulator/fleet/mixed_fleet.py
@@ -18,21 +18,21 @@
 import orjson
 
 from crowwing.emulator.fleet import member_access, topology
-from crowwing.emulator.fleet.process_fleet import EXAMPLE, FleetRig, free_port
+from crowwing.emulator.fleet.process_fleet import EXAMPLE_CONFIG, ProcessFleet, free_port
 from crowwing.emulator.fleet.relay import Fault
-from crowwing.emulator.fleet.topology import Ways
+from crowwing.emulator.fleet.topology import LinkModel
 from crowwing.emulator.processes import ROOT, BackendProcess, set_parent_death_signal
 
-ANSWER_S = 120.0  # for one line back: building thousands of members takes its time
-A_BLOCK = 250  # hollow addresses that differ in their last number only
-PORT = 21_000  # hollow ones' first; under the ports that the machine gives out itself
+RESPONSE_TIMEOUT_S = 120.0  # for one line back: building thousands of members takes its time
+ADDRESSES_PER_BLOCK = 250  # hollow addresses that differ in their last number only
+FIRST_PORT = 21_000  # hollow ones' first; under the ports that the machine gives out itself
 
 
-class Lost(ChildProcessError):
+class StubProcessError(ChildProcessError):
     """A hollow process is gone or does not answer: one line."""
 
 
-class HollowProcess:
+class StubProcess:
     """The parent's end of one."""
 
     def __init__(self, number: int, folder: Path) -> None:
@@ -50,30 +50,30 @@
 
     def tell(self, **told: object) -> None:
         self.number += 1
-        self.line(told | {"n": self.number})
+        self.send_line(told | {"n": self.number})
 
-    def line(self, told: dict) -> None:
+    def send_line(self, message: dict) -> None:
         try:
-            self.child.stdin.write(orjson.dumps(told) + b"\n")
+            self.child.stdin.write(orjson.dumps(message) + b"\n")
             self.child.stdin.flush()
-        except OSError as wrong:
-            raise Lost(f"{self.name}: {wrong.strerror}") from None
+        except OSError as error:
+            raise StubProcessError(f"{self.name}: {error.strerror}") from None
 
-    def answer(self) -> dict:
+    def read_response(self) -> dict:
         """To the last line told."""
-        until = time.monotonic() + ANSWER_S
+        until = time.monotonic() + RESPONSE_TIMEOUT_S
         while b"\n" not in self.buffer:
             left = until - time.monotonic()
             if left <= 0 or not self.poll.poll(1000 * left):
-                raise Lost(f"{self.name}: no answer within {ANSWER_S:g} s")
-            piece = os.read(self.child.stdout.fileno(), 1 << 20)
-            if not piece:
-                raise Lost(f"{self.name}: has ended, see its log")
-            self.buffer += piece
+                raise StubProcessError(f"{self.name}: no answer within {RESPONSE_TIMEOUT_S:g} s")
+            chunk = os.read(self.child.stdout.fileno(), 1 << 20)
+            if not chunk:
+                raise StubProcessError(f"{self.name}: has ended, see its log")
+            self.buffer += chunk
         line, _, self.buffer = self.buffer.partition(b"\n")
         told = orjson.loads(line)
         if told["n"] != self.number:
-            raise Lost(f"{self.name}: answers {told['n']}, not {self.number}")
+            raise StubProcessError(f"{self.name}: answers {told['n']}, not {self.number}")
         return told
 
     def end(self) -> None:
@@ -83,7 +83,7 @@
         self.child.stdout.close()
 
 
-def pick(cells: Sequence[Sequence[str]], count: int) -> list[str]:
+def choose_real(cells: Sequence[Sequence[str]], count: int) -> list[str]:
     """Which members are to be real: in turn the first of one cell's roster, who speaks for it, and the last
     of another's, who does not, cells taken as far apart as they go."""
     if count > sum(map(len, cells)):
@@ -97,57 +97,57 @@
     return chosen
 
 
-class Wide(FleetRig):
+class MixedFleet(ProcessFleet):
     """`size` members, `real` of them real; `cells` says whether places go into the settings. `fleet` is the
     fleet section's other settings, alike for both kinds."""
 
     def __init__(
         self, folder: Path, size: int, real: int, seed: int, *, cells: bool = False, processes: int = 1,
-        ways: Ways | None = None, fleet: dict | None = None, build_s: float = 1.0, asleep: bool = False,
+        links: LinkModel | None = None, fleet: dict | None = None, build_s: float = 1.0, silent: bool = False,
     ) -> None:  # fmt: skip
         """`processes` for the hollow members; 0: nobody listens at their addresses. `build_s`: what building
         them is thought to take; `asleep`: they have sockets and never say a word."""
-        self.everyone = [f"m{n}" for n in range(size)]
-        self.placed = topology.places(self.everyone)
-        self.layout = member_access.layout(self.placed if cells else None, fleet or {})
-        chosen = pick(member_access.cells(self.everyone, self.layout), real)
+        self.all_names = [f"m{n}" for n in range(size)]
+        self.locations = topology.assign_locations(self.all_names)
+        self.layout = member_access.layout(self.locations if cells else None, fleet or {})
+        chosen = choose_real(member_access.cells(self.all_names, self.layout), real)
         super().__init__(folder, real, seed, [], names=chosen, **(fleet or {}))
-        self.hollow = [name for name in self.everyone if name not in set(chosen)]
-        self.speak_first = member_access.speak_first(self.layout)
-        self.cells, self.ways, self.build_s, self.asleep = cells, ways or Ways(), build_s, asleep
+        self.stubs = [name for name in self.all_names if name not in set(chosen)]
+        self.initial_speakers = member_access.initial_speakers(self.layout)
+        self.cells, self.links, self.build_s, self.silent = cells, links or LinkModel(), build_s, silent
         block = 128 + os.getpid() % 120
         number = int(self.host.rpartition(".")[2])  # of this rig in this process
-        port = PORT + (os.getpid() // 120 * 250 + number) % 10_000
-        self.hollow_at = {
-            name: (f"127.{block}.{n // A_BLOCK}.{1 + n % A_BLOCK}", port)
-            for n, name in enumerate(self.hollow)
+        port = FIRST_PORT + (os.getpid() // 120 * 250 + number) % 10_000
+        self.stub_addresses = {
+            name: (f"127.{block}.{n // ADDRESSES_PER_BLOCK}.{1 + n % ADDRESSES_PER_BLOCK}", port)
+            for n, name in enumerate(self.stubs)
         }
-        self.hosts: list[HollowProcess] = []
-        processes = processes if self.hollow else 0
-        self.mine = [self.hollow[n::processes] for n in range(processes)]
-        self.alone: BackendProcess | None = None
-        self.cut_now: list[Fault] = []
-        self.asked: dict[str, Counter[str]] = {name: Counter() for name in chosen}
+        self.stub_processes: list[StubProcess] = []
+        processes = processes if self.stubs else 0
+        self.assigned_stubs = [self.stubs[n::processes] for n in range(processes)]
+        self.standalone: BackendProcess | None = None
+        self.partition_faults: list[Fault] = []
+        self.request_counts: dict[str, Counter[str]] = {name: Counter() for name in chosen}
 
     # Beginning
 
     def connect(self) -> None:
         super().connect()
-        self._ways_among_real()
+        self._delay_real_links()
         for name in self.names:
-            self.operator_of[name] = self.operator_of.get(name, {}) | self._section(name)
-        addresses = self.fleet_at | self.hollow_at
-        told = {
+            self.operator_overrides[name] = self.operator_overrides.get(name, {}) | self._fleet_section(name)
+        addresses = self.fleet_addresses | self.stub_addresses
+        message = {
             "seed": self.seed, "addresses": addresses, "real": self.names, "fleet": self.fleet,
-            "regions": {name: place[0] for name, place in self.placed.items()}, "ways": asdict(self.ways),
-            "zones": {name: place[1] for name, place in self.placed.items()} if self.cells else None,
+            "regions": {name: place[0] for name, place in self.locations.items()}, "ways": asdict(self.links),
+            "zones": {name: place[1] for name, place in self.locations.items()} if self.cells else None,
         }  # fmt: skip
-        for number, mine in enumerate(self.mine):
-            self.hosts.append(HollowProcess(number, self.folder))
-            self.hosts[-1].line(told | {"mine": mine})
+        for number, mine in enumerate(self.assigned_stubs):
+            self.stub_processes.append(StubProcess(number, self.folder))
+            self.stub_processes[-1].send_line(message | {"mine": mine})
         self.tell("open")
 
-    def __enter__(self) -> "Wide":
+    def __enter__(self) -> "MixedFleet":
         try:
             return super().__enter__()
         except BaseException:
@@ -157,27 +157,27 @@
     def start(self) -> None:
         """Hollow ones are on first, as a fleet that runs; real ones come up beside them."""
         self.connect()
-        if self.asleep or not self.hosts:
+        if self.silent or not self.stub_processes:
             for name in self.names:
                 self.launch(name)
             return
         at = time.monotonic_ns() // 1000 + round((self.build_s + 1.0) * 1e6)
         self.tell("build", at=at)
         at = max(at, time.monotonic_ns() // 1000 + 200_000)
-        for host in self.hosts:
+        for host in self.stub_processes:
             host.tell(do="go", at=at)
         for name in self.names:
             self.launch(name)
-        for host in self.hosts:
-            host.answer()
+        for host in self.stub_processes:
+            host.read_response()
 
-    def begin_alone(self) -> None:
+    def start_standalone(self) -> None:
         """One more real backend, without a fleet section: what it takes is no fleet's."""
-        told = orjson.loads(EXAMPLE.read_bytes())
+        told = orjson.loads(EXAMPLE_CONFIG.read_bytes())
         ports = {key: f"{self.host}:{free_port(1, self.host)}" for key in ("listen", "agent")}
-        self.alone = BackendProcess(self.folder, told | ports | {"name": "alone"}, None, None)
+        self.standalone = BackendProcess(self.folder, told | ports | {"name": "alone"}, None, None)
 
-    def _section(self, name: str) -> dict:
+    def _fleet_section(self, name: str) -> dict:
         """What this real member's fleet section says of the others."""
         peers = [
             {"name": other, "address": f"{self.host}:{self.relay.ports[(name, other)]}"}
@@ -185,77 +185,81 @@
             if other != name
         ]
         peers += [
-            {"name": other, "address": f"{host}:{port}"} for other, (host, port) in self.hollow_at.items()
+            {"name": other, "address": f"{host}:{port}"}
+            for other, (host, port) in self.stub_addresses.items()
         ]
         if not self.cells:
             return {"peers": peers}
         for peer in peers:
-            peer["region"], peer["zone"] = self.placed[peer["name"]]
-        region, zone = self.placed[name]
+            peer["region"], peer["zone"] = self.locations[peer["name"]]
+        region, zone = self.locations[name]
         return {"peers": peers, "region": region, "zone": zone}
 
-    def _ways_among_real(self) -> None:
-        ways = self.ways
-        near = {"kind": "delay", "size": 1000 * ways.near_least}
-        self.relay.impose([near | {"jitter_ms": 1000 * (ways.near_most - ways.near_least)}])
+    def _delay_real_links(self) -> None:
+        links = self.links
+        near = {"kind": "delay", "size": 1000 * links.near_least}
+        self.relay.impose([near | {"jitter_ms": 1000 * (links.near_most - links.near_least)}])
         for region in topology.ZONES:
-            across = {"from": self.real_in(region), "to": self.real_in(region, not_there=True)}
-            if all(across.values()):
-                self.relay.impose([across | {"kind": "delay", "size": 1000 * ways.far}])
-                if ways.loss:
-                    self.relay.impose([across | {"kind": "loss", "size": ways.loss}])
-
-    def real_in(self, region: str, not_there: bool = False) -> list[str]:
-        return [name for name in self.names if (self.placed[name][0] == region) != not_there]
+            between_regions = {
+                "from": self.real_members_in(region),
+                "to": self.real_members_in(region, outside=True),
+            }
+            if all(between_regions.values()):
+                self.relay.impose([between_regions | {"kind": "delay", "size": 1000 * links.far}])
+                if links.loss:
+                    self.relay.impose([between_regions | {"kind": "loss", "size": links.loss}])
+
+    def real_members_in(self, region: str, outside: bool = False) -> list[str]:
+        return [name for name in self.names if (self.locations[name][0] == region) != outside]
 
     # Telling hollow ones
 
     def tell(self, what: str, **told: object) -> list[dict]:
         """All processes at once; what each answers."""
-        for host in self.hosts:
+        for host in self.stub_processes:
             host.tell(do=what, **told)
-        return [host.answer() for host in self.hosts]
+        return [host.read_response() for host in self.stub_processes]
 
     def put(self, puts: Sequence[tuple[str, str, object]]) -> int:
         """Each (hollow member, key, value) at once; when the first was said, µs. Lost if one is refused."""
         told = self.tell("put", puts=puts)
         if refused := [why for one in told for why in one["refused"]]:
-            raise Lost(f"refused: {refused[0]}")
+            raise StubProcessError(f"refused: {refused[0]}")
         return min(one["at"] for one in told)
 
-    def cut(self, pairs: Sequence[tuple[str, str]]) -> None:
+    def partition(self, pairs: Sequence[tuple[str, str]]) -> None:
         """Regions that do not reach each other from now on."""
         self.tell("cut", pairs=pairs)
         for one, other in pairs:
-            few, rest = self.real_in(one), self.real_in(other)
+            few, rest = self.real_members_in(one), self.real_members_in(other)
             if few and rest:
                 told = [{"kind": "cut", "from": few, "to": rest}, {"kind": "cut", "from": rest, "to": few}]
-                self.cut_now += self.relay.impose(told)
+                self.partition_faults += self.relay.impose(told)
 
     def heal(self) -> None:
-        self.relay.lift(self.cut_now)
-        self.cut_now = []
+        self.relay.lift(self.partition_faults)
+        self.partition_faults = []
         self.tell("heal")
 
     def in_zone(self, zone: str) -> list[str]:
-        return [name for name in self.everyone if self.placed[name][1] == zone]
+        return [name for name in self.all_names if self.locations[name][1] == zone]
 
     def ask(self, name: str, wait_s: float = 1.0, **told: object) -> dict | None:
         """What we ask of a real member and it answers is counted in `asked`, as its own counters count it."""
         answer = super().ask(name, wait_s, **told)
         if answer is not None:
-            tally = self.asked[name]
-            tally["read"] += 1
-            tally["read_bytes"] += len(orjson.dumps(told | {"n": answer["n"]}))
-            tally["sent"] += 1
-            tally["sent_bytes"] += len(orjson.dumps(answer))
+            counts = self.request_counts[name]
+            counts["read"] += 1
+            counts["read_bytes"] += len(orjson.dumps(told | {"n": answer["n"]}))
+            counts["sent"] += 1
+            counts["sent_bytes"] += len(orjson.dumps(answer))
         return answer
 
     def end(self) -> None:
-        for host in self.hosts:
+        for host in self.stub_processes:
             host.end()
-        if self.alone is not None and self.alone.exit_code() is None:
-            self.alone.kill()
+        if self.standalone is not None and self.standalone.exit_code() is None:
+            self.standalone.kill()
         super().end()
 
     # What a process takes
--- a/crowwing/emulator/fleet/process_fleet.py
+++ b/crowwing/emulator/fleet/process_fleet.py
@@ -18,12 +18,12 @@
 
 import orjson
 
-from crowwing.emulator.fleet.relay import Relay, script
+from crowwing.emulator.fleet.relay import Relay, parse_script
 from crowwing.emulator.processes import ROOT, set_parent_death_signal
 
 HOST = "127.0.0.1"
-EXAMPLE = ROOT / "deploy" / "example.json"
-HISTORY = {
+EXAMPLE_CONFIG = ROOT / "deploy" / "example.json"
+HISTORY_EVENTS = {
     "member",
     "fleet_open",
     "started",
@@ -36,14 +36,14 @@
 }
 
 
-class MemberEnded(RuntimeError):
+class MemberExitedError(RuntimeError):
     """A member's process ended by itself, with an error; its last line is told, the log is in the folder."""
 
 
 _rigs = itertools.count()
 
 
-def own_host() -> str:
+def unique_loopback_host() -> str:
     """A loopback address of this rig alone: a port that is free when it is looked for is free when a member
     comes to bind it, whatever other rigs on this machine take meanwhile."""
     pid, number = os.getpid(), next(_rigs)
@@ -56,7 +56,7 @@
         return probe.getsockname()[1]
 
 
-def free_ports(count: int, taken: set[int], host: str) -> list[int]:
+def find_free_ports(count: int, taken: set[int], host: str) -> list[int]:
     """Ports free now on UDP and TCP, none twice and none of `taken`."""
     chosen: list[int] = []
     while len(chosen) < count:
@@ -72,7 +72,7 @@
     return chosen
 
 
-class Asker:
+class RequestClient:
     """Asks members on their fleet sockets, one question at a time; an answer to another question is not
     taken.
     """
@@ -82,9 +82,9 @@
         self.socket.bind((HOST, 0))
         self.number = 0
 
-    def ask(self, where: tuple[str, int], wait_s: float, **told: object) -> dict | None:
+    def ask(self, address: tuple[str, int], wait_s: float, **told: object) -> dict | None:
         self.number += 1
-        self.socket.sendto(orjson.dumps(told | {"n": self.number}), where)
+        self.socket.sendto(orjson.dumps(told | {"n": self.number}), address)
         until = time.monotonic() + wait_s
         while (left := until - time.monotonic()) > 0:
             self.socket.settimeout(left)
@@ -102,29 +102,29 @@
         self.socket.close()
 
 
-class FleetRig:
+class ProcessFleet:
     def __init__(
         self, folder: Path, size: int, seed: int, faults: list[dict],
         places: dict[str, tuple[str, str]] | None = None, names: Sequence[str] = (), **fleet: object,
     ) -> None:  # fmt: skip
         """`places`: the region and zone of every member, for a fleet in cells; `names` of the members, where
         they are to have others than m0, m1, ..."""
-        self.folder, self.seed, self.host = folder, seed, own_host()
+        self.folder, self.seed, self.host = folder, seed, unique_loopback_host()
         folder.mkdir(parents=True, exist_ok=True)
         self.names = list(names) or [f"m{n}" for n in range(size)]
         # Chosen once the relay's sockets are open, and no one twice: until a member has bound its own, the
         # system would give it to another that asks for any, and that member could not start.
-        self.fleet_at: dict[str, tuple[str, int]] = {}
-        self.fronts: dict[
+        self.fleet_addresses: dict[str, tuple[str, int]] = {}
+        self.service_addresses: dict[
             str, tuple[str, str]
         ] = {}  # where it listens, and its farm agent, which is not there
-        self.told = {"size": size, "seed": seed, "faults": faults, "places": places, "fleet": fleet}
-        (folder / "rig.json").write_bytes(orjson.dumps(self.told, option=orjson.OPT_INDENT_2))
-        self.relay = Relay(self.names, script(faults, self.names), seed, self.host)
+        self.options = {"size": size, "seed": seed, "faults": faults, "places": places, "fleet": fleet}
+        (folder / "rig.json").write_bytes(orjson.dumps(self.options, option=orjson.OPT_INDENT_2))
+        self.relay = Relay(self.names, parse_script(faults, self.names), seed, self.host)
         self.fleet, self.places = fleet, places or {}
-        self.operator_of: dict[str, dict] = {}  # what one member's fleet section says besides
+        self.operator_overrides: dict[str, dict] = {}  # what one member's fleet section says besides
         self.children: dict[str, subprocess.Popen] = {}
-        self.asker = Asker()
+        self.client = RequestClient()
 
     def start(self) -> None:
         self.connect()
@@ -135,46 +135,49 @@
         """The relay's sockets are open, and each member's own address is chosen."""
         self.relay.start()
         size = len(self.names)
-        ports = free_ports(3 * size, set(self.relay.ports.values()), self.host)
-        self.fleet_at.update((name, (self.host, port)) for name, port in zip(self.names, ports, strict=False))
+        ports = find_free_ports(3 * size, set(self.relay.ports.values()), self.host)
+        self.fleet_addresses.update(
+            (name, (self.host, port)) for name, port in zip(self.names, ports, strict=False)
+        )
         others = (f"{self.host}:{port}" for port in ports[size:])
-        self.fronts.update((name, (next(others), next(others))) for name in self.names)
-        self.relay.members.update(self.fleet_at)
+        self.service_addresses.update((name, (next(others), next(others))) for name in self.names)
+        self.relay.members.update(self.fleet_addresses)
 
-    def _files(self, name: str) -> tuple[Path, Path]:
-        listen, agent = self.fronts[name]
-        configuration = orjson.loads(EXAMPLE.read_bytes()) | {
+    def _write_files(self, name: str) -> tuple[Path, Path]:
+        listen, agent = self.service_addresses[name]
+        configuration = orjson.loads(EXAMPLE_CONFIG.read_bytes()) | {
             "name": name, "listen": listen, "agent": agent,
             "seed": f"{self.seed:08x}{self.names.index(name):08x}",
         }  # fmt: skip
         peers = [
-            {"name": other, "address": f"{self.host}:{self.relay.ports[(name, other)]}"} | self._place(other)
+            {"name": other, "address": f"{self.host}:{self.relay.ports[(name, other)]}"}
+            | self._location(other)
             for other in self.names
             if other != name
         ]
-        listen = "{}:{}".format(*self.fleet_at[name])
+        listen = "{}:{}".format(*self.fleet_addresses[name])
         operator = {
             "version": 1,
             "fleet": {"listen": listen, "peers": peers}
-            | self._place(name)
+            | self._location(name)
             | self.fleet
-            | self.operator_of.get(name, {}),
+            | self.operator_overrides.get(name, {}),
         }
         paths = self.folder / f"{name}.json", self.folder / f"{name}.operator.json"
         paths[0].write_bytes(orjson.dumps(configuration))
         paths[1].write_bytes(orjson.dumps(operator))
         return paths
 
-    def _place(self, name: str) -> dict[str, str]:
+    def _location(self, name: str) -> dict[str, str]:
         return dict(zip(("region", "zone"), self.places.get(name, ()), strict=False))
 
     def launch(self, name: str, **operator: object) -> None:
         """Starts the member, or starts it again; its lines go on in the same log."""
-        configuration, operator_file = self._files(name)
+        configuration, operator_file = self._write_files(name)
         if operator:
-            told = orjson.loads(operator_file.read_bytes())
-            told["fleet"] |= operator
-            operator_file.write_bytes(orjson.dumps(told))
+            settings = orjson.loads(operator_file.read_bytes())
+            settings["fleet"] |= operator
+            operator_file.write_bytes(orjson.dumps(settings))
         environment = os.environ | {
             "PROXY_CONFIG": str(configuration), "CROWWING_OPERATOR": str(operator_file),
             "PYTHONPATH": str(ROOT),
@@ -204,9 +207,9 @@
                 child.kill()
                 child.wait()
         self.relay.stop()
-        self.asker.close()
+        self.client.close()
 
-    def __enter__(self) -> "FleetRig":
+    def __enter__(self) -> "ProcessFleet":
         self.start()
         return self
 
@@ -225,13 +228,13 @@
                     line = orjson.loads(raw)
                 except orjson.JSONDecodeError:
                     continue  # a line cut by a kill
-                if isinstance(line, dict) and line.get("event") in HISTORY:
+                if isinstance(line, dict) and line.get("event") in HISTORY_EVENTS:
                     lines.append(line)
         return sorted(lines, key=lambda line: line["at"])
 
     def ask(self, name: str, wait_s: float = 1.0, **told: object) -> dict | None:
         """One question to a running member; None if it does not answer within `wait_s`."""
-        return self.asker.ask(self.fleet_at[name], wait_s, **told)
+        return self.client.ask(self.fleet_addresses[name], wait_s, **told)
 
     def view(self, name: str, wait_s: float = 1.0) -> dict | None:
         """What a running member holds of the others now."""
@@ -239,12 +242,12 @@
 
     def state(self, name: str, prefix: str = "", wait_s: float = 1.0) -> dict | None:
         """Everything a running member keeps under `prefix`, page by page."""
-        whole, after = None, ""
+        state, after = None, ""
         while (page := self.ask(name, wait_s, k="state", prefix=prefix, after=after)) is not None:
-            page["rows"] = (whole["rows"] if whole else []) + page["rows"]
-            whole = page
+            page["rows"] = (state["rows"] if state else []) + page["rows"]
+            state = page
             if not page["more"]:
-                return whole
+                return state
             after = page["rows"][-1][0]
         return None
 
@@ -261,12 +264,12 @@
         while time.monotonic() - began < most_s:
             if check():
                 return time.monotonic() - began
-            self._look()
+            self._check_processes()
             time.sleep(every_s)
         return None
 
-    def _look(self) -> None:
+    def _check_processes(self) -> None:
         for name, child in self.children.items():
             if (code := child.poll()) is not None and code > 0:
-                told = (self.folder / f"{name}.log").read_text(errors="replace").splitlines()
-                raise MemberEnded(f"{name} ended with {code}: {told[-1] if told else 'said nothing'}")
+                lines = (self.folder / f"{name}.log").read_text(errors="replace").splitlines()
+                raise MemberExitedError(f"{name} ended with {code}: {lines[-1] if lines else 'said nothing'}")
--- a/crowwing/emulator/fleet/relay.py
+++ b/crowwing/emulator/fleet/relay.py
@@ -19,13 +19,13 @@
 from functools import partial
 
 RETRANSMIT_S = 0.2  # Linux' least time to a retransmission
-LOOK_S = 0.05  # how often a stream that stands still looks whether the cut is over
-PORT_TRIES = 50
-PIECE = 4096  # bytes of a stream that share one fate
+CUT_POLL_INTERVAL_S = 0.05  # how often a stream that stands still looks whether the cut is over
+PORT_ATTEMPTS = 50
+CHUNK_BYTES = 4096  # bytes of a stream that share one fate
 KINDS = {"cut", "loss", "delay", "duplicate", "reorder"}
 
 
-class BadScript(ValueError):
+class ScriptError(ValueError):
     """One line, with the place in the script."""
 
 
@@ -47,16 +47,16 @@
         )
 
 
-def script(told: Sequence[dict], names: Sequence[str]) -> list[Fault]:
+def parse_script(script: Sequence[dict], names: Sequence[str]) -> list[Fault]:
     """The faults of a script, checked against the members' names."""
     faults = []
-    for number, fault in enumerate(told):
+    for number, fault in enumerate(script):
         place = f"$[{number}]"
         if fault.get("kind") not in KINDS:
-            raise BadScript(f"{place}.kind: is none of {', '.join(sorted(KINDS))}")
+            raise ScriptError(f"{place}.kind: is none of {', '.join(sorted(KINDS))}")
         for side in ("from", "to"):
             if unknown := set(fault.get(side, ())) - set(names):
-                raise BadScript(f"{place}.{side}: {', '.join(sorted(unknown))} is no member")
+                raise ScriptError(f"{place}.{side}: {', '.join(sorted(unknown))} is no member")
         faults.append(
             Fault(
                 fault["kind"], float(fault.get("at_s", 0)), float(fault.get("for_s", 1e9)),
@@ -70,8 +70,8 @@
 class Fate:
     """What becomes of one datagram: delays in seconds, one for each copy that goes; empty if dropped."""
 
-    def __init__(self, faults: list[Fault], chance: random.Random) -> None:
-        self.faults, self.chance = faults, chance
+    def __init__(self, faults: list[Fault], rng: random.Random) -> None:
+        self.faults, self.rng = faults, rng
 
     def __call__(self, now_s: float, source: str, target: str) -> list[float]:
         delay, copies = 0.0, 1
@@ -80,31 +80,31 @@
                 continue
             if fault.kind == "cut":
                 return []
-            if fault.kind == "loss" and self.chance.random() < fault.size:
+            if fault.kind == "loss" and self.rng.random() < fault.size:
                 return []
             if fault.kind == "delay":
-                delay += fault.size / 1000 + self.chance.random() * fault.jitter_ms / 1000
-            if fault.kind == "duplicate" and self.chance.random() < fault.size:
+                delay += fault.size / 1000 + self.rng.random() * fault.jitter_ms / 1000
+            if fault.kind == "duplicate" and self.rng.random() < fault.size:
                 copies = 2
-            if fault.kind == "reorder" and self.chance.random() < fault.size:
+            if fault.kind == "reorder" and self.rng.random() < fault.size:
                 delay += fault.jitter_ms / 1000
         return [delay + n * 0.0005 for n in range(copies)]
 
-    def of_stream(self, now_s: float, source: str, target: str) -> float | None:
-        """How long a piece of a stream is held, s; None while nothing of it can pass."""
+    def stream_delay(self, now_s: float, source: str, target: str) -> float | None:
+        """How long a chunk of a stream is held, s; None while nothing of it can pass."""
         delay = 0.0
         for fault in self.faults:
             there = fault.hits(now_s, source, target)
             if fault.kind == "cut" and (there or fault.hits(now_s, target, source)):
                 return None  # a one-way cut stops the acknowledgements of the other way
             if there and fault.kind == "delay":
-                delay += fault.size / 1000 + self.chance.random() * fault.jitter_ms / 1000
-            elif there and fault.kind == "loss" and self.chance.random() < fault.size:
+                delay += fault.size / 1000 + self.rng.random() * fault.jitter_ms / 1000
+            elif there and fault.kind == "loss" and self.rng.random() < fault.size:
                 delay += RETRANSMIT_S
         return delay
 
 
-class _Pair(asyncio.DatagramProtocol):
+class _LinkProtocol(asyncio.DatagramProtocol):
     def __init__(self, relay: "Relay", source: str, target: str) -> None:
         self.relay, self.source, self.target = relay, source, target
         self.transport: asyncio.DatagramTransport | None = None
@@ -123,7 +123,7 @@
     """Runs on a thread of its own with its own loop; `ports[(a, b)]` is where `a` sends to reach `b`."""
 
     def __init__(self, names: Sequence[str], faults: list[Fault], seed: int, host: str) -> None:
-        # Each member's own address, told once the pairs' sockets are open: ports chosen before could be
+        # Each member's own address, script once the pairs' sockets are open: ports chosen before could be
         # taken by one of them, and that member would not start.
         self.names, self.host = list(names), host
         self.members: dict[str, tuple[str, int]] = {}
@@ -133,7 +133,7 @@
         self.loop = asyncio.new_event_loop()
         self.began = 0.0
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True, name="relay")
-        self.pairs: list[_Pair] = []
+        self.pairs: list[_LinkProtocol] = []
         self.servers: list[asyncio.Server] = []
         self.tasks: set[asyncio.Task] = set()  # streams; emptied by each one's end
 
@@ -148,13 +148,13 @@
             for target in self.names:
                 if source == target:
                     continue
-                pair = _Pair(self, source, target)
-                self.ports[(source, target)] = await self._both(pair)
+                pair = _LinkProtocol(self, source, target)
+                self.ports[(source, target)] = await self._open_ports(pair)
                 self.pairs.append(pair)
 
-    async def _both(self, pair: _Pair) -> int:
+    async def _open_ports(self, pair: _LinkProtocol) -> int:
         """Opens the pair's UDP socket, and TCP on the same number."""
-        for _ in range(PORT_TRIES):
+        for _ in range(PORT_ATTEMPTS):
             transport, _ = await self.loop.create_datagram_endpoint(lambda: pair, local_addr=(self.host, 0))
             port = transport.get_extra_info("sockname")[1]
             try:
@@ -166,7 +166,9 @@
             return port
         raise OSError(f"{self.host}: no port is free on UDP and TCP")
 
-    async def _stream(self, pair: _Pair, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _stream(
+        self, pair: _LinkProtocol, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.counts["streams"] += 1
         task = asyncio.current_task()
         self.tasks.add(task)
@@ -175,8 +177,8 @@
             there, back = await asyncio.open_connection(*self.members[pair.target])
             writers.append(back)
             async with asyncio.TaskGroup() as ways:
-                ways.create_task(self._pass_on(reader, back, pair.source, pair.target))
-                ways.create_task(self._pass_on(there, writer, pair.target, pair.source))
+                ways.create_task(self._forward(reader, back, pair.source, pair.target))
+                ways.create_task(self._forward(there, writer, pair.target, pair.source))
         except (OSError, asyncio.CancelledError, ExceptionGroup):
             pass  # an end that is gone ends both ways
         finally:
@@ -184,19 +186,19 @@
             for one in writers:
                 one.close()
 
-    async def _pass_on(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, source: str, target: str
     ) -> None:
-        while piece := await reader.read(PIECE):
-            while (held := self.fate.of_stream(self.loop.time() - self.began, source, target)) is None:
-                await asyncio.sleep(LOOK_S)
-            if held:
-                await asyncio.sleep(held)
-            writer.write(piece)
+        while chunk := await reader.read(CHUNK_BYTES):
+            while (delay := self.fate.stream_delay(self.loop.time() - self.began, source, target)) is None:
+                await asyncio.sleep(CUT_POLL_INTERVAL_S)
+            if delay:
+                await asyncio.sleep(delay)
+            writer.write(chunk)
             await writer.drain()
         writer.write_eof()
 
-    def carry(self, pair: _Pair, data: bytes) -> None:
+    def carry(self, pair: _LinkProtocol, data: bytes) -> None:
         delays = self.fate(self.loop.time() - self.began, pair.source, pair.target)
         self.counts["sent" if delays else "dropped"] += 1
         where = self.members[pair.target]
@@ -204,16 +206,16 @@
             if delay <= 0:
                 pair.transport.sendto(data, where)
             else:
-                self.loop.call_later(delay, self._late, pair, data, where)
+                self.loop.call_later(delay, self._send_delayed, pair, data, where)
 
     @staticmethod
-    def _late(pair: _Pair, data: bytes, where: tuple[str, int]) -> None:
+    def _send_delayed(pair: _LinkProtocol, data: bytes, where: tuple[str, int]) -> None:
         if not pair.transport.is_closing():  # the relay may have been stopped while it was held
             pair.transport.sendto(data, where)
 
-    def impose(self, told: Sequence[dict]) -> list[Fault]:
+    def impose(self, script: Sequence[dict]) -> list[Fault]:
         """Faults whose `at_s` counts from now: a test waits for what it stands on, not for a time."""
-        faults = script(told, self.names)
+        faults = parse_script(script, self.names)
         began = asyncio.run_coroutine_threadsafe(self._now(), self.loop).result(5)
         moved = [replace(fault, at_s=fault.at_s + began) for fault in faults]
         self.loop.call_soon_threadsafe(self.fate.faults.extend, moved)
--- a/crowwing/emulator/fleet/stub_member.py
+++ b/crowwing/emulator/fleet/stub_member.py
@@ -20,12 +20,12 @@
 from crowwing.fleet.adapters.endpoint import FETCH_TIMEOUT_S, MAX_DATAGRAM_BYTES
 
 if TYPE_CHECKING:
-    from crowwing.emulator.fleet.stub_process import Host
+    from crowwing.emulator.fleet.stub_process import StubHost
 
-AT_ONCE = 32  # datagrams read from one socket before the others have their turn
+READS_PER_WAKE = 32  # datagrams read from one socket before the others have their turn
 
 
-class Tally:
+class Counters:
     """What one member sent, read and asked for, since its process began."""
 
     __slots__ = ("sent", "sent_bytes", "read", "read_bytes", "fetches", "served", "stream_bytes", "periods")
@@ -35,10 +35,10 @@
             setattr(self, name, 0)
 
 
-class Counted:
+class CountingWriter:
     """A stream's writer that counts."""
 
-    def __init__(self, writer: asyncio.StreamWriter, tally: Tally) -> None:
+    def __init__(self, writer: asyncio.StreamWriter, tally: Counters) -> None:
         self.writer, self.tally, self.written = writer, tally, 0
 
     def write(self, data: bytes) -> None:
@@ -53,72 +53,72 @@
         self.writer.close()
 
 
-class Hollow:
-    def __init__(self, host: "Host", name: str) -> None:
-        self.host, self.name, self.where = host, name, host.addresses[name]
+class StubMember:
+    def __init__(self, host: "StubHost", name: str) -> None:
+        self.host, self.name, self.address = host, name, host.addresses[name]
         self.region = host.regions[name]
         self.member: Member | None = None  # None: off
-        self.life = 0
-        self.tally = Tally()
-        self.ended_periods = 0  # of lives that are over
+        self.incarnation = 0
+        self.tally = Counters()
+        self.past_periods = 0  # of lives that are over
         self.socket: socket.socket | None = None
         self.listener: asyncio.Server | None = None
-        self.server = member_access.server(self._missing, host.addresses.__contains__)
-        self.wake: asyncio.TimerHandle | None = None
+        self.server = member_access.transfer_server(self._missing, host.addresses.__contains__)
+        self.wake_timer: asyncio.TimerHandle | None = None
         self.wake_at = 0
-        self.fetching: set[asyncio.Task] = set()  # emptied by each one's end
-        self.held: set[str] = set()  # of the keys that are watched
+        self.fetch_tasks: set[asyncio.Task] = set()  # emptied by each one's end
+        self.seen_keys: set[str] = set()  # of the keys that are watched
         self.seen_changes = 0
 
     async def open(self) -> None:
         """OSError where the address cannot be had."""
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
-        self.socket.bind(self.where)
+        self.socket.bind(self.address)
         self.host.loop.add_reader(self.socket.fileno(), self._readable)
-        self.listener = await asyncio.start_server(self._serve, *self.where, limit=full_transfer.MAX_LINE_BYTES)
+        self.listener = await asyncio.start_server(self._serve, *self.address, limit=full_transfer.MAX_LINE_BYTES)
 
     # Its lives
 
     def build(self, now: int) -> None:
-        """A new life that begins at `now`; its first period began up to one before, by chance."""
-        self.life += 1
-        chance = random.Random(f"{self.host.seed}/{self.name}/{self.life}")
-        self.member = self.host.make(self.name, now - chance.randrange(self.host.period), chance)
-        self.held.clear()
+        """A new life that begins at `now`; its first period began up to one before, by rng."""
+        self.incarnation += 1
+        rng = random.Random(f"{self.host.seed}/{self.name}/{self.incarnation}")
+        self.member = self.host.make_member(self.name, now - rng.randrange(self.host.period), rng)
+        self.seen_keys.clear()
         self.seen_changes = member_access.changes(self.member)
 
-    def warm(self) -> None:
-        member_access.warm(self.member)
+    def mark_caught_up(self) -> None:
+        member_access.mark_caught_up(self.member)
 
-    def turn(self) -> None:
+    def on_wake(self) -> None:
         if self.member is not None:
-            self.wake = None
+            self.wake_timer = None
             self.member.tick(now_us(), wall_us())
-            self.carry_out()
+            self.flush()
 
-    def off(self) -> None:
+    def stop(self) -> None:
         """Gone without a word."""
         if self.member is not None:
-            self.ended_periods += member_access.periods(self.member)
+            self.past_periods += member_access.periods(self.member)
         self.member = None
-        if self.wake is not None:
-            self.wake.cancel()
-            self.wake = None
-        for task in self.fetching:
+        if self.wake_timer is not None:
+            self.wake_timer.cancel()
+            self.wake_timer = None
+        for task in self.fetch_tasks:
             task.cancel()
 
     def leave(self) -> None:
         if self.member is not None:
             self.member.leave(now_us(), wall_us())
-            self.carry_out()
+            self.flush()
 
     def all_periods(self) -> int:
-        return self.ended_periods + (member_access.periods(self.member) if self.member is not None else 0)
+        return self.past_periods + (member_access.periods(self.member) if self.member is not None else 0)
 
     # Datagrams
 
     def _readable(self) -> None:
-        for _ in range(AT_ONCE):
+        for _ in range(READS_PER_WAKE):
             try:
                 data = self.socket.recv(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
@@ -126,9 +126,9 @@
             except OSError:
                 continue  # a peer that is down answers with ICMP
             if self.member is not None:
-                self._came(data)
+                self._on_datagram(data)
 
-    def _came(self, data: bytes) -> None:
+    def _on_datagram(self, data: bytes) -> None:
         """What the link does, after the way from a real member's region."""
         host = self.host
         if len(data) > MAX_DATAGRAM_BYTES:
@@ -138,9 +138,9 @@
             message = orjson.loads(data)
             sender = message["from"]
             if sender in host.real:
-                delay = host.between.delay(host.regions[sender], self.region)
+                delay = host.links.delay(host.regions[sender], self.region)
                 if delay is not None:
-                    host.loop.call_later(delay, self._hear, self.life, message, len(data))
+                    host.loop.call_later(delay, self._deliver, self.incarnation, message, len(data))
                 return
             if sender not in host.addresses:
                 host.dropped["stranger"] += 1
@@ -148,10 +148,10 @@
         except (orjson.JSONDecodeError, KeyError, TypeError, ValueError):
             host.dropped["unreadable"] += 1
             return
-        self._hear(self.life, message, len(data))
+        self._deliver(self.incarnation, message, len(data))
 
-    def _hear(self, life: int, message: dict, size: int) -> None:
-        if self.member is None or life != self.life:
+    def _deliver(self, incarnation: int, message: dict, size: int) -> None:
+        if self.member is None or incarnation != self.incarnation:
             return  # off, or another life by now
         self.tally.read += 1
         self.tally.read_bytes += size
@@ -160,48 +160,48 @@
         except (KeyError, TypeError, ValueError, AttributeError):
             self.host.dropped["unreadable"] += 1
             return
-        self.carry_out()
+        self.flush()
 
-    def carry_out(self) -> None:
+    def flush(self) -> None:
         """What the member asks, and when it wants to be woken."""
         member, host = self.member, self.host
         for to, message in member.outbox:
             self._send(to, orjson.dumps(message))
         member.outbox.clear()
         for name in member.fetches:
-            task = host.loop.create_task(self._fetch(self.life, name))
-            self.fetching.add(task)
-            task.add_done_callback(self.fetching.discard)
+            task = host.loop.create_task(self._fetch(self.incarnation, name))
+            self.fetch_tasks.add(task)
+            task.add_done_callback(self.fetch_tasks.discard)
         member.fetches.clear()
         for event, brings in member.events:
-            host.happened(self, event, brings)
+            host.on_event(self, event, brings)
         member.events.clear()
         if host.watched and self.seen_changes != member_access.changes(member):
             self.seen_changes = member_access.changes(member)
-            for key in host.watched.keys() - self.held:
+            for key in host.watched.keys() - self.seen_keys:
                 if member_access.holds(member, key):
-                    self.held.add(key)
-                    host.watched[key].saw(self.name)
+                    self.seen_keys.add(key)
+                    host.watched[key].record(self.name)
         now = now_us()
         at = member.wake_at(now)
-        if self.wake is not None:
+        if self.wake_timer is not None:
             if at == self.wake_at:
                 return
-            self.wake.cancel()
+            self.wake_timer.cancel()
         self.wake_at = at
-        self.wake = host.loop.call_later(max(0.001, (at - now) / 1e6), self.turn)
+        self.wake_timer = host.loop.call_later(max(0.001, (at - now) / 1e6), self.on_wake)
 
     def _send(self, to: str, data: bytes) -> None:
         self.tally.sent += 1
         self.tally.sent_bytes += len(data)
         host = self.host
-        delay = host.between.delay(self.region, host.regions[to])
+        delay = host.links.delay(self.region, host.regions[to])
         if delay is not None:
-            host.loop.call_later(delay, self._out, data, host.addresses[to])
+            host.loop.call_later(delay, self._transmit, data, host.addresses[to])
 
-    def _out(self, data: bytes, where: tuple[str, int]) -> None:
+    def _transmit(self, data: bytes, address: tuple[str, int]) -> None:
         try:
-            self.socket.sendto(data, where)
+            self.socket.sendto(data, address)
         except OSError:
             self.host.dropped["refused"] += 1  # ICMP of an earlier one, or a full buffer: lost, as on a wire
 
@@ -210,28 +210,30 @@
     def _missing(self, asker: str, asked: dict) -> list:
         return self.member.missing_rows(asker, asked) if self.member is not None else []
 
-    async def _fetch(self, life: int, name: str) -> None:
+    async def _fetch(self, incarnation: int, name: str) -> None:
         rows = None
         self.tally.fetches += 1
         host = self.host
         try:
-            way = host.between.stream(self.region, host.regions[name])
-            if way is None:
+            delay = host.links.stream_delay(self.region, host.regions[name])
+            if delay is None:
                 await asyncio.sleep(full_transfer.CONNECT_TIMEOUT_S)
                 raise TimeoutError
             if name in host.real:  # a hollow one sees to it itself
-                await asyncio.sleep(way)
-            rows = await full_transfer.fetch(host.addresses[name], member_access.question(self.member), FETCH_TIMEOUT_S)
+                await asyncio.sleep(delay)
+            rows = await full_transfer.fetch(
+                host.addresses[name], member_access.transfer_request(self.member), FETCH_TIMEOUT_S
+            )
         except (OSError, TimeoutError):
             host.dropped["fetch"] += 1
         finally:
-            if self.member is not None and life == self.life:
+            if self.member is not None and incarnation == self.incarnation:
                 self.member.fetch_completed(now_us(), wall_us(), name, rows)
-                self.carry_out()
+                self.flush()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """The real server's way, after the way from the asker's region."""
-        host, life = self.host, self.life
+        host, incarnation = self.host, self.incarnation
         task = asyncio.current_task()
         host.serving.add(task)
         try:
@@ -241,17 +243,17 @@
             async with asyncio.timeout(full_transfer.REQUEST_TIMEOUT_S):
                 line = await reader.readline()
             asker = orjson.loads(line)["from"]
-            way = host.between.stream(host.regions.get(asker, self.region), self.region)
-            await asyncio.sleep(full_transfer.SEND_TIMEOUT_S if way is None else way)
-            if way is None or self.member is None or life != self.life:
+            delay = host.links.stream_delay(host.regions.get(asker, self.region), self.region)
+            await asyncio.sleep(full_transfer.SEND_TIMEOUT_S if delay is None else delay)
+            if delay is None or self.member is None or incarnation != self.incarnation:
                 return
-            again, counted = asyncio.StreamReader(), Counted(writer, self.tally)
-            again.feed_data(line)
-            again.feed_eof()
+            replay, counted = asyncio.StreamReader(), CountingWriter(writer, self.tally)
+            replay.feed_data(line)
+            replay.feed_eof()
             self.tally.served += 1
             self.tally.stream_bytes += len(line)
-            await self.server._serve(again, counted)
-            host.asked_by(asker, self.name, len(line), counted.written)
+            await self.server._serve(replay, counted)
+            host.on_fetch_served(asker, self.name, len(line), counted.written)
         except (OSError, ValueError, KeyError, TypeError, TimeoutError, asyncio.CancelledError):
             host.dropped["served"] += 1  # the asker is gone, or this process ends
         finally:
--- a/crowwing/emulator/fleet/topology.py
+++ b/crowwing/emulator/fleet/topology.py
@@ -10,17 +10,17 @@
 from dataclasses import dataclass
 
 ZONES = {"r1": 3, "r2": 2, "r3": 2, "r4": 2, "r5": 2}  # of each region
-Place = tuple[str, str]  # region, zone
+Location = tuple[str, str]  # region, zone
 
 
-def places(names: Sequence[str]) -> dict[str, Place]:
+def assign_locations(names: Sequence[str]) -> dict[str, Location]:
     """Each name's region and zone, dealt in turn, so that neighbours in the list never share a zone."""
     all_zones = [(region, f"{region}{'abc'[n]}") for region, count in ZONES.items() for n in range(count)]
     return {name: all_zones[n % len(all_zones)] for n, name in enumerate(names)}
 
 
 @dataclass(frozen=True, slots=True)
-class Ways:
+class LinkModel:
     """Seconds one way, and the part that is lost between regions."""
 
     far: float = 0.080
@@ -29,33 +29,33 @@
     loss: float = 0.0
 
 
-class Between:
+class RegionLinks:
     """What becomes of a datagram or a stream between two regions."""
 
-    def __init__(self, ways: Ways, chance: random.Random) -> None:
-        self.ways, self.chance = ways, chance
-        self.cuts: set[tuple[str, str]] = set()  # ordered pairs of regions that do not reach each other
+    def __init__(self, settings: LinkModel, rng: random.Random) -> None:
+        self.settings, self.rng = settings, rng
+        self.partitions: set[tuple[str, str]] = set()  # ordered pairs of regions that do not reach each other
 
-    def cut(self, pairs: Iterable[Sequence[str]]) -> None:
+    def partition(self, pairs: Iterable[Sequence[str]]) -> None:
         """Both ways of each pair."""
         for one, other in pairs:
-            self.cuts |= {(one, other), (other, one)}
+            self.partitions |= {(one, other), (other, one)}
 
     def heal(self) -> None:
-        self.cuts.clear()
+        self.partitions.clear()
 
     def delay(self, source: str, target: str) -> float | None:
         """Seconds that one datagram takes; None: it is lost."""
-        ways = self.ways
-        near = ways.near_least + (ways.near_most - ways.near_least) * self.chance.random()
+        settings = self.settings
+        near = settings.near_least + (settings.near_most - settings.near_least) * self.rng.random()
         if source == target:
             return near
-        if (source, target) in self.cuts or (ways.loss and self.chance.random() < ways.loss):
+        if (source, target) in self.partitions or (settings.loss and self.rng.random() < settings.loss):
             return None
-        return ways.far + near
+        return settings.far + near
 
-    def stream(self, source: str, target: str) -> float | None:
+    def stream_delay(self, source: str, target: str) -> float | None:
         """Seconds that opening a stream and asking on it take, two ways there and back; None: it hangs."""
         if source == target:
-            return 4 * self.ways.near_least
-        return None if (source, target) in self.cuts else 4 * self.ways.far
+            return 4 * self.settings.near_least
+        return None if (source, target) in self.partitions else 4 * self.settings.far
--- a/tests/test_cells_processes.py
+++ b/tests/test_cells_processes.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from crowwing.emulator.fleet.process_fleet import FleetRig
+from crowwing.emulator.fleet.process_fleet import ProcessFleet
 from crowwing.emulator.processes import ROOT
 from crowwing.fleet.membership.cells import CellLayout
 
@@ -22,17 +22,17 @@
 WEST, EAST, ALONE = "west/w1/", "east/e1/", "west/w2/"
 
 
-def started(folder: Path, seed: int) -> FleetRig:
-    return FleetRig(folder, len(PLACES), seed, [], PLACES, **FAST)
+def started(folder: Path, seed: int) -> ProcessFleet:
+    return ProcessFleet(folder, len(PLACES), seed, [], PLACES, **FAST)
 
 
-def views(rig: FleetRig, names: set[str]) -> dict[str, dict]:
+def views(rig: ProcessFleet, names: set[str]) -> dict[str, dict]:
     """Leaves out members that do not answer."""
     seen = {name: rig.view(name) for name in sorted(names)}
     return {name: view for name, view in seen.items() if view is not None}
 
 
-def agree(rig: FleetRig, names: set[str], out: dict[str, list[str]] | None = None) -> bool:
+def agree(rig: ProcessFleet, names: set[str], out: dict[str, list[str]] | None = None) -> bool:
     """Each of these considers alive just the members of its cell, and unreachable what `out` says for its
     cell."""
     seen = views(rig, names)
@@ -48,28 +48,28 @@
     return len(seen) == len(names)
 
 
-def put(rig: FleetRig, name: str, key: str) -> bool:
+def put(rig: ProcessFleet, name: str, key: str) -> bool:
     answer = rig.ask(name, 6, k="put", key=key, value=1, wait_ms=5000)
     return answer is not None and answer["acked"]
 
 
-def hold(rig: FleetRig, names: set[str], *keys: str) -> bool:
+def hold(rig: ProcessFleet, names: set[str], *keys: str) -> bool:
     held = [rig.state(name, "said/") for name in sorted(names)]
     return all(page is not None and {row[0] for row in page["rows"]} >= set(keys) for page in held)
 
 
-def lines(rig: FleetRig, event: str, since: int = 0) -> list[dict]:
+def lines(rig: ProcessFleet, event: str, since: int = 0) -> list[dict]:
     return [line for line in rig.history() if line["event"] == event][since:]
 
 
-def cut(rig: FleetRig, one: set[str], other: set[str]) -> list:
+def cut(rig: ProcessFleet, one: set[str], other: set[str]) -> list:
     """In both directions."""
     few, rest = sorted(one), sorted(other)
     ways = [{"kind": "cut", "from": few, "to": rest}, {"kind": "cut", "from": rest, "to": few}]
     return rig.relay.impose(ways)
 
 
-def nobody_of_another_cell(rig: FleetRig) -> None:
+def nobody_of_another_cell(rig: ProcessFleet) -> None:
     """Only members of its own cell are listed by name."""
     for line in lines(rig, "member"):
         assert LAYOUT.cell_of[line["name"]] == LAYOUT.cell_of[line["backend"]], line
@@ -108,13 +108,13 @@
                 {"k": 1, "from": "m5", "inc": 99, "seq": 1, "news": [["m0", "dead", 99, "m5"]]},
                 {"k": 13, "from": "m5", "rows": [["said/evil", 1, 1, 0, "m5", 9 * 10**15]]},
             ):
-                stray.sendto(orjson.dumps(message), rig.fleet_at[view["me"]])
+                stray.sendto(orjson.dumps(message), rig.fleet_addresses[view["me"]])
         assert rig.until(lambda: sum(rig.view(before["me"])["dropped"].values()) >= 6, MOST) is not None
         assert rig.until(lambda: agree(rig, everyone), MOST) is not None
         assert all(m["incarnation"] < 99 for m in rig.view(before["me"])["members"])
         assert not hold(rig, {before["me"]}, "said/evil")
         # The commands work on a member of a fleet in cells.
-        at, other = ("{}:{}".format(*rig.fleet_at[name]) for name in ("m8", "m5"))
+        at, other = ("{}:{}".format(*rig.fleet_addresses[name]) for name in ("m8", "m5"))
         assert fleet_command("put", at, "said/incident", '"db slow"').stdout == "held by a majority\n"
         assert rig.until(lambda: hold(rig, {"m5"}, "said/incident"), MOST) is not None
         shown = json.loads(fleet_command("state", other, "--prefix", "said/incident", "--json").stdout)
@@ -240,7 +240,7 @@
     layout, older = CellLayout(places, 8), {"m0", "m1"}
     assert set(layout.rosters["west/w1/0"]) == {"m0", "m4", "m5", "m7"}
     first_eight = {f"m{n}" for n in range(8)}
-    with FleetRig(tmp_path, 11, 46, [], places, **FAST) as rig:
+    with ProcessFleet(tmp_path, 11, 46, [], places, **FAST) as rig:
         everyone, newer = set(rig.names), set(rig.names) - older
 
         def right(names: set[str]) -> bool:
--- a/tests/test_fleet_replicas.py
+++ b/tests/test_fleet_replicas.py
@@ -13,7 +13,7 @@
 import pytest
 
 from crowwing.emulator.fleet import fault_run, history_check
-from crowwing.emulator.fleet.process_fleet import FleetRig
+from crowwing.emulator.fleet.process_fleet import ProcessFleet
 from crowwing.emulator.processes import ROOT
 from crowwing.memory import snapshot
 
@@ -23,27 +23,27 @@
 }  # fmt: skip
 
 
-def whole(rig: FleetRig, names: set[str] | None = None) -> bool:
+def whole(rig: ProcessFleet, names: set[str] | None = None) -> bool:
     views = [rig.view(name) for name in names or rig.names]
     return all(view is not None and view["whole"] for view in views)
 
 
-def put(rig: FleetRig, name: str, key: str, value: object = 1) -> bool:
+def put(rig: ProcessFleet, name: str, key: str, value: object = 1) -> bool:
     answer = rig.ask(name, 4, k="put", key=key, value=value, wait_ms=3000)
     return answer is not None and answer["acked"]
 
 
-def agreed(rig: FleetRig) -> bool:
+def agreed(rig: ProcessFleet) -> bool:
     views = [rig.state(name, "said/") for name in rig.names]
     return all(view is not None and view["rows"] == views[0]["rows"] for view in views)
 
 
-def told(rig: FleetRig, name: str, event: str) -> list[dict]:
+def told(rig: ProcessFleet, name: str, event: str) -> list[dict]:
     return [line for line in rig.history() if line["backend"] == name and line["event"] == event]
 
 
 def test_a_killed_member_is_not_ready_until_it_holds_all_acknowledged_updates(tmp_path: Path) -> None:
-    with FleetRig(tmp_path, 5, 11, [], **FAST) as rig:
+    with ProcessFleet(tmp_path, 5, 11, [], **FAST) as rig:
         assert rig.until(lambda: whole(rig), 20) is not None
         rig.kill("m2")
         assert all(put(rig, "m0", f"said/{n}", n) for n in range(60))
@@ -57,7 +57,7 @@
 
 
 def test_a_partitioned_member_serves_then_catches_up_and_the_others_stay_ready(tmp_path: Path) -> None:
-    with FleetRig(tmp_path, 5, 12, [], **FAST) as rig:
+    with ProcessFleet(tmp_path, 5, 12, [], **FAST) as rig:
         assert rig.until(lambda: whole(rig), 20) is not None
         cut = rig.relay.impose([{"kind": "cut", "from": ["m1"]}, {"kind": "cut", "to": ["m1"]}])
         assert rig.until(lambda: len(rig.alive_in("m1")) == 1, 20) is not None
@@ -72,9 +72,9 @@
 
 
 def test_a_fleet_that_stops_completely_recovers_its_state_from_snapshots(tmp_path: Path) -> None:
-    with FleetRig(tmp_path, 3, 13, [], **FAST) as rig:
+    with ProcessFleet(tmp_path, 3, 13, [], **FAST) as rig:
         for name in rig.names:
-            rig.operator_of[name] = {"snapshot_folder": str(tmp_path)}
+            rig.operator_overrides[name] = {"snapshot_folder": str(tmp_path)}
             rig.kill(name)
             rig.launch(name)
         assert rig.until(lambda: whole(rig), 20) is not None
@@ -93,8 +93,8 @@
 
 
 def test_a_drain_writes_a_snapshot(tmp_path: Path) -> None:
-    with FleetRig(tmp_path, 3, 14, [], **(FAST | {"snapshot_every_ms": 600_000})) as rig:
-        rig.operator_of["m0"] = {"snapshot_folder": str(tmp_path)}
+    with ProcessFleet(tmp_path, 3, 14, [], **(FAST | {"snapshot_every_ms": 600_000})) as rig:
+        rig.operator_overrides["m0"] = {"snapshot_folder": str(tmp_path)}
         rig.kill("m0")
         rig.launch("m0")
         assert rig.until(lambda: whole(rig), 20) is not None and put(rig, "m1", "said/x")
@@ -105,7 +105,7 @@
 
 
 def test_a_clock_two_seconds_off_loses_nothing_and_does_not_outrank_for_long(tmp_path: Path) -> None:
-    with FleetRig(tmp_path, 4, 15, [], **FAST) as rig:
+    with ProcessFleet(tmp_path, 4, 15, [], **FAST) as rig:
         rig.kill("m1")
         rig.launch("m1", clock_offset_ms=-2000)
         rig.kill("m3")
@@ -118,7 +118,7 @@
 
 
 def test_a_truncated_fetch_stores_nothing_and_is_retried(tmp_path: Path) -> None:
-    with FleetRig(tmp_path, 3, 16, [], **FAST) as rig:
+    with ProcessFleet(tmp_path, 3, 16, [], **FAST) as rig:
         assert rig.until(lambda: whole(rig), 20) is not None
         assert all(put(rig, "m0", f"said/{n}", "z" * 400) for n in range(150))
         rig.kill("m2")
@@ -135,7 +135,7 @@
 
 
 def test_a_key_is_granted_once_across_the_fleet_through_a_partition(tmp_path: Path) -> None:
-    with FleetRig(tmp_path, 5, 17, [], **FAST) as rig:
+    with ProcessFleet(tmp_path, 5, 17, [], **FAST) as rig:
         assert rig.until(lambda: whole(rig), 20) is not None
 
         def claim(name: str, label: str) -> str:
@@ -171,7 +171,7 @@
 def test_malformed_streams_and_requests_are_harmless(tmp_path: Path) -> None:
     import socket
 
-    with FleetRig(tmp_path, 3, 18, [], **FAST) as rig:
+    with ProcessFleet(tmp_path, 3, 18, [], **FAST) as rig:
         assert rig.until(lambda: whole(rig), 20) is not None
         for garbage in (
             b"\0" * 100,
@@ -180,7 +180,7 @@
             b'{"from":"x","leaves":[]}\n',
             b"[]\n",
         ):
-            with socket.create_connection(rig.fleet_at["m0"], 5) as stream:
+            with socket.create_connection(rig.fleet_addresses["m0"], 5) as stream:
                 stream.sendall(garbage)
                 stream.shutdown(socket.SHUT_WR)
                 assert stream.recv(100) == b""
@@ -203,9 +203,9 @@
         command = [sys.executable, "-m", "crowwing", "fleet", *words]
         return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=30)
 
-    with FleetRig(tmp_path, 3, 19, [], **FAST) as rig:
+    with ProcessFleet(tmp_path, 3, 19, [], **FAST) as rig:
         assert rig.until(lambda: whole(rig), 20) is not None
-        at, other = ("{}:{}".format(*rig.fleet_at[name]) for name in ("m0", "m1"))
+        at, other = ("{}:{}".format(*rig.fleet_addresses[name]) for name in ("m0", "m1"))
         assert fleet("put", at, "said/incident", '"db slow"').stdout == "held by a majority\n"
         assert fleet("mark", at, "mark/out/m9").returncode == 0
         assert fleet("mark", other, "mark/out/m9", "--out").returncode == 0
@@ -252,7 +252,7 @@
 def test_a_random_script_of_faults_loses_no_acknowledged_update_and_ends_in_agreement(
     tmp_path: Path, seed: int
 ) -> None:
-    found = fault_run.Play(tmp_path, fault_run.plan(seed, 5, 5.0)).run()
+    found = fault_run.FaultRun(tmp_path, fault_run.make_plan(seed, 5, 5.0)).run()
     assert found.lost == [] and found.differing == [] and found.converged_s is not None
     assert found.acknowledged > 0.5 * found.asked
     kept = {path.name for path in tmp_path.iterdir()}
@@ -261,7 +261,7 @@
 
 def test_a_run_is_replayed_from_its_folder_and_a_wrong_folder_is_named(tmp_path: Path) -> None:
     first, again = tmp_path / "first", tmp_path / "again"
-    fault_run.Play(first, fault_run.plan(5, 3, 2.0)).run()
+    fault_run.FaultRun(first, fault_run.make_plan(5, 3, 2.0)).run()
     fault_run.replay(first, again)
     one, two = (orjson.loads((folder / "play.json").read_bytes()) for folder in (first, again))
     assert one["asks"] == two["asks"] and one["offsets"] == two["offsets"]
@@ -304,7 +304,7 @@
         said = player.communicate(timeout=30)[1]
     assert player.returncode == 1 and len(said.splitlines()) == 1, said
     assert ours() == []
-    with pytest.raises(ZeroDivisionError), FleetRig(tmp_path / "fails", 3, 20, [], **FAST):
+    with pytest.raises(ZeroDivisionError), ProcessFleet(tmp_path / "fails", 3, 20, [], **FAST):
         assert len(ours()) >= 3
         raise ZeroDivisionError
     assert ours() == []
--- a/tests/test_scale_parts.py
+++ b/tests/test_scale_parts.py
@@ -17,13 +17,13 @@
 from benchmarks.scale import figures, fit, weigh
 from benchmarks.scale.page import page
 from crowwing.emulator.fleet import member_access
-from crowwing.emulator.fleet.mixed_fleet import Wide, pick
-from crowwing.emulator.fleet.topology import ZONES, Between, Ways, places
+from crowwing.emulator.fleet.mixed_fleet import MixedFleet, choose_real
+from crowwing.emulator.fleet.topology import ZONES, LinkModel, RegionLinks, assign_locations
 from crowwing.emulator.processes import ROOT
 
 
 def test_members_are_dealt_evenly_to_five_regions_and_eleven_zones() -> None:
-    at = places([f"m{n}" for n in range(5200)])
+    at = assign_locations([f"m{n}" for n in range(5200)])
     zones = Counter(zone for _, zone in at.values())
     assert len(ZONES) == 5 and len(zones) == 11
     assert max(zones.values()) - min(zones.values()) <= 1
@@ -32,37 +32,37 @@
 
 
 def test_between_regions_takes_longer_and_a_cut_lets_nothing_through() -> None:
-    between = Between(Ways(far=0.08, loss=0.0), random.Random(1))
-    assert 0.0005 <= between.delay("r1", "r1") <= 0.002
-    assert 0.0805 <= between.delay("r1", "r2") <= 0.082
-    assert between.stream("r1", "r2") == pytest.approx(0.32)
-    between.cut([("r1", "r2")])
+    links = RegionLinks(LinkModel(far=0.08, loss=0.0), random.Random(1))
+    assert 0.0005 <= links.delay("r1", "r1") <= 0.002
+    assert 0.0805 <= links.delay("r1", "r2") <= 0.082
+    assert links.stream_delay("r1", "r2") == pytest.approx(0.32)
+    links.partition([("r1", "r2")])
     for one, other in (("r1", "r2"), ("r2", "r1")):
-        assert between.delay(one, other) is None and between.stream(one, other) is None
-    assert between.delay("r1", "r3") is not None and between.delay("r1", "r1") is not None
-    between.heal()
-    assert between.delay("r2", "r1") is not None
+        assert links.delay(one, other) is None and links.stream_delay(one, other) is None
+    assert links.delay("r1", "r3") is not None and links.delay("r1", "r1") is not None
+    links.heal()
+    assert links.delay("r2", "r1") is not None
 
 
 def test_loss_is_between_regions_only() -> None:
-    between = Between(Ways(loss=0.2), random.Random(1))
-    lost = sum(between.delay("r1", "r2") is None for _ in range(2000))
+    links = RegionLinks(LinkModel(loss=0.2), random.Random(1))
+    lost = sum(links.delay("r1", "r2") is None for _ in range(2000))
     assert 320 <= lost <= 480
-    assert all(between.delay("r1", "r1") is not None for _ in range(500))
+    assert all(links.delay("r1", "r1") is not None for _ in range(500))
 
 
 def test_real_members_are_speakers_and_others_in_turn_of_cells_that_lie_apart() -> None:
     names = [f"m{n}" for n in range(2600)]
-    layout = member_access.layout(places(names), {})
-    chosen = pick(member_access.cells(names, layout), 24)
+    layout = member_access.layout(assign_locations(names), {})
+    chosen = choose_real(member_access.cells(names, layout), 24)
     assert len(set(chosen)) == 24
-    speak = [name in member_access.speak_first(layout) for name in chosen]
+    speak = [name in member_access.initial_speakers(layout) for name in chosen]
     assert speak == [True, False] * 12
     assert len({layout.cell_of[name] for name in chosen}) == 24
     assert len({layout.cell_of[name].split("/")[1] for name in chosen}) >= 9
-    assert len(set(pick([names[:5], names[5:9]], 8))) == 8, "few cells: several of each"
+    assert len(set(choose_real([names[:5], names[5:9]], 8))) == 8, "few cells: several of each"
     with pytest.raises(ValueError, match="not there"):
-        pick([names[:5], names[5:9]], 10)
+        choose_real([names[:5], names[5:9]], 10)
 
 
 # Figures
@@ -202,9 +202,9 @@
 
 def test_a_rig_that_cannot_start_ends_what_it_started(tmp_path: Path) -> None:
     before = children_of(os.getpid())
-    with Wide(tmp_path / "one", 8, 2, 1) as one:
-        other = Wide(tmp_path / "two", 8, 2, 1)
-        other.hollow_at = one.hollow_at  # taken
+    with MixedFleet(tmp_path / "one", 8, 2, 1) as one:
+        other = MixedFleet(tmp_path / "two", 8, 2, 1)
+        other.stub_addresses = one.stub_addresses  # taken
         with pytest.raises(ChildProcessError, match="hollow-0: has ended"):
             other.__enter__()
     assert children_of(os.getpid()) <= before
