--- a/crowwing/emulator/fleet/fault_run.py
+++ b/crowwing/emulator/fleet/fault_run.py
@@ -1,10 +1,10 @@
-"""A seeded script of asks and faults, played on several real backends, its history checked at the end.
+"""Runs a seeded script of requests and faults on several real backends and checks the history at the end.
 
-`plan` is pure: what is asked of whom, and what breaks, all from one seed. At most a minority is away at a
-time, and a member that lost its memory has caught up before another loses its own: that is what an
-acknowledgement promises (docs/replication.md). Everything is healed `seconds` after the start. A run leaves
-`play.json` (seed, size, script), the members' logs, `history.jsonl` and `found.json` in its folder; `replay`
-plays the same again.
+`make_plan` derives all requests and faults from one seed. At most a minority of members is unavailable at a
+time, and a member that lost its memory has caught up before another loses its own: acknowledgements are
+guaranteed under these conditions (docs/replication.md). Every fault has ended `seconds` after the start. A
+run leaves `play.json` (seed, size, script), the members' logs, `history.jsonl` and `found.json` in its
+folder; `replay` runs the same plan again.
 """
 
 import socket
@@ -25,11 +25,11 @@
 REQUEST_INTERVAL_S, ACK_TIMEOUT_MS = 0.06, 1500
 CONVERGENCE_TIMEOUT_S = 10.0
 LINK_FAULTS = ("cut", "one_way", "loss", "delay", "duplicate", "reorder")
-PROCESS_FAULTS = ("pause", "kill", "wipe")  # wipe: killed, and its disk lost
+PROCESS_FAULTS = ("pause", "kill", "wipe")  # wipe: killed, and its disk erased
 
 
 def make_plan(seed: int, size: int, seconds: float) -> dict:
-    """Everything of one run but what chance on the machine adds."""
+    """Returns the plan of one run; only timing on the machine adds to it."""
     rng = Random(f"{seed}/play")
     names = [f"m{n}" for n in range(size)]
     requests, at = [], 0.0
@@ -71,7 +71,7 @@
 
 
 def relay_faults(fault: dict, names: list[str]) -> list[dict]:
-    """A fault between members as the relay takes it."""
+    """Converts a fault between members to the relay's format."""
     few, rest = fault["few"], [name for name in names if name not in fault["few"]]
     told = {"kind": "cut" if fault["kind"] == "one_way" else fault["kind"], "size": fault["size"]}
     told["jitter_ms"] = fault["jitter_ms"]
@@ -113,7 +113,7 @@
                     self.rig.until(lambda: all(self.rig.alive_in(n) == everyone for n in everyone), 30)
                     is None
                 ):
-                    raise TimeoutError("the members did not find each other")
+                    raise TimeoutError("the members did not discover each other within 30 s")
                 self._run_schedule()
                 found = self._wait_for_convergence()
         finally:
@@ -132,7 +132,7 @@
             what(told)
 
     def _schedule(self) -> Iterator[tuple]:
-        """(s, what to do, with what), in order; the ends of faults among them."""
+        """Yields (seconds, action, argument) in order, including the ends of faults."""
         moments = [(request["at_s"], self._send_request, request) for request in self.plan["asks"]]
         for fault in self.plan["faults"]:
             moments.append((fault["at_s"], self._start_fault, fault))
@@ -154,13 +154,13 @@
             except BlockingIOError:
                 return
             except OSError:
-                continue  # nobody listens there just now
+                continue  # the member is down at the moment
             self.record("answered", acked=bool(told.get("acked")), rows=told.get("rows", []), n=told["n"])
 
     def _start_fault(self, fault: dict) -> None:
         kind = fault["kind"]
         if kind in PROCESS_FAULTS and kind != "pause" and not self._all_caught_up():
-            kind = "pause"  # another is without its memory: this one keeps its own
+            kind = "pause"  # another member has not caught up yet, so this one has to keep its memory
         fault["as"] = kind
         self.record("fault", **fault)
         if kind == "pause":
@@ -187,7 +187,7 @@
         return all(view is not None and view["whole"] for view in views)
 
     def _stored_rows(self) -> dict[str, list] | None:
-        """The operators' entries of every member; None if one does not answer."""
+        """Returns the operators' entries of every member; None if one does not answer."""
         held = {}
         for name in self.rig.names:
             pages = [self.rig.state(name, prefix) for prefix in ("said/", "mark/")]
@@ -205,14 +205,14 @@
             held = self._stored_rows()
             if held is not None and not history_check.differing(held):
                 converged = round(time.monotonic() - began, 2)
-        time.sleep(ACK_TIMEOUT_MS / 1000)  # what was asked last is answered by now
+        time.sleep(ACK_TIMEOUT_MS / 1000)  # by then the last requests have been answered
         self._read_responses()
         self.rig.until(lambda: (self._stored_rows() or {}).keys() == set(self.rig.names), 5)
         return history_check.check(self.history, self._stored_rows() or held or {}, converged)
 
 
 def replay(folder: Path, into: Path) -> history_check.Found:
-    """The run whose folder it is once more. ValueError where there is none."""
+    """Repeats the run that is stored in a folder; ValueError if there is none."""
     try:
         told = orjson.loads((folder / "play.json").read_bytes())
     except (OSError, orjson.JSONDecodeError) as error:
--- a/crowwing/emulator/fleet/growth.py
+++ b/crowwing/emulator/fleet/growth.py
@@ -1,8 +1,8 @@
-"""What a member of a fleet spends in a fixed number of protocol periods in which things happen, counted on
-fleets of several sizes at once; and which of it grows with the size. Not timed: a slow machine takes longer.
+"""Measures the cost per member on fleets of several sizes at once, and reports what grows with the size.
 
-Every fleet goes through the same: changes are put in, one member drains and starts anew, a real backend is
-killed and started again, and all hollow members of a zone go silent.
+Costs are counted over a fixed number of protocol periods, not timed, so a slow machine only takes longer.
+Every fleet goes through the same events: entries are put, one member drains and restarts, a real backend is
+killed and restarted, and all stub members of a zone go silent.
 """
 
 import time
@@ -14,32 +14,32 @@
 from crowwing.emulator.fleet.mixed_fleet import MixedFleet
 from crowwing.emulator.fleet.topology import LinkModel
 
-SETTLE_PERIODS, MEASURED_PERIODS = 4, 30  # protocol periods before anything happens, and counted
+SETTLE_PERIODS, MEASURED_PERIODS = 4, 30  # protocol periods before the events, and measured
 CHANGES = 4
 FLEET = {"probe_timeout_ms": 600, "cell_most": 12}
 LINKS = LinkModel(far=0.005)
-STUBS_PER_PROCESS = 100  # hollow members a process
-TIMEOUT_S = 120.0  # guards against a fleet that stands still
+STUBS_PER_PROCESS = 100  # stub members per process
+TIMEOUT_S = 120.0  # a fleet without progress would block the run
 
 
 class FleetTimeoutError(TimeoutError):
-    """A fleet did not go through its periods, or a real backend does not answer: one line."""
+    """A fleet did not complete its periods, or a real backend does not answer: one line."""
 
 
 class MemberCost(NamedTuple):
-    """Of one fleet: by one member in a period on the average, but where it says otherwise."""
+    """Costs in one fleet: the mean per member and period, unless noted otherwise."""
 
     size: int
     messages: float  # sent and read
     bytes: float
-    most_messages: float  # by the member that had most of them
+    most_messages: float  # of the busiest member
     most_bytes: float
-    attempts: float  # of a real backend that starts: whole copies asked for, in all the time
-    lag_s: float  # of the slowest hollow process's loop: over the probe timeout, all counts are too high
+    attempts: float  # of a real backend that starts: full transfers requested over the whole run
+    lag_s: float  # of the slowest stub process; above the probe time-out, all counts are too high
 
 
 def find_growth(small: MemberCost, large: MemberCost, most: float) -> list[str]:
-    """What is over `most` times as much in the larger fleet, each with its figures."""
+    """Describes each cost that is more than `most` times as high in the larger fleet."""
     return [
         f"{name}: {one:.1f} with {small.size} members, {other:.1f} with {large.size}"
         for name, one, other in zip(MemberCost._fields[1:6], small[1:6], large[1:6], strict=True)
@@ -50,8 +50,10 @@
 def measure(
     folder: Path, sizes: Sequence[tuple[int, bool]], real: int = 3, seed: int = 1
 ) -> list[MemberCost]:
-    """All fleets at once, each (members, whether in cells); every process has ended when this returns. Slow
-    where one does not get on."""
+    """Runs all fleets at once, each given as (members, whether in cells).
+
+    Every process has ended on return. Raises FleetTimeoutError if a fleet makes no progress.
+    """
     with ExitStack() as stack:
         fleets = []
         for size, cells in sizes:
@@ -72,7 +74,9 @@
     began, left = time.monotonic(), list(fleets)
     while left := [fleet for fleet in left if not check(fleet)]:
         if time.monotonic() - began > TIMEOUT_S:
-            raise FleetTimeoutError(f"{len(left[0].rig.all_names)} members: not there after {TIMEOUT_S:g} s")
+            raise FleetTimeoutError(
+                f"{len(left[0].rig.all_names)} members: no progress within {TIMEOUT_S:g} s"
+            )
         time.sleep(0.2)
 
 
@@ -82,11 +86,11 @@
         self.began: dict[str, float] = {}
 
     def periods(self) -> float:
-        """That went by, on a hollow member's average."""
+        """Returns the mean number of protocol periods completed per stub member."""
         return sum(one["periods"] for one in self.rig.tell("periods")) / len(self.rig.stubs)
 
     def real_counts(self) -> list[dict]:
-        """What each real backend counts; empty where one does not answer."""
+        """Returns the counters of each real backend; empty if one does not answer."""
         found = [self.rig.ask(name, 1.0, k="counts") for name in self.rig.names]
         return [one for one in found if one is not None] if all(found) else []
 
@@ -101,7 +105,7 @@
         return sums | most
 
     def start(self) -> None:
-        """What happens, and from where it is counted."""
+        """Takes the baseline of the counters and triggers the events."""
         rig = self.rig
         self.began = self.counts()
         zone = rig.locations[rig.names[0]][1]
--- a/crowwing/emulator/fleet/history_check.py
+++ b/crowwing/emulator/fleet/history_check.py
@@ -1,7 +1,7 @@
-"""What a history of asks and answers, and what every member holds at its end, say of the promises. Pure.
+"""Checks replication guarantees against a history of requests and the final state of every member.
 
-The history is records lines (`asked`, `answered`, `fault`, `healed`); a row is an entry as the fleet's wire
-gives it: [key, value, at, count, who, until].
+Free of I/O. The history consists of the events `asked`, `answered`, `fault` and `healed`; a row is an entry
+in its wire format: [key, value, at, count, who, until].
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -11,13 +11,13 @@
 
 
 class Found(NamedTuple):
-    """Of one run."""
+    """Result of the check of one run."""
 
     asked: int
     acknowledged: int
-    lost: list[str]  # acknowledged, and at some member neither there nor outranked
-    differing: list[str]  # keys whose copies differ at the end
-    converged_s: float | None  # after the last fault; None: not within the time looked at
+    lost: list[str]  # acknowledged, but at some member neither present nor superseded
+    differing: list[str]  # keys whose replicas differ at the end
+    converged_s: float | None  # after the last fault; None: not within the observed time
 
 
 def acknowledged(history: Iterable[dict]) -> list[Row]:
@@ -25,23 +25,25 @@
 
 
 def outranked(said: Row, held: Row | None) -> bool:
-    """Whether what is held is what was said, or may stand in its place by the rule for copies that differ."""
+    """Returns whether the stored row equals the acknowledged one or supersedes it by the merge rule."""
     if held is None:
         return False
     if said[0].startswith("mark/"):
-        return held[1] is False or said[1] is True  # put in: there or taken out; taken out: stays out
+        return (
+            held[1] is False or said[1] is True
+        )  # a mark once added may be removed; once removed it stays so
     return tuple(held[2:5]) >= tuple(said[2:5])
 
 
 def differing(held: Mapping[str, Sequence[Row]]) -> list[str]:
-    """Keys that not every member holds alike."""
+    """Returns the keys whose rows are not the same at every member."""
     views = [{row[0]: row for row in rows} for rows in held.values()]
     keys = set().union(*views) if views else set()
     return sorted(key for key in keys if any(view.get(key) != views[0].get(key) for view in views))
 
 
 def check(history: Sequence[dict], held: Mapping[str, Sequence[Row]], converged_s: float | None) -> Found:
-    """`held`: the rows of each member at the end."""
+    """Checks a history; `held` maps each member to its rows at the end."""
     said = acknowledged(history)
     lost = []
     for name, rows in held.items():
--- a/crowwing/emulator/fleet/member_access.py
+++ b/crowwing/emulator/fleet/member_access.py
@@ -1,6 +1,6 @@
-"""The one place where hollow members and the scale run touch the pure member's insides.
+"""The only module of the test harness that accesses the internals of a fleet member.
 
-Everything else goes by the names here, so that what a member is made of can change without the harness.
+Stub members and the scale benchmark use these functions, so a member's structure can change without them.
 """
 
 import random
@@ -22,19 +22,19 @@
 
 
 def settings(fleet: Mapping) -> SimpleNamespace:
-    """A whole fleet section: what is given, and the defaults of the rest."""
+    """Completes the given fleet settings with defaults."""
     required = {"listen": "127.0.0.1:1", "peers": [{"name": "x", "address": "127.0.0.1:2"}]}
     section = msgspec.convert(required | dict(fleet), Fleet)
     return SimpleNamespace(**{name: getattr(section, name) for name in Fleet.__struct_fields__})
 
 
 def layout(locations: Mapping[str, Location] | None, fleet: Mapping) -> CellLayout | None:
-    """None for a flat fleet, which has no places."""
+    """Returns the layout of cells; None for a flat fleet, whose members have no locations."""
     return None if locations is None else CellLayout(locations, settings(fleet).cell_most)
 
 
 def member_factory(names: Sequence[str], shared: CellLayout | None, fleet: Mapping) -> MemberFactory:
-    """`make(name, now, chance)` for members of one fleet, whose layout all of a process share."""
+    """Returns `make(name, now, rng)` for members of one fleet; all members in a process share the layout."""
     settings_of_members: MemberSettings = member_settings(settings(fleet))
 
     def make(name: str, now: int, rng: random.Random) -> Member:
@@ -45,7 +45,7 @@
 
 
 def mark_caught_up(member: Member) -> None:
-    """As one of a fleet that runs long since: caught up."""
+    """Puts a new member in the state of one that has run for long and has caught up."""
     member.catch_up.started_at = None
     member.was_ready = True
     member.catch_up.was_isolated = False
@@ -56,12 +56,12 @@
 
 
 def transfer_request(member: Member) -> dict:
-    """The line that asks for a whole copy."""
+    """Returns the request for a full transfer."""
     return {"from": member.me, **member.digests()}
 
 
 def put(member: Member, wall: int, key: str, value: object, ttl: int) -> None:
-    """EntryRejectedError where it cannot be."""
+    """Puts an entry; EntryRejectedError if it cannot be stored."""
     member.dissemination_of(key).put(wall, key, value, ttl)
 
 
@@ -70,22 +70,22 @@
 
 
 def changes(member: Member) -> int:
-    """A number that moves whenever what is kept does."""
+    """Returns a number that changes whenever the stored entries do."""
     return member.changes()
 
 
 def periods(member: Member) -> int:
-    """Protocol periods that went by."""
+    """Returns the number of protocol periods completed."""
     return member.membership.periods
 
 
 def is_speaker(member: Member) -> bool:
-    """Whether it speaks for its cell now."""
+    """Returns whether the member is currently a speaker of its cell."""
     return member.reachability is not None and member.reachability.speaks
 
 
 def initial_speakers(shared: CellLayout | None) -> frozenset[str]:
-    """Who speaks for its cell while all are alive."""
+    """Returns the speakers of all cells while every member is alive."""
     if shared is None:
         return frozenset()
     rosters = shared.rosters.items()
@@ -93,25 +93,27 @@
 
 
 def cells(names: Sequence[str], shared: CellLayout | None) -> list[list[str]]:
-    """Groups whose members watch over one another: one group where there are no cells."""
+    """Returns the groups whose members probe each other: a single group if there are no cells."""
     return [list(names)] if shared is None else [list(roster) for roster in shared.rosters.values()]
 
 
 def reports_cell_out(brings: Mapping, cell: str) -> bool:
-    """Whether an event `cells_out` says that this cell is out of reach."""
+    """Returns whether an event `cells_out` reports this cell as unreachable."""
     return any(covers(prefix, cell) for prefix in brings["cells"])
 
 
 def dead_cells(shared: CellLayout | None, down: Collection[str]) -> set[str]:
-    """Cells all of whose members are off."""
+    """Returns the cells whose members are all down."""
     if shared is None:
         return set()
     return {cell for cell, roster in shared.rosters.items() if all(name in down for name in roster)}
 
 
 def count_mistakes(member: Member, down: Collection[str], dead: Collection[str]) -> int:
-    """Members that it watches over and holds for gone where they are not, or the other way round; and cells
-    out of reach alike (`dead`: those that are)."""
+    """Counts the wrong entries of a member's view: probed members and cells with the wrong state.
+
+    `down` are the members and `dead` the cells that are really down.
+    """
     watched = member.membership.members.values()
     mistakes = sum((one.state in GONE) != (one.name in down) for one in watched)
     return mistakes + len(member.unreachable_cells() ^ frozenset(dead))
--- a/crowwing/emulator/fleet/mixed_fleet.py
+++ b/crowwing/emulator/fleet/mixed_fleet.py
@@ -1,8 +1,8 @@
-"""Some real backends beside many hollow members: one fleet of any size on one machine.
+"""A fleet of any size on one machine: some real backends beside many stub members.
 
-Real ones are started as FleetRig starts them, their links among each other through the relay; hollow ones
-share a few processes (hollow.py), which see to delay, loss and cuts on all other links. Every process ends
-with this one.
+Real backends are started as in ProcessFleet, with the links between them through the relay. Stub members
+share a few processes (stub_process.py), which apply delay, loss and partitions to all other links. Every
+process ends with this one.
 """
 
 import os
@@ -23,17 +23,17 @@
 from crowwing.emulator.fleet.topology import LinkModel
 from crowwing.emulator.processes import ROOT, BackendProcess, set_parent_death_signal
 
-RESPONSE_TIMEOUT_S = 120.0  # for one line back: building thousands of members takes its time
-ADDRESSES_PER_BLOCK = 250  # hollow addresses that differ in their last number only
-FIRST_PORT = 21_000  # hollow ones' first; under the ports that the machine gives out itself
+RESPONSE_TIMEOUT_S = 120.0  # for one response: building thousands of members takes long
+ADDRESSES_PER_BLOCK = 250  # stub addresses that differ in their last octet only
+FIRST_PORT = 21_000  # first port of stub members, below the ephemeral port range
 
 
 class StubProcessError(ChildProcessError):
-    """A hollow process is gone or does not answer: one line."""
+    """A stub process has ended or does not answer: one line."""
 
 
 class StubProcess:
-    """The parent's end of one."""
+    """The parent's side of one stub process."""
 
     def __init__(self, number: int, folder: Path) -> None:
         self.number, self.name, self.buffer = 0, f"hollow-{number}", b""
@@ -45,7 +45,7 @@
                 preexec_fn=set_parent_death_signal,
             )  # fmt: skip
 
-        self.poll = select.poll()  # select() takes no descriptor over 1023, and the relay has a thousand
+        self.poll = select.poll()  # select() takes no descriptor over 1023, and the relay uses a thousand
         self.poll.register(self.child.stdout, select.POLLIN)
 
     def tell(self, **told: object) -> None:
@@ -60,7 +60,7 @@
             raise StubProcessError(f"{self.name}: {error.strerror}") from None
 
     def read_response(self) -> dict:
-        """To the last line told."""
+        """Returns the response to the last line sent."""
         until = time.monotonic() + RESPONSE_TIMEOUT_S
         while b"\n" not in self.buffer:
             left = until - time.monotonic()
@@ -73,7 +73,7 @@
         line, _, self.buffer = self.buffer.partition(b"\n")
         told = orjson.loads(line)
         if told["n"] != self.number:
-            raise StubProcessError(f"{self.name}: answers {told['n']}, not {self.number}")
+            raise StubProcessError(f"{self.name}: response {told['n']} does not match request {self.number}")
         return told
 
     def end(self) -> None:
@@ -84,10 +84,13 @@
 
 
 def choose_real(cells: Sequence[Sequence[str]], count: int) -> list[str]:
-    """Which members are to be real: in turn the first of one cell's roster, who speaks for it, and the last
-    of another's, who does not, cells taken as far apart as they go."""
+    """Chooses which members are real backends.
+
+    Alternates between the first of a cell's roster (a speaker) and the last of another's (not a speaker),
+    with cells as far apart as possible.
+    """
     if count > sum(map(len, cells)):
-        raise ValueError(f"{count} members are not there")
+        raise ValueError(f"{count} members requested, but the fleet has fewer")
     step = max(1, len(cells) // count)
     apart = [list(cells[n]) for begin in range(step) for n in range(begin, len(cells), step)]
     chosen: list[str] = []
@@ -98,15 +101,20 @@
 
 
 class MixedFleet(ProcessFleet):
-    """`size` members, `real` of them real; `cells` says whether places go into the settings. `fleet` is the
-    fleet section's other settings, alike for both kinds."""
+    """A fleet of `size` members, `real` of them real backends.
+
+    `cells` puts locations into the settings; `fleet` has the other settings of the fleet section, the same
+    for both kinds of members.
+    """
 
     def __init__(
         self, folder: Path, size: int, real: int, seed: int, *, cells: bool = False, processes: int = 1,
         links: LinkModel | None = None, fleet: dict | None = None, build_s: float = 1.0, silent: bool = False,
     ) -> None:  # fmt: skip
-        """`processes` for the hollow members; 0: nobody listens at their addresses. `build_s`: what building
-        them is thought to take; `asleep`: they have sockets and never say a word."""
+        """`processes` host the stub members; with 0, nothing listens at their addresses.
+
+        `build_s` is the expected time to build them; with `silent` they have sockets but never send anything.
+        """
         self.all_names = [f"m{n}" for n in range(size)]
         self.locations = topology.assign_locations(self.all_names)
         self.layout = member_access.layout(self.locations if cells else None, fleet or {})
@@ -116,7 +124,7 @@
         self.initial_speakers = member_access.initial_speakers(self.layout)
         self.cells, self.links, self.build_s, self.silent = cells, links or LinkModel(), build_s, silent
         block = 128 + os.getpid() % 120
-        number = int(self.host.rpartition(".")[2])  # of this rig in this process
+        number = int(self.host.rpartition(".")[2])  # distinguishes fleets of this process
         port = FIRST_PORT + (os.getpid() // 120 * 250 + number) % 10_000
         self.stub_addresses = {
             name: (f"127.{block}.{n // ADDRESSES_PER_BLOCK}.{1 + n % ADDRESSES_PER_BLOCK}", port)
@@ -129,7 +137,7 @@
         self.partition_faults: list[Fault] = []
         self.request_counts: dict[str, Counter[str]] = {name: Counter() for name in chosen}
 
-    # Beginning
+    # Start
 
     def connect(self) -> None:
         super().connect()
@@ -155,7 +163,7 @@
             raise
 
     def start(self) -> None:
-        """Hollow ones are on first, as a fleet that runs; real ones come up beside them."""
+        """Starts the stub members first, as a running fleet; the real backends then join it."""
         self.connect()
         if self.silent or not self.stub_processes:
             for name in self.names:
@@ -172,13 +180,13 @@
             host.read_response()
 
     def start_standalone(self) -> None:
-        """One more real backend, without a fleet section: what it takes is no fleet's."""
+        """Starts one more real backend without a fleet section, as the baseline for resource usage."""
         told = orjson.loads(EXAMPLE_CONFIG.read_bytes())
         ports = {key: f"{self.host}:{free_port(1, self.host)}" for key in ("listen", "agent")}
         self.standalone = BackendProcess(self.folder, told | ports | {"name": "alone"}, None, None)
 
     def _fleet_section(self, name: str) -> dict:
-        """What this real member's fleet section says of the others."""
+        """Returns the settings of a real member about its location and its peers."""
         peers = [
             {"name": other, "address": f"{self.host}:{self.relay.ports[(name, other)]}"}
             for other in self.names
@@ -212,23 +220,26 @@
     def real_members_in(self, region: str, outside: bool = False) -> list[str]:
         return [name for name in self.names if (self.locations[name][0] == region) != outside]
 
-    # Telling hollow ones
+    # Commands to stub members
 
     def tell(self, what: str, **told: object) -> list[dict]:
-        """All processes at once; what each answers."""
+        """Sends a command to all stub processes and returns their responses."""
         for host in self.stub_processes:
             host.tell(do=what, **told)
         return [host.read_response() for host in self.stub_processes]
 
     def put(self, puts: Sequence[tuple[str, str, object]]) -> int:
-        """Each (hollow member, key, value) at once; when the first was said, µs. Lost if one is refused."""
+        """Puts each (stub member, key, value) at once; returns the time of the first in µs.
+
+        Raises StubProcessError if one is refused.
+        """
         told = self.tell("put", puts=puts)
         if refused := [why for one in told for why in one["refused"]]:
-            raise StubProcessError(f"refused: {refused[0]}")
+            raise StubProcessError(f"entry refused: {refused[0]}")
         return min(one["at"] for one in told)
 
     def partition(self, pairs: Sequence[tuple[str, str]]) -> None:
-        """Regions that do not reach each other from now on."""
+        """Blocks the links between each pair of regions."""
         self.tell("cut", pairs=pairs)
         for one, other in pairs:
             few, rest = self.real_members_in(one), self.real_members_in(other)
@@ -245,7 +256,10 @@
         return [name for name in self.all_names if self.locations[name][1] == zone]
 
     def ask(self, name: str, wait_s: float = 1.0, **told: object) -> dict | None:
-        """What we ask of a real member and it answers is counted in `asked`, as its own counters count it."""
+        """Sends a request to a real member; answered ones are added to `request_counts`.
+
+        Its own counters include them, so the harness can subtract its share.
+        """
         answer = super().ask(name, wait_s, **told)
         if answer is not None:
             counts = self.request_counts[name]
@@ -262,20 +276,20 @@
             self.standalone.kill()
         super().end()
 
-    # What a process takes
+    # Resource usage
 
     def pids(self, names: Iterable[str]) -> dict[str, int]:
         return {name: self.children[name].pid for name in names if self.children[name].poll() is None}
 
 
 def cpu_s(pid: int) -> float:
-    """Processor time of all its threads that run, s, finer than a tick. OSError where it is gone."""
+    """Returns the CPU time of all running threads in seconds, finer than a tick; OSError if it has ended."""
     threads = Path(f"/proc/{pid}/task")
     return sum(int((thread / "schedstat").read_text().split()[0]) for thread in threads.iterdir()) / 1e9
 
 
 def memory_kb(pid: int) -> tuple[int, int]:
-    """Resident now, and at the most. OSError where it is gone."""
+    """Returns the current and the peak resident memory; OSError if the process has ended."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     found = {line.split(":")[0]: line.split()[1] for line in lines if line.startswith(("VmRSS", "VmHWM"))}
     return int(found["VmRSS"]), int(found["VmHWM"])
--- a/crowwing/emulator/fleet/process_fleet.py
+++ b/crowwing/emulator/fleet/process_fleet.py
@@ -1,9 +1,9 @@
-"""Several real backends with fleet membership on, every link between two of them through the fault relay.
+"""Several real backends with fleet membership, with every link between them through the fault relay.
 
-Each process is started as `run` starts one, with its own configuration and operator file, and is ended by its
-id: killed (SIGKILL), paused (SIGSTOP, SIGCONT), started again. Their own log lines are the history;
-`history()` reads the fleet's lines of all lives, `view()` and `state()` ask a running member for what it
-holds. What a failing run needs to be played again (seed, script, members' files) stays in its folder.
+Each process is started as `run` starts one, with its own configuration and operator file, and is controlled
+by its process id: killed (SIGKILL), paused (SIGSTOP, SIGCONT), restarted. `history()` reads the fleet's log
+lines of all incarnations; `view()` and `state()` query a running member. The files needed to repeat a failing
+run (seed, script, members' files) stay in its folder.
 """
 
 import itertools
@@ -37,15 +37,17 @@
 
 
 class MemberExitedError(RuntimeError):
-    """A member's process ended by itself, with an error; its last line is told, the log is in the folder."""
+    """A member's process exited with an error; carries its last log line, the log is in the folder."""
 
 
 _rigs = itertools.count()
 
 
 def unique_loopback_host() -> str:
-    """A loopback address of this rig alone: a port that is free when it is looked for is free when a member
-    comes to bind it, whatever other rigs on this machine take meanwhile."""
+    """Returns a loopback address used by this fleet only.
+
+    Ports found free stay free until a member binds them, whatever other fleets bind meanwhile.
+    """
     pid, number = os.getpid(), next(_rigs)
     return f"127.{64 + (pid >> 8) % 64}.{pid & 255}.{1 + number % 250}"
 
@@ -57,7 +59,7 @@
 
 
 def find_free_ports(count: int, taken: set[int], host: str) -> list[int]:
-    """Ports free now on UDP and TCP, none twice and none of `taken`."""
+    """Returns distinct ports that are free on both UDP and TCP and not in `taken`."""
     chosen: list[int] = []
     while len(chosen) < count:
         port = free_port(socket.SOCK_DGRAM, host)
@@ -73,9 +75,7 @@
 
 
 class RequestClient:
-    """Asks members on their fleet sockets, one question at a time; an answer to another question is not
-    taken.
-    """
+    """Sends requests to members' fleet sockets, one at a time; ignores responses to other requests."""
 
     def __init__(self) -> None:
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -93,7 +93,7 @@
             except TimeoutError:
                 return None
             except OSError:
-                continue  # nobody listens there: said by ICMP, and perhaps soon no longer so
+                continue  # ICMP error: the member is not listening, but may be soon
             if answer.get("n") == self.number:
                 return answer
         return None
@@ -107,22 +107,24 @@
         self, folder: Path, size: int, seed: int, faults: list[dict],
         places: dict[str, tuple[str, str]] | None = None, names: Sequence[str] = (), **fleet: object,
     ) -> None:  # fmt: skip
-        """`places`: the region and zone of every member, for a fleet in cells; `names` of the members, where
-        they are to have others than m0, m1, ..."""
+        """`places` is the region and zone of every member, for a fleet in cells.
+
+        `names` replaces the default names m0, m1, ...
+        """
         self.folder, self.seed, self.host = folder, seed, unique_loopback_host()
         folder.mkdir(parents=True, exist_ok=True)
         self.names = list(names) or [f"m{n}" for n in range(size)]
-        # Chosen once the relay's sockets are open, and no one twice: until a member has bound its own, the
-        # system would give it to another that asks for any, and that member could not start.
+        # Chosen all at once after the relay's sockets are open: until a member has bound its port, the system
+        # could assign it to another socket, and the member could not start.
         self.fleet_addresses: dict[str, tuple[str, int]] = {}
         self.service_addresses: dict[
             str, tuple[str, str]
-        ] = {}  # where it listens, and its farm agent, which is not there
+        ] = {}  # listen address and worker agent address; no agent runs there
         self.options = {"size": size, "seed": seed, "faults": faults, "places": places, "fleet": fleet}
         (folder / "rig.json").write_bytes(orjson.dumps(self.options, option=orjson.OPT_INDENT_2))
         self.relay = Relay(self.names, parse_script(faults, self.names), seed, self.host)
         self.fleet, self.places = fleet, places or {}
-        self.operator_overrides: dict[str, dict] = {}  # what one member's fleet section says besides
+        self.operator_overrides: dict[str, dict] = {}  # additional fleet settings of single members
         self.children: dict[str, subprocess.Popen] = {}
         self.client = RequestClient()
 
@@ -132,7 +134,7 @@
             self.launch(name)
 
     def connect(self) -> None:
-        """The relay's sockets are open, and each member's own address is chosen."""
+        """Opens the relay's sockets and chooses each member's own addresses."""
         self.relay.start()
         size = len(self.names)
         ports = find_free_ports(3 * size, set(self.relay.ports.values()), self.host)
@@ -172,7 +174,7 @@
         return dict(zip(("region", "zone"), self.places.get(name, ()), strict=False))
 
     def launch(self, name: str, **operator: object) -> None:
-        """Starts the member, or starts it again; its lines go on in the same log."""
+        """Starts or restarts a member; it appends to the same log."""
         configuration, operator_file = self._write_files(name)
         if operator:
             settings = orjson.loads(operator_file.read_bytes())
@@ -200,7 +202,7 @@
         self.children[name].send_signal(signal.SIGCONT)
 
     def end(self) -> None:
-        """Every process started, by its id; then the relay."""
+        """Ends every started process by its id, then the relay."""
         for child in self.children.values():
             if child.poll() is None:
                 child.send_signal(signal.SIGCONT)
@@ -216,10 +218,10 @@
     def __exit__(self, *_: object) -> None:
         self.end()
 
-    # What was seen
+    # Observation
 
     def history(self) -> list[dict]:
-        """Every `member` and `fleet_open` line of every life, in the order of their times."""
+        """Returns the fleet's log lines (HISTORY_EVENTS) of all incarnations, by time."""
         lines = []
         for name in self.names:
             path = self.folder / f"{name}.log"
@@ -227,21 +229,21 @@
                 try:
                     line = orjson.loads(raw)
                 except orjson.JSONDecodeError:
-                    continue  # a line cut by a kill
+                    continue  # a line truncated by a kill
                 if isinstance(line, dict) and line.get("event") in HISTORY_EVENTS:
                     lines.append(line)
         return sorted(lines, key=lambda line: line["at"])
 
     def ask(self, name: str, wait_s: float = 1.0, **told: object) -> dict | None:
-        """One question to a running member; None if it does not answer within `wait_s`."""
+        """Sends one request to a running member; None if it does not answer within `wait_s`."""
         return self.client.ask(self.fleet_addresses[name], wait_s, **told)
 
     def view(self, name: str, wait_s: float = 1.0) -> dict | None:
-        """What a running member holds of the others now."""
+        """Returns a running member's current view of the others."""
         return self.ask(name, wait_s, k="members")
 
     def state(self, name: str, prefix: str = "", wait_s: float = 1.0) -> dict | None:
-        """Everything a running member keeps under `prefix`, page by page."""
+        """Returns all entries that a running member stores under `prefix`, read page by page."""
         state, after = None, ""
         while (page := self.ask(name, wait_s, k="state", prefix=prefix, after=after)) is not None:
             page["rows"] = (state["rows"] if state else []) + page["rows"]
@@ -258,8 +260,10 @@
         return {view["me"]} | {m["name"] for m in view["members"] if m["state"] in ("alive", "suspect")}
 
     def until(self, check: object, most_s: float, every_s: float = 0.1) -> float | None:
-        """Seconds until `check()` holds, or None if it did not within `most_s`. MemberEnded where a member
-        refused to start or broke down meanwhile: what is waited for would not come, and nothing say why."""
+        """Returns the seconds until `check()` holds, or None if it did not within `most_s`.
+
+        Raises MemberExitedError if a member failed meanwhile, which would otherwise show only as a time-out.
+        """
         began = time.monotonic()
         while time.monotonic() - began < most_s:
             if check():
@@ -272,4 +276,4 @@
         for name, child in self.children.items():
             if (code := child.poll()) is not None and code > 0:
                 lines = (self.folder / f"{name}.log").read_text(errors="replace").splitlines()
-                raise MemberExitedError(f"{name} ended with {code}: {lines[-1] if lines else 'said nothing'}")
+                raise MemberExitedError(f"{name} ended with {code}: {lines[-1] if lines else 'no output'}")
--- a/crowwing/emulator/fleet/relay.py
+++ b/crowwing/emulator/fleet/relay.py
@@ -1,13 +1,13 @@
-"""Every link between two members goes through here: a UDP socket and a TCP port of the same number for each
-ordered pair, and a seeded script of faults.
-
-A script is a list of faults, each `{"kind", "at_s", "for_s", "from", "to", ...}`: `cut` drops all (one way
-where only `from` -> `to` is named; give both ways for a whole partition), `loss` drops a share `size`,
-`delay` holds `size` ms plus up to `jitter_ms`, `duplicate` sends a share `size` twice, `reorder` holds a
-share `size` for `jitter_ms` so that later ones pass it. `from` and `to` are lists of member names; empty or
-absent is everyone. The fate of a datagram is decided by `Fate` (pure; time in seconds since the start and
-chance handed in). A stream is what TCP would make of the same link: a cut either way stands it still, a loss
-holds it for a retransmission, copies and reordering are not seen.
+"""Fault-injecting relay: every link between two members passes through it, under a seeded script of faults.
+
+Each ordered pair of members has a UDP socket and a TCP port with the same number. A script is a list of
+faults, each `{"kind", "at_s", "for_s", "from", "to", ...}`: `cut` drops everything (from `from` to `to` only;
+a full partition needs both directions), `loss` drops a share `size`, `delay` adds `size` ms plus up to
+`jitter_ms`, `duplicate` sends a share `size` twice, `reorder` delays a share `size` by `jitter_ms` so that
+later datagrams overtake it. `from` and `to` are lists of member names; empty or absent means all. `Fate`
+decides about each datagram; time (seconds since the start) and random generator are passed in. A stream
+behaves as TCP on the same link: a cut in either direction stalls it, a loss delays it by a retransmission,
+and duplicates and reordering have no effect.
 """
 
 import asyncio
@@ -18,15 +18,15 @@
 from dataclasses import dataclass, replace
 from functools import partial
 
-RETRANSMIT_S = 0.2  # Linux' least time to a retransmission
-CUT_POLL_INTERVAL_S = 0.05  # how often a stream that stands still looks whether the cut is over
+RETRANSMIT_S = 0.2  # minimum retransmission time-out of Linux
+CUT_POLL_INTERVAL_S = 0.05  # how often a stalled stream checks whether the cut has ended
 PORT_ATTEMPTS = 50
-CHUNK_BYTES = 4096  # bytes of a stream that share one fate
+CHUNK_BYTES = 4096  # bytes of a stream that are delayed together
 KINDS = {"cut", "loss", "delay", "duplicate", "reorder"}
 
 
 class ScriptError(ValueError):
-    """One line, with the place in the script."""
+    """One line with the JSON path of the mistake in the script."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,12 +48,12 @@
 
 
 def parse_script(script: Sequence[dict], names: Sequence[str]) -> list[Fault]:
-    """The faults of a script, checked against the members' names."""
+    """Parses a script and checks it against the members' names."""
     faults = []
     for number, fault in enumerate(script):
         place = f"$[{number}]"
         if fault.get("kind") not in KINDS:
-            raise ScriptError(f"{place}.kind: is none of {', '.join(sorted(KINDS))}")
+            raise ScriptError(f"{place}.kind: must be one of {', '.join(sorted(KINDS))}")
         for side in ("from", "to"):
             if unknown := set(fault.get(side, ())) - set(names):
                 raise ScriptError(f"{place}.{side}: {', '.join(sorted(unknown))} is no member")
@@ -68,7 +68,7 @@
 
 
 class Fate:
-    """What becomes of one datagram: delays in seconds, one for each copy that goes; empty if dropped."""
+    """Decides about a datagram: returns the delay in seconds of each copy to send; empty if dropped."""
 
     def __init__(self, faults: list[Fault], rng: random.Random) -> None:
         self.faults, self.rng = faults, rng
@@ -91,12 +91,12 @@
         return [delay + n * 0.0005 for n in range(copies)]
 
     def stream_delay(self, now_s: float, source: str, target: str) -> float | None:
-        """How long a chunk of a stream is held, s; None while nothing of it can pass."""
+        """Returns the delay of a chunk of a stream in seconds; None while the link is cut."""
         delay = 0.0
         for fault in self.faults:
             there = fault.hits(now_s, source, target)
             if fault.kind == "cut" and (there or fault.hits(now_s, target, source)):
-                return None  # a one-way cut stops the acknowledgements of the other way
+                return None  # a one-way cut also blocks the acknowledgements of the other direction
             if there and fault.kind == "delay":
                 delay += fault.size / 1000 + self.rng.random() * fault.jitter_ms / 1000
             elif there and fault.kind == "loss" and self.rng.random() < fault.size:
@@ -120,11 +120,11 @@
 
 
 class Relay:
-    """Runs on a thread of its own with its own loop; `ports[(a, b)]` is where `a` sends to reach `b`."""
+    """Runs an event loop in its own thread; `ports[(a, b)]` is the port to which `a` sends to reach `b`."""
 
     def __init__(self, names: Sequence[str], faults: list[Fault], seed: int, host: str) -> None:
-        # Each member's own address, script once the pairs' sockets are open: ports chosen before could be
-        # taken by one of them, and that member would not start.
+        # `members` has each member's own address. It is filled after the pairs' sockets are open: one of them
+        # could take a port chosen earlier, and that member could not start.
         self.names, self.host = list(names), host
         self.members: dict[str, tuple[str, int]] = {}
         self.fate = Fate(faults, random.Random(f"{seed}/relay"))
@@ -135,10 +135,10 @@
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True, name="relay")
         self.pairs: list[_LinkProtocol] = []
         self.servers: list[asyncio.Server] = []
-        self.tasks: set[asyncio.Task] = set()  # streams; emptied by each one's end
+        self.tasks: set[asyncio.Task] = set()  # of open streams
 
     def start(self) -> None:
-        """Every pair's socket is open when this returns; OSError where one cannot be had."""
+        """Opens the sockets of all pairs; OSError if one cannot be bound."""
         self.thread.start()
         asyncio.run_coroutine_threadsafe(self._open(), self.loop).result(10)
 
@@ -153,14 +153,14 @@
                 self.pairs.append(pair)
 
     async def _open_ports(self, pair: _LinkProtocol) -> int:
-        """Opens the pair's UDP socket, and TCP on the same number."""
+        """Opens the pair's UDP socket and a TCP listener on the same port number."""
         for _ in range(PORT_ATTEMPTS):
             transport, _ = await self.loop.create_datagram_endpoint(lambda: pair, local_addr=(self.host, 0))
             port = transport.get_extra_info("sockname")[1]
             try:
                 server = await asyncio.start_server(partial(self._stream, pair), self.host, port)
             except OSError:
-                transport.close()  # the number is taken on TCP
+                transport.close()  # the port is taken on TCP
                 continue
             self.servers.append(server)
             return port
@@ -180,7 +180,7 @@
                 ways.create_task(self._forward(reader, back, pair.source, pair.target))
                 ways.create_task(self._forward(there, writer, pair.target, pair.source))
         except (OSError, asyncio.CancelledError, ExceptionGroup):
-            pass  # an end that is gone ends both ways
+            pass  # if one side closes, both directions end
         finally:
             self.tasks.discard(task)
             for one in writers:
@@ -210,11 +210,11 @@
 
     @staticmethod
     def _send_delayed(pair: _LinkProtocol, data: bytes, where: tuple[str, int]) -> None:
-        if not pair.transport.is_closing():  # the relay may have been stopped while it was held
+        if not pair.transport.is_closing():  # the relay may have been stopped during the delay
             pair.transport.sendto(data, where)
 
     def impose(self, script: Sequence[dict]) -> list[Fault]:
-        """Faults whose `at_s` counts from now: a test waits for what it stands on, not for a time."""
+        """Adds faults whose `at_s` counts from now, so a test can wait for a condition instead of a time."""
         faults = parse_script(script, self.names)
         began = asyncio.run_coroutine_threadsafe(self._now(), self.loop).result(5)
         moved = [replace(fault, at_s=fault.at_s + began) for fault in faults]
@@ -222,7 +222,7 @@
         return moved
 
     def lift(self, faults: list[Fault]) -> None:
-        """Ends faults that `impose` gave."""
+        """Ends faults returned by `impose`."""
 
         def end() -> None:
             self.fate.faults[:] = [fault for fault in self.fate.faults if fault not in faults]
@@ -241,7 +241,7 @@
                 server.close()
             for task in self.tasks:
                 task.cancel()
-            self.loop.call_later(0.05, self.loop.stop)  # once the cancelled have ended
+            self.loop.call_later(0.05, self.loop.stop)  # after the cancelled tasks have ended
 
         if not self.thread.is_alive():
             return
--- a/crowwing/emulator/fleet/stub_member.py
+++ b/crowwing/emulator/fleet/stub_member.py
@@ -1,9 +1,9 @@
-"""One hollow member: the pure decider of a real backend, fed from a socket as `fleet/adapters/endpoint.py` feeds it,
-without the backend around it.
+"""A stub member: the membership logic of a real backend on its own sockets, without the backend around it.
 
-Many share a process (hollow.py), each with a UDP socket and a TCP port of its own. What it sends, and what
-real backends send it, is delayed, lost or cut as its region and theirs say (places.py). A member that is off
-answers nothing and its streams hang, as on a machine that is gone.
+Messages are fed to it as `fleet/adapters/endpoint.py` feeds a real one. Many share a process (stub_process.py), each
+with a UDP socket and a TCP port. What it sends, and what real backends send to it, is delayed, lost or
+blocked depending on both regions (topology.py). A member that is off answers nothing and its streams hang,
+as on a failed machine.
 """
 
 import asyncio
@@ -22,11 +22,11 @@
 if TYPE_CHECKING:
     from crowwing.emulator.fleet.stub_process import StubHost
 
-READS_PER_WAKE = 32  # datagrams read from one socket before the others have their turn
+READS_PER_WAKE = 32  # datagrams read from one socket before the other sockets are served
 
 
 class Counters:
-    """What one member sent, read and asked for, since its process began."""
+    """Traffic of one member since its process started."""
 
     __slots__ = ("sent", "sent_bytes", "read", "read_bytes", "fetches", "served", "stream_bytes", "periods")
 
@@ -36,7 +36,7 @@
 
 
 class CountingWriter:
-    """A stream's writer that counts."""
+    """A stream writer that counts the bytes written."""
 
     def __init__(self, writer: asyncio.StreamWriter, tally: Counters) -> None:
         self.writer, self.tally, self.written = writer, tally, 0
@@ -60,27 +60,27 @@
         self.member: Member | None = None  # None: off
         self.incarnation = 0
         self.tally = Counters()
-        self.past_periods = 0  # of lives that are over
+        self.past_periods = 0  # protocol periods of earlier incarnations
         self.socket: socket.socket | None = None
         self.listener: asyncio.Server | None = None
         self.server = member_access.transfer_server(self._missing, host.addresses.__contains__)
         self.wake_timer: asyncio.TimerHandle | None = None
         self.wake_at = 0
-        self.fetch_tasks: set[asyncio.Task] = set()  # emptied by each one's end
-        self.seen_keys: set[str] = set()  # of the keys that are watched
+        self.fetch_tasks: set[asyncio.Task] = set()
+        self.seen_keys: set[str] = set()  # of the watched keys
         self.seen_changes = 0
 
     async def open(self) -> None:
-        """OSError where the address cannot be had."""
+        """Opens the sockets; OSError if the address cannot be bound."""
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
         self.socket.bind(self.address)
         self.host.loop.add_reader(self.socket.fileno(), self._readable)
         self.listener = await asyncio.start_server(self._serve, *self.address, limit=full_transfer.MAX_LINE_BYTES)
 
-    # Its lives
+    # Incarnations
 
     def build(self, now: int) -> None:
-        """A new life that begins at `now`; its first period began up to one before, by rng."""
+        """Starts a new incarnation at `now`, at a random position within its protocol period."""
         self.incarnation += 1
         rng = random.Random(f"{self.host.seed}/{self.name}/{self.incarnation}")
         self.member = self.host.make_member(self.name, now - rng.randrange(self.host.period), rng)
@@ -97,7 +97,7 @@
             self.flush()
 
     def stop(self) -> None:
-        """Gone without a word."""
+        """Switches the member off without notifying its peers."""
         if self.member is not None:
             self.past_periods += member_access.periods(self.member)
         self.member = None
@@ -124,12 +124,12 @@
             except BlockingIOError:
                 return
             except OSError:
-                continue  # a peer that is down answers with ICMP
+                continue  # ICMP error from a peer that is down
             if self.member is not None:
                 self._on_datagram(data)
 
     def _on_datagram(self, data: bytes) -> None:
-        """What the link does, after the way from a real member's region."""
+        """Handles a datagram as the link does, after the delay from a real sender's region."""
         host = self.host
         if len(data) > MAX_DATAGRAM_BYTES:
             host.dropped["large"] += 1
@@ -152,7 +152,7 @@
 
     def _deliver(self, incarnation: int, message: dict, size: int) -> None:
         if self.member is None or incarnation != self.incarnation:
-            return  # off, or another life by now
+            return  # off or restarted meanwhile
         self.tally.read += 1
         self.tally.read_bytes += size
         try:
@@ -163,7 +163,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """What the member asks, and when it wants to be woken."""
+        """Sends the member's output, starts its fetches and sets its wake-up timer."""
         member, host = self.member, self.host
         for to, message in member.outbox:
             self._send(to, orjson.dumps(message))
@@ -203,9 +203,9 @@
         try:
             self.socket.sendto(data, address)
         except OSError:
-            self.host.dropped["refused"] += 1  # ICMP of an earlier one, or a full buffer: lost, as on a wire
+            self.host.dropped["refused"] += 1  # ICMP error of an earlier datagram, or a full buffer: lost
 
-    # Whole copies
+    # Full transfers
 
     def _missing(self, asker: str, asked: dict) -> list:
         return self.member.missing_rows(asker, asked) if self.member is not None else []
@@ -219,7 +219,7 @@
             if delay is None:
                 await asyncio.sleep(full_transfer.CONNECT_TIMEOUT_S)
                 raise TimeoutError
-            if name in host.real:  # a hollow one sees to it itself
+            if name in host.real:  # a stub member applies the delay itself
                 await asyncio.sleep(delay)
             rows = await full_transfer.fetch(
                 host.addresses[name], member_access.transfer_request(self.member), FETCH_TIMEOUT_S
@@ -232,7 +232,7 @@
                 self.flush()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """The real server's way, after the way from the asker's region."""
+        """Serves a full transfer as the real server does, after the delay from the requester's region."""
         host, incarnation = self.host, self.incarnation
         task = asyncio.current_task()
         host.serving.add(task)
@@ -255,7 +255,7 @@
             await self.server._serve(replay, counted)
             host.on_fetch_served(asker, self.name, len(line), counted.written)
         except (OSError, ValueError, KeyError, TypeError, TimeoutError, asyncio.CancelledError):
-            host.dropped["served"] += 1  # the asker is gone, or this process ends
+            host.dropped["served"] += 1  # the requester is gone, or this process ends
         finally:
             host.serving.discard(task)
             writer.close()
--- a/crowwing/emulator/fleet/stub_process.py
+++ b/crowwing/emulator/fleet/stub_process.py
@@ -1,10 +1,10 @@
-"""A process that hosts many hollow members, told what to do by lines of JSON on its standard input.
+"""A process that hosts many stub members and takes commands as JSON lines on its standard input.
 
     python -O -m crowwing.emulator.fleet.stub_process
 
-The first line says the fleet (`Told`); each later one is `{"do": ..., "n": ...}` and is answered by one line
-with the same `n`, in order. It ends with its input, with `{"do": "end"}`, or with its parent. What is sent
-stays on loopback.
+The first line describes the fleet (`FleetSpec`). Each later line is `{"do": ..., "n": ...}` and is answered
+in order by one line with the same `n`. The process ends at the end of its input, on `{"do": "end"}`, or with
+its parent. All traffic stays on loopback.
 """
 
 import asyncio
@@ -25,32 +25,30 @@
 from crowwing.emulator.processes import set_parent_death_signal
 from crowwing.fleet.state.replica import EntryRejectedError
 
-MAX_LINE_BYTES = 64 << 20  # bytes of one line on standard input: the first names the whole fleet
-LAG_CHECK_INTERVAL_S = 0.05  # between two looks at how late the loop is
-ENTRY_TTL_US = 3_600_000_000  # µs, of what is put in
-BATCH_SIZE = 50  # members built or looked at before the loop has its turn
+MAX_LINE_BYTES = 64 << 20  # limit for a line on standard input; the first one lists the whole fleet
+LAG_CHECK_INTERVAL_S = 0.05  # between two measurements of the event loop's lag
+ENTRY_TTL_US = 3_600_000_000  # time to live of entries put by the harness
+BATCH_SIZE = 50  # members processed before control returns to the event loop
 
 
 class FleetSpec(msgspec.Struct):
-    """The first line."""
+    """First line on standard input: the fleet."""
 
     seed: int
-    addresses: dict[str, tuple[str, int]]  # of every member, as hollow ones reach it
+    addresses: dict[str, tuple[str, int]]  # of every member, as stub members reach it
     regions: dict[str, str]
     real: list[str]
     mine: list[str]
-    fleet: dict  # the fleet section's settings but for names and addresses
+    fleet: dict  # settings of the fleet section except names and addresses
     ways: dict
     zones: dict[str, str] | None = None  # None: a flat fleet
 
 
 class Sightings:
-    """Who saw something, and when."""
+    """Which members have seen something, and when."""
 
     def __init__(self) -> None:
-        self.first_seen: dict[
-            str, int
-        ] = {}  # name -> µs on the machine's monotonic clock; the first time counts
+        self.first_seen: dict[str, int] = {}  # name -> monotonic time in µs
 
     def record(self, name: str) -> None:
         self.first_seen.setdefault(name, now_us())
@@ -68,26 +66,26 @@
         self.make_member = member_access.member_factory(names, self.layout, spec.fleet)
         self.period = member_access.settings(spec.fleet).period_ms * 1000
         self.members = {name: StubMember(self, name) for name in spec.mine}
-        self.watched: dict[str, Sightings] = {}  # keys, until they are no longer asked for
-        self.deaths: dict[str, Sightings] = {}  # members that are said to be off
-        self.dead_cells: dict[str, Sightings] = {}  # cells all of whose members are
-        self.down: set[str] = set()  # members that are off, or will not be thought of as false deaths
+        self.watched: dict[str, Sightings] = {}  # keys whose dissemination is measured
+        self.deaths: dict[str, Sightings] = {}  # members switched off by a command
+        self.dead_cells: dict[str, Sightings] = {}  # cells whose members are all off
+        self.down: set[str] = set()  # members off or restarting, whose death is no false report
         self.events: Counter[str] = Counter()
-        self.catch_up_ms: list[float] = []  # ms not ready, of those who caught up
+        self.catch_up_ms: list[float] = []  # time until ready, of members that caught up
         self.dropped: Counter[str] = Counter()
         self.fetch_counts: dict[
             str, list[int]
-        ] = {}  # a real member -> times, bytes in, bytes out of its fetches
+        ] = {}  # real member -> number, bytes in, bytes out of its fetches
         self.fetch_targets: dict[str, Counter[str]] = {}
-        self.serving: set[asyncio.Task] = set()  # emptied by each one's end
-        self.max_lag = self.lag_cpu = 0.0  # s late, and what of that this process had the processor
+        self.serving: set[asyncio.Task] = set()
+        self.max_lag = self.lag_cpu = 0.0  # highest lag in s, and CPU time used during it
         self.previous_traffic: dict[
             str, tuple[int, int]
-        ] = {}  # each member's bytes and datagrams at the last count
+        ] = {}  # bytes and datagrams of each member at the last count
         self.counted_at = time.monotonic()
 
     async def watch_lag(self) -> None:
-        """How late this loop comes to what was due: where it falls behind, what is measured is no fleet's."""
+        """Measures the event loop's lag; if it falls behind, the measurements do not reflect the fleet."""
         while True:
             due, used = time.monotonic() + LAG_CHECK_INTERVAL_S, time.process_time()
             await asyncio.sleep(LAG_CHECK_INTERVAL_S)
@@ -95,7 +93,7 @@
             if lag > self.max_lag:
                 self.max_lag, self.lag_cpu = lag, time.process_time() - used
 
-    # What members tell
+    # Events of members
 
     def on_event(self, member: StubMember, event: str, brings: dict) -> None:
         if event == "member":
@@ -119,7 +117,7 @@
             counts[2] += went
             self.fetch_targets.setdefault(asker, Counter())[whom] += 1
 
-    # What the parent asks; each returns what goes back
+    # Commands of the parent; each returns the response
 
     async def open(self, _: dict) -> dict:
         for member in self.members.values():
@@ -127,7 +125,7 @@
         return {"open": len(self.members)}
 
     async def build(self, command: dict) -> dict:
-        """All members, of a fleet that is on at `at` (µs, monotonic) and runs long since; `go` begins."""
+        """Builds all members of a caught-up fleet that starts at `at` (µs, monotonic) with `go`."""
         gc.disable()
         for number, member in enumerate(self.members.values()):
             member.build(command["at"])
@@ -135,7 +133,7 @@
             if number % BATCH_SIZE == 0:
                 await asyncio.sleep(0)
         gc.enable()
-        gc.freeze()  # what stays for the whole run is not gone through again and again
+        gc.freeze()  # long-lived objects are not scanned again at each collection
         return {"built": len(self.members), "late_us": now_us() - command["at"]}
 
     async def go(self, command: dict) -> dict:
@@ -145,7 +143,7 @@
         return {"on": len(self.members)}
 
     async def off(self, command: dict) -> dict:
-        """`names` are off from now on; deaths seen are noted for them."""
+        """Switches `names` off and starts to record who notices."""
         self.down |= set(command["names"])
         self.deaths |= {name: Sightings() for name in command["names"]}
         self.dead_cells |= {cell: Sightings() for cell in member_access.dead_cells(self.layout, self.down)}
@@ -154,14 +152,14 @@
         return {"at": now_us()}
 
     async def on(self, command: dict) -> dict:
-        """`names` start with empty memories."""
+        """Starts `names` with empty memories."""
         self.down -= set(command["names"])
         for name in self._own_names(command):
             self._start(name)
         return {"at": now_us()}
 
     async def restart(self, command: dict) -> dict:
-        """`names` drain, are off a second later, and start again after `down_s`."""
+        """Lets `names` drain, switches them off a second later, and starts them again after `down_s`."""
         self.down |= set(command["names"])
         for name in self._own_names(command):
             self.members[name].leave()
@@ -185,7 +183,7 @@
         return {"at": now_us()}
 
     async def put(self, command: dict) -> dict:
-        """Each [name, key, value] of a member of ours; when the first was said, and what was refused."""
+        """Puts each [name, key, value] of an own member; returns when it began and what was refused."""
         at, refused = now_us(), []
         for name, key, value in command["puts"]:
             if (member := self.members.get(name)) is not None:
@@ -209,7 +207,10 @@
         return {}
 
     async def seen(self, command: dict) -> dict:
-        """How many saw each key, and each member that is off, and when the last did; `of`: by those few."""
+        """Returns how many members saw each key and each death, and when the last did.
+
+        `of` limits the count for some deaths to a few members.
+        """
         of = {name: set(few) for name, few in command.get("of", {}).items()}
         return {
             "keys": {key: _count_and_last(watch.first_seen.values()) for key, watch in self.watched.items()},
@@ -227,7 +228,7 @@
         }
 
     async def views(self, command: dict) -> dict:
-        """How many of the members that are on have a view without a mistake, and all mistakes."""
+        """Returns how many running members have a correct view, and the number of all mistakes."""
         gone, right, wrong, on = set(command["gone"]), 0, 0, 0
         dead = member_access.dead_cells(self.layout, gone)
         for number, member in enumerate(self.members.values()):
@@ -239,12 +240,12 @@
         return {"on": on, "right": right, "wrong": wrong, "at": now_us()}
 
     async def periods(self, _: dict) -> dict:
-        """That went by, of all members together."""
+        """Returns the protocol periods completed by all members together."""
         return {"periods": sum(member.all_periods() for member in self.members.values())}
 
     async def counts(self, command: dict) -> dict:
-        """Sums over all members since the process began, the busiest member since the last asking, and what
-        the process took."""
+        """Returns sums over all members since the start, the busiest member since the last call, and the
+        resources used by the process."""
         sums, most_bytes, most_datagrams, speaking = Counter(), 0, 0, []
         passed, self.counted_at = time.monotonic() - self.counted_at, time.monotonic()
         for name, member in self.members.items():
@@ -282,7 +283,7 @@
 
 
 def _count_and_last(moments: Iterable[int]) -> list[int]:
-    """How many there are, and the last."""
+    """Returns the number of times and the latest."""
     moments = list(moments)
     return [len(moments), max(moments, default=0)]
 
--- a/tests/test_emulate.py
+++ b/tests/test_emulate.py
@@ -1,4 +1,4 @@
-"""`crowwing emulate` and `crowwing settings` as their users meet them: real processes on loopback."""
+"""The commands `crowwing emulate` and `crowwing settings`, run as real processes on loopback."""
 
 import json
 import os
@@ -51,7 +51,9 @@
     ended = run("emulate", plan_file(tmp_path), "--faults", script, "--out", tmp_path / "out", "--json")
     result = json.loads(ended.stdout)
     assert result["breaches"] == []
-    assert ended.returncode == (0 if result["late_part"] is None else 1), "only a busy machine voids it"
+    assert ended.returncode == (0 if result["late_part"] is None else 1), (
+        "only a busy machine makes it invalid"
+    )
     lines = (tmp_path / "out" / "truth.jsonl").read_text().splitlines()
     told = [json.loads(line) for line in lines]
     lives = [line["life"] for line in told if "life" in line]
@@ -64,7 +66,7 @@
     tries = [one for ticket in tickets for one in ticket["tries"]]
     assert {"first", "unreached"} <= {one["cause"] for one in tries} and len(tries) > len(tickets)
     log = [json.loads(line) for line in (tmp_path / "out" / "n1.log").read_text().splitlines()]
-    assert len({line["life"] for line in log}) == 2, "two lives of one name are told apart"
+    assert len({line["life"] for line in log}) == 2, "the log distinguishes incarnations of a backend"
     for life in {line["life"] for line in log}:
         numbers = [line["seq"] for line in log if line["life"] == life]
         assert numbers == list(range(1, len(numbers) + 1))
@@ -109,7 +111,7 @@
 
 
 def children_of(folder: Path) -> list[int]:
-    """Processes whose configuration lies in the folder."""
+    """Returns the processes whose configuration file is in the folder."""
     found = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit():
@@ -144,7 +146,7 @@
 def test_the_schema_and_the_example_that_stand_in_deploy_are_those_of_the_code() -> None:
     assert (ROOT / "deploy" / "operator.schema.json").read_bytes() == operator.schema()
     told = operator.read(ROOT / "deploy" / "operator.json")
-    assert operator.Operator() == told, "all of it is off"
+    assert operator.Operator() == told, "every setting in the example is off"
 
 
 def test_each_mistake_in_an_operator_file_is_named_with_its_path(tmp_path: Path) -> None:
@@ -179,7 +181,7 @@
 
 def test_the_table_of_events_is_that_of_the_code_and_of_the_on_call_page() -> None:
     sources = [*(ROOT / "crowwing" / "program").glob("*.py"), *(ROOT / "crowwing" / "routing").glob("*.py")]
-    sources += (ROOT / "crowwing" / "fleet").rglob("*.py")  # on its shelves too
+    sources += (ROOT / "crowwing" / "fleet").rglob("*.py")  # including subfolders
     text = "\n".join(path.read_text() for path in sources)
     named = set(re.findall(r'(?:\.event|\.write|\.events\.append)\(+\s*"(\w+)"', text))
     named |= {
@@ -189,7 +191,7 @@
         "control_back",
         "storm",
         "storm_over",
-    }  # said by a choice in one call
+    }  # chosen by an expression within one call
     page = (ROOT / "docs" / "oncall.md").read_text().partition("| event |")[2].partition("\n\n")[0]
     rows = {name for row in page.splitlines()[2:] for name in re.findall(r"`(\w+)`", row.split("|")[1])}
     assert named == set(EVENTS) == rows
--- a/tests/test_emulator_models.py
+++ b/tests/test_emulator_models.py
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_sharing_is_what_small_steps_come_to(seed: int) -> None:
-    """Jobs come at random while the places warm up, slow down and stop; ends match a simulation in steps."""
+    """Jobs arrive at random while slots warm up, slow down and stop; ends match a stepwise simulation."""
     rng = random.Random(seed)
     shared = ProcessorSharing(0, 2, WarmUp(0, 400 * MS, 0.3), crowd_from=1.5, crowd_cost=0.4)
     comes = sorted((rng.randrange(500) * MS, n, rng.uniform(5, 60) * MS) for n in range(20))
@@ -159,7 +159,7 @@
     assert len(asked) == pytest.approx(300 * plan.rate_per_s(), rel=0.15)
     counts = [sum(1 for t in asked if t.at // S == s) for s in range(300)]
     mean = sum(counts) / 300
-    assert sum((c - mean) ** 2 for c in counts) / 300 > 2 * mean  # Poisson would have the mean
+    assert sum((c - mean) ** 2 for c in counts) / 300 > 2 * mean  # a Poisson variance equals the mean
     bodies = [t.body for t in asked]
     assert 1 - len(set(bodies)) / len(bodies) == pytest.approx(0.1, abs=0.03)
 
@@ -203,10 +203,10 @@
         assert (one.choose_retry(0, tried, "dismissed", True, False) is not None) == dismissed
         assert (one.choose_retry(0, tried, "forfeited", True, False) is not None) == forfeited
         assert one.choose_retry(0, tried, "forfeited", False, False) is None, (
-            "irreversible work is not sent again"
+            "non-idempotent work is not retried"
         )
         assert one.choose_retry(0, tried, "unreached", False, False) not in (None, 0)
-        assert one.choose_retry(0, tried, "dismissed", True, True) is None, "it heeds the wish to give up"
+        assert one.choose_retry(0, tried, "dismissed", True, True) is None, "it follows the hint to give up"
     capped = side("capped", cap_part=0.25)
     assert sum(capped.choose_retry(0, tried, "dismissed", True, False) is not None for _ in range(50)) == 5
     assert sum(capped.choose_first(0) is not None for _ in range(40)) == 40 and capped.tokens == 10
@@ -224,7 +224,7 @@
     one.on_response(0, 2, 1.0, 0)
     one.in_flight[2] = 1
     assert one.choose_first(MS) is None and one.choose_first(600 * MS) == 1
-    assert one.accepts(S + MS, 2), "a free value is believed for a second"
+    assert one.accepts(S + MS, 2), "a reported spare capacity is trusted for a second"
 
 
 def test_the_roster_lists_who_reports_and_forgets_who_falls_silent_but_not_while_it_is_down() -> None:
@@ -241,7 +241,7 @@
     assert roster.changes(9 * S) == [(0, False)]
 
 
-# Rules: a truth that keeps them, and each way to break one
+# Rules: ground truth that keeps them, and each way to break one
 
 PLAN = Plan(
     types=(RequestClassSettings("look"), RequestClassSettings("pay", repeat="unsafe")),
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,6 +1,7 @@
-"""A small scale run: what one member spends must not grow with the fleet. Hollow members beside three real
-backends, in cells; counted over a fixed number of protocol periods. The same counting on flat fleets, which
-do grow, shows that it sees growth.
+"""A small scale run: in a fleet with cells, the cost per member must not grow with the size of the fleet.
+
+Stub members run beside three real backends, and costs are counted over a fixed number of protocol periods.
+The same measurement on flat fleets, whose costs do grow, shows that it detects growth.
 """
 
 import pytest
@@ -9,15 +10,18 @@
 from crowwing.emulator.fleet.growth import MemberCost
 
 SMALL, LARGE = 96, 288
-MOST = 1.3  # times as much, of three times as many members
-IN_STEP_S = growth.FLEET["probe_timeout_ms"] / 2000  # of lag, beyond which probes fail that nobody lost
+MOST = 1.3  # allowed ratio of costs with three times as many members
+IN_STEP_S = growth.FLEET["probe_timeout_ms"] / 2000  # lag from which probes time out without loss
 TRIES = 3
 
 
 @pytest.fixture(scope="module")
 def spent(tmp_path_factory: pytest.TempPathFactory) -> dict[tuple[int, bool], MemberCost]:
-    """By size, and whether in cells. Played again where the machine stood still for longer than a probe may
-    take: that is no fleet's cost. What the last try counted is judged, in step or not."""
+    """Costs by size and whether the fleet has cells.
+
+    Repeated if the machine stalled for longer than a probe may take, since such costs are not the fleet's.
+    The last attempt counts in any case.
+    """
     fleets = [(size, cells) for cells in (True, False) for size in (SMALL, LARGE)]
     for number in range(TRIES):
         counted = growth.measure(tmp_path_factory.mktemp(f"try{number}"), fleets, seed=number + 1)
@@ -30,7 +34,7 @@
     spent: dict[tuple[int, bool], MemberCost],
 ) -> None:
     small, large = spent[SMALL, True], spent[LARGE, True]
-    assert small.messages > 4 and small.bytes > 200 and small.attempts >= 3, "there was something to count"
+    assert small.messages > 4 and small.bytes > 200 and small.attempts >= 3, "no traffic was counted"
     assert growth.find_growth(small, large, MOST) == []
 
 
@@ -39,7 +43,7 @@
 
 
 def test_the_same_counting_finds_a_flat_fleet_growing(spent: dict[tuple[int, bool], MemberCost]) -> None:
-    """Whoever starts asks half of all; whoever drains tells every other one."""
+    """In a flat fleet a starting member queries half of the members; a draining one notifies all others."""
     found = growth.find_growth(spent[SMALL, False], spent[LARGE, False], MOST)
     assert {"attempts", "most_messages", "most_bytes"} <= {line.partition(":")[0] for line in found}
 
--- a/tests/test_scale_parts.py
+++ b/tests/test_scale_parts.py
@@ -1,5 +1,5 @@
-"""The scale run's parts: where members stand, what lies between regions, figures from samples, the fit, what
-it refuses, and that nothing it started stays.
+"""Parts of the scale benchmark: locations of members, links between regions, figures from samples, the fit,
+refusal of fleets that are too large, and that no started process is left behind.
 """
 
 import json
@@ -61,7 +61,7 @@
     assert len({layout.cell_of[name] for name in chosen}) == 24
     assert len({layout.cell_of[name].split("/")[1] for name in chosen}) >= 9
     assert len(set(choose_real([names[:5], names[5:9]], 8))) == 8, "few cells: several of each"
-    with pytest.raises(ValueError, match="not there"):
+    with pytest.raises(ValueError, match="10 members requested, but the fleet has fewer"):
         choose_real([names[:5], names[5:9]], 10)
 
 
@@ -83,7 +83,7 @@
 
 
 def test_the_worst_minute_is_the_busiest_sixty_seconds_and_not_the_busiest_bin() -> None:
-    cpu = [0.0, 0.1, 0.2, 2.2, 2.3, 2.4, 2.5, 2.6, 2.7, 2.8, 2.9, 3.0, 3.1]  # 2 s of it in one bin of 10 s
+    cpu = [0.0, 0.1, 0.2, 2.2, 2.3, 2.4, 2.5, 2.6, 2.7, 2.8, 2.9, 3.0, 3.1]  # 2 s in one bin of 10 s
     told = figures.phase([sample(10.0 * n, used, 0) for n, used in enumerate(cpu)], at_rest=False)
     assert told["real"]["cpu_ms_s"]["most"] == pytest.approx(1000 * 2.5 / 60)
     whole = figures.phase([sample(10.0 * n, used, 0) for n, used in enumerate(cpu)], at_rest=True)
@@ -109,7 +109,7 @@
     assert told["kept"] is kept
 
 
-# The fit, and what is written
+# The fit and the written results
 
 
 def run(size: int, seed: int, cpu: float, kept: bool = True) -> dict:
@@ -140,7 +140,7 @@
     assert json.loads(file.read_text()) == {"backend": {"figures": 1}, "fleet": {"runs": []}}
 
 
-# What it refuses, and what it leaves
+# Refusals and leftover processes
 
 
 def test_a_run_over_half_of_the_machines_memory_is_refused() -> None:
@@ -187,7 +187,7 @@
     try:
         until = time.monotonic() + 60
         while len(started := children_of(parent.pid)) < 22 and time.monotonic() < until:
-            time.sleep(0.1)  # 20 real ones, the one without a fleet, a hollow process
+            time.sleep(0.1)  # 20 real backends, the one without a fleet, a stub process
         assert len(started) >= 22
         parent.send_signal(how)
         parent.wait(timeout=30)
