--- a/crowwing/emulator/fleet/member_access.py
+++ b/crowwing/emulator/fleet/member_access.py
@@ -10,12 +10,12 @@
 import msgspec
 
 from crowwing.emulator.fleet.topology import Location
+from crowwing.fleet.adapters import full_transfer
+from crowwing.fleet.adapters.settings import member_settings
 from crowwing.fleet.member import Member, MemberSettings
 from crowwing.fleet.membership.cells import CellLayout, covers
 from crowwing.fleet.membership.swim import GONE
 from crowwing.fleet.state.keyspaces import KEYSPACES
-from crowwing.fleet.adapters import full_transfer
-from crowwing.fleet.adapters.settings import member_settings
 from crowwing.settings.operator import Fleet
 
 MemberFactory = Callable[[str, int, random.Random], Member]
--- a/crowwing/emulator/fleet/stub_member.py
+++ b/crowwing/emulator/fleet/stub_member.py
@@ -1,9 +1,9 @@
 """A stub member: the membership logic of a real backend on its own sockets, without the backend around it.
 
-Messages are fed to it as `fleet/adapters/endpoint.py` feeds a real one. Many share a process (stub_process.py), each
-with a UDP socket and a TCP port. What it sends, and what real backends send to it, is delayed, lost or
-blocked depending on both regions (topology.py). A member that is off answers nothing and its streams hang,
-as on a failed machine.
+Messages are fed to it as `fleet/adapters/endpoint.py` feeds a real one. Many share a process
+(stub_process.py), each with a UDP socket and a TCP port. What it sends, and what real backends send to it, is
+delayed, lost or blocked depending on both regions (topology.py). A member that is off answers nothing and its
+streams hang, as on a failed machine.
 """
 
 import asyncio
@@ -15,9 +15,9 @@
 import orjson
 
 from crowwing.emulator.fleet import member_access
-from crowwing.fleet.member import Member
 from crowwing.fleet.adapters import full_transfer
 from crowwing.fleet.adapters.endpoint import FETCH_TIMEOUT_S, MAX_DATAGRAM_BYTES
+from crowwing.fleet.member import Member
 
 if TYPE_CHECKING:
     from crowwing.emulator.fleet.stub_process import StubHost
@@ -75,7 +75,9 @@
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
         self.socket.bind(self.address)
         self.host.loop.add_reader(self.socket.fileno(), self._readable)
-        self.listener = await asyncio.start_server(self._serve, *self.address, limit=full_transfer.MAX_LINE_BYTES)
+        self.listener = await asyncio.start_server(
+            self._serve, *self.address, limit=full_transfer.MAX_LINE_BYTES
+        )
 
     # Incarnations
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -50,7 +50,9 @@
         for name in rig.names:
             rig.launch(name)
         try:
-            with pytest.raises(process_fleet.MemberExitedError, match="m2 ended with 1: .*fleet.: could not bind"):
+            with pytest.raises(
+                process_fleet.MemberExitedError, match="m2 ended with 1: .*fleet.: could not bind"
+            ):
                 rig.until(lambda: False, 20)
         finally:
             rig.end()
