--- a/crowwing/cli/emulate.py
+++ b/crowwing/cli/emulate.py
@@ -16,8 +16,8 @@
 from rich.text import Text
 
 from crowwing.cli.exit_status import exit_failed, exit_usage_error
-from crowwing.emulator import outcome, stage
-from crowwing.emulator.plan import HABITS, BadPlan, Plan, check, read
+from crowwing.emulator import emulation_run, run_report
+from crowwing.emulator.plan import HABITS, Plan, PlanError, check, read
 from crowwing.settings import operator_file
 
 EXAMPLE = "Example: crowwing emulate deploy/demo.json --seed 3 --habit capped"
@@ -45,8 +45,8 @@
     """Runs a fleet on loopback, with faults, and checks the four rules against its records."""
     try:
         plan_data = _apply_options(read(plan, faults), seed, seconds, backends, load, habit)
-        folder = stage.fresh_folder(out)
-    except (BadPlan, stage.NotPlayed) as error:
+        folder = emulation_run.fresh_folder(out)
+    except (PlanError, emulation_run.EmulationStartError) as error:
         exit_usage_error(error)
     except OSError as error:
         exit_failed(f"{out}: {error.strerror}")
@@ -88,7 +88,7 @@
     try:
         return check(msgspec.convert(plan_data, Plan))
     except ValueError as error:
-        raise BadPlan(f"options: {error}") from None
+        raise PlanError(f"options: {error}") from None
 
 
 def _loopback(net: str) -> bool:
@@ -107,25 +107,25 @@
         else _Still() as live
     ):
         show = (lambda now: live.update(_progress_line(plan, now))) if is_shown else (lambda _: None)
-        emulation = stage.Stage(
+        emulation = emulation_run.EmulationRun(
             plan, folder, net, program and program.resolve(), operator and operator.resolve(), show
         )
         try:
             truth = uvloop.run(_play_until_signal(emulation))
         except OSError as error:
             exit_failed(f"an address is already taken: {error}")
-        except stage.NotPlayed as error:
+        except emulation_run.EmulationStartError as error:
             exit_failed(error)
         except (asyncio.CancelledError, KeyboardInterrupt):
             exit_failed("interrupted; all processes that it started have ended")
-    result = outcome.of(plan, truth, emulation.too_busy(), str(folder))
+    result = run_report.build_report(plan, truth, emulation.excessive_lateness(), str(folder))
     (folder / "result.json").write_bytes(orjson.dumps(result, option=orjson.OPT_INDENT_2))
     return result
 
 
-async def _play_until_signal(emulation: stage.Stage) -> object:
+async def _play_until_signal(emulation: emulation_run.EmulationRun) -> object:
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, asyncio.current_task().cancel)
-    return await emulation.play()
+    return await emulation.run()
 
 
 class _Still:
@@ -138,13 +138,14 @@
         pass
 
 
-def _progress_line(plan: Plan, now: stage.Now) -> Text:
+def _progress_line(plan: Plan, now: emulation_run.Progress) -> Text:
     done = min(1.0, now.seconds / plan.seconds)
     bar = "█" * round(30 * done) + "░" * (30 - round(30 * done))
     faults = f"  fault: {', '.join(now.faults)}" if now.faults else ""
     return Text(
         f"{bar} {now.seconds:4.0f} of {plan.seconds:.0f} s  backends {now.up}/{plan.backends}  "
-        f"requests {now.tickets}  completed {now.settled}  open {now.open}  attempts {now.tries}{faults}"
+        f"requests {now.requests}  "
+        f"completed {now.completed}  open {now.open}  attempts {now.attempts}{faults}"
     )
 
 
--- a/crowwing/cli/fleet.py
+++ b/crowwing/cli/fleet.py
@@ -163,9 +163,9 @@
     as_json: AsJson = False,
 ) -> None:
     """Runs real backends with seeded faults, and checks their guarantees."""
-    from crowwing.emulator.fleet import play as fleetplay
+    from crowwing.emulator.fleet import fault_run
 
-    _run_play(lambda: fleetplay.Play(out, fleetplay.plan(seed, size, seconds)).run(), out, as_json)
+    _run_play(lambda: fault_run.FaultRun(out, fault_run.make_plan(seed, size, seconds)).run(), out, as_json)
 
 
 @app.command(epilog="Example: crowwing fleet replay runs/fleet")
@@ -175,9 +175,9 @@
     as_json: AsJson = False,
 ) -> None:
     """Repeats the requests and faults of an earlier run."""
-    from crowwing.emulator.fleet import play as fleetplay
+    from crowwing.emulator.fleet import fault_run
 
-    _run_play(lambda: fleetplay.replay(folder, out), out, as_json)
+    _run_play(lambda: fault_run.replay(folder, out), out, as_json)
 
 
 def _run_play(run: object, out: Path, as_json: bool) -> None:
--- a/crowwing/emulator/faults.py
+++ b/crowwing/emulator/faults.py
@@ -1,4 +1,4 @@
-"""The script of faults as moments: what begins and ends when, for which backends. Pure."""
+"""Expands a script of faults into timed begin and end events. Free of I/O."""
 
 from random import Random
 from typing import NamedTuple
@@ -6,16 +6,16 @@
 from crowwing.emulator.plan import Fault, Plan
 
 
-class Moment(NamedTuple):
-    at: int  # microseconds from the start of the traffic
+class FaultEvent(NamedTuple):
+    at: int  # microseconds since the start of the traffic
     begins: bool
-    number: int  # of the fault in the plan
+    number: int  # index of the fault in the plan
     fault: Fault
     backends: tuple[int, ...]
 
 
-def victims(plan: Plan, number: int) -> tuple[int, ...]:
-    """The backends of one fault: those named, or a part of all, drawn by the seed."""
+def affected_backends(plan: Plan, number: int) -> tuple[int, ...]:
+    """Returns the backends hit by a fault: those named, or a seeded random sample of the given part."""
     fault = plan.faults[number]
     if fault.backends or not fault.part:
         return fault.backends
@@ -23,22 +23,25 @@
     return tuple(sorted(Random(f"{plan.seed}/fault/{number}").sample(range(plan.backends), count)))
 
 
-def moments(plan: Plan) -> list[Moment]:
-    """In order of time; at one moment ends come before beginnings."""
-    found = []
+def schedule(plan: Plan) -> list[FaultEvent]:
+    """Returns the events by time; at the same time, ends come before beginnings."""
+    events = []
     for number, fault in enumerate(plan.faults):
         begin, end = round(fault.at_s * 1e6), round((fault.at_s + fault.for_s) * 1e6)
-        who = victims(plan, number)
-        found += [Moment(begin, True, number, fault, who), Moment(end, False, number, fault, who)]
-    return sorted(found, key=lambda m: (m.at, m.begins, m.number))
+        backends = affected_backends(plan, number)
+        events += [
+            FaultEvent(begin, True, number, fault, backends),
+            FaultEvent(end, False, number, fault, backends),
+        ]
+    return sorted(events, key=lambda event: (event.at, event.begins, event.number))
 
 
-def factor(plan: Plan, on: set[int], kind: str, backend: int | None = None) -> float:
-    """What faults that are on together make of a speed: they multiply, and a hang is 0."""
+def speed_factor(plan: Plan, active: set[int], kind: str, backend: int | None = None) -> float:
+    """Returns the combined speed factor of all active faults: factors multiply, and a hang counts as 0."""
     speed = 1.0
-    for number in on:
+    for number in active:
         fault = plan.faults[number]
-        if backend is not None and backend not in victims(plan, number):
+        if backend is not None and backend not in affected_backends(plan, number):
             continue
         if fault.kind == ("slow" if kind == "machine" else "crawl_below"):
             speed *= fault.size
@@ -48,7 +51,7 @@
 
 
 def span(plan: Plan) -> tuple[float, float] | None:
-    """From the first fault's beginning to the last one's end, in seconds; None without faults."""
+    """Returns the start of the first fault and the end of the last one, in seconds; None without faults."""
     if not plan.faults:
         return None
     return min(f.at_s for f in plan.faults), max(f.at_s + f.for_s for f in plan.faults)
--- a/crowwing/emulator/fleet/relay.py
+++ b/crowwing/emulator/fleet/relay.py
@@ -1,13 +1,13 @@
-"""Every link between two members goes through here: a UDP socket and a TCP port of the same number for each
-ordered pair, and a seeded script of faults.
-
-A script is a list of faults, each `{"kind", "at_s", "for_s", "from", "to", ...}`: `cut` drops all (one way
-where only `from` -> `to` is named; give both ways for a whole partition), `loss` drops a share `size`,
-`delay` holds `size` ms plus up to `jitter_ms`, `duplicate` sends a share `size` twice, `reorder` holds a
-share `size` for `jitter_ms` so that later ones pass it. `from` and `to` are lists of member names; empty or
-absent is everyone. The fate of a datagram is decided by `Fate` (pure; time in seconds since the start and
-chance handed in). A stream is what TCP would make of the same link: a cut either way stands it still, a loss
-holds it for a retransmission, copies and reordering are not seen.
+"""Fault-injecting relay: every link between two members passes through it, under a seeded script of faults.
+
+Each ordered pair of members has a UDP socket and a TCP port with the same number. A script is a list of
+faults, each `{"kind", "at_s", "for_s", "from", "to", ...}`: `cut` drops everything (from `from` to `to` only;
+a full partition needs both directions), `loss` drops a share `size`, `delay` adds `size` ms plus up to
+`jitter_ms`, `duplicate` sends a share `size` twice, `reorder` delays a share `size` by `jitter_ms` so that
+later datagrams overtake it. `from` and `to` are lists of member names; empty or absent means all. `Fate`
+decides about each datagram; time (seconds since the start) and random generator are passed in. A stream
+behaves as TCP on the same link: a cut in either direction stalls it, a loss delays it by a retransmission,
+and duplicates and reordering have no effect.
 """
 
 import asyncio
@@ -18,15 +18,15 @@
 from dataclasses import dataclass, replace
 from functools import partial
 
-RETRANSMIT_S = 0.2  # Linux' least time to a retransmission
-LOOK_S = 0.05  # how often a stream that stands still looks whether the cut is over
-PORT_TRIES = 50
-PIECE = 4096  # bytes of a stream that share one fate
+RETRANSMIT_S = 0.2  # minimum retransmission time-out of Linux
+CUT_POLL_INTERVAL_S = 0.05  # how often a stalled stream checks whether the cut has ended
+PORT_ATTEMPTS = 50
+CHUNK_BYTES = 4096  # bytes of a stream that are delayed together
 KINDS = {"cut", "loss", "delay", "duplicate", "reorder"}
 
 
-class BadScript(ValueError):
-    """One line, with the place in the script."""
+class ScriptError(ValueError):
+    """One line with the JSON path of the mistake in the script."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,16 +47,16 @@
         )
 
 
-def script(told: Sequence[dict], names: Sequence[str]) -> list[Fault]:
-    """The faults of a script, checked against the members' names."""
+def parse_script(script: Sequence[dict], names: Sequence[str]) -> list[Fault]:
+    """Parses a script and checks it against the members' names."""
     faults = []
-    for number, fault in enumerate(told):
+    for number, fault in enumerate(script):
         place = f"$[{number}]"
         if fault.get("kind") not in KINDS:
-            raise BadScript(f"{place}.kind: is none of {', '.join(sorted(KINDS))}")
+            raise ScriptError(f"{place}.kind: must be one of {', '.join(sorted(KINDS))}")
         for side in ("from", "to"):
             if unknown := set(fault.get(side, ())) - set(names):
-                raise BadScript(f"{place}.{side}: {', '.join(sorted(unknown))} is no member")
+                raise ScriptError(f"{place}.{side}: {', '.join(sorted(unknown))} is no member")
         faults.append(
             Fault(
                 fault["kind"], float(fault.get("at_s", 0)), float(fault.get("for_s", 1e9)),
@@ -68,10 +68,10 @@
 
 
 class Fate:
-    """What becomes of one datagram: delays in seconds, one for each copy that goes; empty if dropped."""
+    """Decides about a datagram: returns the delay in seconds of each copy to send; empty if dropped."""
 
-    def __init__(self, faults: list[Fault], chance: random.Random) -> None:
-        self.faults, self.chance = faults, chance
+    def __init__(self, faults: list[Fault], rng: random.Random) -> None:
+        self.faults, self.rng = faults, rng
 
     def __call__(self, now_s: float, source: str, target: str) -> list[float]:
         delay, copies = 0.0, 1
@@ -80,31 +80,31 @@
                 continue
             if fault.kind == "cut":
                 return []
-            if fault.kind == "loss" and self.chance.random() < fault.size:
+            if fault.kind == "loss" and self.rng.random() < fault.size:
                 return []
             if fault.kind == "delay":
-                delay += fault.size / 1000 + self.chance.random() * fault.jitter_ms / 1000
-            if fault.kind == "duplicate" and self.chance.random() < fault.size:
+                delay += fault.size / 1000 + self.rng.random() * fault.jitter_ms / 1000
+            if fault.kind == "duplicate" and self.rng.random() < fault.size:
                 copies = 2
-            if fault.kind == "reorder" and self.chance.random() < fault.size:
+            if fault.kind == "reorder" and self.rng.random() < fault.size:
                 delay += fault.jitter_ms / 1000
         return [delay + n * 0.0005 for n in range(copies)]
 
-    def of_stream(self, now_s: float, source: str, target: str) -> float | None:
-        """How long a piece of a stream is held, s; None while nothing of it can pass."""
+    def stream_delay(self, now_s: float, source: str, target: str) -> float | None:
+        """Returns the delay of a chunk of a stream in seconds; None while the link is cut."""
         delay = 0.0
         for fault in self.faults:
             there = fault.hits(now_s, source, target)
             if fault.kind == "cut" and (there or fault.hits(now_s, target, source)):
-                return None  # a one-way cut stops the acknowledgements of the other way
+                return None  # a one-way cut also blocks the acknowledgements of the other direction
             if there and fault.kind == "delay":
-                delay += fault.size / 1000 + self.chance.random() * fault.jitter_ms / 1000
-            elif there and fault.kind == "loss" and self.chance.random() < fault.size:
+                delay += fault.size / 1000 + self.rng.random() * fault.jitter_ms / 1000
+            elif there and fault.kind == "loss" and self.rng.random() < fault.size:
                 delay += RETRANSMIT_S
         return delay
 
 
-class _Pair(asyncio.DatagramProtocol):
+class _LinkProtocol(asyncio.DatagramProtocol):
     def __init__(self, relay: "Relay", source: str, target: str) -> None:
         self.relay, self.source, self.target = relay, source, target
         self.transport: asyncio.DatagramTransport | None = None
@@ -120,11 +120,11 @@
 
 
 class Relay:
-    """Runs on a thread of its own with its own loop; `ports[(a, b)]` is where `a` sends to reach `b`."""
+    """Runs an event loop in its own thread; `ports[(a, b)]` is the port to which `a` sends to reach `b`."""
 
     def __init__(self, names: Sequence[str], faults: list[Fault], seed: int, host: str) -> None:
-        # Each member's own address, told once the pairs' sockets are open: ports chosen before could be
-        # taken by one of them, and that member would not start.
+        # `members` has each member's own address. It is filled after the pairs' sockets are open: one of them
+        # could take a port chosen earlier, and that member could not start.
         self.names, self.host = list(names), host
         self.members: dict[str, tuple[str, int]] = {}
         self.fate = Fate(faults, random.Random(f"{seed}/relay"))
@@ -133,12 +133,12 @@
         self.loop = asyncio.new_event_loop()
         self.began = 0.0
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True, name="relay")
-        self.pairs: list[_Pair] = []
+        self.pairs: list[_LinkProtocol] = []
         self.servers: list[asyncio.Server] = []
-        self.tasks: set[asyncio.Task] = set()  # streams; emptied by each one's end
+        self.tasks: set[asyncio.Task] = set()  # of open streams
 
     def start(self) -> None:
-        """Every pair's socket is open when this returns; OSError where one cannot be had."""
+        """Opens the sockets of all pairs; OSError if one cannot be bound."""
         self.thread.start()
         asyncio.run_coroutine_threadsafe(self._open(), self.loop).result(10)
 
@@ -148,25 +148,27 @@
             for target in self.names:
                 if source == target:
                     continue
-                pair = _Pair(self, source, target)
-                self.ports[(source, target)] = await self._both(pair)
+                pair = _LinkProtocol(self, source, target)
+                self.ports[(source, target)] = await self._open_ports(pair)
                 self.pairs.append(pair)
 
-    async def _both(self, pair: _Pair) -> int:
-        """Opens the pair's UDP socket, and TCP on the same number."""
-        for _ in range(PORT_TRIES):
+    async def _open_ports(self, pair: _LinkProtocol) -> int:
+        """Opens the pair's UDP socket and a TCP listener on the same port number."""
+        for _ in range(PORT_ATTEMPTS):
             transport, _ = await self.loop.create_datagram_endpoint(lambda: pair, local_addr=(self.host, 0))
             port = transport.get_extra_info("sockname")[1]
             try:
                 server = await asyncio.start_server(partial(self._stream, pair), self.host, port)
             except OSError:
-                transport.close()  # the number is taken on TCP
+                transport.close()  # the port is taken on TCP
                 continue
             self.servers.append(server)
             return port
         raise OSError(f"{self.host}: no port is free on UDP and TCP")
 
-    async def _stream(self, pair: _Pair, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _stream(
+        self, pair: _LinkProtocol, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         self.counts["streams"] += 1
         task = asyncio.current_task()
         self.tasks.add(task)
@@ -175,28 +177,28 @@
             there, back = await asyncio.open_connection(*self.members[pair.target])
             writers.append(back)
             async with asyncio.TaskGroup() as ways:
-                ways.create_task(self._pass_on(reader, back, pair.source, pair.target))
-                ways.create_task(self._pass_on(there, writer, pair.target, pair.source))
+                ways.create_task(self._forward(reader, back, pair.source, pair.target))
+                ways.create_task(self._forward(there, writer, pair.target, pair.source))
         except (OSError, asyncio.CancelledError, ExceptionGroup):
-            pass  # an end that is gone ends both ways
+            pass  # if one side closes, both directions end
         finally:
             self.tasks.discard(task)
             for one in writers:
                 one.close()
 
-    async def _pass_on(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, source: str, target: str
     ) -> None:
-        while piece := await reader.read(PIECE):
-            while (held := self.fate.of_stream(self.loop.time() - self.began, source, target)) is None:
-                await asyncio.sleep(LOOK_S)
-            if held:
-                await asyncio.sleep(held)
-            writer.write(piece)
+        while chunk := await reader.read(CHUNK_BYTES):
+            while (delay := self.fate.stream_delay(self.loop.time() - self.began, source, target)) is None:
+                await asyncio.sleep(CUT_POLL_INTERVAL_S)
+            if delay:
+                await asyncio.sleep(delay)
+            writer.write(chunk)
             await writer.drain()
         writer.write_eof()
 
-    def carry(self, pair: _Pair, data: bytes) -> None:
+    def carry(self, pair: _LinkProtocol, data: bytes) -> None:
         delays = self.fate(self.loop.time() - self.began, pair.source, pair.target)
         self.counts["sent" if delays else "dropped"] += 1
         where = self.members[pair.target]
@@ -204,23 +206,23 @@
             if delay <= 0:
                 pair.transport.sendto(data, where)
             else:
-                self.loop.call_later(delay, self._late, pair, data, where)
+                self.loop.call_later(delay, self._send_delayed, pair, data, where)
 
     @staticmethod
-    def _late(pair: _Pair, data: bytes, where: tuple[str, int]) -> None:
-        if not pair.transport.is_closing():  # the relay may have been stopped while it was held
+    def _send_delayed(pair: _LinkProtocol, data: bytes, where: tuple[str, int]) -> None:
+        if not pair.transport.is_closing():  # the relay may have been stopped during the delay
             pair.transport.sendto(data, where)
 
-    def impose(self, told: Sequence[dict]) -> list[Fault]:
-        """Faults whose `at_s` counts from now: a test waits for what it stands on, not for a time."""
-        faults = script(told, self.names)
+    def impose(self, script: Sequence[dict]) -> list[Fault]:
+        """Adds faults whose `at_s` counts from now, so a test can wait for a condition instead of a time."""
+        faults = parse_script(script, self.names)
         began = asyncio.run_coroutine_threadsafe(self._now(), self.loop).result(5)
         moved = [replace(fault, at_s=fault.at_s + began) for fault in faults]
         self.loop.call_soon_threadsafe(self.fate.faults.extend, moved)
         return moved
 
     def lift(self, faults: list[Fault]) -> None:
-        """Ends faults that `impose` gave."""
+        """Ends faults returned by `impose`."""
 
         def end() -> None:
             self.fate.faults[:] = [fault for fault in self.fate.faults if fault not in faults]
@@ -239,7 +241,7 @@
                 server.close()
             for task in self.tasks:
                 task.cancel()
-            self.loop.call_later(0.05, self.loop.stop)  # once the cancelled have ended
+            self.loop.call_later(0.05, self.loop.stop)  # after the cancelled tasks have ended
 
         if not self.thread.is_alive():
             return
--- a/crowwing/emulator/models/machine.py
+++ b/crowwing/emulator/models/machine.py
@@ -1,23 +1,23 @@
-"""A backend's machine: a reading line, cores that all runs share, memory, and the crowd it dies of. Pure.
+"""A backend's machine: read queue, shared cores, memory, and failure by overload. Free of I/O.
 
-Facts from the platform's pages: reading a ticket costs part of its work whatever is decided; runs share the
-cores, and past a crowd all get slower; a fresh machine is cold; work at a call holds its memory but no
-core; a machine dies when the runs on its cores, in the mean of some seconds, are over a multiple of the
-cores (less while cold), or when more memory is booked than it has. Moments come from next_at(); happened()
-then says what they brought.
+As documented for the platform: reading a request costs part of its work whatever is decided; runs share
+the cores and slow down when there are too many; a new machine warms up; a run that waits for a downstream
+call holds its memory but no core. A machine fails when the mean number of runs on its cores over some
+seconds exceeds a multiple of the cores (a smaller one during warm-up), or when more memory is reserved than
+it has. next_at() gives the time of the next event, process_events() the events due.
 """
 
 from collections import deque
 from typing import NamedTuple
 
-from crowwing.emulator.models.sharing import NEVER, Mean, Sharing, Warming
-from crowwing.emulator.plan import MachineFacts
+from crowwing.emulator.models.processor_sharing import NEVER, ProcessorSharing, SlidingMean, WarmUp
+from crowwing.emulator.plan import MachineSettings
 
-BOOKED_AFTER = 100_000  # microseconds after it is written from which a ticket counts against the memory
+RESERVE_DELAY_US = 100_000  # microseconds after sending from which a request counts towards the memory
 
 
-class Happened(NamedTuple):
-    """`what`: "read" (it can be written to the backend), "calls", "ended" or "fell" (`ident`: of what)."""
+class MachineEvent(NamedTuple):
+    """`what` is "read" (can be sent to the backend), "calls", "ended" or "fell" (`ident`: the cause)."""
 
     what: str
     ident: str
@@ -27,85 +27,87 @@
     __slots__ = ("kb", "first", "second", "began", "calling")
 
     def __init__(self, now: int, kb: float, first: float, second: float | None) -> None:
-        """`second`: the work after the call; None where none is made."""
+        """`second` is the work after the downstream call; None if there is none."""
         self.kb, self.first, self.second, self.began, self.calling = kb, first, second, now, False
 
 
 class Machine:
-    """Of one life; a killed one is thrown away."""
-
-    def __init__(self, now: int, facts: MachineFacts, speed: float, cold: bool) -> None:
-        self.facts, self.own_speed, self.born = facts, speed, now
-        span = round(facts.cold_s * 1e6) if cold else 0
-        self.warming = Warming(now, span, facts.cold_from)
-        self.cores = Sharing(now, facts.cores, self.warming, facts.crowd_from, facts.crowd_cost)
+    """The machine of one incarnation; a killed one is discarded."""
+
+    def __init__(self, now: int, settings: MachineSettings, speed: float, cold: bool) -> None:
+        self.settings, self.base_speed, self.born = settings, speed, now
+        span = round(settings.cold_s * 1e6) if cold else 0
+        self.warm_up = WarmUp(now, span, settings.cold_from)
+        self.cores = ProcessorSharing(
+            now, settings.cores, self.warm_up, settings.crowd_from, settings.crowd_cost
+        )
         self.cores.speed = speed
-        self.line: deque[tuple[str, float]] = deque()  # emptied by reading
-        self.runs: dict[str, Run] = {}  # emptied by ends and stops
-        self.booked: dict[str, float] = {}  # held tickets, by what they book; emptied by answers and runs
-        self.crowd = Mean(now, round(facts.fall_s * 1e6))
-        self.held_kb = 0.0
-        self.fallen: str | None = None
+        self.read_queue: deque[tuple[str, float]] = deque()
+        self.runs: dict[str, Run] = {}
+        self.reserved_kb: dict[str, float] = {}  # by request, until it is answered or runs
+        self.mean_running = SlidingMean(now, round(settings.fall_s * 1e6))
+        self.used_kb = 0.0
+        self.failure: str | None = None
         self.reading = 0
 
     # Faults
 
-    def slow(self, now: int, factor: float) -> None:
-        """All runs at `factor` times the speed; 0 hangs them."""
-        self.cores.set_speed(now, self.own_speed * factor)
+    def set_speed_factor(self, now: int, factor: float) -> None:
+        """Runs everything at `factor` times the speed; 0 hangs it."""
+        self.cores.set_speed(now, self.base_speed * factor)
 
-    # Tickets
+    # Requests
 
-    def arrive(self, now: int, ident: str, work: float) -> None:
-        """A ticket has come to the machine and waits to be read."""
-        self.line.append((ident, work * self.facts.read_part))
-        self._read(now)
+    def enqueue(self, now: int, ident: str, work: float) -> None:
+        """Queues a request that has arrived until it is read."""
+        self.read_queue.append((ident, work * self.settings.read_part))
+        self._start_reads(now)
 
-    def book(self, ident: str, kb: float) -> None:
-        self.booked[ident] = kb
-        self.held_kb += kb
-        self._weigh()
+    def reserve(self, ident: str, kb: float) -> None:
+        self.reserved_kb[ident] = kb
+        self.used_kb += kb
+        self._check_memory()
 
-    def unbook(self, ident: str) -> None:
-        """It was answered or given up."""
-        self.held_kb -= self.booked.pop(ident, 0.0)
+    def release(self, ident: str) -> None:
+        """Frees the memory of a request that was answered or cancelled."""
+        self.used_kb -= self.reserved_kb.pop(ident, 0.0)
 
-    def _weigh(self) -> None:
-        if self.held_kb > self.facts.memory_kb:
-            self.fallen = self.fallen or "memory"
+    def _check_memory(self) -> None:
+        if self.used_kb > self.settings.memory_kb:
+            self.failure = self.failure or "memory"
 
     # Runs
 
     def launch(self, now: int, ident: str, kb: float, work: float, calls_after: float | None) -> None:
-        """`calls_after`: the part of the work that is done before a call, None without one."""
+        """`calls_after` is the part of the work done before the downstream call; None without one."""
         first = work if calls_after is None else work * calls_after
         self.runs[ident] = Run(now, kb, first, None if calls_after is None else work - first)
-        self.held_kb += kb * self.facts.run_factor - self.booked.pop(ident, 0.0)
-        self._weigh()
+        self.used_kb += kb * self.settings.run_factor - self.reserved_kb.pop(ident, 0.0)
+        self._check_memory()
         self.cores.add(now, ident, first)
-        self._crowd(now)
+        self._update_running(now)
 
     def deliver(self, now: int, ident: str) -> bool:
-        """The reply to its call is there: it goes on. Whether it waited for one."""
+        """Continues a run after the reply to its call; False if it was not waiting for one."""
         run = self.runs.get(ident)
         if run is None or not run.calling:
             return False
         run.calling = False
         self.cores.add(now, ident, run.second)
         run.second = None
-        self._crowd(now)
+        self._update_running(now)
         return True
 
     def stop(self, now: int, ident: str) -> int | None:
-        """Takes it off at once; for how long it ran, None if it did not."""
+        """Stops a run at once; returns for how long it ran, or None if it did not run."""
         run = self.runs.pop(ident, None)
         if run is None:
             return None
         if ident in self.cores.ends:
             self.cores.remove(now, ident)
-        self.held_kb -= run.kb * self.facts.run_factor
-        self._crowd(now)
-        self._read(now)
+        self.used_kb -= run.kb * self.settings.run_factor
+        self._update_running(now)
+        self._start_reads(now)
         return now - run.began
 
     def on_cores(self) -> int:
@@ -114,46 +116,46 @@
     # Time
 
     def next_at(self) -> int:
-        return min(self.cores.next_at(), self._falls_at())
+        return min(self.cores.next_at(), self._overload_check_at())
 
-    def happened(self, now: int) -> list[Happened]:
-        """All that is over at `now`."""
-        found: list[Happened] = []
+    def process_events(self, now: int) -> list[MachineEvent]:
+        """Returns the events due at `now`."""
+        events: list[MachineEvent] = []
         while (job := self.cores.ended(now)) is not None:
             if isinstance(job, tuple):
                 self.reading -= 1
-                found.append(Happened("read", job[1]))
-                self._read(now)
+                events.append(MachineEvent("read", job[1]))
+                self._start_reads(now)
                 continue
             run = self.runs[job]
             if run.second is not None:
                 run.calling = True
-                found.append(Happened("calls", job))
+                events.append(MachineEvent("calls", job))
             else:
-                found.append(Happened("ended", job))
-            self._crowd(now)
-        self.cores.pass_to(now)
-        if self.fallen is None and self.crowd.mean(now) > self.crowd_most(now):
-            self.fallen = "crowd"
-        if self.fallen is not None:
-            found.append(Happened("fell", self.fallen))
-        return found
-
-    def crowd_most(self, now: int) -> float:
-        return self.facts.cores * (1 + (self.facts.fall_multiple - 1) * self.warming.at(now))
-
-    def _crowd(self, now: int) -> None:
-        self.crowd.set(now, self.on_cores())
-
-    def _falls_at(self) -> int:
-        """A moment to look at the crowd again while it is over what may stay."""
-        if self.on_cores() <= self.crowd_most(self.cores.now):
+                events.append(MachineEvent("ended", job))
+            self._update_running(now)
+        self.cores.advance_to(now)
+        if self.failure is None and self.mean_running.mean(now) > self.max_running(now):
+            self.failure = "crowd"
+        if self.failure is not None:
+            events.append(MachineEvent("fell", self.failure))
+        return events
+
+    def max_running(self, now: int) -> float:
+        return self.settings.cores * (1 + (self.settings.fall_multiple - 1) * self.warm_up.at(now))
+
+    def _update_running(self, now: int) -> None:
+        self.mean_running.set(now, self.on_cores())
+
+    def _overload_check_at(self) -> int:
+        """Returns when to check for overload again, while more runs are on the cores than allowed."""
+        if self.on_cores() <= self.max_running(self.cores.now):
             return NEVER
-        return self.cores.now + self.crowd.span // 20
+        return self.cores.now + self.mean_running.span // 20
 
-    def _read(self, now: int) -> None:
-        """At most one a core at a time, in the order in which they came."""
-        while self.line and self.reading < self.facts.cores:
-            ident, work = self.line.popleft()
+    def _start_reads(self, now: int) -> None:
+        """Starts reading queued requests in order of arrival, at most one per core at a time."""
+        while self.read_queue and self.reading < self.settings.cores:
+            ident, work = self.read_queue.popleft()
             self.cores.add(now, ("read", ident), work)
             self.reading += 1
--- a/crowwing/emulator/models/traffic.py
+++ b/crowwing/emulator/models/traffic.py
@@ -1,7 +1,7 @@
-"""What clients ask: open-loop arrivals and what each ticket is, all from the seed. Pure.
+"""Generates the clients' requests: open-loop arrivals and their contents, all from the seed. Free of I/O.
 
-The streams of the usual traffic and of each flood have chance of their own, so that a fault more or less in
-a plan changes none of the other arrivals.
+The normal traffic and each flood have their own random generators, so that adding or removing a fault in a
+plan changes none of the other arrivals.
 """
 
 from collections import deque
@@ -13,11 +13,11 @@
 
 from crowwing.emulator.plan import Plan
 
-EQUAL_TO = 200  # the tickets of late that an equal one is drawn from
+RECENT_ARRIVALS = 200  # recent requests from which an equal one is drawn
 
 
-class Asked(NamedTuple):
-    """One ticket as its client knows it. Times in microseconds, `at` from the start of the traffic."""
+class Arrival(NamedTuple):
+    """One request as its client sees it. Times in microseconds, `at` since the start of the traffic."""
 
     at: int
     kind: int
@@ -27,23 +27,23 @@
     kb: float
     rank: float
     body: bytes
-    pauses: tuple[int, ...]  # before each repeat
+    pauses: tuple[int, ...]  # before each retry
     sidecar: int
-    heeds: bool
+    follows_hints: bool
 
 
-def _log_normal(chance: Random, mean: float, cv: float) -> float:
+def _log_normal(rng: Random, mean: float, cv: float) -> float:
     if cv == 0:
         return mean
-    spread = sqrt(log(1 + cv * cv))
-    return chance.lognormvariate(log(mean) - spread * spread / 2, spread)
+    sigma = sqrt(log(1 + cv * cv))
+    return rng.lognormvariate(log(mean) - sigma * sigma / 2, sigma)
 
 
-def _times(chance: Random, rate_at: "RateCurve", end: int) -> Iterator[int]:
-    """A Poisson stream under a rate (a second) that is constant between its steps."""
+def _poisson_times(rng: Random, rate_at: "RateCurve", end: int) -> Iterator[int]:
+    """Yields the times of a Poisson process whose rate per second is piecewise constant."""
     now = 0.0
     while now < end:
-        left = chance.expovariate(1.0)  # of the integral of the rate
+        left = rng.expovariate(1.0)  # remaining integral of the rate until the next event
         while now < end:
             rate, until = rate_at(now)
             area = rate * (min(until, end) - now) / 1e6
@@ -57,9 +57,9 @@
 
 
 class RateCurve:
-    """The rate of the usual traffic: constant or bursty, times what faults make of it."""
+    """Rate of the normal traffic: constant or bursty, multiplied by active burst faults."""
 
-    def __init__(self, plan: Plan, chance: Random, rate: float) -> None:
+    def __init__(self, plan: Plan, rng: Random, rate: float) -> None:
         self.end = round(plan.seconds * 1e6)
         self.bursts = [
             (round(f.at_s * 1e6), round((f.at_s + f.for_s) * 1e6), f.size)
@@ -74,7 +74,7 @@
         low = 2 * rate / (1 + traffic.burst_size)
         high = False
         while at < self.end:
-            at += max(1, round(chance.expovariate(1 / traffic.burst_s) * 1e6))
+            at += max(1, round(rng.expovariate(1 / traffic.burst_s) * 1e6))
             self.steps.append((at, low * traffic.burst_size if high else low))
             high = not high
 
@@ -88,12 +88,12 @@
         return rate, until
 
 
-def tickets(plan: Plan) -> Iterator[Asked]:
-    """All that is asked, in order of time."""
+def arrivals(plan: Plan) -> Iterator[Arrival]:
+    """Yields all requests in order of time."""
     end, streams = round(plan.seconds * 1e6), []
-    chance = Random(f"{plan.seed}/arrivals")
-    usual = RateCurve(plan, Random(f"{plan.seed}/bursts"), plan.rate_per_s())
-    streams.append((at, -1) for at in _times(chance, usual, end))
+    rng = Random(f"{plan.seed}/arrivals")
+    base_rate = RateCurve(plan, Random(f"{plan.seed}/bursts"), plan.rate_per_s())
+    streams.append((at, -1) for at in _poisson_times(rng, base_rate, end))
     shares = sum(customer.share for customer in plan.customers)
     for n, fault in enumerate(plan.faults):
         if fault.kind != "flood":
@@ -101,38 +101,36 @@
         customer = next(k for k, c in enumerate(plan.customers) if c.name == fault.customer)
         extra = plan.rate_per_s() * plan.customers[customer].share / shares * max(0.0, fault.size - 1)
         begin, span = round(fault.at_s * 1e6), round(fault.for_s * 1e6)
-        flood = _times(Random(f"{plan.seed}/flood/{n}"), lambda _, r=extra, s=span: (r, s), span)
+        flood = _poisson_times(Random(f"{plan.seed}/flood/{n}"), lambda _, r=extra, s=span: (r, s), span)
         streams.append((begin + at, customer) for at in flood if begin + at < end)
-    draws = {-1: Random(f"{plan.seed}/tickets"), 0: Random(f"{plan.seed}/flooders")}
-    late: deque[Asked] = deque(maxlen=EQUAL_TO)
+    rngs = {-1: Random(f"{plan.seed}/tickets"), 0: Random(f"{plan.seed}/flooders")}
+    recent: deque[Arrival] = deque(maxlen=RECENT_ARRIVALS)
     for at, customer in merge(*streams):
-        asked = _ticket(plan, draws[min(customer, 0)], at, customer, late)
-        late.append(asked)
-        yield asked
+        arrival = _draw_arrival(plan, rngs[min(customer, 0)], at, customer, recent)
+        recent.append(arrival)
+        yield arrival
 
 
-def _ticket(plan: Plan, chance: Random, at: int, customer: int, late: deque[Asked]) -> Asked:
-    kind = chance.choices(range(len(plan.types)), [k.share for k in plan.types])[0]
-    drawn = chance.choices(range(len(plan.customers)), [c.share for c in plan.customers])[0]
-    facts = plan.types[kind]
-    asked = Asked(
+def _draw_arrival(plan: Plan, rng: Random, at: int, customer: int, recent: deque[Arrival]) -> Arrival:
+    kind = rng.choices(range(len(plan.types)), [k.share for k in plan.types])[0]
+    drawn = rng.choices(range(len(plan.customers)), [c.share for c in plan.customers])[0]
+    settings = plan.types[kind]
+    arrival = Arrival(
         at=at,
         kind=kind,
         customer=drawn if customer < 0 else customer,
-        work=max(1, round(_log_normal(chance, facts.work_ms * 1000, facts.cv))),
-        call_work=max(1, round(_log_normal(chance, plan.below.work_ms * 1000, 0.5))),
-        kb=round(chance.uniform(*plan.traffic.kb), 1),
-        rank=round(chance.random() * 0.9999, 4),
-        body=chance.randbytes(plan.traffic.body_bytes),
-        pauses=tuple(
-            round(chance.uniform(*plan.clients.pause_ms) * 1000) for _ in range(plan.clients.repeats)
-        ),
-        sidecar=chance.randrange(plan.sidecars.count),
-        heeds=chance.random() < plan.clients.heed,
+        work=max(1, round(_log_normal(rng, settings.work_ms * 1000, settings.cv))),
+        call_work=max(1, round(_log_normal(rng, plan.below.work_ms * 1000, 0.5))),
+        kb=round(rng.uniform(*plan.traffic.kb), 1),
+        rank=round(rng.random() * 0.9999, 4),
+        body=rng.randbytes(plan.traffic.body_bytes),
+        pauses=tuple(round(rng.uniform(*plan.clients.pause_ms) * 1000) for _ in range(plan.clients.repeats)),
+        sidecar=rng.randrange(plan.sidecars.count),
+        follows_hints=rng.random() < plan.clients.heed,
     )
-    if late and chance.random() < plan.traffic.equal_part:
-        like = late[chance.randrange(len(late))]
-        if customer < 0 or like.customer == customer:
-            same = {name: getattr(like, name) for name in ("kind", "customer", "kb", "rank", "body")}
-            asked = asked._replace(**same)
-    return asked
+    if recent and rng.random() < plan.traffic.equal_part:
+        equal = recent[rng.randrange(len(recent))]
+        if customer < 0 or equal.customer == customer:
+            same = {name: getattr(equal, name) for name in ("kind", "customer", "kb", "rank", "body")}
+            arrival = arrival._replace(**same)
+    return arrival
--- /dev/null
+++ b/crowwing/emulator/network/__init__.py
@@ -0,0 +1,1 @@
+"""Stand-ins for the backends' peers, on real sockets."""
--- a/crowwing/emulator/wires/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The stand-ins on sockets."""
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -314,7 +314,7 @@
 def test_the_emulator_starts_backends_as_they_are(tmp_path: Path) -> None:
     """No library is preloaded and no system call filtered; only the external bench does that."""
     folder = {"name": "n1"} | told("127.0.0.1:9", "127.0.0.1:9")
-    process = processes.Process(tmp_path, folder, None, None)
+    process = processes.BackendProcess(tmp_path, folder, None, None)
     try:
         root = Path(f"/proc/{process.child.pid}")
         assert "LD_PRELOAD" not in (root / "environ").read_text()
