--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -20,10 +20,10 @@
 import numpy
 import orjson
 
-from benchmarks.scale.page import page
+from benchmarks.scale.page import render_page
 
 # Figures of a phase that are fitted: where they stand, and how they are called on the page.
-FIGURES = {
+FIGURE_PATHS = {
     "real_cpu_ms_s": ("real", "cpu_ms_s", "median"),
     "real_cpu_ms_s_most": ("real", "cpu_ms_s", "most"),
     "alone_cpu_ms_s": ("alone", "cpu_ms_s"),
@@ -55,14 +55,14 @@
 }
 
 
-def looked_up(phase: dict, path: Sequence[str]) -> float | None:
+def lookup(phase: dict, path: Sequence[str]) -> float | None:
     for step in path:
         if not isinstance(phase, dict) or (phase := phase.get(step)) is None:
             return None
     return None if isinstance(phase, bool) else float(phase)
 
 
-def restarted(phase: dict) -> dict[str, float]:
+def restart_figures(phase: dict) -> dict[str, float]:
     """Of real backends started again with all in reach: the slowest, and the one that asked most."""
     found = [one for one in phase["found"].get("restarted", ()) if one["ready_s"] is not None]
     if not found:
@@ -74,14 +74,16 @@
     }
 
 
-def points(runs: Iterable[dict]) -> dict:
+def collect_points(runs: Iterable[dict]) -> dict:
     """mode -> script -> figure -> [[size, seed, value, in step]]."""
     found: dict = defaultdict(lambda: defaultdict(lambda: defaultdict(list)))
     for run in runs:
         for script, phase in run["scripts"].items():
             if phase["found"].get("skipped"):
                 continue
-            values = {name: looked_up(phase, path) for name, path in FIGURES.items()} | restarted(phase)
+            values = {name: lookup(phase, path) for name, path in FIGURE_PATHS.items()} | restart_figures(
+                phase
+            )
             for name, value in values.items():
                 if value is not None:
                     point = [run["size"], run["seed"], value, phase["step"]["kept"]]
@@ -89,56 +91,63 @@
     return found
 
 
-def line(few: Sequence[Sequence[float]]) -> tuple[float, float, float]:
+def fit_line(points: Sequence[Sequence[float]]) -> tuple[float, float, float]:
     """Intercept and slope of a straight line through (size, value), and the slope's standard error."""
-    sizes, values = numpy.array([one[0] for one in few], float), numpy.array([one[1] for one in few], float)
-    apart = sizes - sizes.mean()
-    square = float((apart**2).sum())
-    slope = float((apart * values).sum() / square)
-    begin = float(values.mean() - slope * sizes.mean())
-    left = values - begin - slope * sizes
-    error = float(numpy.sqrt((left**2).sum() / max(1, len(few) - 2) / square)) if len(few) > 2 else 0.0
-    return begin, slope, error
-
-
-def fitted(told: Sequence[Sequence]) -> dict:
+    sizes, values = (
+        numpy.array([one[0] for one in points], float),
+        numpy.array([one[1] for one in points], float),
+    )
+    deviations = sizes - sizes.mean()
+    squares = float((deviations**2).sum())
+    slope = float((deviations * values).sum() / squares)
+    intercept = float(values.mean() - slope * sizes.mean())
+    residuals = values - intercept - slope * sizes
+    error = (
+        float(numpy.sqrt((residuals**2).sum() / max(1, len(points) - 2) / squares))
+        if len(points) > 2
+        else 0.0
+    )
+    return intercept, slope, error
+
+
+def fit_points(points: Sequence[Sequence]) -> dict:
     """The points, what each size has, and the line; a slope is for 1,000 members more."""
     by_size: dict[int, list[float]] = defaultdict(list)
-    good = [one for one in told if one[3]]
-    for size, _, value, _ in good:
+    valid = [one for one in points if one[3]]
+    for size, _, value, _ in valid:
         by_size[size].append(value)
     sizes = {
         str(size): {"median": statistics.median(of), "least": min(of), "most": max(of), "runs": len(of)}
         for size, of in sorted(by_size.items())
     }
-    found = {"sizes": sizes, "late": sorted({one[0] for one in told if not one[3]}), "fit": None}
+    found = {"sizes": sizes, "late": sorted({one[0] for one in points if not one[3]}), "fit": None}
     if len(by_size) < 2:
         return found
-    begin, slope, error = line([(size, value) for size, _, value, _ in good])
-    seeds = defaultdict(list)
-    for size, seed, value, _ in good:
-        seeds[seed].append((size, value))
-    slopes = [line(few)[1] for few in seeds.values() if len({size for size, _ in few}) > 1]
+    intercept, slope, error = fit_line([(size, value) for size, _, value, _ in valid])
+    by_seed = defaultdict(list)
+    for size, seed, value, _ in valid:
+        by_seed[seed].append((size, value))
+    slopes = [fit_line(points)[1] for points in by_seed.values() if len({size for size, _ in points}) > 1]
     if len(slopes) < 2:
         slopes = [slope - 2 * error, slope + 2 * error]
     found["fit"] = {
-        "at_0": begin, "per_1000": 1000 * slope, "per_1000_least": 1000 * min(slopes),
-        "per_1000_most": 1000 * max(slopes), "seeds": len(seeds), "least_size": min(by_size),
+        "at_0": intercept, "per_1000": 1000 * slope, "per_1000_least": 1000 * min(slopes),
+        "per_1000_most": 1000 * max(slopes), "seeds": len(by_seed), "least_size": min(by_size),
         "most_size": max(by_size),
     }  # fmt: skip
     return found
 
 
-def rounded(value: object) -> object:
+def round_values(value: object) -> object:
     """Five figures are more than any of these has."""
     if isinstance(value, float):
         return float(f"{value:.5g}")
     if isinstance(value, dict):
-        return {key: rounded(one) for key, one in value.items()}
-    return [rounded(one) for one in value] if isinstance(value, list) else value
+        return {key: round_values(one) for key, one in value.items()}
+    return [round_values(one) for one in value] if isinstance(value, list) else value
 
 
-KEPT = (
+RUN_FIELDS = (
     "mode", "size", "seed", "real", "hollow", "processes", "began", "loss", "span_s", "cut_s", "load",
     "memory_kb", "weight", "settled_s", "real_whole", "stopped", "scripts",
 )  # fmt: skip
@@ -148,70 +157,70 @@
     """The runs as they were, and what was fitted, by mode, script and figure."""
     fits = {
         mode: {
-            script: {name: fitted(told) for name, told in figures.items()}
+            script: {name: fit_points(points) for name, points in figures.items()}
             for script, figures in scripts.items()
         }
-        for mode, scripts in points(runs).items()
+        for mode, scripts in collect_points(runs).items()
     }
-    kept = [{key: run[key] for key in KEPT if key in run} for run in runs]
-    for run in kept:
-        run["scripts"] = {script: trimmed(phase) for script, phase in run["scripts"].items()}
-    return rounded({"runs": kept, "fits": fits})
+    trimmed_runs = [{key: run[key] for key in RUN_FIELDS if key in run} for run in runs]
+    for run in trimmed_runs:
+        run["scripts"] = {script: trim_phase(phase) for script, phase in run["scripts"].items()}
+    return round_values({"runs": trimmed_runs, "fits": fits})
 
 
-def lines_only(told: dict) -> dict:
+def without_points(summary: dict) -> dict:
     """The runs and the lines: what each size had is on the page, and in the runs."""
     lines = {
         mode: {
             script: {name: one["fit"] for name, one in figures.items() if one["fit"]}
             for script, figures in scripts.items()
         }
-        for mode, scripts in told["fits"].items()
+        for mode, scripts in summary["fits"].items()
     }
-    return told | {"fits": lines}
+    return summary | {"fits": lines}
 
 
-def trimmed(phase: dict) -> dict:
+def trim_phase(phase: dict) -> dict:
     """Without what the page and its reader have no use for: the file goes with the sources."""
-    told = {key: value for key, value in phase.items() if value}
+    trimmed = {key: value for key, value in phase.items() if value}
     for kind in ("real", "speakers", "others"):
-        told[kind] = {
+        trimmed[kind] = {
             field: {key: value[key] for key in ("median", "most")} if isinstance(value, dict) else value
             for field, value in phase[kind].items()
             if kind == "real" or field in ("cpu_ms_s", "bytes_s", "rss_kb")
         }
-    told["found"] = {
+    trimmed["found"] = {
         key: value for key, value in phase["found"].items() if value is not None and key != "hollow_events"
     }
-    for one in told["found"].get("restarted", ()):
+    for one in trimmed["found"].get("restarted", ()):
         one.pop("asked", None)
-    return told
+    return trimmed
 
 
-def write(path: Path, key: str, told: dict) -> None:
+def write_key(path: Path, key: str, value: dict) -> None:
     """One key of the file that several measurements share; the others stay as they are."""
-    whole = json.loads(path.read_text()) if path.exists() else {}
-    whole[key] = told
+    document = json.loads(path.read_text()) if path.exists() else {}
+    document[key] = value
     path.parent.mkdir(parents=True, exist_ok=True)
-    part = path.with_suffix(".part")
-    part.write_text(json.dumps(whole, indent=2) + "\n")
-    os.replace(part, path)
+    temporary = path.with_suffix(".part")
+    temporary.write_text(json.dumps(document, indent=2) + "\n")
+    os.replace(temporary, path)
 
 
 def main() -> int:
-    told = argparse.ArgumentParser(prog="python -m benchmarks.scale.fit")
-    told.add_argument("runs", type=Path, nargs="*", help="files of runs; none: all of runs/scale")
-    told.add_argument("--json", type=Path, default=Path("docs/measurements/scale.json"))
-    told.add_argument("--page", type=Path, default=Path("docs/measurements/scale.md"))
-    told = told.parse_args()
-    files = told.runs or sorted(Path("runs/scale").glob("*.json"))
+    parser = argparse.ArgumentParser(prog="python -m benchmarks.scale.fit")
+    parser.add_argument("runs", type=Path, nargs="*", help="files of runs; none: all of runs/scale")
+    parser.add_argument("--json", type=Path, default=Path("docs/measurements/scale.json"))
+    parser.add_argument("--page", type=Path, default=Path("docs/measurements/scale.md"))
+    args = parser.parse_args()
+    files = args.runs or sorted(Path("runs/scale").glob("*.json"))
     if not files:
         print("no runs", file=sys.stderr)
         return 2
     found = summary([orjson.loads(file.read_bytes()) for file in files])
-    write(told.json, "fleet", lines_only(found))
-    told.page.write_text(page(found))
-    print(f"{len(files)} runs -> {told.json}, {told.page}")
+    write_key(args.json, "fleet", without_points(found))
+    args.page.write_text(render_page(found))
+    print(f"{len(files)} runs -> {args.json}, {args.page}")
     return 0
 
 
--- a/benchmarks/scale/lonely.py
+++ b/benchmarks/scale/isolated_start.py
@@ -9,19 +9,21 @@
 from crowwing.emulator.fleet.wide import Wide
 
 
-def play(folder: Path, size: int, seed: int, cells: bool, silent: bool, span_s: float, most_kb: int) -> dict:
+def measure(
+    folder: Path, size: int, seed: int, cells: bool, silent: bool, span_s: float, memory_limit_kb: int
+) -> dict:
     """`silent`: peers' ports take a stream and say nothing; else nobody listens there."""
     processes = max(1, size // 1300) if silent else 0
     rig = Wide(folder, size, 1, seed, cells=cells, processes=processes, asleep=True)
     with rig:
         label = "silent" if silent else "refused"
         wait_for_real(rig, 20.0)
-        samples = Recorder(rig, f"lonely, {label}, {size}", most_kb).span(label, span_s)
-    caught = log_events(folder, rig.names, 0, "caught_up")
+        samples = Recorder(rig, f"lonely, {label}, {size}", memory_limit_kb).record(label, span_s)
+    caught_up_events = log_events(folder, rig.names, 0, "caught_up")
     name = rig.names[0]
-    return figures.phase(samples, at_rest=True) | {
+    return figures.summarize_phase(samples, at_rest=True) | {
         "found": {
             "attempts": (samples[-1]["real"][name]["counts"] or {}).get("fetches"),
-            "took_ms": caught[0]["took_ms"] if caught else None,
+            "took_ms": caught_up_events[0]["took_ms"] if caught_up_events else None,
         }
     }
--- /dev/null
+++ b/benchmarks/scale/member_cost.py
@@ -0,0 +1,98 @@
+"""What one pure member of a fleet takes: resident kB and seconds to build, measured in a process of its own.
+
+python -O -m benchmarks.scale.weigh SIZE [--cells] [--fleet JSON]
+"""
+
+import gc
+import os
+import random
+import subprocess
+import sys
+import time
+from pathlib import Path
+from typing import NamedTuple
+
+import orjson
+
+from crowwing.emulator.fleet import pure
+from crowwing.emulator.fleet.places import places
+from crowwing.emulator.fleet.wide import memory_kb
+from crowwing.emulator.processes import ROOT
+
+SAMPLED_ENTRIES = (
+    400_000  # of all members' tables together: enough to weigh, and little beside what is to come
+)
+REAL_BACKEND_KB = 32_000  # of one real backend
+PROCESS_KB = 40_000  # of one hollow process without its members
+STUB_SOCKETS_KB = 12  # of one hollow member, beside its decider: its sockets' objects and its turns
+GROWTH_FACTOR = 1.25  # what a member gathers while it runs, over what it was built with
+MAX_MEMORY_PART = 0.5  # of the machine's memory that a run may take
+
+
+class MemberCost(NamedTuple):
+    member_kb: float
+    build_s: float
+
+
+class RunTooLargeError(MemoryError):
+    """One line: what the run would take, and what it may."""
+
+
+def measure(size: int, cells: bool, fleet: dict) -> MemberCost:
+    command = [
+        sys.executable,
+        "-O",
+        "-m",
+        "benchmarks.scale.member_cost",
+        str(size),
+        "cells" if cells else "flat",
+    ]
+    completed = subprocess.run(
+        [*command, orjson.dumps(fleet).decode()], capture_output=True, cwd=ROOT, check=True,
+        env=os.environ | {"PYTHONPATH": str(ROOT)},
+    )  # fmt: skip
+    return MemberCost(*orjson.loads(completed.stdout))
+
+
+def estimate_run_kb(size: int, real: int, processes: int, cost: MemberCost) -> int:
+    """The whole run's memory, kB."""
+    stub_kb = GROWTH_FACTOR * cost.member_kb + STUB_SOCKETS_KB
+    # What a real one holds of the fleet is a member's as well.
+    return round((size - real) * stub_kb + real * (REAL_BACKEND_KB + cost.member_kb) + processes * PROCESS_KB)
+
+
+def machine_memory_kb() -> int:
+    lines = Path("/proc/meminfo").read_text().splitlines()
+    return next(int(line.split()[1]) for line in lines if line.startswith("MemTotal"))
+
+
+def check_memory(size: int, real: int, processes: int, cost: MemberCost, machine_kb: int) -> int:
+    """The kB that the run would take; TooLarge where that is over its part of the machine's."""
+    run_kb = estimate_run_kb(size, real, processes, cost)
+    if run_kb > MAX_MEMORY_PART * machine_kb:
+        raise RunTooLargeError(
+            f"{size} members would take {run_kb / 1e6:.1f} GB ({cost.member_kb:.0f} kB each), "
+            f"and a run may take {MAX_MEMORY_PART * machine_kb / 1e6:.1f} GB of this machine's memory"
+        )
+    return run_kb
+
+
+def main() -> None:
+    size, fleet = int(sys.argv[1]), orjson.loads(sys.argv[3])
+    names = [f"m{n}" for n in range(size)]
+    layout = pure.layout(places(names) if sys.argv[2] == "cells" else None, fleet)
+    build_member = pure.maker(names, layout, fleet)
+    count = max(4, min(size, SAMPLED_ENTRIES // size))
+    members = [
+        build_member(names[0], 0, random.Random(0))
+    ]  # what all share is there before the first is weighed
+    gc.collect()
+    before, began = memory_kb(os.getpid())[0], time.monotonic()
+    for n in range(count):
+        members.append(build_member(names[n % size], 0, random.Random(n)))
+    after, elapsed_s = memory_kb(os.getpid())[0], time.monotonic() - began
+    print(orjson.dumps([(after - before) / count, elapsed_s / count]).decode())
+
+
+if __name__ == "__main__":
+    main()
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -41,54 +41,54 @@
 )
 
 
-def number(value: float) -> str:
+def rounded(value: float) -> str:
     if value == 0:
         return "0"
     return f"{value:,.0f}" if abs(value) >= 100 else f"{value:.3g}"
 
 
-def spread(of: dict) -> str:
-    if of["runs"] == 1 or of["least"] == of["most"]:
-        return number(of["median"])
-    return f"{number(of['median'])} ({number(of['least'])} to {number(of['most'])})"
+def format_range(values: dict) -> str:
+    if values["runs"] == 1 or values["least"] == values["most"]:
+        return rounded(values["median"])
+    return f"{rounded(values['median'])} ({rounded(values['least'])} to {rounded(values['most'])})"
 
 
-def slope(fit: dict | None) -> str:
+def format_slope(fit: dict | None) -> str:
     if fit is None:
         return ""
-    return f"{number(fit['per_1000'])} ({number(fit['per_1000_least'])} to {number(fit['per_1000_most'])})"
+    return f"{rounded(fit['per_1000'])} ({rounded(fit['per_1000_least'])} to {rounded(fit['per_1000_most'])})"
 
 
-def rows(fits: dict, figure: str, sizes: list[str]) -> Iterator[str]:
+def table_rows(fits: dict, figure: str, sizes: list[str]) -> Iterator[str]:
     for mode, scripts in sorted(fits.items(), reverse=True):
         for script, figures in scripts.items():
-            told = figures.get(figure)
-            if told is None:
+            fitted = figures.get(figure)
+            if fitted is None:
                 continue
-            late = {str(size) for size in told["late"]}
+            lagging = {str(size) for size in fitted["late"]}
             cells = []
             for size in sizes:
-                seen = spread(told["sizes"][size]) if size in told["sizes"] else ""
-                cells.append(f"{seen}{' not in step' if size in late else ''}".strip())
-            seeds = told["fit"]["seeds"] if told["fit"] else ""
-            yield f"| {mode} | {script} | {' | '.join(cells)} | {slope(told['fit'])} | {seeds} |"
+                range_text = format_range(fitted["sizes"][size]) if size in fitted["sizes"] else ""
+                cells.append(f"{range_text}{' not in step' if size in lagging else ''}".strip())
+            seeds = fitted["fit"]["seeds"] if fitted["fit"] else ""
+            yield f"| {mode} | {script} | {' | '.join(cells)} | {format_slope(fitted['fit'])} | {seeds} |"
 
 
-def page(told: dict) -> str:
-    fits = told["fits"]
-    sizes = sorted({run["size"] for run in told["runs"]})
+def render_page(summary: dict) -> str:
+    fits = summary["fits"]
+    sizes = sorted({run["size"] for run in summary["runs"]})
     columns = [str(size) for size in sizes]
     parts = [HEAD]
-    loads = [run["load"] for run in told["runs"]]
+    loads = [run["load"] for run in summary["runs"]]
     load = f"{min(loads):.1f} to {max(loads):.1f}"
     parts.append(f"{len(loads)} runs; the machine's load as they began was {load}.\n")
     for title, figure in TABLES:
-        if lines := list(rows(fits, figure, columns)):
+        if lines := list(table_rows(fits, figure, columns)):
             parts.append(f"## {title}\n")
             parts.append(f"| fleet | script | {' | '.join(columns)} | for 1,000 more | seeds |")
             parts.append("| --- " * (len(columns) + 4) + "|")
             parts += [*lines, ""]
-    if stopped := [run for run in told["runs"] if run.get("stopped")]:
+    if stopped := [run for run in summary["runs"] if run.get("stopped")]:
         parts.append("## Runs that did not come to their end\n")
         parts += [f"- {run['mode']} {run['size']}, seed {run['seed']}: {run['stopped']}" for run in stopped]
         parts.append("")
--- a/benchmarks/scale/record.py
+++ b/benchmarks/scale/record.py
@@ -10,16 +10,16 @@
 
 from crowwing.emulator.fleet.wide import Wide, cpu_s, memory_kb
 
-BIN_S = 10.0
-ASK_S = 1.0
-Moment = tuple[float, Callable[[], object]]  # seconds after the phase began, and what is done then
+SAMPLE_PERIOD_S = 10.0
+QUERY_TIMEOUT_S = 1.0
+TimedAction = tuple[float, Callable[[], object]]  # seconds after the phase began, and what is done then
 
 
-class Stopped(RuntimeError):
+class RunAbortedError(RuntimeError):
     """Why a run ends before its script does: one line."""
 
 
-def say(text: str) -> None:
+def show_progress(text: str) -> None:
     """Progress: one line that the next one overwrites, and only where somebody looks."""
     if sys.stderr.isatty():
         print(f"\r{text:<100.100}", end="", file=sys.stderr, flush=True)
@@ -28,121 +28,142 @@
 class Recorder:
     """`memory_most` (kB): a run that comes to hold more ends (Stopped)."""
 
-    def __init__(self, rig: Wide, title: str, memory_most: int) -> None:
-        self.rig, self.title, self.memory_most = rig, title, memory_most
+    def __init__(self, rig: Wide, title: str, memory_limit_kb: int) -> None:
+        self.rig, self.title, self.memory_limit_kb = rig, title, memory_limit_kb
         self.began = time.monotonic()
-        self.memory = 0  # kB, the most that all processes held together
+        self.peak_memory_kb = 0  # kB, the most that all processes held together
 
-    def sample(self, whom: bool = False) -> dict:
+    def sample(self, by_peer: bool = False) -> dict:
         rig = self.rig
-        hollow = rig.tell("counts", whom=whom)
-        asked: dict[str, list[int]] = {}
-        for one in hollow:
-            for name, counts in one["asked"].items():
-                asked[name] = [a + b for a, b in zip(asked.get(name, [0, 0, 0]), counts, strict=True)]
+        stubs = rig.tell("counts", whom=by_peer)
+        request_counts: dict[str, list[int]] = {}
+        for report in stubs:
+            for name, counts in report["asked"].items():
+                request_counts[name] = [
+                    a + b for a, b in zip(request_counts.get(name, [0, 0, 0]), counts, strict=True)
+                ]
         real = {}
         for name, pid in rig.pids(rig.names).items():
             rss, hwm = memory_kb(pid)
-            ours = dict(rig.asked[name])  # what it counts of our own asking is no fleet's
-            counts = rig.ask(name, ASK_S, k="counts")
+            own_counts = dict(rig.asked[name])  # what it counts of our own asking is no fleet's
+            counts = rig.ask(name, QUERY_TIMEOUT_S, k="counts")
             if counts is not None:
                 counts.pop("n")
-                counts |= {key: counts[key] - count for key, count in ours.items()}
-            stream = sum(asked.get(name, [0, 0, 0])[1:])
+                counts |= {key: counts[key] - count for key, count in own_counts.items()}
+            stream = sum(request_counts.get(name, [0, 0, 0])[1:])
             real[name] = {
                 "pid": pid, "cpu_s": cpu_s(pid), "rss_kb": rss, "hwm_kb": hwm, "stream_bytes": stream,
                 "counts": counts, "speaks": name in rig.speak_first,
             }  # fmt: skip
         hosts = [memory_kb(host.child.pid) for host in rig.hosts]
-        self.memory = max(self.memory, memory_kb(os.getpid())[0] + sum(rss for rss, _ in hosts)
-                          + sum(one["rss_kb"] for one in real.values()))  # fmt: skip
-        if self.memory > self.memory_most:
-            raise Stopped(f"holds {self.memory / 1e6:.1f} GB, over half of the machine's memory")
-        sums = {key: sum(one["sums"][key] for one in hollow) for key in (hollow[0]["sums"] if hollow else ())}
+        self.peak_memory_kb = max(
+            self.peak_memory_kb,
+            memory_kb(os.getpid())[0]
+            + sum(rss for rss, _ in hosts)
+            + sum(report["rss_kb"] for report in real.values()),
+        )
+        if self.peak_memory_kb > self.memory_limit_kb:
+            raise RunAbortedError(
+                f"holds {self.peak_memory_kb / 1e6:.1f} GB, over half of the machine's memory"
+            )
+        sums = {
+            key: sum(report["sums"][key] for report in stubs) for key in (stubs[0]["sums"] if stubs else ())
+        }
         events: dict[str, int] = {}
-        for one in hollow:
-            for event, count in one["events"].items():
+        for report in stubs:
+            for event, count in report["events"].items():
                 events[event] = events.get(event, 0) + count
-        late = max(hollow, key=lambda one: one["lag_s"], default={"lag_s": 0.0, "lag_used_s": 0.0})
-        told = {
+        slowest = max(stubs, key=lambda report: report["lag_s"], default={"lag_s": 0.0, "lag_used_s": 0.0})
+        result = {
             "at_s": time.monotonic() - self.began,
             "real": real,
             "hollow": {
-                "on": sum(one["on"] for one in hollow), "ready": sum(one["ready"] for one in hollow),
+                "on": sum(report["on"] for report in stubs),
+                "ready": sum(report["ready"] for report in stubs),
                 "sums": sums, "events": events, "rss_kb": sum(rss for rss, _ in hosts),
-                "cpu_s": sum(one["cpu_s"] for one in hollow),
-                "cpu_each_s": [one["cpu_s"] for one in hollow],
-                "lag_s": late["lag_s"], "lag_used_s": late["lag_used_s"],
-                "most_bytes_s": max((one["most_bytes"] / one["passed_s"] for one in hollow), default=0.0),
+                "cpu_s": sum(report["cpu_s"] for report in stubs),
+                "cpu_each_s": [report["cpu_s"] for report in stubs],
+                "lag_s": slowest["lag_s"], "lag_used_s": slowest["lag_used_s"],
+                "most_bytes_s": max(
+                    (report["most_bytes"] / report["passed_s"] for report in stubs), default=0.0
+                ),
                 "most_datagrams_s": max(
-                    (one["most_datagrams"] / one["passed_s"] for one in hollow), default=0.0
+                    (report["most_datagrams"] / report["passed_s"] for report in stubs), default=0.0
                 ),
-                "speakers": sum(one["speakers"] for one in hollow),
-                "speakers_bytes_s": sum(one["speakers_bytes"] / one["passed_s"] for one in hollow),
-                "took_ms": [took for one in hollow for took in one["took_ms"]],
+                "speakers": sum(report["speakers"] for report in stubs),
+                "speakers_bytes_s": sum(report["speakers_bytes"] / report["passed_s"] for report in stubs),
+                "took_ms": [took for report in stubs for took in report["took_ms"]],
             },
         }  # fmt: skip
         if rig.alone is not None:
             pid = rig.alone.child.pid
-            told["alone"] = {
+            result["alone"] = {
                 "cpu_s": cpu_s(pid),
                 **dict(zip(("rss_kb", "hwm_kb"), memory_kb(pid), strict=True)),
             }
-        if whom:
-            told["whom"] = {}
-            for one in hollow:
-                for name, counts in one["asked_whom"].items():
-                    told["whom"].setdefault(name, {}).update(counts)
-        return told
-
-    def span(
+        if by_peer:
+            result["whom"] = {}
+            for report in stubs:
+                for name, counts in report["asked_whom"].items():
+                    result["whom"].setdefault(name, {}).update(counts)
+        return result
+
+    def record(
         self,
         label: str,
-        least_s: float,
-        moments: Sequence[Moment] = (),
-        over: Callable[[], bool] | None = None,
-        most_s: float = 0.0,
-        look_s: float = 1.0,
+        min_s: float,
+        actions: Sequence[TimedAction] = (),
+        is_done: Callable[[], bool] | None = None,
+        timeout_s: float = 0.0,
+        poll_s: float = 1.0,
     ) -> list[dict]:
         """Samples over `least_s`, in which `moments` are done; then on until `over()`, `most_s` at most."""
-        samples, began, due = [self.sample()], time.monotonic(), sorted(moments, key=lambda moment: moment[0])
-        next_bin, next_look, sampled = BIN_S, look_s, began
+        samples, began, pending = (
+            [self.sample()],
+            time.monotonic(),
+            sorted(actions, key=lambda action: action[0]),
+        )
+        next_sample, next_poll, last_sample = SAMPLE_PERIOD_S, poll_s, began
         while True:
             passed = time.monotonic() - began
-            while due and due[0][0] <= passed:
-                due.pop(0)[1]()
+            while pending and pending[0][0] <= passed:
+                pending.pop(0)[1]()
                 passed = time.monotonic() - began
-            if passed >= next_bin:
+            if passed >= next_sample:
                 samples.append(self.sample())
-                sampled = time.monotonic()
-                next_bin = BIN_S * (passed // BIN_S + 1)
-            ended = passed >= least_s and not due
-            if ended and (over is None or passed >= least_s + most_s):
+                last_sample = time.monotonic()
+                next_sample = SAMPLE_PERIOD_S * (passed // SAMPLE_PERIOD_S + 1)
+            ended = passed >= min_s and not pending
+            if ended and (is_done is None or passed >= min_s + timeout_s):
                 break
-            if over is not None and passed >= next_look:
-                next_look = passed + look_s
-                if over() and ended:
+            if is_done is not None and passed >= next_poll:
+                next_poll = passed + poll_s
+                if is_done() and ended:
                     break
-            say(f"{self.title}: {label} {passed:.0f} s")
-            soon = [next_bin, *(at for at, _ in due[:1]), least_s if passed < least_s else passed + look_s]
-            time.sleep(max(0.005, min(0.25, min(soon) - passed)))
-        if len(samples) < 2 or time.monotonic() - sampled > 1.0:
+            show_progress(f"{self.title}: {label} {passed:.0f} s")
+            deadlines = [
+                next_sample,
+                *(at for at, _ in pending[:1]),
+                min_s if passed < min_s else passed + poll_s,
+            ]
+            time.sleep(max(0.005, min(0.25, min(deadlines) - passed)))
+        if len(samples) < 2 or time.monotonic() - last_sample > 1.0:
             samples.append(self.sample())
         return samples
 
 
-def wait_for_real(rig: Wide, most_s: float) -> None:
+def wait_for_real(rig: Wide, timeout_s: float) -> None:
     """Until every real backend answers, or the time is over."""
-    rig.until(lambda: all(rig.ask(name, ASK_S, k="counts") for name in rig.names), most_s, 0.2)
+    rig.until(lambda: all(rig.ask(name, QUERY_TIMEOUT_S, k="counts") for name in rig.names), timeout_s, 0.2)
 
 
 def log_events(folder: Path, names: Sequence[str], since_us: int, event: str) -> list[dict]:
     """Lines of one kind that real backends wrote since then (Unix µs)."""
     found = []
     for name in names:
-        for raw in (folder / f"{name}.log").read_bytes().splitlines():
-            if f'"event":"{event}"'.encode() in raw:
-                line = orjson.loads(raw)
+        for raw_line in (folder / f"{name}.log").read_bytes().splitlines():
+            if f'"event":"{event}"'.encode() in raw_line:
+                line = orjson.loads(raw_line)
                 if line["at"] >= since_us:
                     found.append(line)
     return found
--- a/benchmarks/scale/scripts.py
+++ b/benchmarks/scale/scripts.py
@@ -17,55 +17,64 @@
 from crowwing.emulator.fleet.places import ZONES
 from crowwing.emulator.fleet.wide import Wide
 
-LETTER = 5200  # members that the day's figures are for
-FAILURES, RESTARTS, CHANGES = 110, 4800, 3400  # a day
+REFERENCE_SIZE = 5200  # members that the day's figures are for
+FAILURES_PER_DAY, RESTARTS_PER_DAY, CHANGES_PER_DAY = 110, 4800, 3400  # a day
 DAY_S, RELEASE_S = 86_400.0, 600.0
-RACK, BURST = 40, 50
+RACK_SIZE, BURST_SIZE = 40, 50
 DOWN_S = 3.0  # between a restarted member's end and its next start
-REAL_LOOK_S = 0.25
-STAYS_S = 5.0  # that views are right before that counts
+REAL_POLL_S = 0.25
+STABLE_S = 5.0  # that views are right before that counts
 
 
 class Run:
     """One fleet, on which scripts are played in turn."""
 
-    def __init__(self, rig: Wide, recorder: Recorder, span_s: float, cut_s: float, most_s: float) -> None:
+    def __init__(self, rig: Wide, recorder: Recorder, span_s: float, cut_s: float, timeout_s: float) -> None:
         """`span_s` of each script at least; `cut_s` that regions are cut; `most_s` to wait for an end."""
-        self.rig, self.recorder, self.span_s, self.cut_s, self.most_s = rig, recorder, span_s, cut_s, most_s
-        self.chance = random.Random(f"{rig.seed}/scripts")
+        self.rig, self.recorder, self.span_s, self.cut_s, self.timeout_s = (
+            rig,
+            recorder,
+            span_s,
+            cut_s,
+            timeout_s,
+        )
+        self.rng = random.Random(f"{rig.seed}/scripts")
         self.size = len(rig.everyone)
-        self.keys = itertools.count()
+        self.key_numbers = itertools.count()
 
-    def restarts(self, span_s: float, within_s: float) -> list:
+    def restart_actions(self, span_s: float, within_s: float) -> list:
         """Moments of restarts, evenly over `span_s`, at the pace of a day's within `within_s`."""
-        count = max(1, round(RESTARTS * self.size / LETTER * span_s / within_s))
-        few = self.chance.sample(self.rig.hollow, min(count, len(self.rig.hollow)))
+        count = max(1, round(RESTARTS_PER_DAY * self.size / REFERENCE_SIZE * span_s / within_s))
+        selected = self.rng.sample(self.rig.hollow, min(count, len(self.rig.hollow)))
         return [
-            (span_s * n / len(few), lambda name=name: self.rig.tell("restart", names=[name], down_s=DOWN_S))
-            for n, name in enumerate(few)
+            (
+                span_s * n / len(selected),
+                lambda name=name: self.rig.tell("restart", names=[name], down_s=DOWN_S),
+            )
+            for n, name in enumerate(selected)
         ]
 
-    def views_right(self, gone: Sequence[str] = ()) -> bool:
-        told = self.rig.tell("views", gone=list(gone))
-        self.wrong = sum(one["wrong"] for one in told)
-        self.right_at = max((one["at"] for one in told), default=0)
-        return all(one["right"] == one["on"] for one in told)
+    def views_correct(self, gone: Sequence[str] = ()) -> bool:
+        views = self.rig.tell("views", gone=list(gone))
+        self.wrong_view_count = sum(one["wrong"] for one in views)
+        self.checked_at = max((one["at"] for one in views), default=0)
+        return all(one["right"] == one["on"] for one in views)
 
-    def back(self, label: str, begin_us: int) -> dict:
+    def wait_for_recovery(self, label: str, begin_us: int) -> dict:
         """Waits for all views to be right and to stay so; s since `begin_us`, None where it did not come."""
-        right_since: int | None = None
+        correct_since: int | None = None
 
-        def look() -> bool:
-            nonlocal right_since
-            if not self.views_right():
-                right_since = None
-            elif right_since is None:
-                right_since = self.right_at
-            return right_since is not None and self.right_at - right_since >= STAYS_S * 1e6
+        def poll() -> bool:
+            nonlocal correct_since
+            if not self.views_correct():
+                correct_since = None
+            elif correct_since is None:
+                correct_since = self.checked_at
+            return correct_since is not None and self.checked_at - correct_since >= STABLE_S * 1e6
 
-        samples = self.recorder.span(label, 1.0, (), look, self.most_s, max(0.5, self.size / 1000))
-        took = None if right_since is None else round((right_since - begin_us) / 1e6, 2)
-        return {"views_right_s": took, "wrong_views": self.wrong, "samples": samples}
+        samples = self.recorder.record(label, 1.0, (), poll, self.timeout_s, max(0.5, self.size / 1000))
+        elapsed = None if correct_since is None else round((correct_since - begin_us) / 1e6, 2)
+        return {"views_right_s": elapsed, "wrong_views": self.wrong_view_count, "samples": samples}
 
 
 def now_us() -> int:
@@ -78,54 +87,54 @@
 
 
 def result(samples: list[dict], at_rest: bool = False, **found: object) -> dict:
-    took = [ms for one in samples[1:] for ms in one["hollow"]["took_ms"]]
-    if took:
-        found["hollow_not_ready_ms"] = figures.summed(took)
+    elapsed = [ms for one in samples[1:] for ms in one["hollow"]["took_ms"]]
+    if elapsed:
+        found["hollow_not_ready_ms"] = figures.summarize(elapsed)
     found["hollow_events"] = events(samples)
     found["hollow_ready_least"] = min(one["hollow"]["ready"] for one in samples)
-    return figures.phase(samples, at_rest) | {"found": found}
+    return figures.summarize_phase(samples, at_rest) | {"found": found}
 
 
 def rest(run: Run) -> dict:
-    return result(run.recorder.span("rest", run.span_s), at_rest=True)
+    return result(run.recorder.record("rest", run.span_s), at_rest=True)
 
 
 def ordinary(run: Run) -> dict:
     """A day's pace."""
-    moments = run.restarts(run.span_s, DAY_S)
-    failures = max(1, round(FAILURES * run.size / LETTER * run.span_s / DAY_S))
-    gone = run.chance.sample(run.rig.hollow, failures)
-    moments.append((0.0, lambda: run.rig.tell("off", names=gone)))
-    moments.append((run.span_s, lambda: run.rig.tell("on", names=gone)))
-    restarts = len(moments) - 2
-    samples = run.recorder.span("ordinary", run.span_s + 10, moments)
+    actions = run.restart_actions(run.span_s, DAY_S)
+    failures = max(1, round(FAILURES_PER_DAY * run.size / REFERENCE_SIZE * run.span_s / DAY_S))
+    gone = run.rng.sample(run.rig.hollow, failures)
+    actions.append((0.0, lambda: run.rig.tell("off", names=gone)))
+    actions.append((run.span_s, lambda: run.rig.tell("on", names=gone)))
+    restarts = len(actions) - 2
+    samples = run.recorder.record("ordinary", run.span_s + 10, actions)
     run.rig.tell("forget")
     return result(samples, restarts=restarts, failures=failures)
 
 
 def release(run: Run) -> dict:
-    moments = run.restarts(run.span_s, RELEASE_S)
-    samples = run.recorder.span("release", run.span_s + 10, moments)
-    back = run.back("release, back", now_us())
-    samples += back.pop("samples")[1:]
-    return result(samples, restarts=len(moments), **back)
+    actions = run.restart_actions(run.span_s, RELEASE_S)
+    samples = run.recorder.record("release", run.span_s + 10, actions)
+    recovery = run.wait_for_recovery("release, back", now_us())
+    samples += recovery.pop("samples")[1:]
+    return result(samples, restarts=len(actions), **recovery)
 
 
 def rack(run: Run) -> dict:
     """A switch: 40 at once of one zone (at most half of it), and back."""
     names = run.rig.in_zone(f"{next(iter(ZONES))}a")
     hollow = [name for name in names if name in run.rig.hollow_at]
-    return _gone(run, "rack", hollow[: min(RACK, max(1, len(names) // 2))], [])
+    return _remove_and_restore(run, "rack", hollow[: min(RACK_SIZE, max(1, len(names) // 2))], [])
 
 
 def zone(run: Run) -> dict:
     """All of one zone, its real backends too, and back with empty memories."""
     names = run.rig.in_zone(f"{next(iter(ZONES))}b")
     real = [name for name in names if name in run.rig.fleet_at]
-    return _gone(run, "zone", names, real)
+    return _remove_and_restore(run, "zone", names, real)
 
 
-def _gone(run: Run, label: str, names: list[str], real: list[str]) -> dict:
+def _remove_and_restore(run: Run, label: str, names: list[str], real: list[str]) -> dict:
     rig = run.rig
     began, begin = now_us(), time.time_ns() // 1000
     rig.tell("off", names=names)
@@ -134,43 +143,45 @@
     groups = pure.cells(rig.everyone, rig.layout)
     cell = {name: group for group in groups for name in group}
     off = set(names)
-    few = {name: [one for one in cell[name] if one not in off] for name in names}
-    of = few if len(groups) > 1 else {}  # of one group, whoever saw it is one of those
-    dead = pure.dead_cells(rig.layout, off)
+    observers = {name: [one for one in cell[name] if one not in off] for name in names}
+    of = observers if len(groups) > 1 else {}  # of one group, whoever saw it is one of those
+    lost_cells = pure.dead_cells(rig.layout, off)
     others = len([name for name in rig.hollow if name not in off])
-    known: dict[str, int] = {}
-    cells_known: dict[str, int] = {}
+    detected: dict[str, int] = {}
+    detected_cells: dict[str, int] = {}
 
-    def look() -> bool:
-        seen, real_seen = rig.tell("seen", of=of), _real_seen(run, begin, off)
+    def poll() -> bool:
+        seen, real_detections = rig.tell("seen", of=of), _real_detections(run, begin, off)
         for name in names:
             counts = [one["deaths_of" if of else "deaths"][name] for one in seen]
-            counts.append((len(real_seen[name]), max(real_seen[name].values(), default=0)))
-            if name not in known and sum(count for count, _ in counts) >= len(few[name]):
-                known[name] = max([began, *(at for _, at in counts)])
-        for cell in dead:
+            counts.append((len(real_detections[name]), max(real_detections[name].values(), default=0)))
+            if name not in detected and sum(count for count, _ in counts) >= len(observers[name]):
+                detected[name] = max([began, *(at for _, at in counts)])
+        for cell in lost_cells:
             counts = [one["cells"][cell] for one in seen]
-            if cell not in cells_known and sum(count for count, _ in counts) >= others:
-                cells_known[cell] = max(at for _, at in counts)
-        return len(known) == len(names) and len(cells_known) == len(dead)
+            if cell not in detected_cells and sum(count for count, _ in counts) >= others:
+                detected_cells[cell] = max(at for _, at in counts)
+        return len(detected) == len(names) and len(detected_cells) == len(lost_cells)
 
-    samples = run.recorder.span(label, run.span_s, (), look, run.most_s, max(1.0, run.size / 500))
-    watched = {name: at for name, at in known.items() if few[name]}
+    samples = run.recorder.record(label, run.span_s, (), poll, run.timeout_s, max(1.0, run.size / 500))
+    observed = {name: at for name, at in detected.items() if observers[name]}
     back_at = now_us()
     rig.tell("on", names=names)
     for name in real:
         rig.launch(name)
     rig.tell("forget")
-    back = run.back(f"{label}, back", back_at)
-    samples += back.pop("samples")[1:]
+    recovery = run.wait_for_recovery(f"{label}, back", back_at)
+    samples += recovery.pop("samples")[1:]
     return result(
-        samples, gone=len(names), real_gone=len(real), known=len(watched), known_s=since(began, watched),
-        to_be_known=sum(len(one) > 0 for one in few.values()), dead_cells=len(dead),
-        dead_cells_known=len(cells_known), dead_cells_known_s=since(began, cells_known), **back,
+        samples, gone=len(names), real_gone=len(real), known=len(observed),
+        known_s=seconds_since(began, observed),
+        to_be_known=sum(len(one) > 0 for one in observers.values()), dead_cells=len(lost_cells),
+        dead_cells_known=len(detected_cells), dead_cells_known_s=seconds_since(began, detected_cells),
+        **recovery,
     )  # fmt: skip
 
 
-def _real_seen(run: Run, begin: int, off: set[str]) -> dict[str, dict[str, int]]:
+def _real_detections(run: Run, begin: int, off: set[str]) -> dict[str, dict[str, int]]:
     """Of each that is off: the real backends that said so since `begin` (Unix µs), and when, on `now_us`."""
     shift = now_us() - time.time_ns() // 1000
     seen: dict[str, dict[str, int]] = {name: {} for name in off}
@@ -180,83 +191,86 @@
     return seen
 
 
-def since(begin_us: int, moments: dict[str, int]) -> dict | None:
+def seconds_since(begin_us: int, times_us: dict[str, int]) -> dict | None:
     """Seconds; None where there is nothing."""
-    return figures.summed([(at - begin_us) / 1e6 for at in moments.values()]) if moments else None
+    return figures.summarize([(at - begin_us) / 1e6 for at in times_us.values()]) if times_us else None
 
 
 def cell(run: Run) -> dict:
     """All of one cell, that with the fewest real backends, and back; a flat fleet has none to lose."""
     rig, real = run.rig, set(run.rig.names)
     if rig.layout is None:
-        return result(run.recorder.span("no cell to lose", 1.0), skipped=True)
+        return result(run.recorder.record("no cell to lose", 1.0), skipped=True)
     groups = pure.cells(rig.everyone, rig.layout)
     names = min(groups, key=lambda group: (len(real & set(group)), len(group)))
-    return _gone(run, "cell", names, [name for name in names if name in real])
+    return _remove_and_restore(run, "cell", names, [name for name in names if name in real])
 
 
 def regions(run: Run) -> dict:
     """Every region alone for `cut_s`, and back."""
     rig, begin = run.rig, time.time_ns() // 1000
     rig.cut(list(itertools.combinations(ZONES, 2)))
-    samples = run.recorder.span("regions cut", run.cut_s)
+    samples = run.recorder.record("regions cut", run.cut_s)
     ready_cut = min(one["hollow"]["ready"] for one in samples)
     at = now_us()
     rig.heal()
-    back = run.back("regions healed", at)
-    samples += back.pop("samples")[1:]
-    after = run.recorder.span("regions, after", 20.0)  # whoever leaves the list for the heal has left by now
+    recovery = run.wait_for_recovery("regions healed", at)
+    samples += recovery.pop("samples")[1:]
+    # Members that leave the list because of the heal have left by the end of this span.
+    after = run.recorder.record("regions, after", 20.0)
     samples += after[1:]
     left = log_events(rig.folder, rig.names, begin, "catching_up")
     ready = min(one["hollow"]["ready"] for one in samples)
     return result(
         samples, cut_s=run.cut_s, ready_least_cut=ready_cut, left_the_list=samples[0]["hollow"]["on"] - ready,
-        real_left_the_list=len({line["backend"] for line in left}), **back,
+        real_left_the_list=len({line["backend"] for line in left}), **recovery,
     )  # fmt: skip
 
 
 def changes(run: Run) -> dict:
     """Three at the day's pace, then 50 at once, each put in at a hollow member by chance; then three by an
     operator's command at real ones, told once enough others hold them."""
-    rig, put_at, held = run.rig, {}, {}
-    real_held: dict[str, dict[str, int]] = {name: {} for name in rig.names}
+    rig, put_at, held_at = run.rig, {}, {}
+    real_holders: dict[str, dict[str, int]] = {name: {} for name in rig.names}
 
     def put(count: int) -> None:
-        keys = [f"said/scale-{next(run.keys)}" for _ in range(count)]
+        keys = [f"said/scale-{next(run.key_numbers)}" for _ in range(count)]
         rig.tell("watch", keys=keys)
-        at = rig.put([(run.chance.choice(rig.hollow), key, {"set": "x" * 80}) for key in keys])
+        at = rig.put([(run.rng.choice(rig.hollow), key, {"set": "x" * 80}) for key in keys])
         put_at.update(dict.fromkeys(keys, at))
 
-    def look() -> bool:
-        for key, (count, at) in _keys(rig).items():
-            if count == len(rig.hollow) and key not in held:
-                held[key] = at
-        for name, seen in real_held.items():
+    def poll() -> bool:
+        for key, (count, at) in _watched_keys(rig).items():
+            if count == len(rig.hollow) and key not in held_at:
+                held_at[key] = at
+        for name, seen in real_holders.items():
             while waits := [key for key in put_at if key not in seen]:
                 page = rig.ask(name, 0.5, k="state", prefix=waits[0])
                 if page is None or not page["rows"]:
                     break
                 seen[waits[0]] = now_us()
-        everyone = all(len(seen) == len(put_at) for seen in real_held.values())
-        return bool(put_at) and len(held) == len(put_at) and everyone
-
-    every_s = DAY_S / CHANGES
-    moments: list = [(1 + n * every_s, lambda: put(1)) for n in range(3)]
-    moments.append((1 + 3 * every_s, lambda: put(BURST)))
-    samples = run.recorder.span("changes", moments[-1][0] + 5, moments, look, run.most_s, REAL_LOOK_S)
-    took = {key: max([held[key], *(seen.get(key, 0) for seen in real_held.values())]) for key in held}
-    took = {key: (at - put_at[key]) / 1e6 for key, at in took.items()}
-    first = [took[key] for key in list(put_at)[:3] if key in took]
-    burst = [took[key] for key in list(put_at)[3:] if key in took]
-    missing = len(put_at) - len(held) + sum(len(put_at) - len(seen) for seen in real_held.values())
+        everyone = all(len(seen) == len(put_at) for seen in real_holders.values())
+        return bool(put_at) and len(held_at) == len(put_at) and everyone
+
+    every_s = DAY_S / CHANGES_PER_DAY
+    actions: list = [(1 + n * every_s, lambda: put(1)) for n in range(3)]
+    actions.append((1 + 3 * every_s, lambda: put(BURST_SIZE)))
+    samples = run.recorder.record("changes", actions[-1][0] + 5, actions, poll, run.timeout_s, REAL_POLL_S)
+    elapsed = {
+        key: max([held_at[key], *(seen.get(key, 0) for seen in real_holders.values())]) for key in held_at
+    }
+    elapsed = {key: (at - put_at[key]) / 1e6 for key, at in elapsed.items()}
+    first = [elapsed[key] for key in list(put_at)[:3] if key in elapsed]
+    burst = [elapsed[key] for key in list(put_at)[3:] if key in elapsed]
+    missing = len(put_at) - len(held_at) + sum(len(put_at) - len(seen) for seen in real_holders.values())
     rig.tell("forget")
     return result(
-        samples, put=len(put_at), not_held=missing, one_s=figures.summed(first) if first else None,
-        burst_s=figures.summed(burst) if burst else None, acked=[_acked(run) for _ in range(3)],
+        samples, put=len(put_at), not_held=missing, one_s=figures.summarize(first) if first else None,
+        burst_s=figures.summarize(burst) if burst else None, acked=[_acknowledged_put(run) for _ in range(3)],
     )  # fmt: skip
 
 
-def _keys(rig: Wide) -> dict[str, tuple[int, int]]:
+def _watched_keys(rig: Wide) -> dict[str, tuple[int, int]]:
     """For each watched key how many hollow members hold it, and when the last came to."""
     sums: dict[str, tuple[int, int]] = {}
     for one in rig.tell("seen"):
@@ -266,29 +280,33 @@
     return sums
 
 
-def _acked(run: Run) -> dict:
-    name, began = run.chance.choice(run.rig.names), time.monotonic()
-    told = run.rig.ask(name, 11, k="put", key=f"said/scale-{next(run.keys)}", value="x" * 80, wait_ms=10_000)
-    took = time.monotonic() - began
-    return {"took_s": round(took, 3)} | {key: (told or {}).get(key) for key in ("acked", "held", "why")}
+def _acknowledged_put(run: Run) -> dict:
+    name, started_at = run.rng.choice(run.rig.names), time.monotonic()
+    response = run.rig.ask(
+        name, 11, k="put", key=f"said/scale-{next(run.key_numbers)}", value="x" * 80, wait_ms=10_000
+    )
+    elapsed = time.monotonic() - started_at
+    return {"took_s": round(elapsed, 3)} | {
+        key: (response or {}).get(key) for key in ("acked", "held", "why")
+    }
 
 
 def restart(run: Run) -> dict:
     """Three real backends, one after the other, killed and started again with all others in reach."""
     found, samples = [], []
-    for name in run.chance.sample(run.rig.names, min(3, len(run.rig.names))):
+    for name in run.rng.sample(run.rig.names, min(3, len(run.rig.names))):
         before = run.recorder.sample(whom=True)
-        since = time.time_ns() // 1000
+        started_us = time.time_ns() // 1000
         run.rig.kill(name)
         run.rig.launch(name)
-        samples += run.recorder.span(f"restart of {name}", 20.0)
+        samples += run.recorder.record(f"restart of {name}", 20.0)
         after = run.recorder.sample(whom=True)
         asked = {
             whom: count - before["whom"].get(name, {}).get(whom, 0)
             for whom, count in after["whom"].get(name, {}).items()
         }
-        started = log_events(run.rig.folder, [name], since, "started")
-        caught = log_events(run.rig.folder, [name], since, "caught_up")
+        started_events = log_events(run.rig.folder, [name], started_us, "started")
+        caught_up_events = log_events(run.rig.folder, [name], started_us, "caught_up")
         counts = after["real"][name]["counts"] or {}
         found.append(
             {
@@ -296,10 +314,12 @@
                 "asked_hollow": sum(count > 0 for count in asked.values()),
                 "asked": sorted(whom for whom, count in asked.items() if count > 0)[:20],
                 "attempts": counts.get("fetches"),
-                "took_ms": caught[0]["took_ms"] if caught else None,
-                "whole": caught[0]["whole"] if caught else None,
-                "start_s": round((started[0]["at"] - since) / 1e6, 3) if started else None,
-                "ready_s": round((caught[0]["at"] - since) / 1e6, 3) if caught else None,
+                "took_ms": caught_up_events[0]["took_ms"] if caught_up_events else None,
+                "whole": caught_up_events[0]["whole"] if caught_up_events else None,
+                "start_s": round((started_events[0]["at"] - started_us) / 1e6, 3) if started_events else None,
+                "ready_s": round((caught_up_events[0]["at"] - started_us) / 1e6, 3)
+                if caught_up_events
+                else None,
             }
         )
     return result(samples, restarted=found)
--- a/tests/test_scale_parts.py
+++ b/tests/test_scale_parts.py
@@ -14,8 +14,8 @@
 
 import pytest
 
-from benchmarks.scale import figures, fit, weigh
-from benchmarks.scale.page import page
+from benchmarks.scale import figures, fit, member_cost
+from benchmarks.scale.page import render_page
 from crowwing.emulator.fleet import pure
 from crowwing.emulator.fleet.places import ZONES, Between, Ways, places
 from crowwing.emulator.fleet.wide import Wide, pick
@@ -84,14 +84,14 @@
 
 def test_the_worst_minute_is_the_busiest_sixty_seconds_and_not_the_busiest_bin() -> None:
     cpu = [0.0, 0.1, 0.2, 2.2, 2.3, 2.4, 2.5, 2.6, 2.7, 2.8, 2.9, 3.0, 3.1]  # 2 s of it in one bin of 10 s
-    told = figures.phase([sample(10.0 * n, used, 0) for n, used in enumerate(cpu)], at_rest=False)
+    told = figures.summarize_phase([sample(10.0 * n, used, 0) for n, used in enumerate(cpu)], at_rest=False)
     assert told["real"]["cpu_ms_s"]["most"] == pytest.approx(1000 * 2.5 / 60)
-    whole = figures.phase([sample(10.0 * n, used, 0) for n, used in enumerate(cpu)], at_rest=True)
+    whole = figures.summarize_phase([sample(10.0 * n, used, 0) for n, used in enumerate(cpu)], at_rest=True)
     assert whole["real"]["cpu_ms_s"]["most"] == pytest.approx(1000 * 3.1 / 120)
 
 
 def test_bytes_are_payload_and_each_datagram_has_a_header_on_the_wire() -> None:
-    told = figures.phase([sample(0.0, 0.0, 0), sample(60.0, 0.0, 120)], at_rest=False)
+    told = figures.summarize_phase([sample(0.0, 0.0, 0), sample(60.0, 0.0, 120)], at_rest=False)
     assert told["real"]["bytes_s"]["median"] == 200
     assert told["real"]["wire_bytes_s"]["median"] == 200 + 28 * 2
     assert told["hollow"]["bytes_s"] == 20, "of one of ten members"
@@ -99,13 +99,13 @@
 
 def test_a_backend_that_was_started_again_has_no_rate_across_its_end() -> None:
     samples = [sample(0.0, 5.0, 500), sample(60.0, 1.0, 10, pid=2), sample(120.0, 1.6, 70, pid=2)]
-    told = figures.phase(samples, at_rest=False)
+    told = figures.summarize_phase(samples, at_rest=False)
     assert told["real"]["cpu_ms_s"]["most"] == pytest.approx(10.0)
 
 
 @pytest.mark.parametrize(("used", "lag", "kept"), [(5.0, 0.1, True), (9.8, 0.1, False), (5.0, 0.6, False)])
 def test_a_hollow_process_that_is_full_or_late_is_not_in_step(used: float, lag: float, kept: bool) -> None:
-    told = figures.in_step([sample(0.0, 0.0, 0), sample(10.0, 0.0, 0, used=used, lag=lag)])
+    told = figures.check_pace([sample(0.0, 0.0, 0), sample(10.0, 0.0, 0, used=used, lag=lag)])
     assert told["kept"] is kept
 
 
@@ -113,7 +113,7 @@
 
 
 def run(size: int, seed: int, cpu: float, kept: bool = True) -> dict:
-    phase = figures.phase([sample(0.0, 0.0, 0), sample(60.0, cpu, 60)], at_rest=True)
+    phase = figures.summarize_phase([sample(0.0, 0.0, 0), sample(60.0, cpu, 60)], at_rest=True)
     phase["step"]["kept"] = kept
     return {
         "mode": "cells", "size": size, "seed": seed, "load": 1.0, "stopped": None,
@@ -130,13 +130,13 @@
     line = rest["fit"]
     assert line["per_1000"] == pytest.approx(2.0, rel=1e-3) and line["at_0"] == pytest.approx(5.0, rel=1e-3)
     assert (line["per_1000_least"], line["per_1000_most"]) == pytest.approx((1.0, 3.0), rel=1e-3)
-    assert "| cells | rest |" in page(found) and "not in step" in page(found)
+    assert "| cells | rest |" in render_page(found) and "not in step" in render_page(found)
 
 
 def test_one_key_of_the_shared_file_is_written_and_the_others_stay(tmp_path: Path) -> None:
     file = tmp_path / "scale.json"
     file.write_text(json.dumps({"backend": {"figures": 1}, "fleet": {"old": True}}))
-    fit.write(file, "fleet", {"runs": []})
+    fit.write_key(file, "fleet", {"runs": []})
     assert json.loads(file.read_text()) == {"backend": {"figures": 1}, "fleet": {"runs": []}}
 
 
@@ -144,12 +144,12 @@
 
 
 def test_a_run_over_half_of_the_machines_memory_is_refused() -> None:
-    weight = weigh.Weight(member_kb=100.0, build_s=0.001)
-    takes = weigh.takes_kb(1000, 24, 4, weight)
+    weight = member_cost.MemberCost(member_kb=100.0, build_s=0.001)
+    takes = member_cost.estimate_run_kb(1000, 24, 4, weight)
     assert takes > 976 * 125 + 24 * 32_000
-    assert weigh.check(1000, 24, 4, weight, 2 * takes + 2) == takes
-    with pytest.raises(weigh.TooLarge, match="1000 members would take"):
-        weigh.check(1000, 24, 4, weight, 2 * takes - 2)
+    assert member_cost.check_memory(1000, 24, 4, weight, 2 * takes + 2) == takes
+    with pytest.raises(member_cost.RunTooLargeError, match="1000 members would take"):
+        member_cost.check_memory(1000, 24, 4, weight, 2 * takes - 2)
 
 
 def test_the_command_refuses_a_fleet_that_is_too_large_before_it_begins(tmp_path: Path) -> None:
