--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,1 +1,1 @@
-"""What a fleet costs at size: real backends beside hollow members, script by script."""
+"""Cost of a fleet by its size: real backends beside stub members, script by script."""
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,11 +1,11 @@
-"""What the fleet costs at size: real backends beside hollow members on this machine.
+"""Measures what a fleet costs at a given size, with real backends and stub members on this machine.
 
     python -m benchmarks.scale --flat|--cells [--script rest zone] [--sizes 20 100] [--seeds 1 2]
 
-Emulated: real processes and hollow members on loopback, 5 regions and 11 zones, 80 ms one way between
-regions. Each size and seed is one fleet, on which the scripts are played in turn; `lonely` has its own.
-One JSON file a run goes to --out; `python -m benchmarks.scale.fit` makes the page of them. It refuses sizes
-that would take over half of the machine's memory, ends by itself, and leaves no process behind.
+Emulated: real processes and stub members on loopback, 5 regions and 11 zones, 80 ms one-way delay between
+regions. Each size and seed gives one fleet, which runs the scripts in turn; `lonely` starts its own.
+Writes one JSON file per run to --out; `python -m benchmarks.scale.fit` turns them into a page. Refuses sizes
+that would need more than half of the machine's memory, and terminates every process that it started.
 """
 
 import argparse
@@ -25,18 +25,17 @@
 
 SIZES = [20, 100, 500, 1000, 2600, 5200]
 SCRIPTS = [*scripts.SCRIPTS, "lonely"]
-MAX_STUBS_PER_PROCESS = 1300  # hollow members a process, at most
-MAX_PROCESS_CPU_MS_S = 300.0  # of processor time that its members are thought to take at rest
+MAX_STUBS_PER_PROCESS = 1300
+MAX_PROCESS_CPU_MS_S = 300.0  # estimated processor time of the stub members of one process, at rest
 MAX_PROCESSES = max(1, (os.cpu_count() or 1) - 1)
-SETTLE_S, SETTLE_TIMEOUT_S = (
-    15.0,
-    240.0,
-)  # after the start, before the first script; until real ones are whole
-MEMBER_CPU_MS_S = {"flat": (1.0, 0.003), "cells": (1.0, 0.0)}  # thought: processor time of one, and by size
+# Wait before the first script, and the limit for real backends to catch up.
+SETTLE_S, SETTLE_TIMEOUT_S = 15.0, 240.0
+# Estimated processor time of one member at rest: base, and slope by size.
+MEMBER_CPU_MS_S = {"flat": (1.0, 0.003), "cells": (1.0, 0.0)}
 
 
 def process_count(size: int, real: int, mode: str) -> int:
-    """Of hollow members: none is to take over A_PROCESS_MS_S at rest, while there are cores for them."""
+    """Number of stub processes: each below MAX_PROCESS_CPU_MS_S at rest, as far as there are cores."""
     base, slope = MEMBER_CPU_MS_S[mode]
     stub_count = size - real
     wanted = -(-stub_count * (base + slope * size) // MAX_PROCESS_CPU_MS_S)
@@ -44,7 +43,7 @@
 
 
 def run_fleet(args: argparse.Namespace, size: int, seed: int, mode: str) -> dict:
-    """One fleet, from its start to its end."""
+    """Starts one fleet, runs the scripts on it and returns the results."""
     real = min(args.real, size // 2)
     processes = args.processes or process_count(size, real, mode)
     machine_kb = member_cost.machine_memory_kb()
@@ -68,7 +67,7 @@
         wanted = [name for name in args.script if name != "lonely"]
         if not wanted:
             return run
-        show_progress(f"{mode} {size}: weighing a member")
+        show_progress(f"{mode} {size}: measuring the memory of one member")
         cost = member_cost.measure(size, cells, fleet)
         run["weight"] = cost._asdict()
         run["takes_kb"] = member_cost.check_memory(size, real, processes, cost, machine_kb)
@@ -92,7 +91,7 @@
 
 
 def wait_until_settled(rig: Wide, recorder: Recorder) -> tuple[float, int]:
-    """Until every real backend has caught up, or the time for it is over; s, and how many have."""
+    """Waits until every real backend has caught up or the time-out expires; returns s, and how many have."""
     began = time.monotonic()
 
     def caught_up_count() -> int:
@@ -126,16 +125,24 @@
     mode = parser.add_mutually_exclusive_group(required=True)
     mode.add_argument("--flat", action="store_const", const="flat", dest="mode")
     mode.add_argument("--cells", action="store_const", const="cells", dest="mode")
-    parser.add_argument("--real", type=int, default=24, help="real backends; half of the fleet at most")
-    parser.add_argument("--span-s", type=float, default=90.0, help="of each script, at least")
-    parser.add_argument("--cut-s", type=float, default=180.0, help="that regions are cut from each other")
-    parser.add_argument("--most-s", type=float, default=240.0, help="to wait for what ends a script")
-    parser.add_argument("--loss", type=float, default=0.0, help="part of datagrams lost between regions")
-    parser.add_argument("--period-ms", type=int, default=0, help="the fleet's period, where not the default")
-    parser.add_argument("--processes", type=int, default=0, help="for hollow members; 0: by their number")
+    parser.add_argument("--real", type=int, default=24, help="real backends; at most half of the fleet")
+    parser.add_argument("--span-s", type=float, default=90.0, help="minimum duration of each script")
+    parser.add_argument("--cut-s", type=float, default=180.0, help="duration of the partition of regions")
+    parser.add_argument(
+        "--most-s", type=float, default=240.0, help="time-out for the end condition of a script"
+    )
+    parser.add_argument("--loss", type=float, default=0.0, help="fraction of datagrams lost between regions")
+    parser.add_argument(
+        "--period-ms", type=int, default=0, help="protocol period of the fleet; 0: the default"
+    )
+    parser.add_argument(
+        "--processes", type=int, default=0, help="processes for stub members; 0: by their number"
+    )
     parser.add_argument("--out", type=Path, default=Path("runs/scale"))
     args = parser.parse_args()
-    signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))  # the rig's end comes on the way out
+    signal.signal(
+        signal.SIGTERM, lambda *_: sys.exit(143)
+    )  # raises SystemExit, so that the rig's __exit__ runs
     args.out.mkdir(parents=True, exist_ok=True)
     stopped = 0
     for size in args.sizes:
--- a/benchmarks/scale/figures.py
+++ b/benchmarks/scale/figures.py
@@ -1,7 +1,7 @@
-"""From samples to figures: rates over bins, the worst minute, medians and mosts. Pure.
+"""Computes figures from samples: rates over intervals, the worst minute, medians and maxima. No I/O.
 
-A sample is what was read of every process at one moment (record.py): counters that only go up, and memory.
-`Bin` is the difference of two; a real backend that was started anew in between has no rate there.
+A sample (record.py) holds the monotonic counters and the memory of every process at one moment. Rates are
+differences of two samples; a real backend that was restarted in between has no rate for that interval.
 """
 
 import statistics
@@ -9,12 +9,12 @@
 
 HEADER_BYTES = 28  # bytes of IPv4 and UDP before a datagram's payload
 MINUTE_S = 60.0
-MAX_LAG_S, MAX_BUSY_PART = 0.5, 0.95  # a hollow process that is so far behind, or so busy, is not in step
+MAX_LAG_S, MAX_BUSY_PART = 0.5, 0.95  # beyond either, a stub process did not keep pace
 RATE_FIELDS = ("cpu_ms_s", "bytes_s", "wire_bytes_s", "datagrams_s", "fetches_s")
 
 
 def real_rates(before: dict, after: dict, passed_s: float) -> dict | None:
-    """Of one real backend; None where it is another process by now, or did not answer."""
+    """Rates of one real backend; None if it was restarted in between or did not answer."""
     if before["pid"] != after["pid"] or before["counts"] is None or after["counts"] is None:
         return None
     deltas = {key: after["counts"][key] - before["counts"][key] for key in before["counts"]}
@@ -31,15 +31,15 @@
 
 
 def stub_rates(before: dict, after: dict, passed_s: float) -> dict | None:
-    """Of one hollow member on the average; None where none is on. Processor time is the whole process's,
-    with what this harness itself takes."""
+    """Mean rates of one stub member; None if none is running. Processor time is that of the whole process,
+    including the harness's own."""
     running = (before["on"] + after["on"]) / 2
     if not running:
         return None
     deltas = {key: after["sums"][key] - before["sums"][key] for key in before["sums"]}
     payload_bytes = (
         deltas["sent_bytes"] + deltas["read_bytes"] + 2 * deltas["stream_bytes"]
-    )  # a stream has two ends
+    )  # both ends of a stream
     datagrams = deltas["sent"] + deltas["read"]
     member_s = passed_s * running
     return {
@@ -52,7 +52,7 @@
 
 
 def sample_pairs(samples: Sequence[dict], span_s: float) -> list[tuple[dict, dict]]:
-    """Pairs of samples that lie `span_s` apart or a little more; where none do, the first and the last."""
+    """Pairs of samples at least `span_s` (less 5%) apart; if there are none, the first and the last one."""
     pairs = []
     for n, first in enumerate(samples):
         later = [one for one in samples[n + 1 :] if one["at_s"] - first["at_s"] >= 0.95 * span_s]
@@ -68,8 +68,9 @@
 def summarize_real(
     samples: Sequence[dict], pick: Callable = max, span_s: float = MINUTE_S, speakers_only: bool | None = None
 ) -> dict:
-    """For each rate: every real backend's `pick` over windows of `span_s`, then over backends; `speaks`: over
-    those that speak for their cell, or that do not."""
+    """Applies `pick` to each rate of a real backend over windows of `span_s`, then summarizes over backends.
+
+    `speakers_only`: True for the speakers of cells, False for the other backends, None for all."""
     found: dict[str, list[float]] = {name: [] for name in RATE_FIELDS}
     names = [name for name in samples[0]["real"] if all(name in one["real"] for one in samples)]
     if speakers_only is not None:
@@ -107,7 +108,7 @@
 
 
 def summarize_baseline(samples: Sequence[dict]) -> dict:
-    """The real backend without a fleet, over the whole time."""
+    """Rates of the real backend without a fleet section, over the whole time."""
     first, last = samples[0], samples[-1]
     cpu_s = last["alone"]["cpu_s"] - first["alone"]["cpu_s"]
     return {
@@ -118,7 +119,7 @@
 
 
 def check_pace(samples: Sequence[dict]) -> dict:
-    """Whether the hollow processes kept up: their loops' lag, and how busy the busiest was."""
+    """Whether the stub processes kept pace, by the lag of their event loops and the load of the busiest."""
     slowest = max((one["hollow"] for one in samples[1:]), key=lambda one: one["lag_s"])
     lag = slowest["lag_s"]
     max_busy = 0.0
@@ -135,7 +136,7 @@
 
 
 def summarize_phase(samples: Sequence[dict], at_rest: bool) -> dict:
-    """Of one script's samples: its worst minute, or, at rest, the whole of it."""
+    """Figures of one script: its worst minute, or, at rest, its whole duration."""
     span = samples[-1]["at_s"] - samples[0]["at_s"]
     window_s = span if at_rest else MINUTE_S
     return {
--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -1,11 +1,11 @@
-"""Fits what the scale run measured over the fleet's size, and writes it down.
+"""Fits the results of `benchmarks.scale` over the fleet's size, and writes the fits to JSON and a page.
 
     .venv/bin/python -m benchmarks.scale.fit [RUNS ...] [--json docs/measurements/scale.json]
 
-Of every script and figure: the points (size, seed, value), for each size the median with the least and the
-most over seeds, and a straight line over size: its slope for 1,000 members, with the spread of the slopes of
-the single seeds, or, where there is one seed, of the line's own standard error. Points of runs that did not
-keep step are kept, marked, and not fitted. The JSON file is shared: only its key `fleet` is written here.
+For every script and figure: the points (size, seed, value), the median, minimum and maximum over seeds for
+each size, and a linear fit over size: its slope per 1,000 members, with the range of the slopes of single
+seeds, or, with one seed, two standard errors to each side. Points of runs that did not keep pace are kept
+and marked, but not fitted. The JSON file is shared: only its key `fleet` is written here.
 """
 
 import argparse
@@ -22,7 +22,7 @@
 
 from benchmarks.scale.page import render_page
 
-# Figures of a phase that are fitted: where they stand, and how they are called on the page.
+# Figures of a phase that are fitted: name on the page -> path in the phase.
 FIGURE_PATHS = {
     "real_cpu_ms_s": ("real", "cpu_ms_s", "median"),
     "real_cpu_ms_s_most": ("real", "cpu_ms_s", "most"),
@@ -63,7 +63,7 @@
 
 
 def restart_figures(phase: dict) -> dict[str, float]:
-    """Of real backends started again with all in reach: the slowest, and the one that asked most."""
+    """Maxima over the real backends that were restarted while all others were reachable."""
     found = [one for one in phase["found"].get("restarted", ()) if one["ready_s"] is not None]
     if not found:
         return {}
@@ -75,7 +75,7 @@
 
 
 def collect_points(runs: Iterable[dict]) -> dict:
-    """mode -> script -> figure -> [[size, seed, value, in step]]."""
+    """mode -> script -> figure -> [[size, seed, value, kept pace]]."""
     found: dict = defaultdict(lambda: defaultdict(lambda: defaultdict(list)))
     for run in runs:
         for script, phase in run["scripts"].items():
@@ -111,7 +111,7 @@
 
 
 def fit_points(points: Sequence[Sequence]) -> dict:
-    """The points, what each size has, and the line; a slope is for 1,000 members more."""
+    """Summary of the points by size, and the linear fit; slopes are per 1,000 members."""
     by_size: dict[int, list[float]] = defaultdict(list)
     valid = [one for one in points if one[3]]
     for size, _, value, _ in valid:
@@ -139,7 +139,7 @@
 
 
 def round_values(value: object) -> object:
-    """Five figures are more than any of these has."""
+    """Rounds to five significant digits, more than any measured value has."""
     if isinstance(value, float):
         return float(f"{value:.5g}")
     if isinstance(value, dict):
@@ -154,7 +154,7 @@
 
 
 def summary(runs: Sequence[dict]) -> dict:
-    """The runs as they were, and what was fitted, by mode, script and figure."""
+    """The runs, and the fits by mode, script and figure."""
     fits = {
         mode: {
             script: {name: fit_points(points) for name, points in figures.items()}
@@ -169,7 +169,7 @@
 
 
 def without_points(summary: dict) -> dict:
-    """The runs and the lines: what each size had is on the page, and in the runs."""
+    """The runs and the linear fits; the values by size are on the page and in the runs."""
     lines = {
         mode: {
             script: {name: one["fit"] for name, one in figures.items() if one["fit"]}
@@ -181,7 +181,7 @@
 
 
 def trim_phase(phase: dict) -> dict:
-    """Without what the page and its reader have no use for: the file goes with the sources."""
+    """Drops fields that the page does not use, since the file is committed with the sources."""
     trimmed = {key: value for key, value in phase.items() if value}
     for kind in ("real", "speakers", "others"):
         trimmed[kind] = {
@@ -198,7 +198,7 @@
 
 
 def write_key(path: Path, key: str, value: dict) -> None:
-    """One key of the file that several measurements share; the others stay as they are."""
+    """Writes one key of a file that several measurements share; the other keys are unchanged."""
     document = json.loads(path.read_text()) if path.exists() else {}
     document[key] = value
     path.parent.mkdir(parents=True, exist_ok=True)
@@ -209,7 +209,7 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(prog="python -m benchmarks.scale.fit")
-    parser.add_argument("runs", type=Path, nargs="*", help="files of runs; none: all of runs/scale")
+    parser.add_argument("runs", type=Path, nargs="*", help="result files; default: all of runs/scale")
     parser.add_argument("--json", type=Path, default=Path("docs/measurements/scale.json"))
     parser.add_argument("--page", type=Path, default=Path("docs/measurements/scale.md"))
     args = parser.parse_args()
--- a/benchmarks/scale/isolated_start.py
+++ b/benchmarks/scale/isolated_start.py
@@ -1,5 +1,6 @@
-"""A real backend that comes up while nobody answers: its peers' machines refuse, or are silent as behind a
-cut. Only the one backend runs, so any size can be played.
+"""Starts a real backend while no peer is reachable: connections are refused, or time out as in a partition.
+
+Only this one backend runs, so any fleet size can be measured.
 """
 
 from pathlib import Path
@@ -12,7 +13,7 @@
 def measure(
     folder: Path, size: int, seed: int, cells: bool, silent: bool, span_s: float, memory_limit_kb: int
 ) -> dict:
-    """`silent`: peers' ports take a stream and say nothing; else nobody listens there."""
+    """`silent`: peers accept connections and never answer; otherwise nothing listens on their ports."""
     processes = max(1, size // 1300) if silent else 0
     rig = Wide(folder, size, 1, seed, cells=cells, processes=processes, asleep=True)
     with rig:
--- a/benchmarks/scale/member_cost.py
+++ b/benchmarks/scale/member_cost.py
@@ -1,4 +1,4 @@
-"""What one pure member of a fleet takes: resident kB and seconds to build, measured in a process of its own.
+"""Cost of one simulated member of a fleet: resident kB and seconds to build, measured in a separate process.
 
 python -O -m benchmarks.scale.weigh SIZE [--cells] [--fleet JSON]
 """
@@ -19,14 +19,13 @@
 from crowwing.emulator.fleet.wide import memory_kb
 from crowwing.emulator.processes import ROOT
 
-SAMPLED_ENTRIES = (
-    400_000  # of all members' tables together: enough to weigh, and little beside what is to come
-)
-REAL_BACKEND_KB = 32_000  # of one real backend
-PROCESS_KB = 40_000  # of one hollow process without its members
-STUB_SOCKETS_KB = 12  # of one hollow member, beside its decider: its sockets' objects and its turns
-GROWTH_FACTOR = 1.25  # what a member gathers while it runs, over what it was built with
-MAX_MEMORY_PART = 0.5  # of the machine's memory that a run may take
+# Table entries of all measured members: enough to measure, and little beside the run itself.
+SAMPLED_ENTRIES = 400_000
+REAL_BACKEND_KB = 32_000
+PROCESS_KB = 40_000  # of one stub process without its members
+STUB_SOCKETS_KB = 12  # of one stub member, beside its decision logic: socket objects and timers
+GROWTH_FACTOR = 1.25  # memory of a member after a run, relative to a new one
+MAX_MEMORY_PART = 0.5  # part of the machine's memory that a run may use
 
 
 class MemberCost(NamedTuple):
@@ -35,7 +34,7 @@
 
 
 class RunTooLargeError(MemoryError):
-    """One line: what the run would take, and what it may."""
+    """The run needs more memory than it may use; the message is one line."""
 
 
 def measure(size: int, cells: bool, fleet: dict) -> MemberCost:
@@ -55,9 +54,9 @@
 
 
 def estimate_run_kb(size: int, real: int, processes: int, cost: MemberCost) -> int:
-    """The whole run's memory, kB."""
+    """Estimated memory of the whole run, kB."""
     stub_kb = GROWTH_FACTOR * cost.member_kb + STUB_SOCKETS_KB
-    # What a real one holds of the fleet is a member's as well.
+    # A real backend holds the same fleet state as a stub member.
     return round((size - real) * stub_kb + real * (REAL_BACKEND_KB + cost.member_kb) + processes * PROCESS_KB)
 
 
@@ -67,7 +66,7 @@
 
 
 def check_memory(size: int, real: int, processes: int, cost: MemberCost, machine_kb: int) -> int:
-    """The kB that the run would take; TooLarge where that is over its part of the machine's."""
+    """The kB that the run would take; raises RunTooLargeError over MAX_MEMORY_PART of the machine's."""
     run_kb = estimate_run_kb(size, real, processes, cost)
     if run_kb > MAX_MEMORY_PART * machine_kb:
         raise RunTooLargeError(
@@ -83,9 +82,8 @@
     layout = pure.layout(places(names) if sys.argv[2] == "cells" else None, fleet)
     build_member = pure.maker(names, layout, fleet)
     count = max(4, min(size, SAMPLED_ENTRIES // size))
-    members = [
-        build_member(names[0], 0, random.Random(0))
-    ]  # what all share is there before the first is weighed
+    # The first member allocates what all share, so it is not measured.
+    members = [build_member(names[0], 0, random.Random(0))]
     gc.collect()
     before, began = memory_kb(os.getpid())[0], time.monotonic()
     for n in range(count):
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -1,4 +1,4 @@
-"""docs/measurements/scale.md out of what was fitted. Pure."""
+"""Renders docs/measurements/scale.md from the fits. No I/O."""
 
 from collections.abc import Iterator
 
--- a/benchmarks/scale/record.py
+++ b/benchmarks/scale/record.py
@@ -1,4 +1,4 @@
-"""Reads every process of a wide rig now and then while a script goes on."""
+"""Samples every process of a wide rig periodically while a script runs."""
 
 import os
 import sys
@@ -12,26 +12,26 @@
 
 SAMPLE_PERIOD_S = 10.0
 QUERY_TIMEOUT_S = 1.0
-TimedAction = tuple[float, Callable[[], object]]  # seconds after the phase began, and what is done then
+TimedAction = tuple[float, Callable[[], object]]  # seconds after the start of the phase, and the action
 
 
 class RunAbortedError(RuntimeError):
-    """Why a run ends before its script does: one line."""
+    """A run ended before its script did; the message is one line."""
 
 
 def show_progress(text: str) -> None:
-    """Progress: one line that the next one overwrites, and only where somebody looks."""
+    """Prints one line that the next call overwrites, if stderr is a terminal."""
     if sys.stderr.isatty():
         print(f"\r{text:<100.100}", end="", file=sys.stderr, flush=True)
 
 
 class Recorder:
-    """`memory_most` (kB): a run that comes to hold more ends (Stopped)."""
+    """Raises RunAbortedError once all processes together hold more than `memory_limit_kb`."""
 
     def __init__(self, rig: Wide, title: str, memory_limit_kb: int) -> None:
         self.rig, self.title, self.memory_limit_kb = rig, title, memory_limit_kb
         self.began = time.monotonic()
-        self.peak_memory_kb = 0  # kB, the most that all processes held together
+        self.peak_memory_kb = 0  # of all processes together
 
     def sample(self, by_peer: bool = False) -> dict:
         rig = self.rig
@@ -45,7 +45,7 @@
         real = {}
         for name, pid in rig.pids(rig.names).items():
             rss, hwm = memory_kb(pid)
-            own_counts = dict(rig.asked[name])  # what it counts of our own asking is no fleet's
+            own_counts = dict(rig.asked[name])  # the harness's own requests are no fleet traffic
             counts = rig.ask(name, QUERY_TIMEOUT_S, k="counts")
             if counts is not None:
                 counts.pop("n")
@@ -117,7 +117,7 @@
         timeout_s: float = 0.0,
         poll_s: float = 1.0,
     ) -> list[dict]:
-        """Samples over `least_s`, in which `moments` are done; then on until `over()`, `most_s` at most."""
+        """Samples for `min_s` and runs `actions`; then until `is_done()`, for at most `timeout_s` more."""
         samples, began, pending = (
             [self.sample()],
             time.monotonic(),
@@ -153,12 +153,12 @@
 
 
 def wait_for_real(rig: Wide, timeout_s: float) -> None:
-    """Until every real backend answers, or the time is over."""
+    """Waits until every real backend answers or the time-out expires."""
     rig.until(lambda: all(rig.ask(name, QUERY_TIMEOUT_S, k="counts") for name in rig.names), timeout_s, 0.2)
 
 
 def log_events(folder: Path, names: Sequence[str], since_us: int, event: str) -> list[dict]:
-    """Lines of one kind that real backends wrote since then (Unix µs)."""
+    """Log lines of one event that real backends wrote since `since_us` (Unix µs)."""
     found = []
     for name in names:
         for raw_line in (folder / f"{name}.log").read_bytes().splitlines():
--- a/benchmarks/scale/scripts.py
+++ b/benchmarks/scale/scripts.py
@@ -1,9 +1,9 @@
-"""What happens to the fleet while it is measured. Each script ends with everything on and healed.
+"""The load and the faults during a measurement. Each script ends with all members running and no faults.
 
-`day` is 110 failures and 4,800 restarts a day at that pace for the fleet's size, at least one of each;
-`release` the restarts of a day in ten minutes. A failure is a member gone without a word and on again, with
-an empty memory, at the end. Only hollow members are restarted, but for the zone, whose real backends go with
-it.
+`ordinary` has the rate of 110 failures and 4,800 restarts a day, scaled to the fleet's size, at least one of
+each; `release` has the restarts of a day within ten minutes. A failed member stops without notice and starts
+again with empty memory at the end. Scripts fail and restart stub members only, except for `zone`, `cell` and
+`restart`, which take real backends too.
 """
 
 import itertools
@@ -17,20 +17,20 @@
 from crowwing.emulator.fleet.places import ZONES
 from crowwing.emulator.fleet.wide import Wide
 
-REFERENCE_SIZE = 5200  # members that the day's figures are for
-FAILURES_PER_DAY, RESTARTS_PER_DAY, CHANGES_PER_DAY = 110, 4800, 3400  # a day
+REFERENCE_SIZE = 5200  # members of the fleet that the rates per day refer to
+FAILURES_PER_DAY, RESTARTS_PER_DAY, CHANGES_PER_DAY = 110, 4800, 3400
 DAY_S, RELEASE_S = 86_400.0, 600.0
 RACK_SIZE, BURST_SIZE = 40, 50
-DOWN_S = 3.0  # between a restarted member's end and its next start
+DOWN_S = 3.0  # down time of a restarted member
 REAL_POLL_S = 0.25
-STABLE_S = 5.0  # that views are right before that counts
+STABLE_S = 5.0  # views have to stay correct for this long
 
 
 class Run:
-    """One fleet, on which scripts are played in turn."""
+    """One fleet, on which scripts run in turn."""
 
     def __init__(self, rig: Wide, recorder: Recorder, span_s: float, cut_s: float, timeout_s: float) -> None:
-        """`span_s` of each script at least; `cut_s` that regions are cut; `most_s` to wait for an end."""
+        """`span_s`: minimum of each script; `cut_s`: of a partition; `timeout_s`: for end conditions."""
         self.rig, self.recorder, self.span_s, self.cut_s, self.timeout_s = (
             rig,
             recorder,
@@ -43,7 +43,7 @@
         self.key_numbers = itertools.count()
 
     def restart_actions(self, span_s: float, within_s: float) -> list:
-        """Moments of restarts, evenly over `span_s`, at the pace of a day's within `within_s`."""
+        """Restarts evenly over `span_s`, at the rate of a day's restarts within `within_s`."""
         count = max(1, round(RESTARTS_PER_DAY * self.size / REFERENCE_SIZE * span_s / within_s))
         selected = self.rng.sample(self.rig.hollow, min(count, len(self.rig.hollow)))
         return [
@@ -61,7 +61,7 @@
         return all(one["right"] == one["on"] for one in views)
 
     def wait_for_recovery(self, label: str, begin_us: int) -> dict:
-        """Waits for all views to be right and to stay so; s since `begin_us`, None where it did not come."""
+        """Waits for all views to be correct and stay so; s since `begin_us`, None after the time-out."""
         correct_since: int | None = None
 
         def poll() -> bool:
@@ -100,7 +100,7 @@
 
 
 def ordinary(run: Run) -> dict:
-    """A day's pace."""
+    """Failures and restarts at the rate of an ordinary day."""
     actions = run.restart_actions(run.span_s, DAY_S)
     failures = max(1, round(FAILURES_PER_DAY * run.size / REFERENCE_SIZE * run.span_s / DAY_S))
     gone = run.rng.sample(run.rig.hollow, failures)
@@ -121,14 +121,14 @@
 
 
 def rack(run: Run) -> dict:
-    """A switch: 40 at once of one zone (at most half of it), and back."""
+    """A rack switch fails: 40 members of one zone at once (at most half of it), which then return."""
     names = run.rig.in_zone(f"{next(iter(ZONES))}a")
     hollow = [name for name in names if name in run.rig.hollow_at]
     return _remove_and_restore(run, "rack", hollow[: min(RACK_SIZE, max(1, len(names) // 2))], [])
 
 
 def zone(run: Run) -> dict:
-    """All of one zone, its real backends too, and back with empty memories."""
+    """All members of one zone fail, real backends too, and return with empty memory."""
     names = run.rig.in_zone(f"{next(iter(ZONES))}b")
     real = [name for name in names if name in run.rig.fleet_at]
     return _remove_and_restore(run, "zone", names, real)
@@ -144,7 +144,7 @@
     cell = {name: group for group in groups for name in group}
     off = set(names)
     observers = {name: [one for one in cell[name] if one not in off] for name in names}
-    of = observers if len(groups) > 1 else {}  # of one group, whoever saw it is one of those
+    of = observers if len(groups) > 1 else {}  # with one group, every member is an observer
     lost_cells = pure.dead_cells(rig.layout, off)
     others = len([name for name in rig.hollow if name not in off])
     detected: dict[str, int] = {}
@@ -182,7 +182,9 @@
 
 
 def _real_detections(run: Run, begin: int, off: set[str]) -> dict[str, dict[str, int]]:
-    """Of each that is off: the real backends that said so since `begin` (Unix µs), and when, on `now_us`."""
+    """For each member in `off`, the real backends that logged it as dead or left since `begin` (Unix µs).
+
+    Times are on the clock of `now_us`."""
     shift = now_us() - time.time_ns() // 1000
     seen: dict[str, dict[str, int]] = {name: {} for name in off}
     for line in log_events(run.rig.folder, run.rig.names, begin, "member"):
@@ -192,12 +194,12 @@
 
 
 def seconds_since(begin_us: int, times_us: dict[str, int]) -> dict | None:
-    """Seconds; None where there is nothing."""
+    """Summary in seconds; None if there are no times."""
     return figures.summarize([(at - begin_us) / 1e6 for at in times_us.values()]) if times_us else None
 
 
 def cell(run: Run) -> dict:
-    """All of one cell, that with the fewest real backends, and back; a flat fleet has none to lose."""
+    """All members of the cell with the fewest real backends fail and return; skipped in a flat fleet."""
     rig, real = run.rig, set(run.rig.names)
     if rig.layout is None:
         return result(run.recorder.record("no cell to lose", 1.0), skipped=True)
@@ -207,7 +209,7 @@
 
 
 def regions(run: Run) -> dict:
-    """Every region alone for `cut_s`, and back."""
+    """Partitions all regions from each other for `cut_s`."""
     rig, begin = run.rig, time.time_ns() // 1000
     rig.cut(list(itertools.combinations(ZONES, 2)))
     samples = run.recorder.record("regions cut", run.cut_s)
@@ -228,8 +230,8 @@
 
 
 def changes(run: Run) -> dict:
-    """Three at the day's pace, then 50 at once, each put in at a hollow member by chance; then three by an
-    operator's command at real ones, told once enough others hold them."""
+    """Three changes at the rate of a day, then 50 at once, each put at a random stub member; then three put
+    at real backends by an operator's command, acknowledged once enough others hold them."""
     rig, put_at, held_at = run.rig, {}, {}
     real_holders: dict[str, dict[str, int]] = {name: {} for name in rig.names}
 
@@ -271,7 +273,7 @@
 
 
 def _watched_keys(rig: Wide) -> dict[str, tuple[int, int]]:
-    """For each watched key how many hollow members hold it, and when the last came to."""
+    """For each watched key, how many stub members hold it, and when the last one received it."""
     sums: dict[str, tuple[int, int]] = {}
     for one in rig.tell("seen"):
         for key, (count, at) in one["keys"].items():
@@ -292,7 +294,7 @@
 
 
 def restart(run: Run) -> dict:
-    """Three real backends, one after the other, killed and started again with all others in reach."""
+    """Kills and restarts three real backends, one after the other, with all others reachable."""
     found, samples = [], []
     for name in run.rng.sample(run.rig.names, min(3, len(run.rig.names))):
         before = run.recorder.sample(whom=True)
