--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -28,8 +28,8 @@
 TIER_PAGE, TIER_FILE = DOCS / "CAPACITY.md", DOCS / "measurements" / "tier_scale.json"
 PAGES = ((PAGE, FILE), (TIER_PAGE, TIER_FILE))
 UNKNOWN = "not measured yet"
-FIRST, LAST = 20, 100_000  # backends: where a fleet begins to grow, and the end
-WHOLE_HEADER = "of budget at "  # and the size that is asked for
+MIN_SIZE, MAX_SIZE = 20, 100_000  # backends: where a fleet begins to grow, and the end
+RATIO_HEADER = "of budget at "  # and the size that is asked for
 OPERATORS = {
     ast.Add: operator.add, ast.Sub: operator.sub, ast.Mult: operator.mul, ast.Div: operator.truediv,
     ast.Pow: operator.pow,
@@ -37,69 +37,69 @@
 FUNCTIONS = {"min": min, "max": max, "ceil": math.ceil, "exp": math.exp, "log10": math.log10}
 
 
-class BadPage(ValueError):
+class PageError(ValueError):
     """The page holds what cannot be worked out."""
 
 
-class Unmeasured(LookupError):
+class NotMeasuredError(LookupError):
     """A name whose figure is not in the file yet."""
 
 
-class Names:
+class FigureNames:
     """What the names in a sum stand for: the page's own figures, and the measured ones."""
 
     def __init__(self, page: str, measured: dict) -> None:
-        self.own: dict[str, float] = {}
+        self.page_values: dict[str, float] = {}
         self.measured = measured
         for header, rows in tables(page):
             if header[0] == "name":
                 for row in rows:
-                    self.own[bare(row[0])] = float(row[1].replace(",", ""))
+                    self.page_values[strip_backticks(row[0])] = float(row[1].replace(",", ""))
 
     def value(self, name: str, which: str) -> float:
         key, _, rest = name.partition(".")
         if not rest:
-            if name not in self.own:
-                raise BadPage(f"no figure is named {name}")
-            return self.own[name]
-        told = self.measured.get(key, {})
-        figure = told.get("figures", {}).get(rest)
+            if name not in self.page_values:
+                raise PageError(f"no figure is named {name}")
+            return self.page_values[name]
+        entry = self.measured.get(key, {})
+        figure = entry.get("figures", {}).get(rest)
         if figure is not None:
             return float(figure[which])
-        seeds = of_runs(told.get("runs", []), rest)
+        seeds = values_of_runs(entry.get("runs", []), rest)
         if not seeds:
-            raise Unmeasured(name)
+            raise NotMeasuredError(name)
         return float({"value": statistics.median, "least": min, "most": max}[which](seeds))
 
 
-def of_runs(runs: list[dict], name: str) -> list[float]:
+def values_of_runs(runs: list[dict], name: str) -> list[float]:
     """The figure of each seed that was played: at one size, or the line through the sizes."""
     what, *path = name.split("__")
     kind, _, size = what.rpartition("_")
-    seen: dict[int, dict[int, list[float]]] = {}  # by seed and size
+    by_seed: dict[int, dict[int, list[float]]] = {}  # by seed and size
     for run in runs:
         if kind == run.get("kind", run.get("mode")) and size in ("each", "base", str(run["size"])):
-            for value in found_in(run, path):
-                seen.setdefault(run["seed"], {}).setdefault(run["size"], []).append(value)
+            for value in values_of_run(run, path):
+                by_seed.setdefault(run["seed"], {}).setdefault(run["size"], []).append(value)
     if size not in ("each", "base"):
-        return [statistics.median(values) for sizes in seen.values() for values in sizes.values()]
-    lines = []
-    for sizes in seen.values():
+        return [statistics.median(values) for sizes in by_seed.values() for values in sizes.values()]
+    fitted = []
+    for sizes in by_seed.values():
         if len(sizes) > 1:
             line = statistics.linear_regression(
                 list(sizes), [statistics.median(one) for one in sizes.values()]
             )
-            lines.append(line.slope if size == "each" else line.intercept)
-    return lines
+            fitted.append(line.slope if size == "each" else line.intercept)
+    return fitted
 
 
-def found_in(run: dict, path: list[str]) -> list[float]:
+def values_of_run(run: dict, path: list[str]) -> list[float]:
     """What one run found there: nothing where it did not play that script, or never came to it."""
     script, *fields = path
-    told = run.get("found") if run.get("script") == script else run.get("scripts", {}).get(script)
+    entry = run.get("found") if run.get("script") == script else run.get("scripts", {}).get(script)
     for field in fields:
-        told = told.get(field) if isinstance(told, dict) else None
-    values = told if isinstance(told, list) else [told]
+        entry = entry.get(field) if isinstance(entry, dict) else None
+    values = entry if isinstance(entry, list) else [entry]
     return [float(value) for value in values if isinstance(value, int | float)]
 
 
@@ -120,18 +120,18 @@
     return [cell.strip() for cell in line.strip().strip("|").split("|")]
 
 
-def bare(cell: str) -> str:
+def strip_backticks(cell: str) -> str:
     return cell.strip("`")
 
 
-def sum_of(text: str) -> Callable[[Callable[[str], float]], float]:
+def compile_formula(text: str) -> Callable[[Callable[[str], float]], float]:
     """A sum as it is written, to be worked out with what its names stand for."""
     try:
         tree = ast.parse(text, mode="eval").body
-    except SyntaxError as wrong:
-        raise BadPage(f"no sum: {text}") from wrong
+    except SyntaxError as error:
+        raise PageError(f"no sum: {text}") from error
 
-    def worked(node: ast.expr, named: Callable[[str], float]) -> float:
+    def evaluate(node: ast.expr, named: Callable[[str], float]) -> float:
         match node:
             case ast.Constant(value=int() | float() as value):
                 return value
@@ -140,100 +140,105 @@
             case ast.Attribute(value=ast.Name(id=key), attr=name):
                 return named(f"{key}.{name}")
             case ast.UnaryOp(op=ast.USub(), operand=one):
-                return -worked(one, named)
+                return -evaluate(one, named)
             case ast.BinOp(left=left, op=op, right=right) if type(op) in OPERATORS:
-                return OPERATORS[type(op)](worked(left, named), worked(right, named))
+                return OPERATORS[type(op)](evaluate(left, named), evaluate(right, named))
             case ast.Call(func=ast.Name(id=name), args=given, keywords=[]) if name in FUNCTIONS:
-                return FUNCTIONS[name](*(worked(one, named) for one in given))
-        raise BadPage(f"not followed in a sum: {ast.unparse(node)}")
+                return FUNCTIONS[name](*(evaluate(one, named) for one in given))
+        raise PageError(f"not followed in a sum: {ast.unparse(node)}")
 
-    return lambda named: worked(tree, named)
+    return lambda named: evaluate(tree, named)
 
 
-def worked_out(text: str, names: Names, which: str = "value", **also: float) -> float:
+def evaluate_formula(text: str, names: FigureNames, which: str = "value", **overrides: float) -> float:
     def named(name: str) -> float:
-        return also[name] if name in also else names.value(name, which)
+        return overrides[name] if name in overrides else names.value(name, which)
 
-    return sum_of(text)(named)
+    return compile_formula(text)(named)
 
 
-def number(value: float) -> str:
+def format_number(value: float) -> str:
     """Three digits, and no more than a reader needs of large ones."""
     if value == 0:
         return "0"
-    whole = float(f"{value:.3g}")
-    return f"{whole:,.0f}" if abs(whole) >= 100 else f"{whole:,.3g}"
+    rounded = float(f"{value:.3g}")
+    return f"{rounded:,.0f}" if abs(rounded) >= 100 else f"{rounded:,.3g}"
 
 
-def figure(text: str, names: Names) -> str:
+def format_figure(text: str, names: FigureNames) -> str:
     """The median, and the range with all that was measured at its least and at its most."""
     try:
-        middle, least, most = (number(worked_out(text, names, which)) for which in ("value", "least", "most"))
-    except Unmeasured:
+        middle, least, most = (
+            format_number(evaluate_formula(text, names, which)) for which in ("value", "least", "most")
+        )
+    except NotMeasuredError:
         return UNKNOWN
     least, most = sorted((least, most), key=lambda one: float(one.replace(",", "")))
     return middle if least == most else f"{middle} ({least} to {most})"
 
 
-def factor(text: str, budget: str, names: Names, **also: float) -> str:
+def format_budget_ratio(text: str, budget: str, names: FigureNames, **overrides: float) -> str:
     """The figure in parts of its budget: over 1 is too much."""
     if not budget:
         return ""
     try:
-        times = worked_out(text, names, **also) / worked_out(budget, names)
-    except Unmeasured:
+        ratio = evaluate_formula(text, names, **overrides) / evaluate_formula(budget, names)
+    except NotMeasuredError:
         return UNKNOWN
-    return number(times)
+    return format_number(ratio)
 
 
-def breaks(text: str, budget: str, names: Names) -> int | None:
+def find_breaking_size(text: str, budget: str, names: FigureNames) -> int | None:
     """The first fleet over its budget, from FIRST on; None where none is, up to LAST. Sums only grow."""
-    most = worked_out(budget, names)
+    limit = evaluate_formula(budget, names)
 
     def over(size: int) -> bool:
-        return worked_out(text, names, n=size) > most
+        return evaluate_formula(text, names, n=size) > limit
 
-    if over(FIRST):
-        return FIRST
-    if not over(LAST):
+    if over(MIN_SIZE):
+        return MIN_SIZE
+    if not over(MAX_SIZE):
         return None
-    least, beyond = FIRST, LAST
-    while beyond - least > 1:
-        middle = (least + beyond) // 2
-        least, beyond = (least, middle) if over(middle) else (middle, beyond)
-    return beyond
+    least, breaking = MIN_SIZE, MAX_SIZE
+    while breaking - least > 1:
+        middle = (least + breaking) // 2
+        least, breaking = (least, middle) if over(middle) else (middle, breaking)
+    return breaking
 
 
-def breaks_at(text: str, budget: str, names: Names) -> str:
+def format_breaking_size(text: str, budget: str, names: FigureNames) -> str:
     try:
-        size = breaks(text, budget, names)
-    except Unmeasured:
+        size = find_breaking_size(text, budget, names)
+    except NotMeasuredError:
         return UNKNOWN
     if size is None:
-        return f"not up to {LAST:,}"
-    return f"{FIRST} or before" if size == FIRST else f"{size:,}"
+        return f"not up to {MAX_SIZE:,}"
+    return f"{MIN_SIZE} or before" if size == MIN_SIZE else f"{size:,}"
 
 
-def whole_size(header: list[str]) -> int:
+def reference_size(header: list[str]) -> int:
     """The size asked for, as the table's header names it."""
-    cell = next(cell for cell in header if cell.startswith(WHOLE_HEADER))
-    return int(cell.removeprefix(WHOLE_HEADER).replace(",", ""))
+    cell = next(cell for cell in header if cell.startswith(RATIO_HEADER))
+    return int(cell.removeprefix(RATIO_HEADER).replace(",", ""))
 
 
-def order(cell: str) -> float:
+def breaking_sort_key(cell: str) -> float:
     if cell == UNKNOWN:
         return math.inf
-    return LAST if cell.startswith("not up") else float(cell.split()[0].replace(",", ""))
+    return MAX_SIZE if cell.startswith("not up") else float(cell.split()[0].replace(",", ""))
 
 
-def filled(page: str, measured: dict) -> str:
+def fill_page(page: str, measured: dict) -> str:
     """The page with every figure worked out anew, and the order of breaking in order."""
-    names, out, header = Names(page, measured), [], None
-    breaking: list[list[str]] = []
+    names, out, header = FigureNames(page, measured), [], None
+    breaking_rows: list[list[str]] = []
     for line in [*page.splitlines(), ""]:
         if not line.startswith("|"):
-            out += [row(told) for told in sorted(breaking, key=lambda told: order(told[3]))]
-            header, breaking = None, []
+            out += [
+                format_row(entry)
+                for entry in sorted(breaking_rows, key=lambda entry: breaking_sort_key(entry[3]))
+            ]
+            header, breaking_rows = None, []
             out.append(line)
         elif header is None:
             header = cells(line)
@@ -241,46 +246,54 @@
         elif set(line) <= set("|- "):
             out.append(line)
         elif "worked out as" in header:
-            told = cells(line)
-            sum_, budget = (bare(told[header.index(name)]) for name in ("worked out as", "budget"))
-            told[header.index("figure")] = figure(sum_, names)
-            told[header.index("of budget")] = factor(sum_, budget, names)
-            out.append(row(told))
+            entry = cells(line)
+            formula, budget = (
+                strip_backticks(entry[header.index(name)]) for name in ("worked out as", "budget")
+            )
+            entry[header.index("figure")] = format_figure(formula, names)
+            entry[header.index("of budget")] = format_budget_ratio(formula, budget, names)
+            out.append(format_row(entry))
         elif "breaks at" in header:
-            told = cells(line)
-            sum_, budget = bare(told[1]), bare(told[2])
-            told[3] = breaks_at(sum_, budget, names)
-            told[4] = factor(sum_, budget, names, n=whole_size(header))
-            breaking.append(told)
+            entry = cells(line)
+            formula, budget = strip_backticks(entry[1]), strip_backticks(entry[2])
+            entry[3] = format_breaking_size(formula, budget, names)
+            entry[4] = format_budget_ratio(formula, budget, names, n=reference_size(header))
+            breaking_rows.append(entry)
         else:
             out.append(line)
     return "\n".join(out[:-1]) + "\n"
 
 
-def row(told: list[str]) -> str:
-    return f"| {' | '.join(told)} |".replace("|  |", "| |").replace("|  |", "| |")
+def format_row(entry: list[str]) -> str:
+    return f"| {' | '.join(entry)} |".replace("|  |", "| |").replace("|  |", "| |")
 
 
 def differences(page: str, measured: dict) -> list[str]:
     """The lines of the page that are not what the file gives, as they should be."""
-    lines = zip(page.splitlines(), filled(page, measured).splitlines(), strict=True)
-    return [f"{n}: {has}\n  should be: {due}" for n, (has, due) in enumerate(lines, 1) if has != due]
+    lines = zip(page.splitlines(), fill_page(page, measured).splitlines(), strict=True)
+    return [
+        f"{n}: {actual}\n  should be: {expected}"
+        for n, (actual, expected) in enumerate(lines, 1)
+        if actual != expected
+    ]
 
 
 def main() -> int:
-    told = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    told.add_argument("--write", action="store_true", help="fills the figures in")
-    write = told.parse_args().write
-    wrong: list[str] = []
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--write", action="store_true", help="fills the figures in")
+    write = parser.parse_args().write
+    mismatches: list[str] = []
     for path, file in PAGES:
         page, measured = path.read_text(), json.loads(file.read_text())
         if write:
-            path.write_text(filled(page, measured))
+            path.write_text(fill_page(page, measured))
         else:
-            wrong += [f"{path.name}:{line}" for line in differences(page, measured)]
+            mismatches += [f"{path.name}:{line}" for line in differences(page, measured)]
     if not write:
-        print("\n".join(wrong) or "the pages are what the files give")
-    return 1 if wrong else 0
+        print("\n".join(mismatches) or "the pages are what the files give")
+    return 1 if mismatches else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -19,13 +19,13 @@
 
 import orjson
 
-from benchmarks.cells_scripts import IN_CELLS_ONLY, SCRIPTS, play
+from benchmarks.cells_scripts import IN_CELLS_ONLY, SCRIPTS, run_script
 
 FILE = Path(__file__).parent.parent / "docs" / "measurements" / "scale.json"
-MEMORY_A_MEMBER = 180e3  # bytes, measured at 1,000 in cells
+MEMBER_BYTES = 180e3  # bytes, measured at 1,000 in cells
 
 # What is told of each script: a line of the table, and where it stands in what a run gives.
-LINES = {
+TABLE_ROWS = {
     "change": [("a change held by all, s", "all_s")],
     "burst": [("50 changes at once held by all, s", "slowest_s")],
     "region": [
@@ -62,53 +62,53 @@
         ("datagrams/s", "datagrams_s"),
     ],
 }
-BYTES = [
+TRAFFIC_ROWS = [
     ("B/s, mean of all", "mean"),
     ("worst minute of any, B/s", "worst_minute"),
     ("of a speaker", "worst_minute_speaker"),
 ]
 
 
-def free() -> int:
+def available_memory() -> int:
     """Bytes of memory that can be had."""
-    told = dict(line.split(":") for line in Path("/proc/meminfo").read_text().splitlines())
-    return int(told["MemAvailable"].split()[0]) * 1024
+    fields = dict(line.split(":") for line in Path("/proc/meminfo").read_text().splitlines())
+    return int(fields["MemAvailable"].split()[0]) * 1024
 
 
-def read(path: Path) -> dict:
-    told = orjson.loads(path.read_bytes()) if path.exists() else {}
-    told.setdefault("simulated", {"how": __doc__.split("\n\n")[2].replace("\n", " "), "runs": []})
-    return told
+def read_document(path: Path) -> dict:
+    document = orjson.loads(path.read_bytes()) if path.exists() else {}
+    document.setdefault("simulated", {"how": __doc__.split("\n\n")[2].replace("\n", " "), "runs": []})
+    return document
 
 
-def keep(path: Path, run: dict) -> None:
+def save_run(path: Path, run: dict) -> None:
     """In place of an earlier run of the same; read again each time, since others write the same file."""
-    told = read(path)
-    same = ("script", "kind", "size", "seed")
-    runs = [one for one in told["simulated"]["runs"] if any(one[key] != run[key] for key in same)]
-    told["simulated"]["runs"] = sorted([*runs, run], key=lambda one: [str(one[key]) for key in same])
+    document = read_document(path)
+    identity = ("script", "kind", "size", "seed")
+    runs = [one for one in document["simulated"]["runs"] if any(one[key] != run[key] for key in identity)]
+    document["simulated"]["runs"] = sorted([*runs, run], key=lambda one: [str(one[key]) for key in identity])
     path.parent.mkdir(parents=True, exist_ok=True)
-    path.write_bytes(orjson.dumps(told, option=orjson.OPT_INDENT_2) + b"\n")
+    path.write_bytes(orjson.dumps(document, option=orjson.OPT_INDENT_2) + b"\n")
 
 
-def spread(values: list) -> str:
+def format_range(values: list) -> str:
     """Median and range; how many runs never came to it."""
     found = [value for value in values if value is not None]
     if not found:
         return "not" if values else "-"
     form = "{:.0f}" if all(value == int(value) for value in found) or max(found) >= 100 else "{:.2f}"
-    low, middle, high = (form.format(f(found)) for f in (min, statistics.median, max))
-    text = middle if low == high else f"{middle} ({low} to {high})"
+    minimum, median, maximum = (form.format(f(found)) for f in (min, statistics.median, max))
+    text = median if minimum == maximum else f"{median} ({minimum} to {maximum})"
     return text if len(found) == len(values) else f"{text}, {len(values) - len(found)} not"
 
 
 def commit() -> str:
     """Of what is played; a + where files differ from it."""
-    words = ["git", "-C", str(FILE.parent), "describe", "--always", "--dirty=+"]
-    return subprocess.run(words, capture_output=True, text=True, check=False).stdout.strip() or "unknown"
+    command = ["git", "-C", str(FILE.parent), "describe", "--always", "--dirty=+"]
+    return subprocess.run(command, capture_output=True, text=True, check=False).stdout.strip() or "unknown"
 
 
-def having(found: dict, key: str) -> list:
+def values_of(found: dict, key: str) -> list:
     """What a run found, which may be that it never came to it; nothing where it does not look."""
     value = found.get(key, [])
     return value if isinstance(value, list) else [value]
@@ -119,67 +119,72 @@
     head = [f"{'cells' if cells else 'flat'}, {size:,}" for cells, size in columns]
     lines = [f"| what | {' | '.join(head)} |", f"| --- |{' --- |' * len(head)}"]
 
-    def row(label: str, script: str, look: object) -> None:
-        row = []
+    def add_row(label: str, script: str, select: object) -> None:
+        row_cells = []
         for cells, size in columns:
             kind = "cells" if cells else "flat"
-            of = [r for r in runs if (r["script"], r["kind"], r["size"]) == (script, kind, size)]
-            row.append(spread([value for one in of for value in look(one)]))
-        if any(one != "-" for one in row):
-            lines.append(f"| {label} | {' | '.join(row)} |")
-
-    for script, told in LINES.items():
-        for label, key in told:
-            row(label, script, lambda run, key=key: having(run["found"], key))
+            matching = [r for r in runs if (r["script"], r["kind"], r["size"]) == (script, kind, size)]
+            row_cells.append(format_range([value for one in matching for value in select(one)]))
+        if any(one != "-" for one in row_cells):
+            lines.append(f"| {label} | {' | '.join(row_cells)} |")
+
+    for script, script_rows in TABLE_ROWS.items():
+        for label, key in script_rows:
+            add_row(label, script, lambda run, key=key: values_of(run["found"], key))
     for script in SCRIPTS:
-        for label, key in BYTES:
-            row(f"{script}: {label}", script, lambda run, key=key: having(run["found"]["bytes_s"], key))
+        for label, key in TRAFFIC_ROWS:
+            add_row(
+                f"{script}: {label}", script, lambda run, key=key: values_of(run["found"]["bytes_s"], key)
+            )
     return lines
 
 
-def one(job: tuple[int, int, str, bool]) -> dict:
+def run_job(job: tuple[int, int, str, bool]) -> dict:
     size, seed, script, in_cells = job
     began = time.monotonic()
-    found = play(size, seed, script, in_cells)
-    took = round(time.monotonic() - began)
+    found = run_script(size, seed, script, in_cells)
+    took_s = round(time.monotonic() - began)
     return {
-        "script": script, "kind": "cells" if in_cells else "flat", "size": size, "seed": seed, "took_s": took,
+        "script": script, "kind": "cells" if in_cells else "flat", "size": size, "seed": seed,
+        "took_s": took_s,
         "found": found,
     }  # fmt: skip
 
 
 def main() -> None:
-    told = argparse.ArgumentParser()
-    told.add_argument("--sizes", type=int, nargs="*", default=[100, 1000, 5200], help="in cells")
-    told.add_argument("--flat", type=int, nargs="*", default=[100, 300], help="sizes of flat fleets")
-    told.add_argument("--seeds", type=int, default=5)
-    told.add_argument("--first", type=int, default=1, help="the first seed")
-    told.add_argument("--script", nargs="+", choices=list(SCRIPTS), default=list(SCRIPTS))
-    told.add_argument("--at-once", type=int, default=4)
-    told.add_argument("--file", type=Path, default=FILE)
-    told.add_argument("--table", action="store_true")
-    told = told.parse_args()
-    if not told.table:
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--sizes", type=int, nargs="*", default=[100, 1000, 5200], help="in cells")
+    parser.add_argument("--flat", type=int, nargs="*", default=[100, 300], help="sizes of flat fleets")
+    parser.add_argument("--seeds", type=int, default=5)
+    parser.add_argument("--first", type=int, default=1, help="the first seed")
+    parser.add_argument("--script", nargs="+", choices=list(SCRIPTS), default=list(SCRIPTS))
+    parser.add_argument("--at-once", type=int, default=4)
+    parser.add_argument("--file", type=Path, default=FILE)
+    parser.add_argument("--table", action="store_true")
+    args = parser.parse_args()
+    if not args.table:
         jobs = [
             (size, seed, script, in_cells)
-            for sizes, in_cells in ((told.sizes, True), (told.flat, False))
+            for sizes, in_cells in ((args.sizes, True), (args.flat, False))
             for size in sizes
-            for seed in range(told.first, told.first + told.seeds)
-            for script in told.script
+            for seed in range(args.first, args.first + args.seeds)
+            for script in args.script
             if in_cells or script not in IN_CELLS_ONLY
         ]
         jobs.sort(key=lambda job: -job[0] * (1 if job[3] else job[0] / 60))
-        need = told.at_once * max(job[0] for job in jobs) * MEMORY_A_MEMBER
-        if need > free() / 2:
-            sys.exit(f"{told.at_once} runs at once take {need / 1e9:.1f} GB, over half of what is free")
-        print(f"{len(jobs)} runs; up to {need / 1e9:.1f} GB", file=sys.stderr)
-        of = commit()
-        with multiprocessing.get_context("fork").Pool(told.at_once, maxtasksperchild=1) as pool:
-            for number, run in enumerate(pool.imap_unordered(one, jobs), 1):
-                keep(told.file, run | {"commit": of})
-                what = "{script}, {kind} of {size}, seed {seed}: {took_s} s".format(**run)
-                print(f"{number} of {len(jobs)}: {what}", file=sys.stderr, flush=True)
-    print("\n".join(table(read(told.file)["simulated"]["runs"])))
+        needed_bytes = args.at_once * max(job[0] for job in jobs) * MEMBER_BYTES
+        if needed_bytes > available_memory() / 2:
+            sys.exit(
+                f"{args.at_once} runs at once take {needed_bytes / 1e9:.1f} GB, over half of what is free"
+            )
+        print(f"{len(jobs)} runs; up to {needed_bytes / 1e9:.1f} GB", file=sys.stderr)
+        commit_id = commit()
+        with multiprocessing.get_context("fork").Pool(args.at_once, maxtasksperchild=1) as pool:
+            for number, run in enumerate(pool.imap_unordered(run_job, jobs), 1):
+                save_run(args.file, run | {"commit": commit_id})
+                summary = "{script}, {kind} of {size}, seed {seed}: {took_s} s".format(**run)
+                print(f"{number} of {len(jobs)}: {summary}", file=sys.stderr, flush=True)
+    print("\n".join(table(read_document(args.file)["simulated"]["runs"])))
 
 
 if __name__ == "__main__":
--- a/benchmarks/cells_scripts.py
+++ b/benchmarks/cells_scripts.py
@@ -19,29 +19,29 @@
 
 S = 1_000_000
 REGIONS, ZONES = 5, 11
-LOSS, FAR = 0.01, 80_000
-HEADERS = 28  # bytes of IPv4 and UDP on a datagram
+LOSS, REGION_DELAY = 0.01, 80_000
+HEADER_BYTES = 28  # bytes of IPv4 and UDP on a datagram
 ENTRIES = 200  # that the fleet holds for all of its members
-LIFE = 23 * 3600 * S
-SAMPLE = 5 * S
-MANNER = MemberSettings(Timing(), DisseminationSettings(), CatchUpTiming())
+ENTRY_LIFETIME = 23 * 3600 * S
+SAMPLE_PERIOD = 5 * S
+MEMBER_CONFIG = Manner(Timing(), Pace(), Patience())
 
 
-def places(size: int) -> dict[str, tuple[str, str]]:
+def assign_locations(size: int) -> dict[str, tuple[str, str]]:
     """Eleven zones, one after the other, in five regions."""
     return {f"m{n}": (f"r{n % ZONES % REGIONS}", f"z{n % ZONES}") for n in range(size)}
 
 
-class Played:
+class SimulatedFleet:
     """A fleet and what is seen of it. Traffic is sampled every 5 s; a minute is 12 samples."""
 
     def __init__(self, size: int, seed: int, in_cells: bool) -> None:
-        self.chance = random.Random(f"{seed}/script")
-        self.places = places(size)
-        layout = CellLayout(self.places, 64) if in_cells else None
-        world = SimulatedFleet(size, seed, MANNER, KEYSPACES, layout=layout, far=FAR, in_step=False)
+        self.rng = random.Random(f"{seed}/script")
+        self.locations = assign_locations(size)
+        layout = Layout(self.locations, 64) if in_cells else None
+        world = StateWorld(size, seed, MEMBER_CONFIG, SPACES, layout=layout, far=REGION_DELAY, in_step=False)
         self.world, self.layout, self.names = world, layout, world.names
-        world.region = {name: place[0] for name, place in self.places.items()}
+        world.region = {name: place[0] for name, place in self.locations.items()}
         world.loss = LOSS
         world.failed_fetch_delay = round(CONNECT_TIMEOUT_S * S)
         gc.collect()
@@ -50,14 +50,12 @@
         # A fleet that has been up: only who starts later catches up; all hold the same.
         rows = []
         for n in range(ENTRIES):
-            member = world.members[self.chance.choice(self.names)]
-            rows.append(
-                member.wide_dissemination.replica.put(world.wall(member.me), f"said/kept/{n}", n, LIFE)
-            )
+            member = world.members[self.rng.choice(self.names)]
+            rows.append(member.wide.copies.put(world.wall(member.me), f"said/kept/{n}", n, ENTRY_LIFETIME))
         for member in world.members.values():
-            member.catch_up.started_at, member.was_ready = None, True
-            member.wide_dissemination.replica.merge(world.wall(member.me), rows)
-        self.spoke: set[str] = set()
+            member.catch_up.began, member.was_ready = None, True
+            member.wide.copies.merge(world.wall(member.me), rows)
+        self.speakers: set[str] = set()
         self.samples: list[tuple[list[int], list[int]]] = []  # of each member, all told: payload, datagrams
         self.next_sample = 0
         self.run(15)
@@ -70,74 +68,74 @@
         while self.next_sample <= until:
             self.world.run_until(self.next_sample)
             self._sample()
-            self.next_sample += SAMPLE
+            self.next_sample += SAMPLE_PERIOD
         self.world.run_until(until)
 
-    def until(self, check: Callable[[], bool], most: float, step: float = 0.05) -> float | None:
+    def until(self, check: Callable[[], bool], timeout_s: float, step_s: float = 0.05) -> float | None:
         """Simulated seconds until it holds; None where it does not within `most`."""
         began = self.world.now
         while not check():
-            if self.world.now - began >= most * S:
+            if self.world.now - began >= timeout_s * S:
                 return None
-            self.run(step)
+            self.run(step_s)
         return (self.world.now - began) / S
 
     def _sample(self) -> None:
         traffic = [self.world.traffic[name] for name in self.names]
         self.samples.append(([t[0] + t[2] + t[4] for t in traffic], [t[1] + t[3] for t in traffic]))
         if self.layout is not None:
-            self.spoke.update(
-                name for name, member in self.world.members.items() if member.reachability.speaks
-            )
+            self.speakers.update(name for name, member in self.world.members.items() if member.reach.speaks)
 
-    def bytes(self) -> dict[str, float]:
+    def traffic_rates(self) -> dict[str, float]:
         """B/s sent and read together: of the worst minute of any one member, and the mean of all."""
         samples = self.samples[self.began - 1 :]
-        minute = min(60 * S // SAMPLE, len(samples) - 1)
+        window = min(60 * S // SAMPLE_PERIOD, len(samples) - 1)
         found: dict[str, float] = {}
         worst = {True: (0.0, 0.0), False: (0.0, 0.0)}  # by whether it ever spoke: with headers, payload
-        for (data, count), (data_then, count_then) in zip(samples, samples[minute:], strict=False):
-            span = minute * SAMPLE / S
+        for (data, count), (data_then, count_then) in zip(samples, samples[window:], strict=False):
+            span = window * SAMPLE_PERIOD / S
             for name, a, b, c, d in zip(self.names, data, data_then, count, count_then, strict=True):
-                rate = (b - a + HEADERS * (d - c)) / span, (b - a) / span
-                if rate > worst[name in self.spoke]:
-                    worst[name in self.spoke] = rate
+                rate = (b - a + HEADER_BYTES * (d - c)) / span, (b - a) / span
+                if rate > worst[name in self.speakers]:
+                    worst[name in self.speakers] = rate
         found["worst_minute"] = round(worst[False][0])
         found["worst_minute_payload"] = round(worst[False][1])
-        if self.spoke:
+        if self.speakers:
             found["worst_minute_speaker"] = round(worst[True][0])
             found["worst_minute_speaker_payload"] = round(worst[True][1])
         (data, count), (data_then, count_then) = samples[0], samples[-1]
-        every = sum(data_then) - sum(data) + HEADERS * (sum(count_then) - sum(count))
-        found["mean"] = round(every / ((len(samples) - 1) * SAMPLE / S) / len(self.names))
+        total = sum(data_then) - sum(data) + HEADER_BYTES * (sum(count_then) - sum(count))
+        found["mean"] = round(total / ((len(samples) - 1) * SAMPLE_PERIOD / S) / len(self.names))
         return found
 
     # What there is to see
 
-    def say(self, name: str, key: str) -> None:
-        self.world.run_on(name, lambda member, _, wall: member.wide_dissemination.put(wall, key, 1, LIFE))
+    def put(self, name: str, key: str) -> None:
+        self.world.do(name, lambda member, _, wall: member.wide.put(wall, key, 1, ENTRY_LIFETIME))
 
-    def held(self, keys: Iterable[str]) -> Callable[[], bool]:
+    def held_by_all(self, keys: Iterable[str]) -> Callable[[], bool]:
         """Whether every member that runs holds them."""
-        wanted, left = list(keys), list(self.names)
-        entries = {name: self.world.members[name].wide_dissemination.replica.entries for name in left}
+        required_keys, unchecked = list(keys), list(self.names)
+        entries = {name: self.world.members[name].wide.copies.entries for name in unchecked}
 
         def check() -> bool:
-            while left:
-                if left[-1] not in self.world.paused and any(key not in entries[left[-1]] for key in wanted):
+            while unchecked:
+                if unchecked[-1] not in self.world.paused and any(
+                    key not in entries[unchecked[-1]] for key in required_keys
+                ):
                     return False
-                left.pop()
+                unchecked.pop()
             return True
 
         return check
 
-    def told(self, event: str, since: int) -> list[tuple[int, str]]:
-        return [(at, name) for at, name, what, _ in self.world.member_events if what == event and at >= since]
+    def log_events(self, event: str, since: int) -> list[tuple[int, str]]:
+        return [(at, name) for at, name, what, _ in self.world.told if what == event and at >= since]
 
-    def drawn(self, count: int) -> list[str]:
+    def pick_members(self, count: int) -> list[str]:
         """Members by chance, in cells each of another one."""
         order = list(self.names)
-        self.chance.shuffle(order)
+        self.rng.shuffle(order)
         if self.layout is None:
             return order[:count]
         first: dict[str, str] = {}
@@ -149,7 +147,7 @@
         self.world.restart(name, disk=False)
         self.world.run_on(name, lambda member, now, wall: member.tick(now, wall))
 
-    def starts(self, names: list[str], began: dict[str, int]) -> dict[str, list]:
+    def start_figures(self, names: list[str], began: dict[str, int]) -> dict[str, list]:
         """Of members that were started at `began`: what they asked, and seconds until ready."""
         asked = {name: set() for name in names}
         attempts = dict.fromkeys(names, 0)
@@ -158,52 +156,52 @@
                 asked[name].add(other)
                 attempts[name] += 1
         ready: dict[str, float] = {}
-        whole = 0
-        for at, name, event, brings in self.world.member_events:
+        full_transfers = 0
+        for at, name, event, brings in self.world.told:
             if event == "caught_up" and name in began and at >= began[name] and name not in ready:
                 ready[name] = (at - began[name]) / S
-                whole += brings["whole"]
+                full_transfers += brings["whole"]
         return {
             "asked": [len(asked[name]) for name in names],
             "attempts": list(attempts.values()),
             "ready_s": [ready.get(name) for name in names],
-            "whole": whole,
+            "whole": full_transfers,
         }
 
 
 # Scripts
 
 
-def rest(fleet: Played) -> dict:
+def rest(fleet: SimulatedFleet) -> dict:
     fleet.run(90)
     return {}
 
 
-def change(fleet: Played) -> dict:
+def change(fleet: SimulatedFleet) -> dict:
     """One change after the other, each from anywhere; 3,400 a day are one in 25 s."""
     took = []
     for n in range(4):
         key = f"said/change/{n}"
         at = fleet.world.now
-        fleet.say(fleet.chance.choice(fleet.names), key)
-        took.append(fleet.until(fleet.held([key]), 60))
+        fleet.put(fleet.rng.choice(fleet.names), key)
+        took.append(fleet.until(fleet.held_by_all([key]), 60))
         fleet.run_until(at + 25 * S)
-    return {"slowest_s": _worst(took), "all_s": took}
+    return {"slowest_s": slowest(took), "all_s": took}
 
 
-def burst(fleet: Played) -> dict:
+def burst(fleet: SimulatedFleet) -> dict:
     """Fifty changes at one moment, each from anywhere."""
     keys = [f"said/burst/{n}" for n in range(50)]
     for key in keys:
-        fleet.say(fleet.chance.choice(fleet.names), key)
-    took = fleet.until(fleet.held(keys), 120)
+        fleet.put(fleet.rng.choice(fleet.names), key)
+    took = fleet.until(fleet.held_by_all(keys), 120)
     fleet.run(60)
     return {"slowest_s": took}
 
 
-def kill(fleet: Played) -> dict:
+def kill(fleet: SimulatedFleet) -> dict:
     """Up to ten members of as many cells die at once (of a flat fleet: one)."""
-    names = fleet.drawn(10 if fleet.layout is not None else 1)
+    names = fleet.pick_members(10 if fleet.layout is not None else 1)
     seen = dict.fromkeys(names)
     began = fleet.world.now
     for name in names:
@@ -214,87 +212,92 @@
             if seen[name] is None and fleet.world.seen_dead(name):
                 seen[name] = (fleet.world.now - began) / S
     fleet.run_until(max(fleet.world.now, began + 60 * S))
-    false = {
+    false_deaths = {
         who for at, _, who, state in fleet.world.changes if at > began and state == DEAD and who not in names
     }
-    return {"slowest_s": _worst(seen.values()), "all_s": list(seen.values()), "held_dead_falsely": len(false)}
+    return {
+        "slowest_s": slowest(seen.values()),
+        "all_s": list(seen.values()),
+        "held_dead_falsely": len(false_deaths),
+    }
 
 
-def dead_cell(fleet: Played) -> dict:
+def dead_cell(fleet: SimulatedFleet) -> dict:
     """All of a cell die in one µs, and come back a minute after all know it."""
-    cell = fleet.chance.choice(sorted(fleet.layout.rosters))
-    return _die(fleet, list(fleet.layout.rosters[cell]), 1)
+    cell = fleet.rng.choice(sorted(fleet.layout.rosters))
+    return fail_and_restart(fleet, list(fleet.layout.rosters[cell]), 1)
 
 
-def zone(fleet: Played) -> dict:
+def zone(fleet: SimulatedFleet) -> dict:
     """A zone is lost for three minutes, and its members start again within half a minute."""
-    which = fleet.chance.choice(sorted(set(fleet.places.values())))
-    return _die(fleet, [name for name in fleet.names if fleet.places[name] == which], 30)
+    which = fleet.rng.choice(sorted(set(fleet.locations.values())))
+    return fail_and_restart(fleet, [name for name in fleet.names if fleet.locations[name] == which], 30)
 
 
-def _die(fleet: Played, names: list[str], within: float) -> dict:
+def fail_and_restart(fleet: SimulatedFleet, names: list[str], within_s: float) -> dict:
     world, began = fleet.world, fleet.world.now
     for name in names:
         world.kill(name)
     known = fleet.until(world.views_agree, 170, 0.25)
     fleet.run_until(max(world.now + 60 * S, began + 60 * S))
-    out = [
-        n
-        for _, _, event, brings in world.member_events
-        if event == "cells_out"
-        for n in [len(brings["cells"])]
+    notice_sizes = [
+        n for _, _, event, brings in world.told if event == "cells_out" for n in [len(brings["cells"])]
     ]
     started, order = {}, sorted(names)
-    fleet.chance.shuffle(order)
+    fleet.rng.shuffle(order)
     for number, name in enumerate(order):
-        fleet.run_until(max(world.now, began + round(within * S * number / len(order))))
+        fleet.run_until(max(world.now, began + round(within_s * S * number / len(order))))
         started[name] = world.now
         fleet.restart(name)
     last = world.now
-    whole = fleet.until(lambda: len(world.roots()) == 1, 120, 0.25)
-    back = fleet.until(lambda: world.views_agree() and all(world.members[n].ready for n in names), 300, 0.25)
-    again = None if back is None else (world.now - last) / S
+    synced_s = fleet.until(lambda: len(world.roots()) == 1, 120, 0.25)
+    recovered_s = fleet.until(
+        lambda: world.agreed() and all(world.members[n].ready for n in names), 300, 0.25
+    )
+    recovered_after_s = None if recovered_s is None else (world.now - last) / S
     fleet.run_until(max(world.now, last + 60 * S))
-    told = fleet.starts(order, started)
-    left = {name for _, name in fleet.told("catching_up", began) if name not in started}
+    starts = fleet.start_figures(order, started)
+    left_members = {name for _, name in fleet.log_events("catching_up", began) if name not in started}
     return {
-        "members": len(names), "known_s": known, "agreed_again_s": again, "words_most": max(out, default=0),
-        "asked_most": max(told["asked"]), "attempts_most": max(told["attempts"]),
-        "ready_slowest_s": _worst(told["ready_s"]), "whole": told["whole"], "others_left_the_list": len(left),
-        "holds_all_s": whole,
+        "members": len(names), "known_s": known, "agreed_again_s": recovered_after_s,
+        "words_most": max(notice_sizes, default=0),
+        "asked_most": max(starts["asked"]), "attempts_most": max(starts["attempts"]),
+        "ready_slowest_s": slowest(starts["ready_s"]), "whole": starts["whole"],
+        "others_left_the_list": len(left_members),
+        "holds_all_s": synced_s,
     }  # fmt: skip
 
 
-def region(fleet: Played) -> dict:
+def region(fleet: SimulatedFleet) -> dict:
     """One region cannot reach the others, nor they it, for three minutes."""
     world = fleet.world
-    cut = fleet.chance.choice(sorted(set(world.region.values())))
-    side = {name: region == cut for name, region in world.region.items()}
-    before, began = world.is_partitioned, world.now
-    world.is_partitioned = lambda a, b: side[a] != side[b]
+    isolated = fleet.rng.choice(sorted(set(world.region.values())))
+    is_isolated = {name: region == isolated for name, region in world.region.items()}
+    before, began = world.cut, world.now
+    world.cut = lambda a, b: is_isolated[a] != is_isolated[b]
     known = {}
     if fleet.layout is not None:
         far = {
-            here: frozenset(cell for cell in fleet.layout.rosters if cell.startswith(f"{cut}/") != here)
+            here: frozenset(cell for cell in fleet.layout.rosters if cell.startswith(f"{isolated}/") != here)
             for here in (True, False)
         }
-        known["known_s"] = fleet.until(lambda: world.views_agree(lambda name: far[side[name]]), 175, 0.25)
+        known["known_s"] = fleet.until(lambda: world.agreed(lambda name: far[is_isolated[name]]), 175, 0.25)
     fleet.run_until(began + 180 * S)
     fetched = len(world.fetches)
-    world.is_partitioned, healed = before, world.now
-    right = fleet.until(world.views_agree, 300, 0.25)
+    world.cut, healed = before, world.now
+    correct_s = fleet.until(world.agreed, 300, 0.25)
     fleet.run_until(max(world.now, healed + 60 * S))
-    left = {name for _, name in fleet.told("catching_up", began)}
+    left_members = {name for _, name in fleet.log_events("catching_up", began)}
     held_dead = {who for at, _, who, state in world.changes if at > began and state == DEAD}
     return {
-        **known, "views_right_s": right, "left_the_list": len(left),
+        **known, "views_right_s": correct_s, "left_the_list": len(left_members),
         "held_dead_falsely": len(held_dead), "fetches": len(world.fetches) - fetched,
     }  # fmt: skip
 
 
-def restart(fleet: Played) -> dict:
+def restart(fleet: SimulatedFleet) -> dict:
     """A release: members by chance, one a second, down for 2 s each, without their disks."""
-    world, names, started = fleet.world, fleet.drawn(20), {}
+    world, names, started = fleet.world, fleet.pick_members(20), {}
     for name in names:
         world.kill(name)
         fleet.run(2)
@@ -302,34 +305,35 @@
         fleet.restart(name)
         fleet.run(1)
     fleet.run(20)
-    told = fleet.starts(names, started)
+    starts = fleet.start_figures(names, started)
     return {
-        "asked_most": max(told["asked"]), "attempts_most": max(told["attempts"]),
-        "ready_slowest_s": _worst(told["ready_s"]), "whole": told["whole"], "restarted": len(names),
+        "asked_most": max(starts["asked"]), "attempts_most": max(starts["attempts"]),
+        "ready_slowest_s": slowest(starts["ready_s"]), "whole": starts["whole"],
+        "restarted": len(names),
     }  # fmt: skip
 
 
-def lonely(fleet: Played) -> dict:
+def lonely(fleet: SimulatedFleet) -> dict:
     """A member restarts and reaches nobody for two minutes."""
-    world, name = fleet.world, fleet.chance.choice(fleet.names)
-    world.is_partitioned = lambda a, b: name in (a, b)
+    world, name = fleet.world, fleet.rng.choice(fleet.names)
+    world.cut = lambda a, b: name in (a, b)
     world.kill(name)
     fleet.run(2)
     began, traffic = world.now, list(world.traffic[name])
     fleet.restart(name)
     fleet.run(120)
     sent = world.traffic[name][1] - traffic[1]
-    told = fleet.starts([name], {name: began})
-    world.is_partitioned, healed = lambda _, __: False, world.now
-    whole = fleet.until(lambda: world.members[name].catch_up.started_at is None, 60, 0.25)
+    starts = fleet.start_figures([name], {name: began})
+    world.cut, healed = lambda _, __: False, world.now
+    synced_s = fleet.until(lambda: world.members[name].catch_up.began is None, 60, 0.25)
     fleet.run_until(max(world.now, healed + 30 * S))
     return {
-        "ready_s": told["ready_s"][0], "attempts": told["attempts"][0],
-        "datagrams_s": round(sent / 120, 2), "whole_after_heal_s": whole,
+        "ready_s": starts["ready_s"][0], "attempts": starts["attempts"][0],
+        "datagrams_s": round(sent / 120, 2), "whole_after_heal_s": synced_s,
     }  # fmt: skip
 
 
-def _worst(took: Iterable[float | None]) -> float | None:
+def slowest(took: Iterable[float | None]) -> float | None:
     """None where one of them never came to it."""
     took = list(took)
     return None if None in took else max(took, default=None)
@@ -339,6 +343,6 @@
 IN_CELLS_ONLY = {"dead_cell"}
 
 
-def play(size: int, seed: int, script: str, in_cells: bool) -> dict:
-    fleet = Played(size, seed, in_cells)
-    return SCRIPTS[script](fleet) | {"bytes_s": fleet.bytes()}
+def run_script(size: int, seed: int, script: str, in_cells: bool) -> dict:
+    fleet = SimulatedFleet(size, seed, in_cells)
+    return SCRIPTS[script](fleet) | {"bytes_s": fleet.traffic_rates()}
--- a/benchmarks/fleet_emulated.py
+++ b/benchmarks/fleet_emulated.py
@@ -25,7 +25,7 @@
 KILL_AT, SECONDS = 10, 32
 KILL = [{"kind": "kill", "at_s": KILL_AT, "for_s": 8, "part": 0.2}]
 PLAN = {"seconds": SECONDS, "backends": 10, "sidecars": {"count": 6}}
-DAYS = {
+SCENARIOS = {
     "kill at 0.8": {"traffic": {"load": 0.8}, "below": {"slots": 20}, "faults": KILL},
     "kill at 1.0": {"traffic": {"load": 1.0}, "below": {"slots": 20}, "faults": KILL},
     "scarce": {
@@ -41,20 +41,20 @@
 }  # fmt: skip
 
 
-def play(folder: Path, day: str, on: bool, seed: int) -> dict | None:
+def run_plan(folder: Path, day: str, on: bool, seed: int) -> dict | None:
     """The result of one run; None where it was void twice."""
     name = f"{day.replace(' ', '-')}-{'on' if on else 'off'}-{seed}"
     plan, operator = folder / f"{name}.json", folder / "on.json"
-    plan.write_bytes(orjson.dumps(PLAN | DAYS[day] | {"seed": seed}))
+    plan.write_bytes(orjson.dumps(PLAN | SCENARIOS[day] | {"seed": seed}))
     operator.write_bytes(orjson.dumps(ON))
-    words = [sys.executable, "-m", "crowwing", "emulate", str(plan), "--out", str(folder / name), "--json"]
-    words += ["--operator", str(operator)] if on else []
+    command = [sys.executable, "-m", "crowwing", "emulate", str(plan), "--out", str(folder / name), "--json"]
+    command += ["--operator", str(operator)] if on else []
     for _ in range(2):
-        ended = subprocess.run(words, capture_output=True)
+        completed = subprocess.run(command, capture_output=True)
         try:
-            result = orjson.loads(ended.stdout)
+            result = orjson.loads(completed.stdout)
         except orjson.JSONDecodeError:
-            print(f"{name}: {ended.stderr.decode().strip()}", file=sys.stderr)
+            print(f"{name}: {completed.stderr.decode().strip()}", file=sys.stderr)
             continue
         if result["late_part"] is None:
             return result
@@ -62,27 +62,27 @@
     return None
 
 
-def labels(seed: int, folder: Path, size: int = 10, count: int = 150) -> tuple[int, int, int, int]:
+def measure_keys(seed: int, folder: Path, size: int = 10, count: int = 150) -> tuple[int, int, int, int]:
     """Labels tried at two backends or more; of them run twice without claims, and with; run at all with."""
-    chance = random.Random(seed)
-    fast = {"period_ms": 200, "probe_timeout_ms": 60, "sync_every_ms": 500, "catch_up_most_ms": 3000}
-    with FleetRig(folder, size, seed, [], **fast) as rig:
+    rng = random.Random(seed)
+    settings = {"period_ms": 200, "probe_timeout_ms": 60, "sync_every_ms": 500, "catch_up_most_ms": 3000}
+    with FleetRig(folder, size, seed, [], **settings) as rig:
         rig.until(lambda: all((rig.view(name) or {}).get("whole") for name in rig.names), 30)
 
         def claim(name: str, label: str) -> str:
             return (rig.ask(name, 1, k="claim", label=label, window_ms=3000) or {}).get("claimed", "none")
 
-        rig.until(lambda: claim("m0", f"first{chance.random()}") == "ours", 20)
+        rig.until(lambda: claim("m0", f"first{rng.random()}") == "ours", 20)
         alive, twice_off, twice_on, retried, ran = list(rig.names), 0, 0, 0, 0
         for n in range(count):
             if n == count // 3:
-                for name in chance.sample(alive, size // 5):
+                for name in rng.sample(alive, size // 5):
                     rig.kill(name)
                     alive.remove(name)
-            tried = chance.sample(alive, chance.choice([1, 2, 3]))
-            runs = sum(claim(name, f"l{n}") == "ours" for name in tried)
-            retried += len(tried) > 1
-            twice_off += len(tried) > 1  # each backend alone knows nothing of the others' runs
+            backends = rng.sample(alive, rng.choice([1, 2, 3]))
+            runs = sum(claim(name, f"l{n}") == "ours" for name in backends)
+            retried += len(backends) > 1
+            twice_off += len(backends) > 1  # each backend alone knows nothing of the others' runs
             twice_on += runs > 1
             ran += runs > 0
     return retried, twice_off, twice_on, ran
@@ -95,30 +95,30 @@
 
 
 def main() -> None:
-    told = argparse.ArgumentParser()
-    told.add_argument("--seeds", type=int, default=3)
-    told.add_argument("--at-once", type=int, default=1)
-    told.add_argument("--days", nargs="*", default=list(DAYS))
-    told = told.parse_args()
-    folder, seeds = Path(tempfile.mkdtemp()), range(1, told.seeds + 1)
-    runs = list(product(told.days, seeds, (False, True)))
-    with ThreadPoolExecutor(told.at_once) as pool:
-        found = dict(zip(runs, pool.map(lambda r: play(folder, r[0], r[2], r[1]), runs), strict=True))
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--seeds", type=int, default=3)
+    parser.add_argument("--at-once", type=int, default=1)
+    parser.add_argument("--days", nargs="*", default=list(SCENARIOS))
+    args = parser.parse_args()
+    folder, seeds = Path(tempfile.mkdtemp()), range(1, args.seeds + 1)
+    runs = list(product(args.days, seeds, (False, True)))
+    with ThreadPoolExecutor(args.at_once) as pool:
+        found = dict(zip(runs, pool.map(lambda r: run_plan(folder, r[0], r[2], r[1]), runs), strict=True))
     print("| day | state | credit in time | the 12 s from 10 | below at most, of its fall | rules broken |")
     print("| --- | --- | --- | --- | --- | --- |")
-    for day, on in product(told.days, (False, True)):
-        good = [found[(day, seed, on)] for seed in seeds if found[(day, seed, on)] is not None]
+    for day, on in product(args.days, (False, True)):
+        done = [found[(day, seed, on)] for seed in seeds if found[(day, seed, on)] is not None]
         print(
             f"| {day} | {'on' if on else 'off'} "
-            f"| {spread([statistics.mean(run['seconds']) for run in good], '.3f')} "
-            f"| {spread([statistics.mean(run['seconds'][KILL_AT : KILL_AT + 12]) for run in good], '.3f')} "
-            f"| {spread([run['below_most'] for run in good], '.2f')} "
-            f"| {sum(len(run['breaches']) for run in good)} |"
+            f"| {spread([statistics.mean(run['seconds']) for run in done], '.3f')} "
+            f"| {spread([statistics.mean(run['seconds'][KILL_AT : KILL_AT + 12]) for run in done], '.3f')} "
+            f"| {spread([run['below_most'] for run in done], '.2f')} "
+            f"| {sum(len(run['breaches']) for run in done)} |"
         )
     print("\n| of 150 labels retried elsewhere | run twice, off | run twice, on | run, on |")
     print("| --- | --- | --- | --- |")
     for seed in seeds:
-        print("| {} | {} | {} | {} |".format(*labels(seed, folder / f"labels-{seed}")))
+        print("| {} | {} | {} | {} |".format(*measure_keys(seed, folder / f"labels-{seed}")))
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -15,115 +15,119 @@
 
 from crowwing.emulator.fleet.rig import FleetRig
 
-FAST = {"period_ms": 200, "probe_timeout_ms": 60, "sync_every_ms": 200, "catch_up_most_ms": 10_000}
+FAST_SETTINGS = {"period_ms": 200, "probe_timeout_ms": 60, "sync_every_ms": 200, "catch_up_most_ms": 10_000}
 
 
-def whole(rig: FleetRig, names: set[str]) -> bool:
+def all_caught_up(rig: FleetRig, names: set[str]) -> bool:
     views = [rig.view(name) for name in names]
     return all(view is not None and view["whole"] for view in views)
 
 
-def alike(rig: FleetRig) -> bool:
+def all_in_sync(rig: FleetRig) -> bool:
     roots = [rig.ask(name, k="state", prefix="-") for name in rig.names]
     return all(root is not None and root["root"] == roots[0]["root"] for root in roots)
 
 
-def say(rig: FleetRig, name: str, begin: int, count: int, size: int = 100) -> None:
+def put_entries(rig: FleetRig, name: str, begin: int, count: int, size: int = 100) -> None:
     for n in range(begin, begin + count):
         rig.ask(name, 3, k="put", key=f"said/{n}", value="z" * size, wait_ms=0)
 
 
-def dead(rig: FleetRig, but: str = "") -> int:
+def count_deaths(rig: FleetRig, except_for: str = "") -> int:
     lines = (line for line in rig.history() if line["event"] == "member")
-    return sum(line["state"] == "dead" and line["name"] != but for line in lines)
+    return sum(line["state"] == "dead" and line["name"] != except_for for line in lines)
 
 
 def false_deaths(size: int, seed: int, folder: Path) -> tuple[int, int]:
     """With a tenth of messages lost for 15 s; with one paused for 4 s: others held dead."""
-    with FleetRig(folder / "loss", size, seed, [], **FAST) as rig:
-        rig.until(lambda: whole(rig, set(rig.names)), 30)
+    with FleetRig(folder / "loss", size, seed, [], **FAST_SETTINGS) as rig:
+        rig.until(lambda: all_caught_up(rig, set(rig.names)), 30)
         lossy = rig.relay.impose([{"kind": "loss", "size": 0.1}])
         time.sleep(15)
         rig.relay.lift(lossy)
-        lost = dead(rig)
-    with FleetRig(folder / "pause", size, seed, [], **FAST) as rig:
-        rig.until(lambda: whole(rig, set(rig.names)), 30)
+        lost = count_deaths(rig)
+    with FleetRig(folder / "pause", size, seed, [], **FAST_SETTINGS) as rig:
+        rig.until(lambda: all_caught_up(rig, set(rig.names)), 30)
         rig.pause("m1")
         time.sleep(4)
         rig.resume("m1")
         time.sleep(4)
-        return lost, dead(rig, but="m1")
+        return lost, count_deaths(rig, except_for="m1")
 
 
-def healed(size: int, seed: int, folder: Path) -> tuple[float | None, float]:
+def measure_heal(size: int, seed: int, folder: Path) -> tuple[float | None, float]:
     """Seconds from the heal of a cut of a fifth until all copies are alike; bytes a second a member at
     rest."""
-    with FleetRig(folder, size, seed, [], **FAST) as rig:
-        rig.until(lambda: whole(rig, set(rig.names)), 30)
-        say(rig, "m0", 0, 100)
-        rig.until(lambda: alike(rig), 20)
+    with FleetRig(folder, size, seed, [], **FAST_SETTINGS) as rig:
+        rig.until(lambda: all_caught_up(rig, set(rig.names)), 30)
+        put_entries(rig, "m0", 0, 100)
+        rig.until(lambda: all_in_sync(rig), 20)
         before, began = sum(rig.view(name)["sent_bytes"] for name in rig.names), time.monotonic()
         time.sleep(5)
         after = sum(rig.view(name)["sent_bytes"] for name in rig.names)
         rate = (after - before) / (time.monotonic() - began) / size
-        few, most = rig.names[: size // 5], rig.names[size // 5 :]
-        cut = rig.relay.impose(
-            [{"kind": "cut", "from": few, "to": most}, {"kind": "cut", "from": most, "to": few}]
+        minority, majority = rig.names[: size // 5], rig.names[size // 5 :]
+        partition = rig.relay.impose(
+            [
+                {"kind": "cut", "from": minority, "to": majority},
+                {"kind": "cut", "from": majority, "to": minority},
+            ]
         )
-        rig.until(lambda: not set(few) & (rig.alive_in(most[0]) or set(few)), 20)
-        say(rig, few[0], 200, 20)
-        say(rig, most[0], 300, 20)
-        rig.relay.lift(cut)
-        return rig.until(lambda: alike(rig), 60, every_s=0.02), rate
+        rig.until(lambda: not set(minority) & (rig.alive_in(majority[0]) or set(minority)), 20)
+        put_entries(rig, minority[0], 200, 20)
+        put_entries(rig, majority[0], 300, 20)
+        rig.relay.lift(partition)
+        return rig.until(lambda: all_in_sync(rig), 60, every_s=0.02), rate
 
 
-def caught_up(seed: int, folder: Path, kept: int, missed: int, disk: bool) -> float | None:
+def measure_catch_up(seed: int, folder: Path, kept: int, missed: int, disk: bool) -> float | None:
     """Milliseconds not ready of one of five that was killed while `missed` of `kept` entries were said."""
     folder.mkdir(parents=True, exist_ok=True)
-    with FleetRig(folder, 5, seed, [], **(FAST | {"snapshot_every_ms": 200})) as rig:
+    with FleetRig(folder, 5, seed, [], **(FAST_SETTINGS | {"snapshot_every_ms": 200})) as rig:
         if disk:
             rig.operator_of["m2"] = {"snapshot_folder": str(folder)}
             rig.kill("m2")
             rig.launch("m2")
-        rig.until(lambda: whole(rig, set(rig.names)), 30)
-        say(rig, "m0", 0, kept - missed)
-        rig.until(lambda: alike(rig), 30)
+        rig.until(lambda: all_caught_up(rig, set(rig.names)), 30)
+        put_entries(rig, "m0", 0, kept - missed)
+        rig.until(lambda: all_in_sync(rig), 30)
         time.sleep(0.6)
         rig.kill("m2")
-        say(rig, "m0", kept - missed, missed)
+        put_entries(rig, "m0", kept - missed, missed)
         rig.launch("m2")
-        rig.until(lambda: whole(rig, {"m2"}), 30)
+        rig.until(lambda: all_caught_up(rig, {"m2"}), 30)
         lines = [line for line in rig.history() if line["backend"] == "m2" and line["event"] == "caught_up"]
         return lines[-1]["took_ms"] if lines[-1]["whole"] else None
 
 
 def spread(values: list, form: str) -> str:
-    good = [value for value in values if value is not None]
-    missed = f", {len(values) - len(good)} not" if len(good) < len(values) else ""
-    return f"{statistics.median(good):{form}} ({min(good):{form}} to {max(good):{form}}{missed})"
+    valid = [value for value in values if value is not None]
+    missed = f", {len(values) - len(valid)} not" if len(valid) < len(values) else ""
+    return f"{statistics.median(valid):{form}} ({min(valid):{form}} to {max(valid):{form}}{missed})"
 
 
 def main() -> None:
-    told = argparse.ArgumentParser()
-    told.add_argument("--sizes", type=int, nargs="+", default=[5, 10, 20])
-    told.add_argument("--seeds", type=int, default=3)
-    told = told.parse_args()
-    seeds = range(1, told.seeds + 1)
-    place = Path(tempfile.mkdtemp())
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--sizes", type=int, nargs="+", default=[5, 10, 20])
+    parser.add_argument("--seeds", type=int, default=3)
+    args = parser.parse_args()
+    seeds = range(1, args.seeds + 1)
+    folder = Path(tempfile.mkdtemp())
     print("| processes | false deaths: 10% lost, one paused | all alike after a heal, s | bytes/s a member |")
     print("| --- | --- | --- | --- |")
-    for size in told.sizes:
-        false = [false_deaths(size, seed, place / f"f{size}-{seed}") for seed in seeds]
-        runs = [healed(size, seed, place / f"h{size}-{seed}") for seed in seeds]
+    for size in args.sizes:
+        false = [false_deaths(size, seed, folder / f"f{size}-{seed}") for seed in seeds]
+        runs = [measure_heal(size, seed, folder / f"h{size}-{seed}") for seed in seeds]
         print(
-            f"| {size} | {sum(one[0] for one in false)}, {sum(one[1] for one in false)} "
+            f"| {size} | {sum(row[0] for row in false)}, {sum(row[1] for row in false)} "
             f"| {spread([run[0] for run in runs], '.2f')} | {spread([run[1] for run in runs], '.0f')} |",
             flush=True,
         )
     print("\n| entries kept | missed while away | disk | not ready, ms |\n| --- | --- | --- | --- |")
     for kept, missed, disk in ((50, 10, False), (400, 10, False), (400, 10, True), (400, 400, False)):
         took = [
-            caught_up(seed, place / f"c{kept}-{missed}-{disk}-{seed}", kept, missed, disk) for seed in seeds
+            measure_catch_up(seed, folder / f"c{kept}-{missed}-{disk}-{seed}", kept, missed, disk)
+            for seed in seeds
         ]
         print(f"| {kept} | {missed} | {'yes' if disk else 'no'} | {spread(took, '.0f')} |", flush=True)
 
--- a/benchmarks/fleet_scripts.py
+++ b/benchmarks/fleet_scripts.py
@@ -18,37 +18,39 @@
 import orjson
 
 
-def one(folder: Path, seed: int, size: int, seconds: float) -> dict | None:
+def play_script(folder: Path, seed: int, size: int, seconds: float) -> dict | None:
     """What was found; None where it was not played to its end."""
     out = folder / f"{size}-{seed}"
-    words = [sys.executable, "-m", "crowwing", "fleet", "play", "--seed", str(seed), "--size", str(size)]
-    words += ["--seconds", str(seconds), "--out", str(out), "--json"]
-    ended = subprocess.run(words, capture_output=True, timeout=300)
+    command = [sys.executable, "-m", "crowwing", "fleet", "play", "--seed", str(seed), "--size", str(size)]
+    command += ["--seconds", str(seconds), "--out", str(out), "--json"]
+    completed = subprocess.run(command, capture_output=True, timeout=300)
     try:
-        found = orjson.loads(ended.stdout)
+        found = orjson.loads(completed.stdout)
     except orjson.JSONDecodeError:
-        print(f"seed {seed}: {ended.stderr.decode().strip()[-300:]}", file=sys.stderr)
+        print(f"seed {seed}: {completed.stderr.decode().strip()[-300:]}", file=sys.stderr)
         return None
     history = [orjson.loads(line) for line in (out / "history.jsonl").read_bytes().splitlines()]
     found["faults"] = Counter(line["as"] for line in history if line["event"] == "fault")
-    if ended.returncode == 0:
+    if completed.returncode == 0:
         shutil.rmtree(out)
     else:
-        print(f"seed {seed}: {ended.stderr.decode().strip()}", file=sys.stderr)
+        print(f"seed {seed}: {completed.stderr.decode().strip()}", file=sys.stderr)
     return found
 
 
 def main() -> None:
-    told = argparse.ArgumentParser()
-    told.add_argument("--seeds", type=int, default=100)
-    told.add_argument("--size", type=int, default=5)
-    told.add_argument("--seconds", type=float, default=8.0)
-    told.add_argument("--at-once", type=int, default=4)
-    told.add_argument("--out", type=Path, required=True)
-    told = told.parse_args()
-    with ThreadPoolExecutor(told.at_once) as pool:
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--seeds", type=int, default=100)
+    parser.add_argument("--size", type=int, default=5)
+    parser.add_argument("--seconds", type=float, default=8.0)
+    parser.add_argument("--at-once", type=int, default=4)
+    parser.add_argument("--out", type=Path, required=True)
+    args = parser.parse_args()
+    with ThreadPoolExecutor(args.at_once) as pool:
         runs = list(
-            pool.map(lambda seed: one(told.out, seed, told.size, told.seconds), range(1, told.seeds + 1))
+            pool.map(
+                lambda seed: play_script(args.out, seed, args.size, args.seconds), range(1, args.seeds + 1)
+            )
         )
     found = [run for run in runs if run is not None]
     converged = [run["converged_s"] for run in found if run["converged_s"] is not None]
@@ -58,7 +60,7 @@
     )
     print("| --- | --- | --- | --- | --- | --- |")
     print(
-        f"| {len(found)} of {told.seeds} | {sum(run['asked'] for run in found)} "
+        f"| {len(found)} of {args.seeds} | {sum(run['asked'] for run in found)} "
         f"| {sum(run['acknowledged'] for run in found)} | {sum(len(run['lost']) for run in found)} "
         f"| {sum(bool(run['differing']) or run['converged_s'] is None for run in found)} "
         f"| {statistics.median(converged):.2f}, {max(converged):.2f} |"
--- a/benchmarks/fleet_state.py
+++ b/benchmarks/fleet_state.py
@@ -19,55 +19,55 @@
 from crowwing.fleet.state.replica import Keyspace, MergeRule
 
 S = 1_000_000
-KEYSPACES = {"said": Keyspace(MergeRule.LAST_WRITER_WINS, 4096, 3600 * S)}
-MANNER = MemberSettings(Timing(), DisseminationSettings(), CatchUpTiming())
+SPACES = {"said": Space(Join.LATEST, 4096, 3600 * S)}
+MEMBER_CONFIG = Manner(Timing(), Pace(), Patience())
 
 
-def until(world: SimulatedFleet, check: object, most: int, step: int = 50_000) -> float | None:
+def wait_until(world: StateWorld, check: object, timeout: int, step: int = 50_000) -> float | None:
     """Simulated seconds until it holds."""
     began = world.now
     while not check():
-        if world.now - began > most:
+        if world.now - began > timeout:
             return None
         world.run_until(world.now + step)
     return (world.now - began) / S
 
 
-def say(world: SimulatedFleet, name: str, n: int) -> None:
-    world.run_on(name, lambda member, _, wall: member.dissemination.put(wall, f"said/{n}", n, 1800 * S))
+def put(world: StateWorld, name: str, n: int) -> None:
+    world.do(name, lambda member, _, wall: member.spread.put(wall, f"said/{n}", n, 1800 * S))
 
 
-def one(size: int, seed: int, loss: float, entries: int) -> dict[str, float | None]:
-    world = SimulatedFleet(size, seed, MANNER, KEYSPACES)
+def run_fleet(size: int, seed: int, loss: float, entries: int) -> dict[str, float | None]:
+    world = StateWorld(size, seed, MEMBER_CONFIG, SPACES)
     for member in world.members.values():  # a fleet that has been up: only who starts later catches up
         member.catch_up.started_at, member.was_ready = None, True
     world.loss = loss
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     world.run_until(8 * S)
     for n in range(entries):
-        say(world, chance.choice(world.names), n)
-    until(world, lambda: len(world.roots()) == 1, 120 * S)
+        put(world, rng.choice(world.names), n)
+    wait_until(world, lambda: len(world.roots()) == 1, 120 * S)
     sent, at = world.bytes, world.now
     world.run_until(world.now + 10 * S)
     found: dict[str, float | None] = {"bytes": (world.bytes - sent) / ((world.now - at) / S) / size}
-    say(world, "m0", entries)
+    put(world, "m0", entries)
     key = f"said/{entries}"
-    found["held"] = until(
-        world, lambda: all(key in m.replica.entries for m in world.members.values()), 120 * S
+    found["held"] = wait_until(
+        world, lambda: all(key in m.copies.entries for m in world.members.values()), 120 * S
     )
-    few = set(chance.sample(world.names, max(1, size // 5)))
-    world.is_partitioned = lambda a, b: (a in few) != (b in few)
+    minority = set(rng.sample(world.names, max(1, size // 5)))
+    world.cut = lambda a, b: (a in minority) != (b in minority)
     world.run_until(world.now + 40 * S)
     for n in range(50):
-        say(world, chance.choice(world.names), entries + 1 + n)
+        put(world, rng.choice(world.names), entries + 1 + n)
     world.run_until(world.now + 5 * S)
-    world.is_partitioned = lambda _, __: False
-    found["healed"] = until(world, lambda: len(world.roots()) == 1, 300 * S)
+    world.cut = lambda _, __: False
+    found["healed"] = wait_until(world, lambda: len(world.roots()) == 1, 300 * S)
     world.kill("m1")
     world.run_until(world.now + 20 * S)
     world.restart("m1", disk=False)
     rows = world.fetched_rows
-    found["caught_up"] = until(world, lambda: world.members["m1"].ready, 20 * S, 1_000)
+    found["caught_up"] = wait_until(world, lambda: world.members["m1"].ready, 20 * S, 1_000)
     found["rows"] = world.fetched_rows - rows
     found["false"] = sum(
         state == DEAD and who != "m1" for at, _, who, state in world.changes if at < 8 * S + 1
@@ -75,7 +75,7 @@
     return found
 
 
-def middle(runs: list[dict], what: str, form: str = ".1f") -> str:
+def spread(runs: list[dict], what: str, form: str = ".1f") -> str:
     values = [run[what] for run in runs if run[what] is not None]
     missed = f", {len(runs) - len(values)} not" if len(values) < len(runs) else ""
     if not values:
@@ -84,24 +84,24 @@
 
 
 def main() -> None:
-    told = argparse.ArgumentParser()
-    told.add_argument("--sizes", type=int, nargs="+", default=[10, 100, 1000])
-    told.add_argument("--seeds", type=int, default=5)
-    told.add_argument("--entries", type=int, default=300)
-    told = told.parse_args()
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--sizes", type=int, nargs="+", default=[10, 100, 1000])
+    parser.add_argument("--seeds", type=int, default=5)
+    parser.add_argument("--entries", type=int, default=300)
+    args = parser.parse_args()
     print(
         "| members | loss | a change held by all, s | all agree after a heal, s | caught up empty, s "
         "| rows fetched | bytes/s a member at rest |"
     )
     print("| --- | --- | --- | --- | --- | --- | --- |")
-    for size in told.sizes:
+    for size in args.sizes:
         for loss in (0.0, 0.1):
             began = time.monotonic()
-            runs = [one(size, seed, loss, told.entries) for seed in range(1, told.seeds + 1)]
+            runs = [run_fleet(size, seed, loss, args.entries) for seed in range(1, args.seeds + 1)]
             print(
-                f"| {size} | {loss:.0%} | {middle(runs, 'held', '.2f')} | {middle(runs, 'healed')} "
-                f"| {middle(runs, 'caught_up', '.3f')} | {middle(runs, 'rows', '.0f')} "
-                f"| {middle(runs, 'bytes', '.0f')} |",
+                f"| {size} | {loss:.0%} | {spread(runs, 'held', '.2f')} | {spread(runs, 'healed')} "
+                f"| {spread(runs, 'caught_up', '.3f')} | {spread(runs, 'rows', '.0f')} "
+                f"| {spread(runs, 'bytes', '.0f')} |",
                 flush=True,
             )
             print(f"{size} members, {loss:.0%}: {time.monotonic() - began:.0f} s", file=sys.stderr)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -15,7 +15,7 @@
 S = 1_000_000
 
 
-def one(size: int, seed: int, loss: float) -> tuple[float, int, float]:
+def detection_run(size: int, seed: int, loss: float) -> tuple[float, int, float]:
     """Seconds until every live member holds the killed one dead; false deaths; messages a second a member."""
     world = SimulatedMembership(size, seed, Timing())
     world.loss = loss
@@ -55,20 +55,20 @@
 
 
 def main() -> None:
-    told = argparse.ArgumentParser()
-    told.add_argument("--false-deaths", action="store_true")
-    told.add_argument("--sizes", type=int, nargs="+", default=[10, 100, 1000])
-    told.add_argument("--seeds", type=int, default=5)
-    told = told.parse_args()
-    if told.false_deaths:
-        return table_of_false_deaths(told.sizes, told.seeds)
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--false-deaths", action="store_true")
+    parser.add_argument("--sizes", type=int, nargs="+", default=[10, 100, 1000])
+    parser.add_argument("--seeds", type=int, default=5)
+    args = parser.parse_args()
+    if args.false_deaths:
+        return table_of_false_deaths(args.sizes, args.seeds)
     print(
         "| members | loss | all hold it dead, s (median, min to max) | false deaths | messages/s a member |"
     )
     print("| --- | --- | --- | --- | --- |")
-    for size in told.sizes:
+    for size in args.sizes:
         for loss in (0.0, 0.1):
-            runs = [one(size, seed, loss) for seed in range(1, told.seeds + 1)]
+            runs = [detection_run(size, seed, loss) for seed in range(1, args.seeds + 1)]
             seen = [run[0] for run in runs]
             print(
                 f"| {size} | {loss:.0%} | {statistics.median(seen):.1f} ({min(seen):.1f} to {max(seen):.1f}) "
--- a/benchmarks/own_days.py
+++ b/benchmarks/own_days.py
@@ -12,21 +12,21 @@
 from pathlib import Path
 
 DAYS = Path(__file__).parent / "days"
-COMPOSED = Path("target") / "own-days"
+COMPOSED_FOLDER = Path("target") / "own-days"
 SEED = 20_261_202
 RULES = re.compile(
     r"\b(MIXED|UNASKED|TWICE|REFUSED|DENIED|BUDGET|ROUTE|DRAIN|LOST|CONFIG|ORDER|RECOVER|GONE|FAULT)\b"
 )
-MOST_TOLD = 400  # characters of what was broken
+MAX_REPORTED_CHARS = 400  # characters of what was broken
 
 
 def compose(site: str, day: Path) -> Path:
     """A whole day as the bench reads it."""
-    COMPOSED.mkdir(parents=True, exist_ok=True)
-    path = COMPOSED / f"{site}-{day.stem}.toml"
-    head = f'name = "{day.stem}"\nslot = "trouble"\nseed = {SEED}\none = 1.0\nzero = 0.0\n'
+    COMPOSED_FOLDER.mkdir(parents=True, exist_ok=True)
+    path = COMPOSED_FOLDER / f"{site}-{day.stem}.toml"
+    header = f'name = "{day.stem}"\nslot = "trouble"\nseed = {SEED}\none = 1.0\nzero = 0.0\n'
     goal = "goal = { floor = 0.0 }\nfloor_classes = [0.0]\nfloor_zones = [0.0]\nlabels = []\nlight = true\n"
-    path.write_text(head + goal + day.read_text() + (DAYS / f"traffic-{site}.toml").read_text())
+    path.write_text(header + goal + day.read_text() + (DAYS / f"traffic-{site}.toml").read_text())
     return path
 
 
@@ -35,12 +35,12 @@
     site = Path(site_file).stem
     path = compose(site, day)
     command = [bench, "run", site_file, str(path), "--why", f"Our own day {day.stem}"]
-    done = subprocess.run(command, capture_output=True, text=True)
-    path.with_suffix(".log").write_text(done.stdout + done.stderr)
-    lines = [line.strip() for line in (done.stdout + done.stderr).splitlines() if line.strip()]
+    completed = subprocess.run(command, capture_output=True, text=True)
+    path.with_suffix(".log").write_text(completed.stdout + completed.stderr)
+    lines = [line.strip() for line in (completed.stdout + completed.stderr).splitlines() if line.strip()]
     row = next((line for line in lines if line.startswith(day.stem)), lines[-1] if lines else "no output")
     broken = [line for line in lines if RULES.search(line)]
-    return done.returncode == 0 and not broken, f"{site} {row} {' | '.join(broken)[:MOST_TOLD]}"
+    return completed.returncode == 0 and not broken, f"{site} {row} {' | '.join(broken)[:MAX_REPORTED_CHARS]}"
 
 
 def main() -> int:
@@ -52,13 +52,13 @@
     parser.add_argument("--jobs", type=int, default=2)
     options = parser.parse_args()
     days = [day for day in sorted(DAYS.glob("[0-9]*.toml")) if options.only in day.stem]
-    plays = [(options.bench, site, day) for site in options.sites for day in days]
+    jobs = [(options.bench, site, day) for site in options.sites for day in days]
     failed = 0
     with ThreadPoolExecutor(options.jobs) as pool:
-        for kept, line in pool.map(lambda arguments: play(*arguments), plays):
-            failed += not kept
-            print("kept  " if kept else "FAILED", line, flush=True)
-    print(f"{len(plays)} days, {failed} failed")
+        for passed, line in pool.map(lambda arguments: play(*arguments), jobs):
+            failed += not passed
+            print("kept  " if passed else "FAILED", line, flush=True)
+    print(f"{len(jobs)} days, {failed} failed")
     return 1 if failed else 0
 
 
--- a/benchmarks/scale/scripts.py
+++ b/benchmarks/scale/scripts.py
@@ -297,12 +297,12 @@
     """Kills and restarts three real backends, one after the other, with all others reachable."""
     found, samples = [], []
     for name in run.rng.sample(run.rig.names, min(3, len(run.rig.names))):
-        before = run.recorder.sample(whom=True)
+        before = run.recorder.sample(by_peer=True)
         started_us = time.time_ns() // 1000
         run.rig.kill(name)
         run.rig.launch(name)
         samples += run.recorder.record(f"restart of {name}", 20.0)
-        after = run.recorder.sample(whom=True)
+        after = run.recorder.sample(by_peer=True)
         asked = {
             whom: count - before["whom"].get(name, {}).get(whom, 0)
             for whom, count in after["whom"].get(name, {}).items()
--- a/benchmarks/slopes_figures.py
+++ b/benchmarks/slopes_figures.py
@@ -3,8 +3,8 @@
 import math
 from typing import NamedTuple
 
-from benchmarks.slopes_measures import AT_SIZE
-from benchmarks.slopes_stand import CALLERS, TENANTS
+from benchmarks.slopes_measures import PEAK_RATE
+from benchmarks.slopes_test_bed import CALLERS, TENANTS
 
 
 class Figure(NamedTuple):
@@ -13,12 +13,12 @@
     what: str
     unit: str
     measure: str
-    of: str
-    at: float | None = None
-    times: float = 1.0
+    field: str
+    at_x: float | None = None
+    factor: float = 1.0
     first: bool = False  # the value of the first row, whatever its x
-    over: str = "x"  # what a slope is drawn over
-    upto: float = math.inf  # the largest x of a slope, where the backend is at its end beyond it
+    x_field: str = "x"  # what a slope is drawn over
+    max_x: float = math.inf  # the largest x of a slope, where the backend is at its end beyond it
 
 
 FIGURES = {
@@ -27,13 +27,13 @@
     "ready_ms": Figure("from exec to the first report", "ms", "tenants", "ready_ms", 1),
     "rest_ms_per_s": Figure("processor time at rest", "ms/s", "ticket_new", "cpu_ms_per_s", 0),
     "tenant_file_bytes": Figure("file, a tenant", "bytes", "tenants", "file_bytes"),
-    "tenant_rss_bytes": Figure("resident memory, a tenant", "bytes", "tenants", "rss_kb", times=1024),
-    "tenant_start_us": Figure("start, a tenant", "us", "tenants", "start_ms", times=1000),
+    "tenant_rss_bytes": Figure("resident memory, a tenant", "bytes", "tenants", "rss_kb", factor=1024),
+    "tenant_start_us": Figure("start, a tenant", "us", "tenants", "start_ms", factor=1000),
     "tenant_reload_us": Figure(
-        "pause of the loop at a reload, a tenant", "us", "tenants", "reload_ms", times=1000
+        "pause of the loop at a reload, a tenant", "us", "tenants", "reload_ms", factor=1000
     ),
     "tenant_reload_rss_bytes": Figure(
-        "most resident memory, with a reload, a tenant", "bytes", "tenants", "rss_most_kb", times=1024
+        "most resident memory, with a reload, a tenant", "bytes", "tenants", "rss_most_kb", factor=1024
     ),
     "tenant_ticket_us": Figure("processor time of one ticket, a tenant", "us", "tenants", "ticket_us"),
     "tenants_reload_ms": Figure(
@@ -64,12 +64,12 @@
         "added to a ticket, 99 in 100, 170,000 tenants", "ms", "tenants", "added_99_ms", TENANTS
     ),
     "type_file_bytes": Figure("file, a traffic type", "bytes", "types", "file_bytes"),
-    "type_rss_bytes": Figure("resident memory, a traffic type", "bytes", "types", "rss_kb", times=1024),
+    "type_rss_bytes": Figure("resident memory, a traffic type", "bytes", "types", "rss_kb", factor=1024),
     "type_rest_us_per_s": Figure(
-        "processor time at rest, a traffic type", "us/s", "types", "rest_ms_per_s", times=1000
+        "processor time at rest, a traffic type", "us/s", "types", "rest_ms_per_s", factor=1000
     ),
     "type_ticket_us": Figure(
-        "processor time of one ticket, a traffic type", "us", "types", "ticket_us", upto=200
+        "processor time of one ticket, a traffic type", "us", "types", "ticket_us", max_x=200
     ),
     "types_56_ticket_ms_per_s": Figure(
         "processor time at 113 tickets a second, 56 types", "ms/s", "types", "ticket_ms_per_s", 56
@@ -87,27 +87,29 @@
     "types_78000_rest_ms_per_s": Figure(
         "processor time at rest, 78,000 types", "ms/s", "types_all", "rest_ms_per_s", 78_000
     ),
-    "idle_rss_bytes": Figure("resident memory, an idle connection", "bytes", "idle", "rss_kb", times=1024),
+    "idle_rss_bytes": Figure("resident memory, an idle connection", "bytes", "idle", "rss_kb", factor=1024),
     "idle_descriptors": Figure("descriptors, an idle connection", "", "idle", "descriptors"),
-    "idle_us_per_s": Figure("processor time, an idle connection", "us/s", "idle", "cpu_ms_per_s", times=1000),
+    "idle_us_per_s": Figure(
+        "processor time, an idle connection", "us/s", "idle", "cpu_ms_per_s", factor=1000
+    ),
     "opened_us": Figure(
         "processor time, a connection opened and closed",
         "us",
         "opened",
         "cpu_ms_per_s",
-        times=1000,
-        over="per_s",
+        factor=1000,
+        x_field="per_s",
     ),
     "check_us": Figure(
         "processor time, a health check on its own connection",
         "us",
         "checks",
         "cpu_ms_per_s",
-        times=1000,
-        over="per_s",
+        factor=1000,
+        x_field="per_s",
     ),
     "check_bytes": Figure(
-        "bytes of a health check and its answer", "bytes", "checks", "wire_bytes_per_s", over="per_s"
+        "bytes of a health check and its answer", "bytes", "checks", "wire_bytes_per_s", x_field="per_s"
     ),
     "check_added_99_ms": Figure(
         "answer to a health check, 99 in 100, 800 a second", "ms", "checks", "added_99_ms", 800
@@ -117,40 +119,40 @@
         "us",
         "ticket_kept",
         "cpu_ms_per_s",
-        times=1000,
-        over="per_s",
+        factor=1000,
+        x_field="per_s",
     ),
     "ticket_new_us": Figure(
         "processor time, a ticket on a new connection",
         "us",
         "ticket_new",
         "cpu_ms_per_s",
-        times=1000,
-        over="per_s",
+        factor=1000,
+        x_field="per_s",
     ),
     "ticket_call_us": Figure(
-        "the same with one call below", "us", "ticket_call", "cpu_ms_per_s", times=1000, over="per_s"
+        "the same with one call below", "us", "ticket_call", "cpu_ms_per_s", factor=1000, x_field="per_s"
     ),
     "ticket_kept_added_50_ms": Figure(
-        "added at 113 a second, kept connections, 50 in 100", "ms", "ticket_kept", "added_50_ms", AT_SIZE
+        "added at 113 a second, kept connections, 50 in 100", "ms", "ticket_kept", "added_50_ms", PEAK_RATE
     ),
-    "ticket_kept_added_99_ms": Figure("the same, 99 in 100", "ms", "ticket_kept", "added_99_ms", AT_SIZE),
+    "ticket_kept_added_99_ms": Figure("the same, 99 in 100", "ms", "ticket_kept", "added_99_ms", PEAK_RATE),
     "ticket_new_added_50_ms": Figure(
-        "added at 113 a second, new connections, 50 in 100", "ms", "ticket_new", "added_50_ms", AT_SIZE
+        "added at 113 a second, new connections, 50 in 100", "ms", "ticket_new", "added_50_ms", PEAK_RATE
     ),
-    "ticket_new_added_99_ms": Figure("the same, 99 in 100", "ms", "ticket_new", "added_99_ms", AT_SIZE),
+    "ticket_new_added_99_ms": Figure("the same, 99 in 100", "ms", "ticket_new", "added_99_ms", PEAK_RATE),
     "ticket_call_added_99_ms": Figure(
-        "the same with one call below, 99 in 100", "ms", "ticket_call", "added_99_ms", AT_SIZE
+        "the same with one call below, 99 in 100", "ms", "ticket_call", "added_99_ms", PEAK_RATE
     ),
     "floor_kept_99_ms": Figure("of it the measuring's own, kept, 99 in 100", "ms", "floor", "added_99_ms", 1),
     "floor_new_99_ms": Figure("of it the measuring's own, new, 99 in 100", "ms", "floor", "added_99_ms", 0),
     "caller_ticket_ns_per_s": Figure(
-        "processor time at 113 a second, a caller", "ns/s", "callers", "cpu_ms_per_s", times=1e6
+        "processor time at 113 a second, a caller", "ns/s", "callers", "cpu_ms_per_s", factor=1e6
     ),
     "callers_added_99_ms": Figure(
         "added at 113 a second, 47,000 callers, 99 in 100", "ms", "callers", "added_99_ms", CALLERS
     ),
-    "report_us": Figure("processor time, a report", "us", "reports", "cpu_ms_per_s", times=1000),
+    "report_us": Figure("processor time, a report", "us", "reports", "cpu_ms_per_s", factor=1000),
     "reports_per_s": Figure("reports a second, all of them counted", "1/s", "reports", "x", first=True),
     "report_bytes": Figure(
         "bytes of a report and its answer", "bytes", "reports", "report_bytes", first=True
@@ -161,6 +163,6 @@
     "farm_rest_bytes_per_s": Figure(
         "the farm agent's link at rest", "bytes/s", "ticket_new", "farm_bytes_per_s", 0
     ),
-    "line_us": Figure("processor time, a line of figures", "us", "log_lines", "cpu_ms_per_s", times=1000),
+    "line_us": Figure("processor time, a line of figures", "us", "log_lines", "cpu_ms_per_s", factor=1000),
     "line_bytes": Figure("bytes of a line of figures at rest", "bytes", "log_lines", "line_bytes", 0.2),
 }
--- a/benchmarks/slopes_measures.py
+++ b/benchmarks/slopes_measures.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable, Coroutine, Iterable
 from pathlib import Path
 
-from benchmarks.slopes_loads import Load, counted, idle_connections, pause_of, quiet
-from benchmarks.slopes_stand import CALLERS, RATE, ROOT, TENANTS, Process, Stand, settings
+from benchmarks.slopes_loads import Load, idle_connections, measure_load, measure_pause, wait_until_quiet
+from benchmarks.slopes_test_bed import CALLERS, FLEET_RATE, ROOT, TENANTS, Process, TestBed, backend_settings
 
-AT_SIZE = RATE // 5200  # requests a second that one backend has at the peak
-SETTLED_S = 1.0  # seconds from ready to the reading of its memory
-MANY = 12_000  # descriptors, where more connections are measured than a default limit lets in
+PEAK_RATE = FLEET_RATE // 5200  # requests a second that one backend has at the peak
+STABILIZE_S = 1.0  # seconds from ready to the reading of its memory
+MAX_SOCKETS = 12_000  # descriptors, where more connections are measured than a default limit lets in
 
 
-class Pace:
+class MeasurePlan:
     """Sizes and seconds of a measuring; a trial is a short one, whose figures count for nothing."""
 
     def __init__(self, trial: bool) -> None:
@@ -29,200 +29,205 @@
         return min(1.0, seconds) if self.trial else seconds
 
 
-def changed(stand: Stand) -> None:
+def change_quotas(test_bed: TestBed) -> None:
     """Every tenant's share is another one in the file."""
-    for realm in stand.told["realms"]:
+    for realm in test_bed.settings["realms"]:
         realm["quota_per_s"] += 1
-    stand.write()
+    test_bed.write()
 
 
-def reload(stand: Stand) -> bool:
+def request_reload(test_bed: TestBed) -> bool:
     """Tells it to read the configuration again."""
-    stand.process.child.send_signal(signal.SIGHUP)
+    test_bed.process.child.send_signal(signal.SIGHUP)
     return True
 
 
-def load_on(stand: Stand, kept: bool = False, **changes: int) -> Load:
-    return Load(stand.address, stand.seed, kept, spent=stand.spent, **changes)
+def new_load(test_bed: TestBed, keep_alive: bool = False, **changes: int) -> Load:
+    return Load(test_bed.address, test_bed.seed, keep_alive, external_s=test_bed.external_s, **changes)
 
 
-async def sized(stand: Stand, pace: Pace, **told: int) -> dict:
+async def measure_size(test_bed: TestBed, plan: MeasurePlan, **options: int) -> dict:
     """Start, memory, a reload with one figure changed, rest, then tickets as at size."""
-    await asyncio.sleep(SETTLED_S)
+    await asyncio.sleep(STABILIZE_S)
     row = {
-        "file_bytes": stand.size, "start_ms": round(stand.start_ms, 1), "ready_ms": round(stand.ready_ms, 1),
-        "rss_kb": stand.process.memory_kb(),
+        "file_bytes": test_bed.size, "start_ms": round(test_bed.start_ms, 1),
+        "ready_ms": round(test_bed.ready_ms, 1),
+        "rss_kb": test_bed.process.memory_kb(),
     }  # fmt: skip
-    rest = await counted(stand, load_on(stand), 0, pace.seconds(2), lambda: None)
-    load = load_on(stand, **told)
-    way = await counted(stand, load, AT_SIZE, pace.seconds(5), load.ticket)
-    changed(stand)
-    pauses = await pause_of(stand, lambda: reload(stand), lambda: stand.events("reloaded"))
-    changed(stand)
-    spent = stand.process.cpu_ms()
-    reload(stand)
-    await stand.until(lambda: len(stand.events("reloaded")) > 1)
-    spent = stand.process.cpu_ms() - spent
+    rest = await measure_load(test_bed, new_load(test_bed), 0, plan.seconds(2), lambda: None)
+    load = new_load(test_bed, **options)
+    loaded = await measure_load(test_bed, load, PEAK_RATE, plan.seconds(5), load.request)
+    change_quotas(test_bed)
+    pauses = await measure_pause(
+        test_bed, lambda: request_reload(test_bed), lambda: test_bed.events("reloaded")
+    )
+    change_quotas(test_bed)
+    cpu_ms = test_bed.process.cpu_ms()
+    request_reload(test_bed)
+    await test_bed.wait_for(lambda: len(test_bed.events("reloaded")) > 1)
+    cpu_ms = test_bed.process.cpu_ms() - cpu_ms
     return row | pauses | {
-        "rest_ms_per_s": rest["cpu_ms_per_s"], "ticket_ms_per_s": way["cpu_ms_per_s"],
-        "ticket_us": round((way["cpu_ms_per_s"] - rest["cpu_ms_per_s"]) / way["per_s"] * 1000, 1),
-        "added_50_ms": way.get("added_50_ms"), "added_99_ms": way.get("added_99_ms"),
-        "asked": way["asked"], "settled": way["settled"], "unanswered": way["unanswered"],
-        "busy": way["busy"],
-        "reload_cpu_ms": round(spent, 1),
-        "reload_rss_kb": stand.process.memory_kb(), "rss_most_kb": stand.process.memory_kb("VmHWM"),
+        "rest_ms_per_s": rest["cpu_ms_per_s"], "ticket_ms_per_s": loaded["cpu_ms_per_s"],
+        "ticket_us": round((loaded["cpu_ms_per_s"] - rest["cpu_ms_per_s"]) / loaded["per_s"] * 1000, 1),
+        "added_50_ms": loaded.get("added_50_ms"), "added_99_ms": loaded.get("added_99_ms"),
+        "asked": loaded["asked"], "settled": loaded["settled"], "unanswered": loaded["unanswered"],
+        "busy": loaded["busy"],
+        "reload_cpu_ms": round(cpu_ms, 1),
+        "reload_rss_kb": test_bed.process.memory_kb(), "rss_most_kb": test_bed.process.memory_kb("VmHWM"),
     }  # fmt: skip
 
 
-async def tenants(seed: int, folder: Path, pace: Pace) -> list[dict]:
+async def tenants(seed: int, folder: Path, plan: MeasurePlan) -> list[dict]:
     rows = []
-    for size in pace.sizes(1, 1000, 10_000, 50_000, TENANTS):
-        async with Stand(folder, seed, settings(tenants=size)) as stand:
-            rows.append({"x": size} | await sized(stand, pace, tenants=size))
+    for size in plan.sizes(1, 1000, 10_000, 50_000, TENANTS):
+        async with TestBed(folder, seed, backend_settings(tenants=size)) as test_bed:
+            rows.append({"x": size} | await measure_size(test_bed, plan, tenants=size))
     return rows
 
 
-async def types(seed: int, folder: Path, pace: Pace) -> list[dict]:
+async def types(seed: int, folder: Path, plan: MeasurePlan) -> list[dict]:
     rows = []
-    for size in pace.sizes(1, 10, 56, 200, 1000):
-        async with Stand(folder, seed, settings(types=size)) as stand:
-            rows.append({"x": size} | await sized(stand, pace, types=size))
+    for size in plan.sizes(1, 10, 56, 200, 1000):
+        async with TestBed(folder, seed, backend_settings(types=size)) as test_bed:
+            rows.append({"x": size} | await measure_size(test_bed, plan, types=size))
     return rows
 
 
-async def types_all(seed: int, folder: Path, pace: Pace) -> list[dict]:
+async def types_all(seed: int, folder: Path, plan: MeasurePlan) -> list[dict]:
     """All routes as traffic types of one backend: what it takes to start, and at rest."""
     rows = []
-    for size in pace.sizes(1000, 10_000, 78_000):
-        async with Stand(folder, seed, settings(types=size)) as stand:
-            await asyncio.sleep(SETTLED_S)
-            rest = await counted(stand, load_on(stand), 0, pace.seconds(2), lambda: None)
+    for size in plan.sizes(1000, 10_000, 78_000):
+        async with TestBed(folder, seed, backend_settings(types=size)) as test_bed:
+            await asyncio.sleep(STABILIZE_S)
+            rest = await measure_load(test_bed, new_load(test_bed), 0, plan.seconds(2), lambda: None)
             rows.append(
-                {"x": size, "file_bytes": stand.size, "start_ms": round(stand.start_ms, 1)}
+                {"x": size, "file_bytes": test_bed.size, "start_ms": round(test_bed.start_ms, 1)}
                 | {"rss_kb": rest["rss_kb"], "rest_ms_per_s": rest["cpu_ms_per_s"]}
             )
     return rows
 
 
-async def idle(seed: int, folder: Path, pace: Pace) -> list[dict]:
+async def idle(seed: int, folder: Path, plan: MeasurePlan) -> list[dict]:
     rows = []
-    for size in pace.sizes(0, 500, 1000, 4000):
-        async with Stand(folder, seed, settings(), sockets=MANY) as stand:
-            callers = await idle_connections(stand, size)
-            await asyncio.sleep(SETTLED_S)
-            row = await counted(stand, load_on(stand), 0, pace.seconds(4), lambda: None)
+    for size in plan.sizes(0, 500, 1000, 4000):
+        async with TestBed(folder, seed, backend_settings(), sockets=MAX_SOCKETS) as test_bed:
+            callers = await idle_connections(test_bed, size)
+            await asyncio.sleep(STABILIZE_S)
+            row = await measure_load(test_bed, new_load(test_bed), 0, plan.seconds(4), lambda: None)
             rows.append(row | {"x": size})
             for caller in callers:
                 caller.transport.close()
     return rows
 
 
-async def rates(stand: Stand, pace: Pace, what: str, seconds: float, *at: int, **told: object) -> list[dict]:
+async def measure_rates(
+    test_bed: TestBed, plan: MeasurePlan, operation: str, seconds: float, *at: int, **options: object
+) -> list[dict]:
     """One load at several rates, one after the other, on one backend."""
     rows = []
-    for rate in pace.sizes(*at):
-        load = load_on(stand, **told)
-        rows.append(await counted(stand, load, rate, pace.seconds(seconds), getattr(load, what)))
+    for rate in plan.sizes(*at):
+        load = new_load(test_bed, **options)
+        rows.append(await measure_load(test_bed, load, rate, plan.seconds(seconds), getattr(load, operation)))
     return rows
 
 
-async def opened(seed: int, folder: Path, pace: Pace) -> list[dict]:
-    async with Stand(folder, seed, settings()) as stand:
-        return await rates(stand, pace, "bare", 5, 0, 200, 400, kept=False)
+async def opened(seed: int, folder: Path, plan: MeasurePlan) -> list[dict]:
+    async with TestBed(folder, seed, backend_settings()) as test_bed:
+        return await measure_rates(test_bed, plan, "connect_only", 5, 0, 200, 400, keep_alive=False)
 
 
-async def checks(seed: int, folder: Path, pace: Pace) -> list[dict]:
-    async with Stand(folder, seed, settings()) as stand:
-        return await rates(stand, pace, "check", 5, 0, 100, 400, 800, kept=False)
+async def checks(seed: int, folder: Path, plan: MeasurePlan) -> list[dict]:
+    async with TestBed(folder, seed, backend_settings()) as test_bed:
+        return await measure_rates(test_bed, plan, "health_check", 5, 0, 100, 400, 800, keep_alive=False)
 
 
-async def ticket_kept(seed: int, folder: Path, pace: Pace) -> list[dict]:
-    async with Stand(folder, seed, settings()) as stand:
-        return await rates(stand, pace, "ticket", 8, 0, 57, AT_SIZE, 226, kept=True)
+async def ticket_kept(seed: int, folder: Path, plan: MeasurePlan) -> list[dict]:
+    async with TestBed(folder, seed, backend_settings()) as test_bed:
+        return await measure_rates(test_bed, plan, "request", 8, 0, 57, PEAK_RATE, 226, keep_alive=True)
 
 
-async def ticket_new(seed: int, folder: Path, pace: Pace) -> list[dict]:
-    async with Stand(folder, seed, settings()) as stand:
-        return await rates(stand, pace, "ticket", 8, 0, 57, AT_SIZE, 226, kept=False)
+async def ticket_new(seed: int, folder: Path, plan: MeasurePlan) -> list[dict]:
+    async with TestBed(folder, seed, backend_settings()) as test_bed:
+        return await measure_rates(test_bed, plan, "request", 8, 0, 57, PEAK_RATE, 226, keep_alive=False)
 
 
-async def ticket_call(seed: int, folder: Path, pace: Pace) -> list[dict]:
+async def ticket_call(seed: int, folder: Path, plan: MeasurePlan) -> list[dict]:
     """Each ticket makes one call below."""
-    async with Stand(folder, seed, settings(calls=True)) as stand:
-        return await rates(stand, pace, "ticket", 8, 0, 57, AT_SIZE, kept=False)
+    async with TestBed(folder, seed, backend_settings(calls=True)) as test_bed:
+        return await measure_rates(test_bed, plan, "request", 8, 0, 57, PEAK_RATE, keep_alive=False)
 
 
-async def callers(seed: int, folder: Path, pace: Pace) -> list[dict]:
+async def callers(seed: int, folder: Path, plan: MeasurePlan) -> list[dict]:
     """Tickets at the rate of size, from ever more callers."""
     rows = []
-    for size in pace.sizes(10, 1000, CALLERS):
-        async with Stand(folder, seed, settings()) as stand:
-            load = load_on(stand, callers=size)
-            row = await counted(stand, load, AT_SIZE, pace.seconds(8), load.ticket)
+    for size in plan.sizes(10, 1000, CALLERS):
+        async with TestBed(folder, seed, backend_settings()) as test_bed:
+            load = new_load(test_bed, callers=size)
+            row = await measure_load(test_bed, load, PEAK_RATE, plan.seconds(8), load.request)
             rows.append(row | {"x": size})
     return rows
 
 
-async def floor(seed: int, folder: Path, pace: Pace) -> list[dict]:
+async def floor(seed: int, folder: Path, plan: MeasurePlan) -> list[dict]:
     """The same load on a server that does nothing: what of the times is the measuring's own."""
     rows = []
-    for kept in (True, False):
-        host = f"127.63.{os.getpid() % 250 + 1}.{1 + kept}"
+    for keep_alive in (True, False):
+        host = f"127.63.{os.getpid() % 250 + 1}.{1 + keep_alive}"
         server = Process(
-            [sys.executable, "-O", "-m", "benchmarks.slopes_stand", host],
+            [sys.executable, "-O", "-m", "benchmarks.slopes_test_bed", host],
             os.environ | {"PYTHONPATH": str(ROOT)},
             folder / "echo.log",
         )
         try:
-            await asyncio.sleep(SETTLED_S)
-            load = Load((host, 7001), seed, kept)
-            await quiet()
-            await load.run(AT_SIZE, pace.seconds(10), load.ticket)
-            rows.append({"x": int(kept), "unanswered": await load.over()} | load.times())
+            await asyncio.sleep(STABILIZE_S)
+            load = Load((host, 7001), seed, keep_alive)
+            await wait_until_quiet()
+            await load.run(PEAK_RATE, plan.seconds(10), load.request)
+            rows.append({"x": int(keep_alive), "unanswered": await load.drain()} | load.latency_percentiles())
         finally:
             server.end()
     return rows
 
 
-async def reports(seed: int, folder: Path, pace: Pace) -> list[dict]:
+async def reports(seed: int, folder: Path, plan: MeasurePlan) -> list[dict]:
     """At its own pace, and at that of a control plane that answers each with 503: it asks more often."""
     rows = []
     for answer in (b"204 No Content", b"503 Service Unavailable\r\nContent-Length: 0"):
-        async with Stand(folder, seed, settings()) as stand:
-            stand.answer = b"HTTP/1.1 %s\r\n\r\n" % answer
-            await asyncio.sleep(SETTLED_S)
-            before, links = len(stand.reports), stand.control_links
-            row = await counted(stand, load_on(stand), 0, pace.seconds(10), lambda: None)
-            heard = stand.reports[before:]
-            per_s = (len(heard) - 1) / (heard[-1][0] - heard[0][0])
-            size = sum(bytes_ for _, bytes_ in heard) / len(heard)
-            links = (stand.control_links - links) / len(heard)
+        async with TestBed(folder, seed, backend_settings()) as test_bed:
+            test_bed.control_response = b"HTTP/1.1 %s\r\n\r\n" % answer
+            await asyncio.sleep(STABILIZE_S)
+            before, links = len(test_bed.reports), test_bed.control_links
+            row = await measure_load(test_bed, new_load(test_bed), 0, plan.seconds(10), lambda: None)
+            received = test_bed.reports[before:]
+            per_s = (len(received) - 1) / (received[-1][0] - received[0][0])
+            size = sum(bytes_ for _, bytes_ in received) / len(received)
+            links = (test_bed.control_links - links) / len(received)
             rows.append(row | {"x": round(per_s, 3), "report_bytes": size, "links": round(links, 2)})
     return rows
 
 
-async def log_lines(seed: int, folder: Path, pace: Pace) -> list[dict]:
+async def log_lines(seed: int, folder: Path, plan: MeasurePlan) -> list[dict]:
     """Lines of figures, by how often an operator file asks for them."""
     rows = []
-    for every_ms in pace.sizes(5000, 1000, 200):
-        async with Stand(folder, seed, settings(), figures_ms=every_ms) as stand:
-            lines = len(stand.events("figures"))
-            row = await counted(stand, load_on(stand), 0, pace.seconds(10), lambda: None)
-            lines = len(stand.events("figures")) - lines
-            last = [line for line in stand.log.read_bytes().splitlines() if b'"event":"figures"' in line]
+    for every_ms in plan.sizes(5000, 1000, 200):
+        async with TestBed(folder, seed, backend_settings(), figures_ms=every_ms) as test_bed:
+            lines = len(test_bed.events("figures"))
+            row = await measure_load(test_bed, new_load(test_bed), 0, plan.seconds(10), lambda: None)
+            lines = len(test_bed.events("figures")) - lines
+            last = [line for line in test_bed.log.read_bytes().splitlines() if b'"event":"figures"' in line]
             size = len(last[-1]) + 1 if last else None
             rows.append(row | {"x": round(1000 / every_ms, 2), "lines": lines, "line_bytes": size})
     return rows
 
 
-MEASURES: dict[str, Callable[[int, Path, Pace], Coroutine]] = {
+MEASURES: dict[str, Callable[[int, Path, MeasurePlan], Coroutine]] = {
     "tenants": tenants, "types": types, "types_all": types_all, "idle": idle, "opened": opened,
     "checks": checks, "ticket_kept": ticket_kept, "ticket_new": ticket_new, "ticket_call": ticket_call,
     "callers": callers, "floor": floor, "reports": reports, "log_lines": log_lines,
 }  # fmt: skip
 
 
-def machine() -> dict:
+def describe_machine() -> dict:
     """What it is measured on."""
     python = sys.version.split()[0]
     commit = subprocess.run(["git", "rev-parse", "--short", "HEAD"], cwd=ROOT, capture_output=True, text=True)
--- a/benchmarks/slopes_stand.py
+++ b/benchmarks/slopes_test_bed.py
@@ -22,19 +22,19 @@
 ROOT = Path(__file__).parent.parent
 RUN = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 RUN_S = 0.010  # seconds that a run takes at the farm agent's stand-in, half of it by chance
-BELOW_S = 0.002  # seconds that a call takes at the back end's
-WAIT_S = 60.0  # seconds for what has to come
+DOWNSTREAM_CALL_S = 0.002  # seconds that a call takes at the back end's
+TIMEOUT_S = 60.0  # seconds for what has to come
 PR_SET_PDEATHSIG = 1
-FLEET, RATE, CALLERS, TENANTS = 5200, 590_000, 47_000, 170_000  # the operators' figures
+FLEET_SIZE, FLEET_RATE, CALLERS, TENANTS = 5200, 590_000, 47_000, 170_000  # the operators' figures
 _libc = ctypes.CDLL(None)
-_numbers = itertools.count(1)
+_bed_numbers = itertools.count(1)
 
 
-class Stuck(RuntimeError):
+class TestBedError(RuntimeError):
     """What had to come has not."""
 
 
-def settings(tenants: int = 1, types: int = 1, calls: bool = False) -> dict:
+def backend_settings(tenants: int = 1, types: int = 1, calls: bool = False) -> dict:
     """One backend's settings; cores and memory beyond what is asked of it, so that nothing waits for them."""
     return {
         "caps": {"max_retry_after": 1000, "retry_after": True},
@@ -55,95 +55,97 @@
         ],
         "over_share_worth": 0.1,
         "realms": [
-            {"name": f"tenant-{n:06}", "quota_per_s": round(RATE / tenants, 3)} for n in range(tenants)
+            {"name": f"tenant-{n:06}", "quota_per_s": round(FLEET_RATE / tenants, 3)} for n in range(tenants)
         ],
-        "servers": FLEET,
+        "servers": FLEET_SIZE,
     }  # fmt: skip
 
 
-class Farm(asyncio.Protocol):
+class WorkerAgent(asyncio.Protocol):
     """The farm agent's side of its link. `spent`: seconds that a ticket was in a stand-in's hands."""
 
-    def __init__(self, stand: "Stand") -> None:
-        self.stand, self.rest, self.number = stand, b"", 0
+    def __init__(self, test_bed: "TestBed") -> None:
+        self.test_bed, self.buffer, self.message_number = test_bed, b"", 0
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
         now = time.perf_counter()
-        self.stand.farm_bytes += len(data)
-        data = self.rest + data
+        self.test_bed.agent_bytes += len(data)
+        data = self.buffer + data
         while (end := data.find(b"\r\n")) >= 0:
-            words, after = data[:end].split(b" "), end + 2
-            if words[0] in (b"launch", b"deliver"):
-                size = int(words[-1])
+            fields, after = data[:end].split(b" "), end + 2
+            if fields[0] in (b"launch", b"deliver"):
+                size = int(fields[-1])
                 if len(data) < after + size + 2:
                     break
                 after += size + 2
-            self._obey(now, words)
+            self._handle(now, fields)
             data = data[after:]
-        self.rest = data
+        self.buffer = data
 
-    def _obey(self, now: float, words: list[bytes]) -> None:
-        match words:
+    def _handle(self, now: float, fields: list[bytes]) -> None:
+        match fields:
             case [b"subscribe", _]:
                 self._write(b"greeting WARM 60000\r\n")
             case [b"sample", tag]:
                 self._write(b"sampled %s 0.1 1\r\n" % tag)
             case [b"launch", ident, _, _]:
-                run = RUN_S * (0.75 + 0.5 * self.stand.chance.random())
-                goes_on = self._asks if self.stand.calls else self._ends
-                self.stand.loop.call_later(run, goes_on, ident, now, now)
+                run = RUN_S * (0.75 + 0.5 * self.test_bed.rng.random())
+                next_step = self._send_request if self.test_bed.calls else self._send_outcome
+                self.test_bed.loop.call_later(run, next_step, ident, now, now)
             case [b"deliver", ident, _]:
-                self.stand.loop.call_later(RUN_S / 2, self._ends, ident, now, now - RUN_S)
+                self.test_bed.loop.call_later(RUN_S / 2, self._send_outcome, ident, now, now - RUN_S)
             case [b"exercise", tag]:
                 self._write(b"exercised %s OK\r\n" % tag)
 
-    def _asks(self, ident: bytes, now: float, _: float) -> None:
-        self.number += 1
-        self._write(b"request %d %s 100\r\n%s\r\n" % (self.number, ident, b"c" * 100))
-        self.stand.spent[ident] = self.stand.spent.get(ident, 0.0) + time.perf_counter() - now
+    def _send_request(self, ident: bytes, now: float, _: float) -> None:
+        self.message_number += 1
+        self._write(b"request %d %s 100\r\n%s\r\n" % (self.message_number, ident, b"c" * 100))
+        self.test_bed.external_s[ident] = self.test_bed.external_s.get(ident, 0.0) + time.perf_counter() - now
 
-    def _ends(self, ident: bytes, now: float, began: float) -> None:
-        self.number += 1
+    def _send_outcome(self, ident: bytes, now: float, began: float) -> None:
+        self.message_number += 1
         took = (time.perf_counter() - began) * 1000
-        self._write(b"outcome %d %s OK %.3f 500\r\n%s\r\n" % (self.number, ident, took, b"r" * 500))
-        self.stand.spent[ident] = self.stand.spent.get(ident, 0.0) + time.perf_counter() - now
+        self._write(b"outcome %d %s OK %.3f 500\r\n%s\r\n" % (self.message_number, ident, took, b"r" * 500))
+        self.test_bed.external_s[ident] = self.test_bed.external_s.get(ident, 0.0) + time.perf_counter() - now
 
     def _write(self, data: bytes) -> None:
-        self.stand.farm_bytes += len(data)
+        self.test_bed.agent_bytes += len(data)
         self.transport.write(data)
 
 
-class Http(asyncio.Protocol):
+class HttpServer(asyncio.Protocol):
     """The control plane's side (`answer` at once), or the back end's (200 after a while)."""
 
-    def __init__(self, stand: "Stand", below: bool) -> None:
-        self.stand, self.below, self.rest = stand, below, b""
+    def __init__(self, test_bed: "TestBed", downstream: bool) -> None:
+        self.test_bed, self.downstream, self.buffer = test_bed, downstream, b""
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
-        self.stand.control_links += not self.below
+        self.test_bed.control_links += not self.downstream
 
     def data_received(self, data: bytes) -> None:
-        data = self.rest + data
+        data = self.buffer + data
         while (end := data.find(b"\r\n\r\n")) >= 0:
             size = int(data[:end].lower().partition(b"content-length: ")[2].split(b"\r\n")[0])
             if len(data) < end + 4 + size:
                 break
-            if self.below:
+            if self.downstream:
                 ident = data.partition(b"Parent-Call: ")[2][:16]
-                self.stand.loop.call_later(BELOW_S, self._replies, ident, time.perf_counter())
+                self.test_bed.loop.call_later(DOWNSTREAM_CALL_S, self._respond, ident, time.perf_counter())
             else:
-                self.stand.reports.append((time.time(), end + 4 + size + len(self.stand.answer)))
-                self.transport.write(self.stand.answer)
+                self.test_bed.reports.append(
+                    (time.time(), end + 4 + size + len(self.test_bed.control_response))
+                )
+                self.transport.write(self.test_bed.control_response)
             data = data[end + 4 + size :]
-        self.rest = data
+        self.buffer = data
 
-    def _replies(self, ident: bytes, now: float) -> None:
+    def _respond(self, ident: bytes, now: float) -> None:
         self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n" + b"b" * 100)
-        self.stand.spent[ident] = self.stand.spent.get(ident, 0.0) + time.perf_counter() - now
+        self.test_bed.external_s[ident] = self.test_bed.external_s.get(ident, 0.0) + time.perf_counter() - now
 
 
 class Process:
@@ -160,8 +162,8 @@
 
     def cpu_ms(self) -> float:
         """Processor time of all threads so far."""
-        spent = (int(path.read_text().split()[0]) for path in self.proc.glob("task/*/schedstat"))
-        return sum(spent) / 1e6
+        cpu_times = (int(path.read_text().split()[0]) for path in self.proc.glob("task/*/schedstat"))
+        return sum(cpu_times) / 1e6
 
     def memory_kb(self, what: str = "VmRSS") -> int:
         return int((self.proc / "status").read_text().partition(f"{what}:")[2].split()[0])
@@ -174,21 +176,23 @@
         self.child.wait()
 
 
-class Stand:
+class TestBed:
     """The backend and its parties, each at an address of the stand's own."""
 
     def __init__(
-        self, folder: Path, seed: int, told: dict, sockets: int = 1024, figures_ms: int | None = None
+        self, folder: Path, seed: int, settings: dict, sockets: int = 1024, figures_ms: int | None = None
     ) -> None:
-        self.folder, self.seed, self.told, self.sockets = folder, seed, told, sockets
-        self.chance = random.Random(seed)
-        self.calls = any(told["family_info"]["class_calls"])
-        self.host = f"127.{64 + os.getpid() // 250 % 64}.{os.getpid() % 250 + 1}.{next(_numbers) % 250 + 1}"
+        self.folder, self.seed, self.settings, self.sockets = folder, seed, settings, sockets
+        self.rng = random.Random(seed)
+        self.calls = any(settings["family_info"]["class_calls"])
+        self.host = (
+            f"127.{64 + os.getpid() // 250 % 64}.{os.getpid() % 250 + 1}.{next(_bed_numbers) % 250 + 1}"
+        )
         self.address = self.host, 7001
-        self.spent: dict[bytes, float] = {}
+        self.external_s: dict[bytes, float] = {}
         self.reports: list[tuple[float, int]] = []  # when, and bytes both ways
-        self.answer = b"HTTP/1.1 204 No Content\r\n\r\n"
-        self.control_links = self.farm_bytes = 0
+        self.control_response = b"HTTP/1.1 204 No Content\r\n\r\n"
+        self.control_links = self.agent_bytes = 0
         self.path, self.log = folder / "configuration.json", folder / "backend.log"
         self.operator = folder / "operator.json" if figures_ms else None
         if figures_ms:
@@ -197,17 +201,21 @@
 
     def write(self) -> int:
         """The configuration as it is told now; its bytes."""
-        told = {
+        settings = {
             "name": "n1", "listen": f"{self.host}:7001", "agent": f"{self.host}:7300",
             "control": f"{self.host}:8500", "backend": f"{self.host}:5432", "seed": f"{self.seed:016x}",
             "stop_ms": 3200, "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
-            "settings": self.told,
+            "settings": self.settings,
         }  # fmt: skip
-        return self.path.write_text(json.dumps(told))
+        return self.path.write_text(json.dumps(settings))
 
-    async def __aenter__(self) -> "Stand":
+    async def __aenter__(self) -> "TestBed":
         self.loop = asyncio.get_running_loop()
-        makers = {7300: lambda: Farm(self), 5432: lambda: Http(self, True), 8500: lambda: Http(self, False)}
+        makers = {
+            7300: lambda: WorkerAgent(self),
+            5432: lambda: HttpServer(self, True),
+            8500: lambda: HttpServer(self, False),
+        }
         self.servers = [
             await self.loop.create_server(maker, self.host, port) for port, maker in makers.items()
         ]
@@ -217,7 +225,7 @@
         if self.operator:
             environment["CROWWING_OPERATOR"] = str(self.operator)
         self.process = Process(["/bin/sh", "-c", RUN], environment, self.log)
-        await self.until(lambda: self.reports and self.events("started"))
+        await self.wait_for(lambda: self.reports and self.events("started"))
         self.start_ms = (self.events("started")[0]["at"] / 1e6 - self.process.began) * 1000
         self.ready_ms = (self.reports[0][0] - self.process.began) * 1000
         return self
@@ -231,38 +239,38 @@
         lines = self.log.read_text().splitlines()
         return [line for line in map(json.loads, lines) if line["event"] == name]
 
-    async def until(self, so: object) -> None:
-        async with asyncio.timeout(WAIT_S):
-            while not so():
+    async def wait_for(self, condition: object) -> None:
+        async with asyncio.timeout(TIMEOUT_S):
+            while not condition():
                 if self.process.child.poll() is not None:
-                    raise Stuck(f"the backend has ended: {self.log.read_text()[-500:]}")
+                    raise TestBedError(f"the backend has ended: {self.log.read_text()[-500:]}")
                 await asyncio.sleep(0.01)
 
-    def sane(self) -> None:
+    def check_counters(self) -> None:
         """No defect and no broken invariant in its lines."""
         for line in self.events("figures"):
-            if bad := [name for name in line["counts"] if name.startswith(("broken", "defect", "stray"))]:
-                raise Stuck(f"the backend counts {bad}")
+            if broken := [name for name in line["counts"] if name.startswith(("broken", "defect", "stray"))]:
+                raise TestBedError(f"the backend counts {broken}")
 
 
-class Echo(asyncio.Protocol):
+class EchoServer(asyncio.Protocol):
     """Answers each request at once as a settled ticket is answered: what the measuring itself takes."""
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        self.transport, self.rest = transport, b""
+        self.transport, self.buffer = transport, b""
 
     def data_received(self, data: bytes) -> None:
-        self.rest += data
-        head, end, body = self.rest.partition(b"\r\n\r\n")
+        self.buffer += data
+        head, end, body = self.buffer.partition(b"\r\n\r\n")
         size = int(head.partition(b"Content-Length: ")[2].split(b"\r\n")[0] or 0) if end else 0
         if end and len(body) >= size:
-            self.rest = b""
+            self.buffer = b""
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n" + b"r" * 500)
 
 
-async def _echo(host: str) -> None:
-    await (await asyncio.get_running_loop().create_server(Echo, host, 7001)).serve_forever()
+async def _serve_echo(host: str) -> None:
+    await (await asyncio.get_running_loop().create_server(EchoServer, host, 7001)).serve_forever()
 
 
 if __name__ == "__main__":
-    uvloop.run(_echo(sys.argv[1]))
+    uvloop.run(_serve_echo(sys.argv[1]))
--- a/benchmarks/unseen.py
+++ b/benchmarks/unseen.py
@@ -64,9 +64,9 @@
         "an unseen deployment",
     ]
     subprocess.run([*command, *(["--small"] if small else [])], cwd=checkout, capture_output=True)
-    told = json.loads(report.read_text())
-    broken = tuple(told["breaks"]) + ((str(told["fault"]),) if told["fault"] else ())
-    return Play(told["G"], told["served"], broken)
+    result = json.loads(report.read_text())
+    broken = tuple(result["breaks"]) + ((str(result["fault"]),) if result["fault"] else ())
+    return Play(result["G"], result["served"], broken)
 
 
 def describe(pairs: list[Pair]) -> str:
@@ -132,9 +132,9 @@
         plays = [play(bench, checkout, variant, day, options.small) for checkout in (old, new)]
         return Pair(f"{variant.stem} {day}", plays[0], plays[1])
 
-    wanted = [(site, seed, day) for site in options.sites for seed in options.seeds for day in options.days]
+    jobs = [(site, seed, day) for site in options.sites for seed in options.seeds for day in options.days]
     with ThreadPoolExecutor(options.jobs) as pool:
-        pairs = list(pool.map(lambda arguments: play_pair(*arguments), wanted))
+        pairs = list(pool.map(lambda arguments: play_pair(*arguments), jobs))
     print(describe(pairs))
     if options.plot is not None:
         plot(pairs, options.plot)
--- a/benchmarks/worth.py
+++ b/benchmarks/worth.py
@@ -58,14 +58,14 @@
 
 def read_losses(entries: Iterable[dict[str, Any]]) -> list[Loss]:
     """The losses of a list of parts, each weighed by its requests."""
-    parts = list(entries)
-    asked = sum(part["n"] for part in parts) or 1
+    entries_list = list(entries)
+    asked = sum(part["n"] for part in entries_list) or 1
     return [
         Loss(
             str(part["name"]), part["n"], part["late"], part["refused"], part["failed"],
             part["n"] / asked * (1 - (part["worth"] or 0.0)),
         )
-        for part in parts
+        for part in entries_list
     ]  # fmt: skip
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -26,7 +26,7 @@
     for header, rows in capacity.tables(PAGE):
         if "worked out as" in header:
             at, shown = header.index("worked out as"), header.index("figure")
-            out += [(capacity.bare(row[at]), row[shown]) for row in rows]
+            out += [(capacity.strip_backticks(row[at]), row[shown]) for row in rows]
     return out
 
 
@@ -35,13 +35,13 @@
 
 
 def test_the_page_holds_the_figures_of_the_letter() -> None:
-    assert LETTER.items() <= capacity.Names(PAGE, TOLD).own.items()
+    assert LETTER.items() <= capacity.FigureNames(PAGE, TOLD).page_values.items()
 
 
 def test_the_figures_are_those_of_the_rows_that_were_measured() -> None:
     backend = TOLD["backend"]
-    assert slopes.worked_out(backend["rows"]) == backend["figures"]
-    assert slopes.page(backend) == slopes.PAGE.read_text()
+    assert slopes.compute_figures(backend["rows"]) == backend["figures"]
+    assert slopes.render_page(backend) == slopes.PAGE.read_text()
     seeds = {name: {row["seed"] for row in rows} for name, rows in backend["rows"].items()}
     assert all(len(some) >= 3 for some in seeds.values()), seeds
 
@@ -76,14 +76,14 @@
     told = copy.deepcopy(TOLD["backend"])
     for row in told["rows"]["checks"]:
         row["cpu_ms_per_s"] *= 1 + row["x"] / 1000
-    assert slopes.worked_out(told["rows"]) != told["figures"]
+    assert slopes.compute_figures(told["rows"]) != told["figures"]
 
 
 def test_a_figure_where_none_was_measured_is_seen() -> None:
     """What no run has given stands as that, and a guess put there is found."""
     told = copy.deepcopy(TOLD)
     del told["backend"]["figures"]["check_us"]
-    page = capacity.filled(PAGE, told)
+    page = capacity.fill_page(PAGE, told)
     assert capacity.UNKNOWN in page and not capacity.differences(page, told)
     guessed = page.replace(f"| {capacity.UNKNOWN} |", "| 123 |", 1)
     assert capacity.differences(guessed, told)
@@ -111,14 +111,14 @@
 
 
 def test_sums_are_worked_out_by_hand() -> None:
-    page = capacity.filled(SMALL, EACH)
+    page = capacity.fill_page(SMALL, EACH)
     rows = [row for _, rows in capacity.tables(page) for row in rows]
     assert rows[2][2:] == ["2 (1 to 2.5)", "ms", "`most`", "0.04"]
     assert rows[3][2:] == [capacity.UNKNOWN, "ms", "`most`", capacity.UNKNOWN]
     assert [row[0] for row in rows[4:]] == ["first", "early", "late", "never"]
     assert [row[3] for row in rows[4:]] == ["20 or before", "51", "2,501", "not up to 100,000"]
     assert rows[5][4] == "104"  # 2 * 5,200 of 100
-    assert capacity.filled(page, EACH) == page
+    assert capacity.fill_page(page, EACH) == page
 
 
 RUNS = [
@@ -129,17 +129,17 @@
 
 
 def test_figures_are_drawn_from_runs() -> None:
-    assert sorted(capacity.of_runs(RUNS, "cells_100__change__all_s")) == [101, 102, 105]
-    assert capacity.of_runs(RUNS, "cells_each__change__all_s") == [1, 1, 1]
-    assert sorted(capacity.of_runs(RUNS, "cells_base__change__all_s")) == [1, 2, 5]
-    assert capacity.of_runs(RUNS, "flat_10__rest__real__cpu_ms_s__most") == [4]
+    assert sorted(capacity.values_of_runs(RUNS, "cells_100__change__all_s")) == [101, 102, 105]
+    assert capacity.values_of_runs(RUNS, "cells_each__change__all_s") == [1, 1, 1]
+    assert sorted(capacity.values_of_runs(RUNS, "cells_base__change__all_s")) == [1, 2, 5]
+    assert capacity.values_of_runs(RUNS, "flat_10__rest__real__cpu_ms_s__most") == [4]
     for none in ("flat_each__rest__real__cpu_ms_s__most", "cells_10__rest__all_s", "cells_11__change__all_s"):
-        assert not capacity.of_runs(RUNS, none)
-    names = capacity.Names("", {"simulated": {"runs": RUNS}})
-    assert capacity.figure("simulated.cells_100__change__all_s", names) == "102 (101 to 105)"
+        assert not capacity.values_of_runs(RUNS, none)
+    names = capacity.FigureNames("", {"simulated": {"runs": RUNS}})
+    assert capacity.format_figure("simulated.cells_100__change__all_s", names) == "102 (101 to 105)"
 
 
 @pytest.mark.parametrize("wrong", ["nobody", "2 **", "open('x')", "tenants if most else 1", "a.b.c"])
 def test_a_sum_that_is_none_fails(wrong: str) -> None:
-    with pytest.raises(capacity.BadPage):
-        capacity.filled(SMALL.replace("`fleet.each`", f"`{wrong}`"), EACH)
+    with pytest.raises(capacity.PageError):
+        capacity.fill_page(SMALL.replace("`fleet.each`", f"`{wrong}`"), EACH)
