--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -168,13 +168,13 @@
 def format_figure(text: str, names: FigureNames) -> str:
     """The median, and the range with all measured values at their minimum and at their maximum."""
     try:
-        middle, least, most = (
+        mid, low, high = (
             format_number(evaluate_formula(text, names, which)) for which in ("value", "least", "most")
         )
     except NotMeasuredError:
         return UNKNOWN
-    least, most = sorted((least, most), key=lambda one: float(one.replace(",", "")))
-    return middle if least == most else f"{middle} ({least} to {most})"
+    low, high = sorted((low, high), key=lambda one: float(one.replace(",", "")))
+    return mid if low == high else f"{mid} ({low} to {high})"
 
 
 def format_budget_ratio(text: str, budget: str, names: FigureNames, **overrides: float) -> str:
@@ -199,10 +199,10 @@
         return MIN_SIZE
     if not over(MAX_SIZE):
         return None
-    least, breaking = MIN_SIZE, MAX_SIZE
-    while breaking - least > 1:
-        middle = (least + breaking) // 2
-        least, breaking = (least, middle) if over(middle) else (middle, breaking)
+    low, breaking = MIN_SIZE, MAX_SIZE
+    while breaking - low > 1:
+        mid = (low + breaking) // 2
+        low, breaking = (low, mid) if over(mid) else (mid, breaking)
     return breaking
 
 
--- a/benchmarks/cells_scripts.py
+++ b/benchmarks/cells_scripts.py
@@ -41,7 +41,7 @@
         layout = Layout(self.locations, 64) if in_cells else None
         world = StateWorld(size, seed, MEMBER_CONFIG, SPACES, layout=layout, far=REGION_DELAY, in_step=False)
         self.world, self.layout, self.names = world, layout, world.names
-        world.region = {name: place[0] for name, place in self.locations.items()}
+        world.region = {name: location[0] for name, location in self.locations.items()}
         world.loss = LOSS
         world.failed_fetch_delay = round(CONNECT_TIMEOUT_S * S)
         gc.collect()
@@ -152,11 +152,11 @@
 
     def start_figures(self, names: list[str], began: dict[str, int]) -> dict[str, list]:
         """For members started at `began`: members asked, fetch attempts, and seconds until ready."""
-        asked = {name: set() for name in names}
+        contacted = {name: set() for name in names}
         attempts = dict.fromkeys(names, 0)
         for at, name, other in self.world.fetches:
-            if name in asked and at >= began[name]:
-                asked[name].add(other)
+            if name in contacted and at >= began[name]:
+                contacted[name].add(other)
                 attempts[name] += 1
         ready: dict[str, float] = {}
         full_transfers = 0
@@ -165,7 +165,7 @@
                 ready[name] = (at - began[name]) / S
                 full_transfers += brings["whole"]
         return {
-            "asked": [len(asked[name]) for name in names],
+            "asked": [len(contacted[name]) for name in names],
             "attempts": list(attempts.values()),
             "ready_s": [ready.get(name) for name in names],
             "whole": full_transfers,
@@ -233,8 +233,8 @@
 
 def zone(fleet: SimulatedFleet) -> dict:
     """A zone fails for three minutes; its members then restart within half a minute."""
-    which = fleet.rng.choice(sorted(set(fleet.locations.values())))
-    return fail_and_restart(fleet, [name for name in fleet.names if fleet.locations[name] == which], 30)
+    failed_zone = fleet.rng.choice(sorted(set(fleet.locations.values())))
+    return fail_and_restart(fleet, [name for name in fleet.names if fleet.locations[name] == failed_zone], 30)
 
 
 def fail_and_restart(fleet: SimulatedFleet, names: list[str], within_s: float) -> dict:
@@ -291,10 +291,10 @@
     correct_s = fleet.until(world.agreed, 300, 0.25)
     fleet.run_until(max(world.now, healed + 60 * S))
     left_members = {name for _, name in fleet.log_events("catching_up", began)}
-    held_dead = {who for at, _, who, state in world.changes if at > began and state == DEAD}
+    declared_dead = {who for at, _, who, state in world.changes if at > began and state == DEAD}
     return {
         **known, "views_right_s": correct_s, "left_the_list": len(left_members),
-        "held_dead_falsely": len(held_dead), "fetches": len(world.fetches) - fetched,
+        "held_dead_falsely": len(declared_dead), "fetches": len(world.fetches) - fetched,
     }  # fmt: skip
 
 
--- a/benchmarks/fleet_processes.py
+++ b/benchmarks/fleet_processes.py
@@ -79,8 +79,8 @@
         return rig.until(lambda: all_in_sync(rig), 60, every_s=0.02), rate
 
 
-def measure_catch_up(seed: int, folder: Path, kept: int, missed: int, disk: bool) -> float | None:
-    """Milliseconds not ready for one of five that was down while `missed` of `kept` entries were put."""
+def measure_catch_up(seed: int, folder: Path, total: int, missed: int, disk: bool) -> float | None:
+    """Milliseconds not ready for one of five that was down while `missed` of `total` entries were put."""
     folder.mkdir(parents=True, exist_ok=True)
     with FleetRig(folder, 5, seed, [], **(FAST_SETTINGS | {"snapshot_every_ms": 200})) as rig:
         if disk:
@@ -88,11 +88,11 @@
             rig.kill("m2")
             rig.launch("m2")
         rig.until(lambda: all_caught_up(rig, set(rig.names)), 30)
-        put_entries(rig, "m0", 0, kept - missed)
+        put_entries(rig, "m0", 0, total - missed)
         rig.until(lambda: all_in_sync(rig), 30)
         time.sleep(0.6)
         rig.kill("m2")
-        put_entries(rig, "m0", kept - missed, missed)
+        put_entries(rig, "m0", total - missed, missed)
         rig.launch("m2")
         rig.until(lambda: all_caught_up(rig, {"m2"}), 30)
         lines = [line for line in rig.history() if line["backend"] == "m2" and line["event"] == "caught_up"]
@@ -115,20 +115,20 @@
     print("| processes | false deaths: 10% lost, one paused | all alike after a heal, s | bytes/s a member |")
     print("| --- | --- | --- | --- |")
     for size in args.sizes:
-        false = [false_deaths(size, seed, folder / f"f{size}-{seed}") for seed in seeds]
+        false_counts = [false_deaths(size, seed, folder / f"f{size}-{seed}") for seed in seeds]
         runs = [measure_heal(size, seed, folder / f"h{size}-{seed}") for seed in seeds]
         print(
-            f"| {size} | {sum(row[0] for row in false)}, {sum(row[1] for row in false)} "
+            f"| {size} | {sum(row[0] for row in false_counts)}, {sum(row[1] for row in false_counts)} "
             f"| {spread([run[0] for run in runs], '.2f')} | {spread([run[1] for run in runs], '.0f')} |",
             flush=True,
         )
     print("\n| entries kept | missed while away | disk | not ready, ms |\n| --- | --- | --- | --- |")
-    for kept, missed, disk in ((50, 10, False), (400, 10, False), (400, 10, True), (400, 400, False)):
+    for total, missed, disk in ((50, 10, False), (400, 10, False), (400, 10, True), (400, 400, False)):
         took = [
-            measure_catch_up(seed, folder / f"c{kept}-{missed}-{disk}-{seed}", kept, missed, disk)
+            measure_catch_up(seed, folder / f"c{total}-{missed}-{disk}-{seed}", total, missed, disk)
             for seed in seeds
         ]
-        print(f"| {kept} | {missed} | {'yes' if disk else 'no'} | {spread(took, '.0f')} |", flush=True)
+        print(f"| {total} | {missed} | {'yes' if disk else 'no'} | {spread(took, '.0f')} |", flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -55,7 +55,7 @@
     }  # fmt: skip
     fleet = {"period_ms": args.period_ms} if args.period_ms else {}
     cells = mode == "cells"
-    memory_limit_kb = round(member_cost.MAX_MEMORY_PART * machine_kb)
+    memory_limit_kb = round(member_cost.MAX_MEMORY_FRACTION * machine_kb)
     folder = Path(tempfile.mkdtemp(prefix="scale-"))
     try:
         if "lonely" in args.script:
@@ -106,15 +106,15 @@
 
 
 def describe_run(run: dict) -> str:
-    parts = [f"{run['mode']} {run['size']} seed {run['seed']}:"]
+    words = [f"{run['mode']} {run['size']} seed {run['seed']}:"]
     for name, phase in run["scripts"].items():
         cpu = phase["real"].get("cpu_ms_s", {})
         sent = phase["real"].get("bytes_s", {})
         if cpu:
-            parts.append(f"{name} {cpu['median']:.1f}/{cpu['most']:.1f} ms/s {sent['most']:.0f} B/s;")
+            words.append(f"{name} {cpu['median']:.1f}/{cpu['most']:.1f} ms/s {sent['most']:.0f} B/s;")
         if not phase["step"]["kept"]:
-            parts.append(f"(not in step: {phase['step']['lag_s']:.2f} s behind)")
-    return " ".join(parts + ([f"stopped: {run['stopped']}"] if run["stopped"] else []))
+            words.append(f"(not in step: {phase['step']['lag_s']:.2f} s behind)")
+    return " ".join(words + ([f"stopped: {run['stopped']}"] if run["stopped"] else []))
 
 
 def main() -> int:
--- a/benchmarks/scale/figures.py
+++ b/benchmarks/scale/figures.py
@@ -9,7 +9,7 @@
 
 HEADER_BYTES = 28  # bytes of IPv4 and UDP before a datagram's payload
 MINUTE_S = 60.0
-MAX_LAG_S, MAX_BUSY_PART = 0.5, 0.95  # beyond either, a stub process did not keep pace
+MAX_LAG_S, MAX_BUSY_FRACTION = 0.5, 0.95  # beyond either, a stub process did not keep pace
 RATE_FIELDS = ("cpu_ms_s", "bytes_s", "wire_bytes_s", "datagrams_s", "fetches_s")
 
 
@@ -128,7 +128,7 @@
         cpu_pairs = zip(before["hollow"]["cpu_each_s"], after["hollow"]["cpu_each_s"], strict=True)
         max_busy = max([max_busy, *((b - a) / passed for a, b in cpu_pairs)])
     return {
-        "kept": lag <= MAX_LAG_S and max_busy <= MAX_BUSY_PART,
+        "kept": lag <= MAX_LAG_S and max_busy <= MAX_BUSY_FRACTION,
         "lag_s": lag,
         "lag_used_s": slowest["lag_used_s"],
         "busiest_process": max_busy,
--- a/benchmarks/scale/member_cost.py
+++ b/benchmarks/scale/member_cost.py
@@ -1,6 +1,6 @@
 """Cost of one simulated member of a fleet: resident kB and seconds to build, measured in a separate process.
 
-python -O -m benchmarks.scale.weigh SIZE [--cells] [--fleet JSON]
+python -O -m benchmarks.scale.member_cost SIZE [--cells] [--fleet JSON]
 """
 
 import gc
@@ -25,7 +25,7 @@
 PROCESS_KB = 40_000  # of one stub process without its members
 STUB_SOCKETS_KB = 12  # of one stub member, beside its decision logic: socket objects and timers
 GROWTH_FACTOR = 1.25  # memory of a member after a run, relative to a new one
-MAX_MEMORY_PART = 0.5  # part of the machine's memory that a run may use
+MAX_MEMORY_FRACTION = 0.5  # part of the machine's memory that a run may use
 
 
 class MemberCost(NamedTuple):
@@ -66,12 +66,12 @@
 
 
 def check_memory(size: int, real: int, processes: int, cost: MemberCost, machine_kb: int) -> int:
-    """The kB that the run would take; raises RunTooLargeError over MAX_MEMORY_PART of the machine's."""
+    """The kB that the run would take; raises RunTooLargeError over MAX_MEMORY_FRACTION of the machine's."""
     run_kb = estimate_run_kb(size, real, processes, cost)
-    if run_kb > MAX_MEMORY_PART * machine_kb:
+    if run_kb > MAX_MEMORY_FRACTION * machine_kb:
         raise RunTooLargeError(
             f"{size} members would take {run_kb / 1e6:.1f} GB ({cost.member_kb:.0f} kB each), "
-            f"and a run may take {MAX_MEMORY_PART * machine_kb / 1e6:.1f} GB of this machine's memory"
+            f"and a run may take {MAX_MEMORY_FRACTION * machine_kb / 1e6:.1f} GB of this machine's memory"
         )
     return run_kb
 
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -78,18 +78,18 @@
     fits = summary["fits"]
     sizes = sorted({run["size"] for run in summary["runs"]})
     columns = [str(size) for size in sizes]
-    parts = [HEAD]
+    blocks = [HEAD]
     loads = [run["load"] for run in summary["runs"]]
     load = f"{min(loads):.1f} to {max(loads):.1f}"
-    parts.append(f"{len(loads)} runs; the machine's load as they began was {load}.\n")
+    blocks.append(f"{len(loads)} runs; the machine's load as they began was {load}.\n")
     for title, figure in TABLES:
         if lines := list(table_rows(fits, figure, columns)):
-            parts.append(f"## {title}\n")
-            parts.append(f"| fleet | script | {' | '.join(columns)} | for 1,000 more | seeds |")
-            parts.append("| --- " * (len(columns) + 4) + "|")
-            parts += [*lines, ""]
+            blocks.append(f"## {title}\n")
+            blocks.append(f"| fleet | script | {' | '.join(columns)} | for 1,000 more | seeds |")
+            blocks.append("| --- " * (len(columns) + 4) + "|")
+            blocks += [*lines, ""]
     if stopped := [run for run in summary["runs"] if run.get("stopped")]:
-        parts.append("## Runs that did not come to their end\n")
-        parts += [f"- {run['mode']} {run['size']}, seed {run['seed']}: {run['stopped']}" for run in stopped]
-        parts.append("")
-    return "\n".join(parts)
+        blocks.append("## Runs that did not come to their end\n")
+        blocks += [f"- {run['mode']} {run['size']}, seed {run['seed']}: {run['stopped']}" for run in stopped]
+        blocks.append("")
+    return "\n".join(blocks)
--- a/benchmarks/scale/scripts.py
+++ b/benchmarks/scale/scripts.py
@@ -29,13 +29,15 @@
 class Run:
     """One fleet, on which scripts run in turn."""
 
-    def __init__(self, rig: Wide, recorder: Recorder, span_s: float, cut_s: float, timeout_s: float) -> None:
-        """`span_s`: minimum of each script; `cut_s`: of a partition; `timeout_s`: for end conditions."""
-        self.rig, self.recorder, self.span_s, self.cut_s, self.timeout_s = (
+    def __init__(
+        self, rig: Wide, recorder: Recorder, span_s: float, partition_s: float, timeout_s: float
+    ) -> None:
+        """`span_s`: minimum of a script; `partition_s`: of a partition; `timeout_s`: for end conditions."""
+        self.rig, self.recorder, self.span_s, self.partition_s, self.timeout_s = (
             rig,
             recorder,
             span_s,
-            cut_s,
+            partition_s,
             timeout_s,
         )
         self.rng = random.Random(f"{rig.seed}/scripts")
@@ -123,8 +125,8 @@
 def rack(run: Run) -> dict:
     """A rack switch fails: 40 members of one zone at once (at most half of it), which then return."""
     names = run.rig.in_zone(f"{next(iter(ZONES))}a")
-    hollow = [name for name in names if name in run.rig.hollow_at]
-    return _remove_and_restore(run, "rack", hollow[: min(RACK_SIZE, max(1, len(names) // 2))], [])
+    stubs = [name for name in names if name in run.rig.hollow_at]
+    return _remove_and_restore(run, "rack", stubs[: min(RACK_SIZE, max(1, len(names) // 2))], [])
 
 
 def zone(run: Run) -> dict:
@@ -142,18 +144,18 @@
         rig.kill(name)
     groups = pure.cells(rig.everyone, rig.layout)
     cell = {name: group for group in groups for name in group}
-    off = set(names)
-    observers = {name: [one for one in cell[name] if one not in off] for name in names}
-    of = observers if len(groups) > 1 else {}  # with one group, every member is an observer
-    lost_cells = pure.dead_cells(rig.layout, off)
-    others = len([name for name in rig.hollow if name not in off])
+    failed = set(names)
+    observers = {name: [one for one in cell[name] if one not in failed] for name in names}
+    watchers = observers if len(groups) > 1 else {}  # with one group, every member is an observer
+    lost_cells = pure.dead_cells(rig.layout, failed)
+    others = len([name for name in rig.hollow if name not in failed])
     detected: dict[str, int] = {}
     detected_cells: dict[str, int] = {}
 
     def poll() -> bool:
-        seen, real_detections = rig.tell("seen", of=of), _real_detections(run, begin, off)
+        seen, real_detections = rig.tell("seen", of=watchers), _real_detections(run, begin, failed)
         for name in names:
-            counts = [one["deaths_of" if of else "deaths"][name] for one in seen]
+            counts = [one["deaths_of" if watchers else "deaths"][name] for one in seen]
             counts.append((len(real_detections[name]), max(real_detections[name].values(), default=0)))
             if name not in detected and sum(count for count, _ in counts) >= len(observers[name]):
                 detected[name] = max([began, *(at for _, at in counts)])
@@ -181,14 +183,14 @@
     )  # fmt: skip
 
 
-def _real_detections(run: Run, begin: int, off: set[str]) -> dict[str, dict[str, int]]:
-    """For each member in `off`, the real backends that logged it as dead or left since `begin` (Unix µs).
+def _real_detections(run: Run, begin: int, failed: set[str]) -> dict[str, dict[str, int]]:
+    """For each member in `failed`, the real backends that logged it as dead or left since `begin` (Unix µs).
 
     Times are on the clock of `now_us`."""
     shift = now_us() - time.time_ns() // 1000
-    seen: dict[str, dict[str, int]] = {name: {} for name in off}
+    seen: dict[str, dict[str, int]] = {name: {} for name in failed}
     for line in log_events(run.rig.folder, run.rig.names, begin, "member"):
-        if line["name"] in off and line["state"] in ("dead", "left") and line["backend"] not in off:
+        if line["name"] in failed and line["state"] in ("dead", "left") and line["backend"] not in failed:
             seen[line["name"]].setdefault(line["backend"], line["at"] + shift)
     return seen
 
@@ -209,11 +211,11 @@
 
 
 def regions(run: Run) -> dict:
-    """Partitions all regions from each other for `cut_s`."""
+    """Partitions all regions from each other for `partition_s`."""
     rig, begin = run.rig, time.time_ns() // 1000
     rig.cut(list(itertools.combinations(ZONES, 2)))
-    samples = run.recorder.record("regions cut", run.cut_s)
-    ready_cut = min(one["hollow"]["ready"] for one in samples)
+    samples = run.recorder.record("regions cut", run.partition_s)
+    ready_partitioned = min(one["hollow"]["ready"] for one in samples)
     at = now_us()
     rig.heal()
     recovery = run.wait_for_recovery("regions healed", at)
@@ -224,7 +226,8 @@
     left = log_events(rig.folder, rig.names, begin, "catching_up")
     ready = min(one["hollow"]["ready"] for one in samples)
     return result(
-        samples, cut_s=run.cut_s, ready_least_cut=ready_cut, left_the_list=samples[0]["hollow"]["on"] - ready,
+        samples, cut_s=run.partition_s, ready_least_cut=ready_partitioned,
+        left_the_list=samples[0]["hollow"]["on"] - ready,
         real_left_the_list=len({line["backend"] for line in left}), **recovery,
     )  # fmt: skip
 
@@ -232,7 +235,7 @@
 def changes(run: Run) -> dict:
     """Three changes at the rate of a day, then 50 at once, each put at a random stub member; then three put
     at real backends by an operator's command, acknowledged once enough others hold them."""
-    rig, put_at, held_at = run.rig, {}, {}
+    rig, put_at, complete_at = run.rig, {}, {}
     real_holders: dict[str, dict[str, int]] = {name: {} for name in rig.names}
 
     def put(count: int) -> None:
@@ -243,8 +246,8 @@
 
     def poll() -> bool:
         for key, (count, at) in _watched_keys(rig).items():
-            if count == len(rig.hollow) and key not in held_at:
-                held_at[key] = at
+            if count == len(rig.hollow) and key not in complete_at:
+                complete_at[key] = at
         for name, seen in real_holders.items():
             while waits := [key for key in put_at if key not in seen]:
                 page = rig.ask(name, 0.5, k="state", prefix=waits[0])
@@ -252,19 +255,20 @@
                     break
                 seen[waits[0]] = now_us()
         everyone = all(len(seen) == len(put_at) for seen in real_holders.values())
-        return bool(put_at) and len(held_at) == len(put_at) and everyone
+        return bool(put_at) and len(complete_at) == len(put_at) and everyone
 
     every_s = DAY_S / CHANGES_PER_DAY
     actions: list = [(1 + n * every_s, lambda: put(1)) for n in range(3)]
     actions.append((1 + 3 * every_s, lambda: put(BURST_SIZE)))
     samples = run.recorder.record("changes", actions[-1][0] + 5, actions, poll, run.timeout_s, REAL_POLL_S)
     elapsed = {
-        key: max([held_at[key], *(seen.get(key, 0) for seen in real_holders.values())]) for key in held_at
+        key: max([complete_at[key], *(seen.get(key, 0) for seen in real_holders.values())])
+        for key in complete_at
     }
     elapsed = {key: (at - put_at[key]) / 1e6 for key, at in elapsed.items()}
     first = [elapsed[key] for key in list(put_at)[:3] if key in elapsed]
     burst = [elapsed[key] for key in list(put_at)[3:] if key in elapsed]
-    missing = len(put_at) - len(held_at) + sum(len(put_at) - len(seen) for seen in real_holders.values())
+    missing = len(put_at) - len(complete_at) + sum(len(put_at) - len(seen) for seen in real_holders.values())
     rig.tell("forget")
     return result(
         samples, put=len(put_at), not_held=missing, one_s=figures.summarize(first) if first else None,
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -121,8 +121,8 @@
         "| --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
     for name, one in figures.items():
-        least, most = one["range"]
-        over = "" if least is None else f"at {least:,}" if least == most else f"{least:,} to {most:,}"
+        low, high = one["range"]
+        over = "" if low is None else f"at {low:,}" if low == high else f"{low:,} to {high:,}"
         fit = "" if one["fit"] is None else f"{one['fit']:.3f}"
         range_text = (
             f"{format_number(one['value'])} ({format_number(one['least'])} to {format_number(one['most'])})"
--- a/benchmarks/worth.py
+++ b/benchmarks/worth.py
@@ -56,16 +56,16 @@
     hints: list[str]
 
 
-def read_losses(parts: Iterable[dict[str, Any]]) -> list[Loss]:
+def read_losses(groups: Iterable[dict[str, Any]]) -> list[Loss]:
     """The losses of a list of parts, weighted by their requests."""
-    parts_list = list(parts)
-    requested = sum(part["n"] for part in parts_list) or 1
+    group_list = list(groups)
+    requested = sum(group["n"] for group in group_list) or 1
     return [
         Loss(
-            str(part["name"]), part["n"], part["late"], part["refused"], part["failed"],
-            part["n"] / requested * (1 - (part["worth"] or 0.0)),
+            str(group["name"]), group["n"], group["late"], group["refused"], group["failed"],
+            group["n"] / requested * (1 - (group["worth"] or 0.0)),
         )
-        for part in parts_list
+        for group in group_list
     ]  # fmt: skip
 
 
