--- a/benchmarks/cells_scripts.py
+++ b/benchmarks/cells_scripts.py
@@ -56,9 +56,8 @@
             member.catch_up.began, member.was_ready = None, True
             member.wide.copies.merge(world.wall(member.me), rows)
         self.speakers: set[str] = set()
-        self.samples: list[
-            tuple[list[int], list[int]]
-        ] = []  # cumulative, by member: payload bytes, datagrams
+        # Cumulative, by member: payload bytes, datagrams.
+        self.samples: list[tuple[list[int], list[int]]] = []
         self.next_sample = 0
         self.run(15)
         self.began = len(self.samples)
@@ -93,10 +92,8 @@
         samples = self.samples[self.began - 1 :]
         window = min(60 * S // SAMPLE_PERIOD, len(samples) - 1)
         found: dict[str, float] = {}
-        worst = {
-            True: (0.0, 0.0),
-            False: (0.0, 0.0),
-        }  # by whether the member was ever a speaker: with headers, payload
+        # By whether the member was ever a speaker: with headers, payload.
+        worst = {True: (0.0, 0.0), False: (0.0, 0.0)}
         for (data, count), (data_then, count_then) in zip(samples, samples[window:], strict=False):
             span = window * SAMPLE_PERIOD / S
             for name, a, b, c, d in zip(self.names, data, data_then, count, count_then, strict=True):
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -140,9 +140,8 @@
     )
     parser.add_argument("--out", type=Path, default=Path("runs/scale"))
     args = parser.parse_args()
-    signal.signal(
-        signal.SIGTERM, lambda *_: sys.exit(143)
-    )  # raises SystemExit, so that the rig's __exit__ runs
+    # Raises SystemExit, so that the rig's __exit__ runs.
+    signal.signal(signal.SIGTERM, lambda *_: sys.exit(143))
     args.out.mkdir(parents=True, exist_ok=True)
     stopped = 0
     for size in args.sizes:
--- a/benchmarks/scale/figures.py
+++ b/benchmarks/scale/figures.py
@@ -37,9 +37,8 @@
     if not running:
         return None
     deltas = {key: after["sums"][key] - before["sums"][key] for key in before["sums"]}
-    payload_bytes = (
-        deltas["sent_bytes"] + deltas["read_bytes"] + 2 * deltas["stream_bytes"]
-    )  # both ends of a stream
+    # The bytes of a stream count at both of its ends.
+    payload_bytes = deltas["sent_bytes"] + deltas["read_bytes"] + 2 * deltas["stream_bytes"]
     datagrams = deltas["sent"] + deltas["read"]
     member_s = passed_s * running
     return {
