--- a/benchmarks/cells_scripts.py
+++ b/benchmarks/cells_scripts.py
@@ -32,7 +32,7 @@
     return {f"m{n}": (f"r{n % ZONES % REGIONS}", f"z{n % ZONES}") for n in range(size)}
 
 
-class SimulatedFleet:
+class MeasuredFleet:
     """A simulated fleet and its measurements. Traffic is sampled every 5 s; a minute has 12 samples."""
 
     def __init__(self, size: int, seed: int, in_cells: bool) -> None:
@@ -172,12 +172,12 @@
 # Scripts
 
 
-def rest(fleet: SimulatedFleet) -> dict:
+def rest(fleet: MeasuredFleet) -> dict:
     fleet.run(90)
     return {}
 
 
-def change(fleet: SimulatedFleet) -> dict:
+def change(fleet: MeasuredFleet) -> dict:
     """Single changes at random members, 25 s apart, which is the rate of 3,400 a day."""
     took = []
     for n in range(4):
@@ -189,7 +189,7 @@
     return {"slowest_s": slowest(took), "all_s": took}
 
 
-def burst(fleet: SimulatedFleet) -> dict:
+def burst(fleet: MeasuredFleet) -> dict:
     """Fifty simultaneous changes, each at a random member."""
     keys = [f"said/burst/{n}" for n in range(50)]
     for key in keys:
@@ -199,7 +199,7 @@
     return {"slowest_s": took}
 
 
-def kill(fleet: SimulatedFleet) -> dict:
+def kill(fleet: MeasuredFleet) -> dict:
     """Up to ten members of different cells fail at once (in a flat fleet, one member)."""
     names = fleet.pick_members(10 if fleet.layout is not None else 1)
     seen = dict.fromkeys(names)
@@ -222,19 +222,19 @@
     }
 
 
-def dead_cell(fleet: SimulatedFleet) -> dict:
+def dead_cell(fleet: MeasuredFleet) -> dict:
     """All members of a cell fail at the same µs, and restart a minute after all others have detected it."""
     cell = fleet.rng.choice(sorted(fleet.layout.rosters))
     return fail_and_restart(fleet, list(fleet.layout.rosters[cell]), 1)
 
 
-def zone(fleet: SimulatedFleet) -> dict:
+def zone(fleet: MeasuredFleet) -> dict:
     """A zone fails for three minutes; its members then restart within half a minute."""
     failed_zone = fleet.rng.choice(sorted(set(fleet.locations.values())))
     return fail_and_restart(fleet, [name for name in fleet.names if fleet.locations[name] == failed_zone], 30)
 
 
-def fail_and_restart(fleet: SimulatedFleet, names: list[str], within_s: float) -> dict:
+def fail_and_restart(fleet: MeasuredFleet, names: list[str], within_s: float) -> dict:
     world, began = fleet.world, fleet.world.now
     for name in names:
         world.kill(name)
@@ -268,7 +268,7 @@
     }  # fmt: skip
 
 
-def region(fleet: SimulatedFleet) -> dict:
+def region(fleet: MeasuredFleet) -> dict:
     """One region is partitioned from the others for three minutes."""
     world = fleet.world
     isolated = fleet.rng.choice(sorted(set(world.region.values())))
@@ -295,7 +295,7 @@
     }  # fmt: skip
 
 
-def restart(fleet: SimulatedFleet) -> dict:
+def restart(fleet: MeasuredFleet) -> dict:
     """A release: random members restart one after the other, down for 2 s each, without their disks."""
     world, names, started = fleet.world, fleet.pick_members(20), {}
     for name in names:
@@ -313,7 +313,7 @@
     }  # fmt: skip
 
 
-def lonely(fleet: SimulatedFleet) -> dict:
+def lonely(fleet: MeasuredFleet) -> dict:
     """A member restarts and can't reach any other member for two minutes."""
     world, name = fleet.world, fleet.rng.choice(fleet.names)
     world.cut = lambda a, b: name in (a, b)
@@ -344,5 +344,5 @@
 
 
 def run_script(size: int, seed: int, script: str, in_cells: bool) -> dict:
-    fleet = SimulatedFleet(size, seed, in_cells)
+    fleet = MeasuredFleet(size, seed, in_cells)
     return SCRIPTS[script](fleet) | {"bytes_s": fleet.traffic_rates()}
