--- a/benchmarks/cells_scripts.py
+++ b/benchmarks/cells_scripts.py
@@ -24,7 +24,7 @@
 ENTRIES = 200  # held by all members of the fleet
 ENTRY_LIFETIME = 23 * 3600 * S
 SAMPLE_PERIOD = 5 * S
-MEMBER_CONFIG = Manner(Timing(), Pace(), Patience())
+MEMBER_CONFIG = MemberSettings(Timing(), DisseminationSettings(), CatchUpTiming())
 
 
 def assign_locations(size: int) -> dict[str, tuple[str, str]]:
@@ -38,8 +38,10 @@
     def __init__(self, size: int, seed: int, in_cells: bool) -> None:
         self.rng = random.Random(f"{seed}/script")
         self.locations = assign_locations(size)
-        layout = Layout(self.locations, 64) if in_cells else None
-        world = StateWorld(size, seed, MEMBER_CONFIG, SPACES, layout=layout, far=REGION_DELAY, in_step=False)
+        layout = CellLayout(self.locations, 64) if in_cells else None
+        world = SimulatedFleet(
+            size, seed, MEMBER_CONFIG, KEYSPACES, layout=layout, far=REGION_DELAY, in_step=False
+        )
         self.world, self.layout, self.names = world, layout, world.names
         world.region = {name: location[0] for name, location in self.locations.items()}
         world.loss = LOSS
@@ -51,10 +53,14 @@
         rows = []
         for n in range(ENTRIES):
             member = world.members[self.rng.choice(self.names)]
-            rows.append(member.wide.copies.put(world.wall(member.me), f"said/kept/{n}", n, ENTRY_LIFETIME))
+            rows.append(
+                member.wide_dissemination.replica.put(
+                    world.wall(member.me), f"said/kept/{n}", n, ENTRY_LIFETIME
+                )
+            )
         for member in world.members.values():
-            member.catch_up.began, member.was_ready = None, True
-            member.wide.copies.merge(world.wall(member.me), rows)
+            member.catch_up.started_at, member.was_ready = None, True
+            member.wide_dissemination.replica.merge(world.wall(member.me), rows)
         self.speakers: set[str] = set()
         # Cumulative, by member: payload bytes, datagrams.
         self.samples: list[tuple[list[int], list[int]]] = []
@@ -85,7 +91,9 @@
         traffic = [self.world.traffic[name] for name in self.names]
         self.samples.append(([t[0] + t[2] + t[4] for t in traffic], [t[1] + t[3] for t in traffic]))
         if self.layout is not None:
-            self.speakers.update(name for name, member in self.world.members.items() if member.reach.speaks)
+            self.speakers.update(
+                name for name, member in self.world.members.items() if member.reachability.speaks
+            )
 
     def traffic_rates(self) -> dict[str, float]:
         """B/s sent and received: the worst minute of any member, and the mean of all members."""
@@ -111,12 +119,14 @@
         return found
 
     def put(self, name: str, key: str) -> None:
-        self.world.do(name, lambda member, _, wall: member.wide.put(wall, key, 1, ENTRY_LIFETIME))
+        self.world.run_on(
+            name, lambda member, _, wall: member.wide_dissemination.put(wall, key, 1, ENTRY_LIFETIME)
+        )
 
     def held_by_all(self, keys: Iterable[str]) -> Callable[[], bool]:
         """A check whether every running member holds the keys."""
         required_keys, unchecked = list(keys), list(self.names)
-        entries = {name: self.world.members[name].wide.copies.entries for name in unchecked}
+        entries = {name: self.world.members[name].wide_dissemination.replica.entries for name in unchecked}
 
         def check() -> bool:
             while unchecked:
@@ -130,7 +140,7 @@
         return check
 
     def log_events(self, event: str, since: int) -> list[tuple[int, str]]:
-        return [(at, name) for at, name, what, _ in self.world.told if what == event and at >= since]
+        return [(at, name) for at, name, what, _ in self.world.member_events if what == event and at >= since]
 
     def pick_members(self, count: int) -> list[str]:
         """Random members; in a fleet of cells, each from a different cell."""
@@ -157,7 +167,7 @@
                 attempts[name] += 1
         ready: dict[str, float] = {}
         full_transfers = 0
-        for at, name, event, brings in self.world.told:
+        for at, name, event, brings in self.world.member_events:
             if event == "caught_up" and name in began and at >= began[name] and name not in ready:
                 ready[name] = (at - began[name]) / S
                 full_transfers += brings["whole"]
@@ -241,7 +251,10 @@
     known = fleet.until(world.views_agree, 170, 0.25)
     fleet.run_until(max(world.now + 60 * S, began + 60 * S))
     notice_sizes = [
-        n for _, _, event, brings in world.told if event == "cells_out" for n in [len(brings["cells"])]
+        n
+        for _, _, event, brings in world.member_events
+        if event == "cells_out"
+        for n in [len(brings["cells"])]
     ]
     started, order = {}, sorted(names)
     fleet.rng.shuffle(order)
@@ -252,7 +265,7 @@
     last = world.now
     synced_s = fleet.until(lambda: len(world.roots()) == 1, 120, 0.25)
     recovered_s = fleet.until(
-        lambda: world.agreed() and all(world.members[n].ready for n in names), 300, 0.25
+        lambda: world.views_agree() and all(world.members[n].ready for n in names), 300, 0.25
     )
     recovered_after_s = None if recovered_s is None else (world.now - last) / S
     fleet.run_until(max(world.now, last + 60 * S))
@@ -273,19 +286,21 @@
     world = fleet.world
     isolated = fleet.rng.choice(sorted(set(world.region.values())))
     is_isolated = {name: region == isolated for name, region in world.region.items()}
-    before, began = world.cut, world.now
-    world.cut = lambda a, b: is_isolated[a] != is_isolated[b]
+    before, began = world.is_partitioned, world.now
+    world.is_partitioned = lambda a, b: is_isolated[a] != is_isolated[b]
     known = {}
     if fleet.layout is not None:
         far = {
             here: frozenset(cell for cell in fleet.layout.rosters if cell.startswith(f"{isolated}/") != here)
             for here in (True, False)
         }
-        known["known_s"] = fleet.until(lambda: world.agreed(lambda name: far[is_isolated[name]]), 175, 0.25)
+        known["known_s"] = fleet.until(
+            lambda: world.views_agree(lambda name: far[is_isolated[name]]), 175, 0.25
+        )
     fleet.run_until(began + 180 * S)
     fetched = len(world.fetches)
-    world.cut, healed = before, world.now
-    correct_s = fleet.until(world.agreed, 300, 0.25)
+    world.is_partitioned, healed = before, world.now
+    correct_s = fleet.until(world.views_agree, 300, 0.25)
     fleet.run_until(max(world.now, healed + 60 * S))
     left_members = {name for _, name in fleet.log_events("catching_up", began)}
     declared_dead = {who for at, _, who, state in world.changes if at > began and state == DEAD}
@@ -316,7 +331,7 @@
 def lonely(fleet: MeasuredFleet) -> dict:
     """A member restarts and can't reach any other member for two minutes."""
     world, name = fleet.world, fleet.rng.choice(fleet.names)
-    world.cut = lambda a, b: name in (a, b)
+    world.is_partitioned = lambda a, b: name in (a, b)
     world.kill(name)
     fleet.run(2)
     began, traffic = world.now, list(world.traffic[name])
@@ -324,8 +339,8 @@
     fleet.run(120)
     sent = world.traffic[name][1] - traffic[1]
     starts = fleet.start_figures([name], {name: began})
-    world.cut, healed = lambda _, __: False, world.now
-    synced_s = fleet.until(lambda: world.members[name].catch_up.began is None, 60, 0.25)
+    world.is_partitioned, healed = lambda _, __: False, world.now
+    synced_s = fleet.until(lambda: world.members[name].catch_up.started_at is None, 60, 0.25)
     fleet.run_until(max(world.now, healed + 30 * S))
     return {
         "ready_s": starts["ready_s"][0], "attempts": starts["attempts"][0],
--- a/benchmarks/fleet_state.py
+++ b/benchmarks/fleet_state.py
@@ -19,11 +19,11 @@
 from crowwing.fleet.state.replica import Keyspace, MergeRule
 
 S = 1_000_000
-SPACES = {"said": Space(Join.LATEST, 4096, 3600 * S)}
-MEMBER_CONFIG = Manner(Timing(), Pace(), Patience())
+KEYSPACES = {"said": Keyspace(MergeRule.LAST_WRITER_WINS, 4096, 3600 * S)}
+MEMBER_CONFIG = MemberSettings(Timing(), DisseminationSettings(), CatchUpTiming())
 
 
-def wait_until(world: StateWorld, check: object, timeout: int, step: int = 50_000) -> float | None:
+def wait_until(world: SimulatedFleet, check: object, timeout: int, step: int = 50_000) -> float | None:
     """Simulated seconds until the check holds; None after `timeout`."""
     began = world.now
     while not check():
@@ -33,14 +33,14 @@
     return (world.now - began) / S
 
 
-def put(world: StateWorld, name: str, n: int) -> None:
-    world.do(name, lambda member, _, wall: member.spread.put(wall, f"said/{n}", n, 1800 * S))
+def put(world: SimulatedFleet, name: str, n: int) -> None:
+    world.run_on(name, lambda member, _, wall: member.dissemination.put(wall, f"said/{n}", n, 1800 * S))
 
 
 def run_fleet(size: int, seed: int, loss: float, entries: int) -> dict[str, float | None]:
-    world = StateWorld(size, seed, MEMBER_CONFIG, SPACES)
+    world = SimulatedFleet(size, seed, MEMBER_CONFIG, KEYSPACES)
     for member in world.members.values():  # start as a running fleet: all are caught up
-        member.catch_up.began, member.was_ready = None, True
+        member.catch_up.started_at, member.was_ready = None, True
     world.loss = loss
     rng = random.Random(seed)
     world.run_until(8 * S)
@@ -53,15 +53,15 @@
     put(world, "m0", entries)
     key = f"said/{entries}"
     found["held"] = wait_until(
-        world, lambda: all(key in m.copies.entries for m in world.members.values()), 120 * S
+        world, lambda: all(key in m.replica.entries for m in world.members.values()), 120 * S
     )
     minority = set(rng.sample(world.names, max(1, size // 5)))
-    world.cut = lambda a, b: (a in minority) != (b in minority)
+    world.is_partitioned = lambda a, b: (a in minority) != (b in minority)
     world.run_until(world.now + 40 * S)
     for n in range(50):
         put(world, rng.choice(world.names), entries + 1 + n)
     world.run_until(world.now + 5 * S)
-    world.cut = lambda _, __: False
+    world.is_partitioned = lambda _, __: False
     found["healed"] = wait_until(world, lambda: len(world.roots()) == 1, 300 * S)
     world.kill("m1")
     world.run_until(world.now + 20 * S)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -17,7 +17,7 @@
 
 def detection_run(size: int, seed: int, loss: float) -> tuple[float, int, float]:
     """Seconds until all live members consider a killed one dead; false deaths; messages/s per member."""
-    world = World(size, seed, Timing())
+    world = SimulatedMembership(size, seed, Timing())
     world.loss = loss
     world.run_until(20 * S)
     sent, at = world.sent, world.now
@@ -30,7 +30,7 @@
 
 def false_deaths(size: int, seed: int, loss: float, paused: bool) -> int:
     """Live members considered dead within 60 s; `paused`: one member is paused for 5 s of them."""
-    world = World(size, seed, Timing())
+    world = SimulatedMembership(size, seed, Timing())
     world.loss = loss
     world.run_until(10 * S)
     if paused:
