--- a/benchmarks/tier_cpu.py
+++ b/benchmarks/tier_cpu.py
@@ -1,14 +1,14 @@
-"""Processor time of the tier in this checkout against another one: `python -m benchmarks.tier_cpu OTHER`.
+"""Compares the tier's processor time with that of another checkout: `python -m benchmarks.tier_cpu OTHER`.
 
-Measured for each version in turn (other, own, other, own, ...), in processes of its own:
+Measured for each version in turn (other, own, other, own, ...), in separate processes:
 
 - one request at a front, and one item of a batch job at the store machines, by the processor time of these
-  processes while clients ask over HTTP,
-- decoding and encoding a recorded message, and a whole simulated run of the control side,
+  processes while they serve clients over HTTP,
+- decoding and encoding a recorded message, and a complete simulated run of the control side,
 - the start of a role: importing its main module.
 
-Prints medians with their smallest and largest value, and the median of the ratios of the pairs. The figures
-depend on what else the machine does: the load is printed with them.
+Prints medians with minimum and maximum, and the median of the pairwise ratios. The figures depend on other
+load on the machine, which is printed with them.
 """
 
 import argparse
@@ -26,9 +26,9 @@
 
 import httpx
 
-from benchmarks.tier_stand.client import ITEMS, Client, MachineError, StreamCounts
-from benchmarks.tier_stand.sidecar_stand_in import start_sidecars
-from benchmarks.tier_stand.stand import FRONT, ROOT, SERVICE, STORES, Platform, Stand, environment_of
+from benchmarks.tier_test_bed.client import ITEMS, Client, MachineError, StreamCounts
+from benchmarks.tier_test_bed.processes import FRONT, ROOT, SERVICE, STORES, Platform, TestBed, environment_of
+from benchmarks.tier_test_bed.stub_sidecars import start_sidecars
 from crowwing.tier.http_client import NO_CERTIFICATES
 
 ROUNDS = 5
@@ -44,13 +44,13 @@
 
 @dataclass
 class Figures:
-    """Of one version: processor seconds by measure, one of each round."""
+    """Processor seconds of one version by measure, one value per round."""
 
     checkout: Path
     seconds: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
 
     def add(self, figures: dict[str, float]) -> None:
-        """Takes the figures of one round."""
+        """Adds the figures of one round."""
         for name, seconds in figures.items():
             self.seconds[name].append(seconds)
 
@@ -64,7 +64,7 @@
 
 
 def measure_snippet(checkout: Path, *arguments: str) -> dict[str, float]:
-    """The figures of a process that runs a snippet with a version's program."""
+    """Runs a snippet in a process with a version's program; returns its figures."""
     found = subprocess.run(
         [sys.executable, "-P", str(SNIPPETS), *arguments],
         cwd=checkout,
@@ -90,41 +90,41 @@
     return {f"start of a {role}": seconds}
 
 
-async def ask_for_streams(client: Client, count: int) -> None:
-    """Asks for streams, some at a time; raises MachineError where one is not served."""
+async def request_streams(client: Client, count: int) -> None:
+    """Requests streams, CONCURRENCY at a time; raises MachineError if one is not served."""
     counts = StreamCounts()
 
-    async def ask(number: int) -> None:
+    async def request_some(number: int) -> None:
         for _ in range(number):
             await client.stream(counts)
 
-    await asyncio.gather(*(ask(count // CONCURRENCY) for _ in range(CONCURRENCY)))
-    if counts.served != counts.asked:
-        raise MachineError(FRONT, f"served {counts.served} of {counts.asked} streams")
+    await asyncio.gather(*(request_some(count // CONCURRENCY) for _ in range(CONCURRENCY)))
+    if counts.served != counts.requested:
+        raise MachineError(FRONT, f"served {counts.served} of {counts.requested} streams")
 
 
 async def run_jobs(client: Client) -> None:
-    """Hands in batch jobs and reads their results."""
+    """Submits batch jobs and reads their results."""
     jobs = [f"job-{number}" for number in range(JOBS)]
     await asyncio.gather(*(client.submit(job, "/lot/x", 0) for job in jobs))
     await asyncio.gather(*(client.results(job) for job in jobs))
 
 
 async def measure_tier(folder: Path, checkout: Path) -> dict[str, float]:
-    """A tier of processes with clients that ask over HTTP."""
+    """Processor seconds of a tier of processes that serves clients over HTTP."""
     platform = Platform(await start_sidecars(SIDECARS, SERVICE))
     http = httpx.AsyncClient(trust_env=False, verify=NO_CERTIFICATES, timeout=10)
-    async with Stand(folder, platform, checkout) as stand, http:
-        client = Client(stand, http)
-        await stand.put(0, 1)
+    async with TestBed(folder, platform, checkout) as test_bed, http:
+        client = Client(test_bed, http)
+        await test_bed.put(0, 1)
         await client.wait_until_ready()
-        await ask_for_streams(client, WARM_UP_STREAMS)
-        began = processor_seconds(stand.processes[FRONT])
-        await ask_for_streams(client, STREAMS)
-        front = processor_seconds(stand.processes[FRONT]) - began
-        began = sum(processor_seconds(stand.processes[host]) for host in STORES)
+        await request_streams(client, WARM_UP_STREAMS)
+        started_s = processor_seconds(test_bed.processes[FRONT])
+        await request_streams(client, STREAMS)
+        front = processor_seconds(test_bed.processes[FRONT]) - started_s
+        started_s = sum(processor_seconds(test_bed.processes[host]) for host in STORES)
         await run_jobs(client)
-        stores = sum(processor_seconds(stand.processes[host]) for host in STORES) - began
+        stores = sum(processor_seconds(test_bed.processes[host]) for host in STORES) - started_s
     return {"request at a front": front / STREAMS, "item at the stores": stores / (JOBS * ITEMS)}
 
 
@@ -139,7 +139,7 @@
     return figures
 
 
-def line(name: str, other: list[float], own: list[float]) -> str:
+def format_row(name: str, other: list[float], own: list[float]) -> str:
     """A row of the table, in microseconds."""
     columns = [name.ljust(20)]
     for seconds in (other, own):
@@ -165,7 +165,7 @@
     print(f"load of the machine: {min(loads):.1f} to {max(loads):.1f}, {os.cpu_count()} cores")
     print("microseconds".ljust(20), "other".ljust(42), "own".ljust(42), "own / other, by pairs")
     for name, seconds in other.seconds.items():
-        print(line(name, seconds, own.seconds[name]))
+        print(format_row(name, seconds, own.seconds[name]))
     return 0
 
 
--- a/benchmarks/tier_stand/client.py
+++ b/benchmarks/tier_test_bed/client.py
@@ -1,4 +1,4 @@
-"""What clients and operators ask of a tier that runs on a stand."""
+"""Requests of clients and operators to a tier on the test bed."""
 
 import asyncio
 import base64
@@ -9,54 +9,54 @@
 
 import httpx
 
-from benchmarks.tier_stand.stand import FRONT, HOST_NAME, Stand
+from benchmarks.tier_test_bed.processes import FRONT, HOST_NAME, TestBed
 
-ITEMS = 60  # of a batch job
+ITEMS = 60  # items of a batch job
 STREAM_RETRY_LIMIT_S = 6.0
-LIMIT_S = 40.0
+POLL_TIMEOUT_S = 40.0
 POLL_S = 0.1
 
 
 class TierError(Exception):
-    """The tier does not do what it has to do."""
+    """The tier failed a check."""
 
 
-class TooLateError(TierError):
-    """Something did not come in time."""
+class PollTimeoutError(TierError):
+    """An expected state was not reached in time."""
 
     def __init__(self, what: str) -> None:
-        """Names what was waited for."""
-        super().__init__(f"{what}: not within {LIMIT_S:.0f} s")
+        """`what`: the expected state."""
+        super().__init__(f"{what}: not within {POLL_TIMEOUT_S:.0f} s")
 
 
 class JobError(TierError):
-    """A batch job is not what it has to be."""
+    """A batch job failed a check."""
 
     def __init__(self, job: str, found: str) -> None:
-        """Names the job and what was found."""
+        """`found`: what is wrong with the job."""
         super().__init__(f"{job}: {found}")
 
 
 class MachineError(TierError):
-    """A process does not do what it has to do."""
+    """A process of the tier failed a check."""
 
     def __init__(self, host: str, found: str) -> None:
-        """Names the host and what was found."""
+        """`found`: what is wrong on the host."""
         super().__init__(f"{host}: {found}")
 
 
 @dataclass
 class StreamCounts:
-    """Streams that were asked for while the tier was being upgraded."""
+    """Counts of requested streams, and their outcomes."""
 
-    asked: int = 0
+    requested: int = 0
     served: int = 0
     retries: int = 0
 
 
 async def poll(what: str, read: Callable[[], Awaitable[Any]]) -> Any:  # noqa: ANN401  whatever `read` gives
-    """Reads until the answer is true; raises TierError after a limit."""
-    deadline = time.monotonic() + LIMIT_S
+    """Calls `read` until its result is true; raises PollTimeoutError after POLL_TIMEOUT_S."""
+    deadline = time.monotonic() + POLL_TIMEOUT_S
     while time.monotonic() < deadline:
         try:
             if found := await read():
@@ -64,51 +64,51 @@
         except httpx.HTTPError:
             pass
         await asyncio.sleep(POLL_S)
-    raise TooLateError(what)
+    raise PollTimeoutError(what)
 
 
 class Client:
-    """What clients and operators ask of the tier."""
+    """A client and operator of the tier."""
 
-    def __init__(self, stand: Stand, http: httpx.AsyncClient) -> None:
-        """`http`: kept and closed by the caller."""
-        self._stand, self._http = stand, http
-        self._streams_asked = 0
+    def __init__(self, test_bed: TestBed, http: httpx.AsyncClient) -> None:
+        """`http`: owned and closed by the caller."""
+        self._test_bed, self._http = test_bed, http
+        self._stream_count = 0
 
     def _url(self, host: str, path: str) -> str:
-        return f"http://{host}:{self._stand.port + 1}{path}"
+        return f"http://{host}:{self._test_bed.port + 1}{path}"
 
     async def wait_until_ready(self) -> None:
-        """Waits until the front serves."""
+        """Waits until the front is ready."""
 
         async def ready() -> bool:
-            answer = await self._http.get(f"http://{FRONT}:{self._stand.port + 2}/ready")
-            return answer.status_code == 200
+            response = await self._http.get(f"http://{FRONT}:{self._test_bed.port + 2}/ready")
+            return response.status_code == 200
 
         await poll("a front that is ready", ready)
 
     async def stream(self, counts: StreamCounts) -> None:
-        """Asks for one stream; comes back where the front refuses it."""
-        counts.asked += 1
-        self._streams_asked += 1
+        """Requests one stream; retries while the front rejects it with 503."""
+        counts.requested += 1
+        self._stream_count += 1
         headers = {
-            "Host": HOST_NAME, "Request-Id": f"{self._streams_asked:016x}", "Deadline-Ms": "6000",
+            "Host": HOST_NAME, "Request-Id": f"{self._stream_count:016x}", "Deadline-Ms": "6000",
         }  # fmt: skip
         deadline = time.monotonic() + STREAM_RETRY_LIMIT_S
         while time.monotonic() < deadline:
-            answer = await self._http.post(
+            response = await self._http.post(
                 self._url(FRONT, "/route0/x"), headers=headers, content=b"question"
             )
-            if answer.status_code == 200 and answer.text.count("data: ") > 0:
+            if response.status_code == 200 and response.text.count("data: ") > 0:
                 counts.served += 1
                 return
-            if answer.status_code != 503:
+            if response.status_code != 503:
                 return
             counts.retries += 1
             await asyncio.sleep(POLL_S)
 
     async def submit(self, job: str, path: str, pause_ms: int) -> None:
-        """Hands a batch job in until it is accepted."""
+        """Submits a batch job until it is accepted."""
         body = base64.b64encode(b"text").decode()
         requests = [
             {"id": f"{job}-{number}", "path": path, "headers": {"Pause-Ms": str(pause_ms)}, "body": body}
@@ -117,21 +117,21 @@
         headers = {"Host": HOST_NAME, "Request-Id": job}
 
         async def accepted() -> bool:
-            answer = await self._http.post(
+            response = await self._http.post(
                 self._url(FRONT, path), headers=headers, json={"requests": requests}
             )
-            return answer.status_code == 202
+            return response.status_code == 202
 
         await poll(f"acceptance of {job}", accepted)
 
     async def listed(self, job: str) -> list[dict[str, Any]] | None:
-        """The results so far; None while the front can't tell."""
-        answer = await self._http.get(
+        """The results so far; None while the front can't provide them."""
+        response = await self._http.get(
             self._url(FRONT, f"/lots/{job}?startAfter=0"), headers={"Host": HOST_NAME}
         )
-        if answer.status_code == 404:
-            raise JobError(job, "was accepted and is unknown")
-        return answer.json()["results"] if answer.status_code == 200 else None
+        if response.status_code == 404:
+            raise JobError(job, "was accepted, but is unknown now")
+        return response.json()["results"] if response.status_code == 200 else None
 
     async def results(self, job: str) -> list[dict[str, Any]]:
         """All results of a job, one for each item."""
@@ -146,11 +146,11 @@
         return found
 
     async def check_configuration(self, host: str, expected: bytes) -> None:
-        """A store machine serves the configuration that was confirmed."""
+        """Raises MachineError unless a store machine serves the confirmed configuration."""
 
         async def read() -> bytes | None:
-            answer = await self._http.get(self._url(host, "/config"))
-            return answer.content if answer.status_code == 200 else None
+            response = await self._http.get(self._url(host, "/config"))
+            return response.content if response.status_code == 200 else None
 
         if await poll(f"the configuration of {host}", read) != expected:
-            raise MachineError(host, "serves another configuration")
+            raise MachineError(host, "serves a different configuration")
