--- a/crowwing/program/fleet_services.py
+++ b/crowwing/program/fleet_services.py
@@ -122,13 +122,13 @@
 
     def _publish_learned_start(self, manager: LoadManager) -> None:
         """Publishes only what this member has measured itself."""
-        kinds = tuple(
+        request_classes = tuple(
             (manager.timeouts[k], manager.medians[k]) if len(runs) >= MIN_SAMPLES else (0, 0)
             for k, runs in enumerate(manager.runs)
         )
-        call = manager.usual_call if manager.call_count > 2 * MIN_SAMPLES else 0
-        if call or any(kinds):
-            learned = learned_start.LearnedStart(kinds, manager.limit, call)
+        call_time = manager.usual_call if manager.call_count > 2 * MIN_SAMPLES else 0
+        if call_time or any(request_classes):
+            learned = learned_start.LearnedStart(request_classes, manager.limit, call_time)
             self._put(
                 self.endpoint.wall(), f"lesson/{self.member.me}", learned.as_dict(), LEARNED_START_LIFETIME
             )
@@ -136,8 +136,8 @@
     def _apply_learned_start(self, manager: LoadManager) -> None:
         """Applies the learned starts of others, once, when this member has caught up."""
         self.start_applied = True
-        lessons = (entry.value for _, entry in self.member.replica.with_prefix("lesson/"))
-        start = learned_start.combine(lessons, len(manager.facts.classes))
+        starts = (entry.value for _, entry in self.member.replica.with_prefix("lesson/"))
+        start = learned_start.combine(starts, len(manager.facts.classes))
         if start is not None:
             manager.apply_learned(
                 self.dispatcher.now(), start.request_classes, start.concurrency_limit, start.call_time
@@ -167,5 +167,5 @@
                 "call_use": round(self.call_use, 2),
             }
         if self.shares:
-            figures["quota_parts"] = [round(part, 2) for part in self.quota_shares]
+            figures["quota_parts"] = [round(share, 2) for share in self.quota_shares]
         return figures
