--- a/crowwing/contract.py
+++ b/crowwing/contract.py
@@ -25,7 +25,11 @@
 
 
 class LoadSignal(Enum):
-    """How callers read FREE_VALUE: not at all, as a least priority, as open requests each, or as a weight."""
+    """How callers read FREE_VALUE.
+
+    Not at all; as the lowest priority that is accepted; as the number of open requests that each caller may
+    have; or as a load-balancing weight.
+    """
 
     NONE = auto()
     FLOOR = auto()
@@ -53,7 +57,7 @@
     FORFEIT = auto()  # answer with an error: it may have run
     CALL = auto()  # make its downstream call; figure: time-out
     GO_ON = auto()  # continue the run without its call
-    KEEP = auto()  # keep a deduplication entry; figure: for how long
+    KEEP = auto()  # add or renew a deduplication entry; figure: for how long
     FORGET = auto()  # remove the deduplication entry
     SHARE = auto()  # answer with the result of the earlier attempt
     READY = auto()  # answer health checks with success from now on
@@ -76,7 +80,7 @@
     idempotency: Idempotency
     dedup_window: int  # for how long a keyed request may be retried
     makes_calls: bool  # runs may call the downstream
-    partial_value: float  # the part of the value of an answer given without the calls
+    partial_value: float  # the part of `value` that an answer has without its downstream calls
     value: float = 1.0  # of an answer, relative to other classes
 
 
@@ -86,11 +90,11 @@
 
     classes: tuple[RequestClass, ...]
     quotas: tuple[float, ...]  # of each customer: requests a second over all backends
-    over_quota_value: float  # the part of its value that a request beyond the quota has
+    over_quota_value: float  # factor on the value of requests beyond the quota
     backends: int  # the size of the fleet
     cores: int
     memory_kb: float
-    run_factor: float  # memory of a running request, in sizes of a queued one
+    run_factor: float  # memory of a running request, as a multiple of its memory while queued
     key_kb: float  # memory of a deduplication entry
     halt: Halt
     signal: LoadSignal
@@ -99,12 +103,12 @@
     cold: bool  # starts cold and has to warm up
     cold_speed: float  # the part of its full speed that a cold backend has
     warm_up: int  # the time from the start to full speed
-    call_quota: float  # mean concurrent calls allowed to this backend; 0: no limit
-    quota_window: int  # the time over which the mean of calls is taken
-    linger: int  # for how long a call given up still occupies the downstream
-    cache_ttl: int  # for how long results of idempotent requests are shared
+    call_quota: float  # its part of the mean concurrent calls that the downstream survives; 0: no limit
+    quota_window: int  # the time over which that mean is taken
+    linger: int  # for how long an abandoned call still occupies the downstream
+    cache_ttl: int  # for how long the result of an idempotent request is shared with its retries
     max_idle_time: int  # after which callers close idle connections themselves
-    answer_slack: int  # by which an answer may miss its deadline
+    answer_slack: int  # how late after its deadline an answer is still accepted
     drain_grace: int  # for how long requests may still arrive after the drain began
 
 
@@ -115,5 +119,5 @@
     classes: tuple[str, ...]
     customers: tuple[str, ...]
     gauges: tuple[str, ...]
-    passes_deadline: bool  # each request tells its caller's deadline
+    passes_deadline: bool  # each request carries its caller's deadline
     deep_checks: bool
--- a/crowwing/logic/backend_state.py
+++ b/crowwing/logic/backend_state.py
@@ -145,7 +145,7 @@
 
     def halt(self, r: Request, now: int, out: list[Result]) -> None:
         if self.facts.halt is not Halt.NONE:
-            r.halted = now
+            r.halted_at = now
             out.append((Step.HALT, r, 0))
 
     def set_state(self, r: Request, state: int, keeps_memory: bool = False) -> None:
--- a/crowwing/logic/request.py
+++ b/crowwing/logic/request.py
@@ -1,4 +1,4 @@
-"""One open request. What happens to it later is reported by calls of its methods."""
+"""One open request; its methods are called to report the events of its run and its calls."""
 
 from typing import TYPE_CHECKING
 
@@ -17,12 +17,12 @@
     def __init__(self, manager: "LoadManager", request_id: Id, class_id: int, size_kb: float) -> None:
         self.manager, self.id, self.class_id, self.size_kb = manager, request_id, class_id, size_kb
         self.cls = manager.facts.classes[class_id]  # its RequestClass
-        self.state, self.memory_kb, self.concurrency = CLOSED, 0.0, 0.0  # concurrency: runs at its start
+        self.state, self.memory_kb, self.concurrency = CLOSED, 0.0, 0.0  # concurrency: when its run started
         self.answered = self.closed = self.has_run = False  # has_run: started, or shares another's run
-        self.call_since = self.call_time = self.attempts = self.retry_at = self.halted = self.call_end = 0
+        self.call_since = self.call_time = self.attempts = self.retry_at = self.halted_at = self.call_end = 0
 
     def run_ended(self, now: int, took: int, outcome: Outcome) -> list[Result]:
-        """The run has ended, or the run whose result this request shares."""
+        """The run of this request has ended; in SHARING, the run whose result it shares."""
         m, was = self.manager, self.state
         if self.closed or was not in (RUNNING, CALL_PENDING, CALLING, SHARING):
             return []
@@ -36,13 +36,13 @@
         out: list[Result] = []
         if was != SHARING and not self.answered and outcome in (Outcome.GOOD, Outcome.FAILED):
             m.record_run(self, took, outcome is Outcome.GOOD)
-            if self.id in m.entries and self.cls.idempotency is Idempotency.IDEMPOTENT:  # result is shared
+            if self.id in m.entries and self.cls.idempotency is Idempotency.IDEMPOTENT:  # for retries
                 m.set_entry(self, now, m.facts.cache_ttl if outcome is Outcome.GOOD else 0, out)
         m.close(self)
         return out
 
     def call_needed(self, now: int) -> list[Result]:
-        """The run needs a downstream call; until that ends it does not count towards the limit of runs."""
+        """The run needs a downstream call, and does not count towards the concurrency limit meanwhile."""
         if self.state == RUNNING and not self.answered:
             self.call_since, self.attempts = now, 0
             self.manager.record_progress(now)
@@ -77,7 +77,7 @@
             return []
         self.answered, out = True, []
         if self.state in (NEW, QUEUED, PAUSED, SHARING):
-            if not self.has_run:  # a repeat that arrived at the same time may run instead
+            if not self.has_run:  # a retry that arrives before the next decide() may run instead
                 self.manager.not_run.add(self.id)
                 self.manager.set_entry(self, now, 0, out)
             self.manager.close(self)
--- a/crowwing/logic/scheduling.py
+++ b/crowwing/logic/scheduling.py
@@ -49,7 +49,7 @@
         early = max(0, 2 * TIMER_INTERVAL - self.facts.answer_slack)
         last = self.stop_at - 3 * TIMER_INTERVAL if self.drain_since else now + 1
         for r in list(self.requests.values()):
-            if r.answered and r.state == RUNNING and 0 < r.halted < now - 5 * TIMER_INTERVAL:
+            if r.answered and r.state == RUNNING and 0 < r.halted_at < now - 5 * TIMER_INTERVAL:
                 self.halt(r, now, out)
             elif not r.answered and now >= min(r.deadline - early, last):
                 if r.state in (NEW, QUEUED) and not r.has_run:
--- a/crowwing/simulator_adapter/adapter.py
+++ b/crowwing/simulator_adapter/adapter.py
@@ -10,6 +10,7 @@
 from crowwing.server_facts import InvalidSettingsError, decode, ms_to_us
 from crowwing.simulator_adapter import frames
 
+# The simulator's outcome codes of runs and calls.
 _OUTCOMES = {
     100: Outcome.GOOD,
     301: Outcome.FAILED,
@@ -20,10 +21,11 @@
     306: Outcome.STOPPED,
     307: Outcome.NEVER_RAN,
 }
+# One encoder for each kind of reply record, made from its code and layout.
 _run, _halt = frames.packer(1060, "IQ"), frames.packer(1090, "IQ")
 _reject, _fail = frames.packer(1050, "IQdB"), frames.packer(1140, "IQ")
 _call, _skip_call = frames.packer(1040, "IQd"), frames.packer(1070, "IQ")
-_add_entry, _remove_entry = frames.packer(1030, "IQd"), frames.packer(1020, "IQ")
+_add_dedup_entry, _remove_dedup_entry = frames.packer(1030, "IQd"), frames.packer(1020, "IQ")
 _share, _health = frames.packer(1130, "IQ"), frames.packer(1120, "IBB")
 _spare_capacity, _idle = frames.packer(1080, "If"), frames.packer(1110, "Id")
 _timer = frames.packer(1010, "IdI")
@@ -36,11 +38,11 @@
     Step.FORFEIT: lambda instance, r, _: _fail(instance, r.id),
     Step.CALL: lambda instance, r, timeout: _call(instance, r.id, timeout / 1000),
     Step.GO_ON: lambda instance, r, _: _skip_call(instance, r.id),
-    Step.KEEP: lambda instance, r, span: _add_entry(instance, r.id, span / 1000),
-    Step.FORGET: lambda instance, r, _: _remove_entry(instance, r.id),
+    Step.KEEP: lambda instance, r, span: _add_dedup_entry(instance, r.id, span / 1000),
+    Step.FORGET: lambda instance, r, _: _remove_dedup_entry(instance, r.id),
     Step.SHARE: lambda instance, r, _: _share(instance, r.id),
-    Step.READY: lambda instance, _t, _f: _health(instance, 1, 1),
-    Step.UNREADY: lambda instance, _t, _f: _health(instance, 0, 1),
+    Step.READY: lambda instance, _request, _figure: _health(instance, 1, 1),
+    Step.UNREADY: lambda instance, _request, _figure: _health(instance, 0, 1),
     Step.FREE_VALUE: lambda instance, _, value: _spare_capacity(instance, value),
     Step.IDLE: lambda instance, _, span: _idle(instance, span / 1000),
     Step.WAKE: lambda instance, _, span: _timer(instance, span / 1000, 0),
@@ -48,7 +50,7 @@
 
 
 class InternalError(Exception):
-    """The decision module failed in this instance."""
+    """The decision module raised an exception while it decided for `instance`."""
 
     def __init__(self, instance: int, message: str) -> None:
         super().__init__(message)
@@ -56,7 +58,7 @@
 
 
 class Instance:
-    """One incarnation of one backend: its manager and its open requests, removed once closed."""
+    """One incarnation of one backend: its manager, and in `tickets` its open requests by id."""
 
     __slots__ = ("manager", "tickets", "gauges")
 
@@ -69,7 +71,9 @@
     def handle_event(self, now: int, event: tuple) -> list[Result]:
         code = event[0]
         if code == frames.ARRIVAL:
-            (_, _, request_id, class_id, customer, key, due, _, kb, rank, flags, caller, age, first) = event
+            (_, _, request_id, class_id, customer, key, due, _, kb, rank, flags, caller, age, repeat_of) = (
+                event
+            )
             classes = self.manager.facts.classes
             if class_id >= len(classes):
                 raise frames.InvalidFrameError(f"ARRIVAL names request class {class_id} of {len(classes)}")
@@ -77,9 +81,10 @@
                 raise frames.InvalidFrameError(
                     f"ARRIVAL names customer {customer} of {len(self.manager.facts.quotas)}"
                 )
+            # Bit 2 of `flags` marks a request that writes.
             request = self.manager.receive(
                 now, request_id, class_id, customer, rank, kb, now - ms_to_us(age), ms_to_us(due), caller,
-                first, key, bool(flags & 4),
+                repeat_of, key, bool(flags & 4),
             )  # fmt: skip
             self.tickets[request_id] = request
             return []
