--- a/crowwing/tier/replication/durable_state.py
+++ b/crowwing/tier/replication/durable_state.py
@@ -13,7 +13,7 @@
     Attributes:
         promised: the highest term that this replica has promised or accepted.
         view: the highest view that it has accepted or received from a primary.
-        synced: the term whose candidate or primary last synchronized this replica with its data.
+        synced: the term in which a candidate or primary last made this replica's data equal to its own.
         recovered: False while the replica has lost its disk and does not know what it promised before.
     """
 
@@ -44,11 +44,11 @@
         self.adopt_view(view)
 
     def adopt_view(self, view: View) -> None:
-        """Sets the highest view that this replica knows of."""
+        """Stores `view` as the highest that this replica knows of."""
         self.view = view
         self._outbox.record(AcceptedViewRecord(view))
 
     def mark_synced(self, term: Term) -> None:
-        """Sets the term whose candidate or primary this replica is synchronized with."""
+        """Records that the data now equals that of the candidate or primary of `term`."""
         self.synced = term
         self._outbox.record(SyncedTermRecord(term))
--- a/crowwing/tier/replication/peers.py
+++ b/crowwing/tier/replication/peers.py
@@ -11,7 +11,7 @@
     """The table of peers; survives role transitions, except `heard_at`, which `clear_heard_at` resets.
 
     Attributes:
-        heard_at: when this replica, as primary, last received a response of each other one.
+        heard_at: when this replica, as primary, last received a response from each other replica.
         join_requested_at: when each replica last asked to become a member.
         requested_at: when this replica last sent recovery requests or join requests.
     """
@@ -31,7 +31,7 @@
         self._names.discard(self._me)
 
     def clear_heard_at(self) -> None:
-        """Clears `heard_at` when this replica stops leading: old times say nothing about responses later."""
+        """Clears `heard_at` as this replica stops leading: it does not tell who responds in a later term."""
         self.heard_at = {}
 
     def known(self, view: View | None) -> set[str]:
@@ -53,7 +53,7 @@
         return {host for host, at in self.join_requested_at.items() if now - at < span_s}
 
     def begin_view(self, now: float, view: View) -> None:
-        """Restarts the response time-outs of members; those of witnesses that are no members go on."""
+        """Restarts the response time-outs of the members, but not of witnesses without data."""
         before = self.heard_at
         self.heard_at = {
             witness: now if witness in view.members else before.get(witness, now)
