--- a/crowwing/logic/request.py
+++ b/crowwing/logic/request.py
@@ -36,7 +36,7 @@
         out: list[Result] = []
         if was != SHARING and not self.answered and outcome in (Outcome.GOOD, Outcome.FAILED):
             m.record_run(self, took, outcome is Outcome.GOOD)
-            if self.id in m.entries and self.cls.idempotency is Idempotency.IDEMPOTENT:  # for retries
+            if self.id in m.entries and self.cls.idempotency is Idempotency.IDEMPOTENT:  # kept for retries
                 m.set_entry(self, now, m.facts.cache_ttl if outcome is Outcome.GOOD else 0, out)
         m.close(self)
         return out
--- a/crowwing/routing/backend_calls.py
+++ b/crowwing/routing/backend_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the downstream service for runs that wait for them, and what the end of a call proves."""
+"""Calls to the downstream service for runs that wait for them, and the outcome that each call's end shows."""
 
 import asyncio
 from collections.abc import Callable
@@ -24,10 +24,13 @@
         pool: BufferPool,
         max_calls: int,
         recorder: EventRecorder,
-        on_reply: Callable[[OpenRequest, int, Outcome, bytes], None],
+        on_ended: Callable[[OpenRequest, int, Outcome, bytes], None],
     ) -> None:
-        """Calls `address`, at most `max_calls` at once; `on_reply` gets durations in microseconds."""
-        self.loop, self.recorder, self.on_reply = loop, recorder, on_reply
+        """Calls `address`, at most `max_calls` at once.
+
+        `on_ended` gets the duration of each call in microseconds, its outcome, and the body of the reply.
+        """
+        self.loop, self.recorder, self.on_ended = loop, recorder, on_ended
         self.exchanges = Exchanges(loop, address, pool, ReplyReader, IDLE_TIMEOUT, max_calls)
 
     def begin(self, request: OpenRequest, time_limit: float) -> None:
@@ -59,4 +62,4 @@
             outcome = Outcome.UNSURE
         request.call = None
         self.recorder.count(f"call_{outcome.name.lower()}")
-        self.on_reply(request, round((self.loop.time() - started) * 1e6), outcome, body)
+        self.on_ended(request, round((self.loop.time() - started) * 1e6), outcome, body)
--- a/crowwing/routing/dispatcher.py
+++ b/crowwing/routing/dispatcher.py
@@ -92,7 +92,7 @@
         self.resolver, self.relay = RequestResolver(names, facts), ResponseRelay(recorder, self._on_answer)
         agent_timeout = min(cls.latency_target for cls in facts.classes) / 1e6
         self.commands = WorkerCommands(loop, agent_address, pool, recorder, self._on_notice, agent_timeout)
-        self.calls = BackendCalls(loop, downstream_address, pool, max_calls, recorder, self._on_reply)
+        self.calls = BackendCalls(loop, downstream_address, pool, max_calls, recorder, self._on_call_ended)
         self.wake_timer = WakeTimer(
             loop, self.now, self.commands, recorder, lambda: self._enqueue(self._no_update, None)
         )
@@ -190,7 +190,7 @@
     def _on_notice(self, notice: agent.Notice) -> None:
         self._enqueue(self._on_agent_notice, None, notice)
 
-    def _on_reply(self, request: OpenRequest, took: int, outcome: Outcome, body: bytes) -> None:
+    def _on_call_ended(self, request: OpenRequest, took: int, outcome: Outcome, body: bytes) -> None:
         self._enqueue(self._call_ended, request, took, outcome, body)
 
     def _retry_after(self, request: OpenRequest, retry_after: float) -> float:
--- a/crowwing/simulator_adapter/adapter.py
+++ b/crowwing/simulator_adapter/adapter.py
@@ -71,9 +71,7 @@
     def handle_event(self, now: int, event: tuple) -> list[Result]:
         code = event[0]
         if code == frames.ARRIVAL:
-            (_, _, request_id, class_id, customer, key, due, _, kb, rank, flags, caller, age, repeat_of) = (
-                event
-            )
+            (_, _, request_id, class_id, customer, key, due, _, kb, rank, flags, caller, age, first) = event
             classes = self.manager.facts.classes
             if class_id >= len(classes):
                 raise frames.InvalidFrameError(f"ARRIVAL names request class {class_id} of {len(classes)}")
@@ -81,10 +79,10 @@
                 raise frames.InvalidFrameError(
                     f"ARRIVAL names customer {customer} of {len(self.manager.facts.quotas)}"
                 )
-            # Bit 2 of `flags` marks a request that writes.
+            # `first` is the attempt that this one repeats; flag 4 marks a request that writes.
             request = self.manager.receive(
                 now, request_id, class_id, customer, rank, kb, now - ms_to_us(age), ms_to_us(due), caller,
-                repeat_of, key, bool(flags & 4),
+                first, key, bool(flags & 4),
             )  # fmt: skip
             self.tickets[request_id] = request
             return []
--- a/crowwing/storm/detector.py
+++ b/crowwing/storm/detector.py
@@ -7,11 +7,13 @@
   nobody retries. The first match removes a rejected fingerprint, because each unsuccessful answer causes one
   retry at most.
 - Time budgets: an arrival with less time left than requests of its class have in normal operation. A sidecar
-  that goes on to another backend has spent some of the budget.
-- Excess arrivals: arrivals above the baseline, the rate at which first attempts came when unsuccessful
-  answers began, counted up to the number of unsuccessful answers a moment before. Organic growth and the loss
-  of another backend come before any unsuccessful answer and raise the baseline; retries come after. This
-  works even if no field of a request stays the same in its retries.
+  that retries at another backend has already spent some of the budget.
+- Excess arrivals: arrivals above the baseline, which is the arrival rate when unsuccessful answers began. The
+  excess is limited to the rate of unsuccessful answers a moment before. Organic growth and the loss of
+  another backend come before any unsuccessful answer and raise the baseline; retries come after. This works
+  even if no field of a request stays the same in its retries.
+
+An unsuccessful answer is a rejection or an error; names with `failures` count both.
 
 Memory does not grow with the number of requests: the fingerprint windows have a fixed size, and everything
 else is one number, or one for each request class. The code is deterministic and does no I/O.
@@ -25,23 +27,25 @@
 from crowwing.storm.fingerprint_windows import CuckooWindow
 
 MATCH_SAMPLES = 400  # arrivals that the match rates are averaged over
-# Unsuccessful answers per arrival, below which operation counts as normal, and below which the baseline
-# follows the arrival rate.
+# Unsuccessful answers per arrival: below the first, operation is normal and the share of spent budgets is
+# learned; below the second, the baseline follows the arrival rate.
 CALM_FAILURES = 0.02
 BASELINE_FAILURES = 0.05
-# Time constants in seconds: of the rates, and of the baseline in normal operation, after a jump and in
-# overload.
+# Time constants in seconds: of all rates; then of the baseline in normal operation, after a jump of the
+# arrival rate, and while there are many unsuccessful answers.
 RATE_SECONDS, FOLLOW_SECONDS, JUMP_SECONDS, DRIFT_SECONDS = 1.0, 4.0, 0.5, 6.0
-# Update steps that the baseline at an onset is averaged over, and for which it may still rise.
+# At the onset of unsuccessful answers: update steps that the baseline is averaged over, and steps for which
+# it may still rise.
 RECENT_STEPS, ONSET_STEPS = 5, 3
 RETRY_LAG = 0.5  # seconds by which retries are assumed to follow unsuccessful answers
 # Attempts per request, and unsuccessful answers per arrival, at which a storm begins and below which it ends.
 STORM_ATTEMPTS, CLEAR_ATTEMPTS = 1.35, 1.15
 STORM_FAILURES, CLEAR_FAILURES = 0.1, 0.05
 STORM_AFTER, CLEAR_AFTER = 1_000_000, 2_000_000  # microseconds for which these conditions have to hold
-# Factors of the maximum budget: decay per request, minimum of a full budget, maximum of a spent one.
+# Relative to the maximum budget: its decay per request, the least that counts as full, and the level below
+# which a budget counts as spent.
 MAXIMUM_DECAY, NEAR_MAXIMUM, SPENT_BELOW = 0.99999, 0.996, 0.99
-MIN_SHARE_AT_MAXIMUM = 0.1  # share of arrivals with a full budget, above which the class fixes the budget
+MIN_SHARE_AT_MAXIMUM = 0.1  # least share of full budgets from which a class is taken to have one fixed budget
 SPENT_BASELINE = 0.01  # share of arrivals that look spent in normal operation, until it is learned
 
 
@@ -58,9 +62,9 @@
 class TimeBudget:
     """The time that arrivals of one request class have left.
 
-    First attempts have the full budget. Where many arrivals have exactly the maximum, the class fixes the
-    budget, and an arrival with less has spent some of it. Where callers choose different budgets, none counts
-    as spent.
+    First attempts have the full budget. Where many arrivals have almost the maximum, the class is taken to
+    have one fixed budget, and an arrival with less has spent some of it. Where callers choose different
+    budgets, none counts as spent.
     """
 
     maximum: float = 0.0
@@ -101,7 +105,7 @@
         self.recent: deque[tuple[float, int, int]] = deque(maxlen=RECENT_STEPS)
         # Steps for which the baseline may still rise; None while there are few unsuccessful answers.
         self.onset_steps: int | None = None
-        self.storm, self.unmet_at = False, now  # when the condition for a change was last not met
+        self.storm, self.unmet_at = False, now  # since `unmet_at` the condition for a change has held
         self.estimate = StormEstimate(0.0, 1.0, False, 0.0)
 
     def _advance_clock(self, now: int) -> int:
@@ -119,6 +123,7 @@
         if matches_completed:
             self.completed.add(now, fingerprint)
         matches_rejected = self.rejected.take(now, fingerprint)
+        # Window contents are estimated from the rates, as at most 3 of the 4 slots of each bucket.
         completed_count = max(1.0, min(self.success_rate * self.span / 1e6, self.completed.mask * 3.0))
         self.collision_chance += (matches_completed / completed_count - self.collision_chance) / MATCH_SAMPLES
         self.match_rate += (matches_rejected - self.match_rate) / MATCH_SAMPLES
@@ -126,17 +131,19 @@
         if self.failure_rate < CALM_FAILURES * self.arrival_rate:
             self.spent_baseline += (spent - self.spent_baseline) / MATCH_SAMPLES
         self.spent_rate += (spent - self.spent_rate) / MATCH_SAMPLES
-        likely = 0.0
+        probability = 0.0
         if matches_rejected and not matches_completed:
             rejected_count = min(
                 (self.failure_rate + self.remote_rejection_rate) * self.span / 1e6, self.rejected.mask * 3.0
             )
-            likely = 1 - min(
+            probability = 1 - min(
                 1.0, self.collision_chance * rejected_count / max(self.match_rate, 1 / MATCH_SAMPLES)
             )
         if spent:
-            likely = max(likely, 1 - min(1.0, self.spent_baseline / max(self.spent_rate, 1 / MATCH_SAMPLES)))
-        return likely
+            probability = max(
+                probability, 1 - min(1.0, self.spent_baseline / max(self.spent_rate, 1 / MATCH_SAMPLES))
+            )
+        return probability
 
     def record_outcome(self, now: int, fingerprint: int, good: bool) -> None:
         """Records a final answer; after one that is not `good`, the caller may retry."""
