--- a/crowwing/logic/scheduling.py
+++ b/crowwing/logic/scheduling.py
@@ -31,8 +31,8 @@
         """Until when a request may be queued: its queue time-out, while an answer still has its value."""
         if r.has_run and r.cls.idempotency is not Idempotency.IDEMPOTENT:
             return r.deadline
-        # Extends the time-out for chance waits (few cores, long runs) while few are rejected, none retried.
-        # Too long where run times vary so much that half of the requests started at its end answer late.
+        # Longer while few are rejected and none retried: with few cores and long runs, a core may idle soon.
+        # Too long if run times vary so much that half of the requests started at its end are answered late.
         extension = max(0.0, 1 - self.shed / MAX_REJECTION_RATE) if self.rejection_is_final() else 0.0
         extra = max(0, self.budgets[r.class_id] - self.medians[r.class_id] - self.timeouts[r.class_id])
         return min(r.arrived + self.timeouts[r.class_id] + round(extension * extra),
--- a/crowwing/routing/retry_table.py
+++ b/crowwing/routing/retry_table.py
@@ -33,7 +33,7 @@
         """`until` is in microseconds."""
         self.work, self.id, self.content = request.work, request.id, request.content
         self.until = until
-        self.lag = request.handle.cls.deadline  # how late a retry may be read that came in time
+        self.lag = request.handle.cls.deadline  # retries that arrived by `until` may be read so much later
         self.request: OpenRequest | None = request  # None once it is closed
         self.ran = False
         self.result: bytes | None = None  # of a successful run
@@ -46,7 +46,7 @@
     def __init__(self, notify: Callable[[OpenRequest, bytes | None], None]) -> None:
         """`notify` gets each request that shared a run, and its result, or None if the run failed."""
         self.notify = notify
-        self.entries: dict[Work, Entry] = {}  # removed by expire() in the order of their ends
+        self.entries: dict[Work, Entry] = {}  # removed by expire(), the earliest end first
         self.by_request_id: dict[str, Entry] = {}  # those that ran; removed with `entries`
         self.expirations: list[tuple[int, int, Entry]] = []  # a heap with one item per entry
         self.sequence_numbers = count()
--- a/crowwing/routing/wake_timer.py
+++ b/crowwing/routing/wake_timer.py
@@ -31,7 +31,7 @@
         self.last_sample = 0  # number of the last sample received
 
     def schedule(self, delay: float) -> None:
-        """Wakes the module in `span` microseconds."""
+        """Wakes the module after `delay` microseconds."""
         self._call_at(self.now() + round(delay), delay / 1e6)
 
     def on_sample(self, tag: str) -> bool:
--- a/crowwing/routing/worker_commands.py
+++ b/crowwing/routing/worker_commands.py
@@ -65,7 +65,7 @@
         request.runs += 1
         non_idempotent = request if request.handle.cls.idempotency is not Idempotency.IDEMPOTENT else None
         self._issue(
-            agent.launch(request.id, request.type, request.body), self._runs_still(request), non_idempotent
+            agent.launch(request.id, request.type, request.body), self._still_running(request), non_idempotent
         )
 
     def freeze(self, request: OpenRequest, _: float = 0) -> None:
@@ -73,7 +73,7 @@
         # If the connection is down, a repeated stop is queued only once.
         if self.synchronized or request.frozen != request.runs:
             request.frozen = request.runs
-            self._issue(agent.freeze(request.id), self._runs_still(request))
+            self._issue(agent.freeze(request.id), self._still_running(request))
 
     def deliver(self, request: OpenRequest, reply: bytes) -> None:
         """Gives a run the response that it waits for."""
@@ -103,7 +103,7 @@
         return self.synchronized
 
     @staticmethod
-    def _runs_still(request: OpenRequest) -> Callable[[], bool]:
+    def _still_running(request: OpenRequest) -> Callable[[], bool]:
         runs = request.runs
         return lambda: request.launched and request.runs == runs
 
--- a/crowwing/storm/retry_scheduler.py
+++ b/crowwing/storm/retry_scheduler.py
@@ -1,10 +1,10 @@
 """Schedules when rejected callers are to retry, so that they don't retry in step.
 
 A ring of time slots covers the longest permitted delay. Each caller gets one retry time: a random moment in
-the first slot that is not before the delay the decision module asks for and has capacity for the caller's
-rate. A caller that is rejected again before its retry time gets the same time. If no slot has capacity, it
-gets the longest delay. Slots and retry times that have passed are cleared. The code does no I/O; the random
-source is passed in.
+the first slot that has capacity for the caller's rate and that the minimum delay allows, which is set by the
+decision module. A caller that is rejected again before its retry time gets the same time. If no slot has
+capacity, it gets the longest delay. Slots and retry times that have passed are cleared. The code does no
+I/O; the random source is passed in.
 """
 
 from array import array
@@ -28,9 +28,9 @@
     ) -> int:
         """The delay in microseconds until the caller is to retry.
 
-        `caller_rate` and `capacity` are in requests per second: the caller's recent rate, and the rate that
-        can be served of all retries. `min_delay` is what the decision module asks for; `remaining` is the
-        time left until the caller's deadline, which the delay never exceeds.
+        `caller_rate` and `capacity` are in requests per second: the caller's recent rate, and the rate at
+        which retries of all callers can be served. `min_delay` is what the decision module asks for;
+        `remaining` is the time left until the caller's deadline, which the delay never exceeds.
         """
         now = self._advance(now)
         max_allowed = min(self.max_delay, remaining)
--- a/crowwing/tier/replication/leader_monitor.py
+++ b/crowwing/tier/replication/leader_monitor.py
@@ -1,4 +1,4 @@
-"""The primary as known to a replica, and the time until which the replica promises no other a term."""
+"""The primary as known to a replica, and for how long the replica refuses to promise others a term."""
 
 from crowwing.tier.replication.terms import NO_TERM, Term
 from crowwing.tier.replication.timing import ELECTION_TIMEOUT_S, LEADER_STICKINESS_S, STARTUP_LISTEN_S
@@ -28,7 +28,7 @@
         self._acknowledged_term: Term = NO_TERM
 
     def record_contact(self, now: float, leader: str, term: Term) -> None:
-        """Records a message of the leader of a term, which may count the response towards its lease."""
+        """Records a message of the leader of `term`; the response to it may extend the leader's lease."""
         self.leader, self.heard_at = leader, now
         self._acknowledged_term = max(self._acknowledged_term, term)
 
--- a/crowwing/tier/replication/recovery.py
+++ b/crowwing/tier/replication/recovery.py
@@ -45,9 +45,10 @@
         """Counts one response; adopts the highest term and view once there are enough responses.
 
         Every majority that this replica was part of has another member among the responders. It may have
-        promised their highest term and accepted their highest view, so it adopts both. The requests are sent
-        RECOVERY_DELAY_S into this incarnation: by then, all other members of a majority in which a candidate
-        still counts a response of an earlier incarnation have promised or accepted as well.
+        promised their highest term and accepted their highest view, so it adopts both. A candidate may still
+        count a response that an earlier incarnation of this replica sent. The requests are sent only
+        RECOVERY_DELAY_S into this incarnation, so that the other members of that candidate's majority have
+        promised or accepted by then.
         """
         core = self._core
         if core.durable.recovered or response.sender not in self._requested:
