--- a/crowwing/tier/distribution/relay.py
+++ b/crowwing/tier/distribution/relay.py
@@ -1,9 +1,9 @@
 """One backend's node in the relay tree, and the shuffles that deliver what the tree has lost.
 
 The root is the primary of the store machines. Every other backend attaches to a parent, which forwards
-documents to a bounded number of children and redirects further ones to these. The root sends numbered
-heartbeats down the tree. A backend whose branch has lost the root, or is part of a cycle, receives no higher
-number and attaches to another parent.
+documents to a bounded number of children and redirects any others to those children. The root sends
+numbered heartbeats down the tree. A backend whose branch has lost the root, or is part of a cycle, receives
+no higher number and attaches to another parent.
 """
 
 from crowwing.tier.distribution.children import Children
--- a/crowwing/tier/replication/campaign.py
+++ b/crowwing/tier/replication/campaign.py
@@ -23,7 +23,7 @@
 
     Attributes:
         phase: the current phase.
-        since: when it began.
+        since: when the current phase began.
         released: term of the primary that has released its lease for this campaign, NO_TERM if none has.
         grace_s: wait for further promises once a majority has promised.
         unresponsive: replicas that are known not to respond; their promises are not waited for.
--- a/crowwing/tier/replication/lease.py
+++ b/crowwing/tier/replication/lease.py
@@ -29,7 +29,7 @@
         self._acknowledged_by: dict[int, set[str]] = {}
 
     def is_valid(self, now: float) -> bool:
-        """Whether its owner, if it is primary, is the only one."""
+        """Whether no other replica can be primary while the owner of this lease is."""
         return not self.is_released and now - self.confirmed_at < LEASE_S
 
     def start_round(self, now: float, me: str) -> int:
