--- a/crowwing/routing/worker_commands.py
+++ b/crowwing/routing/worker_commands.py
@@ -66,7 +66,7 @@
         non_idempotent = request if request.handle.cls.idempotency is not Idempotency.IDEMPOTENT else None
         self._issue(
             worker_agent.launch(request.id, request.type, request.body),
-            self._runs_still(request),
+            self._still_running(request),
             non_idempotent,
         )
 
@@ -75,7 +75,7 @@
         # If the connection is down, a repeated stop is queued only once.
         if self.synchronized or request.frozen != request.runs:
             request.frozen = request.runs
-            self._issue(worker_agent.freeze(request.id), self._runs_still(request))
+            self._issue(worker_agent.freeze(request.id), self._still_running(request))
 
     def deliver(self, request: OpenRequest, reply: bytes) -> None:
         """Gives a run the response that it waits for."""
@@ -107,7 +107,7 @@
         return self.synchronized
 
     @staticmethod
-    def _runs_still(request: OpenRequest) -> Callable[[], bool]:
+    def _still_running(request: OpenRequest) -> Callable[[], bool]:
         runs = request.runs
         return lambda: request.launched and request.runs == runs
 
