--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 FILE = Path(__file__).resolve().parents[1] / "KNOWN-RED.txt"
-MOST = 3
+MAX_ENTRIES = 3
 
 
 @dataclass(frozen=True)
@@ -23,8 +23,8 @@
 def read_known_red(path: Path = FILE) -> list[KnownRed]:
     """The listed tests; raises ValueError for a line that lacks a part, or for too many."""
     lines = [line for line in path.read_text().splitlines() if line.strip()] if path.exists() else []
-    if len(lines) > MOST:
-        raise ValueError(f"{path.name}: {MOST} lines at most, these are {len(lines)}")
+    if len(lines) > MAX_ENTRIES:
+        raise ValueError(f"{path.name}: {MAX_ENTRIES} lines at most, these are {len(lines)}")
     listed = []
     for line in lines:
         parts = [part.strip() for part in line.split(" | ")]
--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(("path", "name"), sorted(set(NAMED.findall(PAGE.read_text()))))
-def test_what_the_page_names_is_there(path: str, name: str) -> None:
+def test_each_named_file_and_function_exists(path: str, name: str) -> None:
     file = ROOT / "crowwing" / path
     assert file.is_file(), f"{path} has moved"
     assert not name or name in defined_in(file), f"{path} has no {name}"
--- a/tests/test_cold_processes.py
+++ b/tests/test_cold_processes.py
@@ -9,46 +9,50 @@
 from tests.street import Street
 from tests.test_program import ident
 
-FLEET, PUSHED = 24, 24
-CORES, CROWD, FROM, COLD_MS = 6, 8.0, 0.2, 60_000.0
+FLEET, REQUESTS_PER_PROCESS = 24, 24
+CORES, OVERLOAD_FACTOR, INITIAL_SPEED, WARM_UP_MS = 6, 8.0, 0.2, 60_000.0
 
 
 def settings() -> dict:
     changed = copy.deepcopy(SETTINGS)
     changed["servers"] = FLEET + 1
     changed["family_info"] |= {"cpus": CORES, "ram_kb": 1e6}
-    changed["invariants"] |= {"cold": COLD_MS, "cold_from": FROM, "fall_multiple": CROWD}
+    changed["invariants"] |= {
+        "cold": WARM_UP_MS,
+        "cold_from": INITIAL_SPEED,
+        "fall_multiple": OVERLOAD_FACTOR,
+    }
     return changed
 
 
-class Pushed(FarmAgent):
+class OverloadedAgent(FarmAgent):
     """Its runs wait and take no core, so that the limit climbs as far as it may; it sees where it went."""
 
     def __init__(self, greet: bytes) -> None:
         super().__init__()
-        self.hold, self.greet, self.most, self.beyond = True, greet, 0, 0
-        self.born: float | None = None
+        self.hold, self.greet, self.most, self.excess = True, greet, 0, 0
+        self.greeted_at: float | None = None
         self.climbing = 0  # samples since all cores had a run
 
-    def survives(self) -> float:
+    def concurrency_limit(self) -> float:
         """The crowd that the settings allow a server that was cold at the greeting, by now."""
-        age = asyncio.get_running_loop().time() - self.born
-        speed = min(1.0, FROM + (1 - FROM) * age * 1000 / COLD_MS)
-        return CORES * (1 + (CROWD - 1) * speed)
+        age = asyncio.get_running_loop().time() - self.greeted_at
+        speed = min(1.0, INITIAL_SPEED + (1 - INITIAL_SPEED) * age * 1000 / WARM_UP_MS)
+        return CORES * (1 + (OVERLOAD_FACTOR - 1) * speed)
 
     def obey(self, words: list[str], blob: bytes, writer: asyncio.StreamWriter) -> None:
         if words[0] == "subscribe":
-            self.born = asyncio.get_running_loop().time()
+            self.greeted_at = asyncio.get_running_loop().time()
         if words[0] == "sample":
             writer.write(f"sampled {words[1]} 0.1 1\r\n".encode())
             self.climbing += self.most >= CORES
             return
         super().obey(words, blob, writer)
         self.most = max(self.most, len(self.running))
-        self.beyond = max(self.beyond, len(self.running) - self.survives())
+        self.excess = max(self.excess, len(self.running) - self.concurrency_limit())
 
 
-def test_two_dozen_cold_processes_are_ready_in_time_and_none_is_crowded_beyond_what_it_survives(
+def test_24_processes_warming_up_are_ready_in_time_and_stay_within_their_concurrency_limit(
     tmp_path: Path,
 ) -> None:
     """A warm process beside them passes what they survive: the check sees a crowd where there is one. Every
@@ -60,7 +64,7 @@
             folder = tmp_path / str(n)
             folder.mkdir()
             streets.append(Street(folder, settings(), stop=900))
-            streets[n].farm = Pushed(b"greeting COLD 0\r\n" if n else b"greeting WARM 600000\r\n")
+            streets[n].farm = OverloadedAgent(b"greeting COLD 0\r\n" if n else b"greeting WARM 600000\r\n")
         warm, loop = streets[0].farm, asyncio.get_running_loop()
         began = loop.time()
         try:
@@ -77,13 +81,16 @@
                 side = await Sidecar(street).open()
                 return (await side.ask(Sidecar.ticket(ident(n), X_Router=str(n))))[0]
 
-            asked = [[asyncio.create_task(ask(street, n)) for n in range(PUSHED)] for street in streets]
-            await streets[0].until(lambda: warm.most == PUSHED)
-            assert warm.beyond > 0
+            asked = [
+                [asyncio.create_task(ask(street, n)) for n in range(REQUESTS_PER_PROCESS)]
+                for street in streets
+            ]
+            await streets[0].until(lambda: warm.most == REQUESTS_PER_PROCESS)
+            assert warm.excess > 0
             enough = 2 * warm.climbing + 10  # samples in which one that may climb as far has done so
             for street in streets[1:]:
                 await street.until(lambda farm=street.farm: farm.climbing > enough)
-                assert street.farm.beyond <= 0, (street.farm.most, street.farm.survives())
+                assert street.farm.excess <= 0, (street.farm.most, street.farm.concurrency_limit())
             for street in streets:
                 street.farm.hold = False
                 for one in list(street.farm.running):
--- a/tests/test_deploy_files.py
+++ b/tests/test_deploy_files.py
@@ -26,7 +26,7 @@
     assert needed == set(deploy["packages"])
 
 
-def test_the_files_of_the_backend_are_there_and_its_decisions_are_all_named() -> None:
+def test_listed_backend_files_exist_and_all_decision_modules_are_listed() -> None:
     deploy = deploy_file("balancer.toml")
     assert all((ROOT / path).exists() for path in deploy["policy"] + deploy["node"])
     assert {str(path.relative_to(ROOT)) for path in (ROOT / "crowwing" / "logic").glob("*.py")} == set(
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -20,7 +20,7 @@
     return all(rig.alive_in(name) == expected for name in expected)
 
 
-def test_no_member_is_given_a_port_that_the_relay_holds(tmp_path: Path) -> None:
+def test_no_member_is_assigned_a_port_of_the_relay(tmp_path: Path) -> None:
     with FleetRig(tmp_path, 20, seed=6, faults=[], **FAST) as rig:
         mine = [port for _, port in rig.fleet_at.values()]
         assert len(set(mine)) == 20 and not set(mine) & set(rig.relay.ports.values())
@@ -97,7 +97,7 @@
         assert rig.until(lambda: agree(rig, everyone), 20) is not None
 
 
-def test_a_one_way_partition_is_a_death_for_those_without_messages_and_heals(tmp_path: Path) -> None:
+def test_members_behind_a_one_way_partition_detect_a_death_and_it_heals(tmp_path: Path) -> None:
     with FleetRig(tmp_path, 4, seed=5, faults=[], **FAST) as rig:
         everyone = set(rig.names)
         assert rig.until(lambda: agree(rig, everyone), 15) is not None
@@ -109,13 +109,13 @@
 
 
 def test_loss_delay_duplicates_and_reordering_cause_no_false_deaths(tmp_path: Path) -> None:
-    rough = [
+    link_faults = [
         {"kind": "loss", "size": 0.1},
         {"kind": "delay", "size": 5, "jitter_ms": 10},
         {"kind": "duplicate", "size": 0.05},
         {"kind": "reorder", "size": 0.1, "jitter_ms": 20},
     ]
-    with FleetRig(tmp_path, 5, seed=4, faults=rough, **FAST) as rig:
+    with FleetRig(tmp_path, 5, seed=4, faults=link_faults, **FAST) as rig:
         everyone = set(rig.names)
         assert rig.until(lambda: agree(rig, everyone), 15) is not None
         assert rig.until(lambda: False, 6) is None  # six seconds, about thirty periods
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize(
-    ("fleet", "said"),
+    ("fleet", "expected_text"),
     [
         (
             {"listen": "127.0.0.1:7946", "peers": [{"name": "n1", "address": "127.0.0.1:7947"}]},
@@ -163,10 +163,12 @@
         ),
     ],
 )
-def test_wrong_fleet_settings_give_one_line_and_exit_2(tmp_path: Path, fleet: dict, said: str) -> None:
+def test_wrong_fleet_settings_give_one_line_and_exit_2(
+    tmp_path: Path, fleet: dict, expected_text: str
+) -> None:
     ended = start(tmp_path, fleet)
     lines = ended.stderr.decode().splitlines()
-    assert ended.returncode == 2 and len(lines) == 1 and said in lines[0], lines
+    assert ended.returncode == 2 and len(lines) == 1 and expected_text in lines[0], lines
     assert not ended.stdout
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -4,17 +4,17 @@
 
 import pytest
 
-from tests.known_red import FILE, MOST, read_known_red
+from tests.known_red import FILE, MAX_ENTRIES, read_known_red
 
 
-def test_the_list_is_short_and_each_line_names_a_test_that_is_there() -> None:
+def test_the_list_is_short_and_names_existing_tests() -> None:
     for one in read_known_red():
         path, _, name = one.test.partition("::")
         assert f"def {name.split('[')[0]}(" in (FILE.parent / path).read_text()
 
 
-@pytest.mark.parametrize("text", ["a | b\n", "a |  | c\n", "a | b | c\n" * (MOST + 1)])
-def test_a_line_without_its_cause_or_one_too_many_is_refused(tmp_path: Path, text: str) -> None:
+@pytest.mark.parametrize("text", ["a | b\n", "a |  | c\n", "a | b | c\n" * (MAX_ENTRIES + 1)])
+def test_an_incomplete_or_surplus_line_is_rejected(tmp_path: Path, text: str) -> None:
     path = tmp_path / "KNOWN-RED.txt"
     path.write_text(text)
     with pytest.raises(ValueError):
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -16,7 +16,7 @@
         assert set(codes) <= set(kept.get(path, ())), path
 
 
-def test_comments_that_silence_a_tool_do_not_grow_in_number() -> None:
+def test_suppression_comments_do_not_increase() -> None:
     files = sorted((ROOT / "crowwing").rglob("*.py"))
     count = sum(
         line.count("# noqa") + line.count("# type: ignore")
--- a/tests/test_random_moments.py
+++ b/tests/test_random_faults.py
@@ -19,7 +19,7 @@
 from tests.street import WAIT, Street, live_in
 from tests.test_program import ident
 
-HARD = bytes([1] + [0] * 7)  # SO_LINGER: the close is a reset
+RESET_ON_CLOSE = bytes([1] + [0] * 7)  # SO_LINGER: the close is a reset
 
 
 def settings() -> dict:
@@ -30,11 +30,11 @@
     return changed
 
 
-class Play:
+class RandomClients:
     """The callers of one street; `begun` of the farm agent and these tables are what is judged."""
 
     def __init__(self, street: Street, seed: int) -> None:
-        self.street, self.chance, self.ids = street, random.Random(seed), 0
+        self.street, self.random_source, self.ids = street, random.Random(seed), 0
         self.answers: dict[str, int] = {}  # request -> the status of its one answer
         self.unanswered: dict[str, str] = {}  # request -> why it may have none
         self.keys: dict[str, list[str]] = {}  # key -> requests that carried it
@@ -58,14 +58,14 @@
         body = await reader.readexactly(size)  # a whole one, or the test fails
         return int(head.split()[1]), body, b"Connection: close" not in head
 
-    async def honest(self) -> None:
+    async def send_requests(self) -> None:
         """Some requests over one kept connection; what crosses its close is sent once more on a new one."""
         connection = None
-        for _ in range(self.chance.randrange(1, 6)):
-            request, kind = self.new(), self.chance.choice(("look", "book", "pay"))
+        for _ in range(self.random_source.randrange(1, 6)):
+            request, kind = self.new(), self.random_source.choice(("look", "book", "pay"))
             more = {}
-            if kind == "book" and self.chance.random() < 0.8:
-                key = f"k{self.chance.randrange(12)}"
+            if kind == "book" and self.random_source.random() < 0.8:
+                key = f"k{self.random_source.randrange(12)}"
                 self.keys.setdefault(key, []).append(request)
                 more["X_Txn_Key"] = key
             data = Sidecar.ticket(request, kind, b"body", left=2500, **more)
@@ -99,21 +99,21 @@
                 writer.close()
                 connection = None
                 assert not fresh, f"{request}: no answer on a new connection"
-            await asyncio.sleep(self.chance.random() * 0.05)
+            await asyncio.sleep(self.random_source.random() * 0.05)
         if connection is not None:
             connection[1].close()
 
-    async def rude(self) -> None:
+    async def misbehave(self) -> None:
         side = socket.socket()
         side.setblocking(False)
-        loop, what = asyncio.get_running_loop(), self.chance.randrange(6)
-        whole = Sidecar.ticket("f" * 15 + f"{self.chance.randrange(16):x}", "look", b"x" * 50)
+        loop, what = asyncio.get_running_loop(), self.random_source.randrange(6)
+        whole = Sidecar.ticket("f" * 15 + f"{self.random_source.randrange(16):x}", "look", b"x" * 50)
         try:
             await loop.sock_connect(side, self.street.address)
             if what == 0:
-                await loop.sock_sendall(side, whole[: self.chance.randrange(1, len(whole))])
+                await loop.sock_sendall(side, whole[: self.random_source.randrange(1, len(whole))])
             elif what == 1:
-                await loop.sock_sendall(side, self.chance.randbytes(3000))
+                await loop.sock_sendall(side, self.random_source.randbytes(3000))
             elif what == 2:
                 for byte in whole[:60]:
                     await loop.sock_sendall(side, bytes([byte]))
@@ -122,34 +122,34 @@
             elif what == 4:
                 await loop.sock_sendall(side, whole)
                 side.shutdown(socket.SHUT_WR)
-            if self.chance.random() < 0.5:
-                side.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, HARD)
+            if self.random_source.random() < 0.5:
+                side.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         except OSError:
             pass
         side.close()
 
-    async def trouble(self) -> None:
-        what, street = self.chance.randrange(6), self.street
+    async def inject_fault(self) -> None:
+        what, street = self.random_source.randrange(6), self.street
         if what == 0:
             street.farm.cut()
         elif what == 1:
             street.below.answers += [
-                self.chance.choice(("break", reply(500), reply(504), b"garbage\r\n\r\n"))
+                self.random_source.choice(("break", reply(500), reply(504), b"garbage\r\n\r\n"))
             ]
         elif what == 2:
-            street.control.answers += [self.chance.choice(("break", reply(500)))]
+            street.control.answers += [self.random_source.choice(("break", reply(500)))]
         elif what == 3:
             street.signal(signal.SIGHUP)
         elif what == 4:
             whole = json.dumps(street.told)
-            street.path.write_text(whole[: self.chance.randrange(len(whole))])
+            street.path.write_text(whole[: self.random_source.randrange(len(whole))])
             street.signal(signal.SIGHUP)
             await asyncio.sleep(0.02)
             street.path.write_text(whole)
         else:
             street.below.cut()
 
-    def judge(self) -> None:
+    def check(self) -> None:
         farm = self.street.farm
         for request, times in farm.begun.items():
             once = request in farm.pays or any(request in tries for tries in self.keys.values())
@@ -165,44 +165,50 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_whatever_crosses_each_request_has_one_answer_and_the_end_comes_by_itself(
+def test_each_request_gets_one_answer_under_random_faults_and_the_process_exits(
     tmp_path: Path, seed: int
 ) -> None:
     async def scene(street: Street) -> None:
-        play = Play(street, seed)
+        clients = RandomClients(street, seed)
         await street.event("ready")
-        going: set[asyncio.Task] = set()
+        open_tasks: set[asyncio.Task] = set()
 
         async def begin(what: asyncio.Task) -> None:
-            going.add(what)
-            what.add_done_callback(going.discard)
-            await asyncio.sleep(play.chance.random() * 0.02)
+            open_tasks.add(what)
+            what.add_done_callback(open_tasks.discard)
+            await asyncio.sleep(clients.random_source.random() * 0.02)
 
         failed: list[BaseException] = []
 
-        async def kept(what: asyncio.Future) -> None:
+        async def record_failure(what: asyncio.Future) -> None:
             try:
                 await what
-            except Exception as wrong:
-                failed.append(wrong)
+            except Exception as error:
+                failed.append(error)
 
         for _ in range(70):
-            draw = play.chance.random()
-            what = play.honest if draw < 0.6 else play.rude if draw < 0.85 else play.trouble
-            await begin(asyncio.create_task(kept(what())))
+            draw = clients.random_source.random()
+            what = (
+                clients.send_requests
+                if draw < 0.6
+                else clients.misbehave
+                if draw < 0.85
+                else clients.inject_fault
+            )
+            await begin(asyncio.create_task(record_failure(what())))
             assert not failed, failed
-            play.judge()
-        play.leaving = True
+            clients.check()
+        clients.leaving = True
         street.signal()
         while street.process.returncode is None:
-            what = play.honest if play.chance.random() < 0.7 else play.rude
-            await begin(asyncio.create_task(kept(what())))
+            what = clients.send_requests if clients.random_source.random() < 0.7 else clients.misbehave
+            await begin(asyncio.create_task(record_failure(what())))
             assert not failed, failed
         async with asyncio.timeout(WAIT):
-            await asyncio.gather(*going)
+            await asyncio.gather(*open_tasks)
         assert not failed, failed
         await street.ended()
-        play.judge()
-        assert len(play.answers) > 60
+        clients.check()
+        assert len(clients.answers) > 60
 
     live_in(Street(tmp_path, settings(), stop=1200), scene)
--- a/tests/test_recorded_run_bytes.py
+++ b/tests/test_recorded_run_bytes.py
@@ -22,7 +22,7 @@
 ROOT = Path(__file__).resolve().parents[1]
 SCHEMAS = ("crowwing/settings/operator.schema.json", "deploy/operator.schema.json")
 LOOPBACK = "127.0.0.1"
-FetchedCopy = tuple[list[Any], str, list[Any] | None]  # address, the line that asks, rows or a refusal
+FetchedTransfer = tuple[list[Any], str, list[Any] | None]  # address, the line that asks, rows or a refusal
 NOTICES = {
     "greeting": agent.Greeting,
     "aside": agent.Aside,
@@ -110,7 +110,7 @@
             _: float,
             expected: Any = expected,  # noqa: ANN401
         ) -> list[Any]:
-            address, line, rows = cast(FetchedCopy, next(expected))
+            address, line, rows = cast(FetchedTransfer, next(expected))
             assert [list(where), asked] == [address, json.loads(line)]
             if rows is None:
                 raise ConnectionRefusedError
@@ -125,7 +125,7 @@
     return {json.loads(text).get("k") for text in texts if text.startswith("{")}
 
 
-def test_recorded_transcripts_hold_every_kind_of_message() -> None:
+def test_recorded_transcripts_contain_every_kind_of_message() -> None:
     """Of membership (0-3), state (10-15), loans (20-23) and labels (30-33), and every question."""
     received: list[str] = []
     sent: list[str] = []
@@ -134,13 +134,13 @@
             received += step["input"][1:2] if step["input"][0] == "datagram" else []
             sent += [text for text, _ in step["sent"]]
     messages = {*range(4), *range(10, 16), *range(20, 24), *range(30, 34)}
-    questions = {"members", "counts", "state", "put", "add", "take_out", "claim", "over", "never_ran"}
+    queries = {"members", "counts", "state", "put", "add", "take_out", "claim", "over", "never_ran"}
     assert kinds_of(sent) == {*messages, None}
-    assert kinds_of(received) == {*messages, *questions, "nonsense"}
+    assert kinds_of(received) == {*messages, *queries, "nonsense"}
 
 
 @pytest.mark.parametrize("number", range(len(recorded("fleet_streams.json")["streams"])))
-def test_a_recorded_whole_copy_is_sent_and_read_as_before(number: int) -> None:
+def test_a_recorded_full_transfer_is_sent_and_read_as_before(number: int) -> None:
     stream = recorded("fleet_streams.json")["streams"][number]
     asyncio.run(_check_served(stream))
     asyncio.run(_check_fetched(stream))
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize("line", recorded("agent.json")["unreadable"])
-def test_recorded_lines_of_no_agent_are_refused_as_before(line: str) -> None:
+def test_recorded_invalid_agent_lines_are_rejected_as_before(line: str) -> None:
     with pytest.raises(agent.Unreadable):
         agent.AgentReader().feed(memoryview(line.encode("latin-1")))
 
@@ -262,7 +262,7 @@
     assert (ROOT / path).read_bytes() == (RECORDED / "operator.schema.json").read_bytes()
 
 
-def test_the_schema_is_what_the_types_say_and_what_a_backend_reads() -> None:
+def test_the_schema_matches_the_types_and_what_a_backend_reads() -> None:
     assert operator.schema() == (RECORDED / "operator.schema.json").read_bytes()
     assert plain.form() == recorded("operator.schema.json")
 
--- a/tests/tier/exploration.py
+++ b/tests/tier/exploration.py
@@ -57,7 +57,7 @@
             self.payloads = pickle.loads(content)
 
 
-def half() -> float:
+def constant_random() -> float:
     """In place of chance."""
     return 0.5
 
@@ -105,7 +105,7 @@
     """A primary with a lease, with one entry on its way."""
     state = State({}, [], START_S)
     for host in HOSTS:
-        replica = Replica(ReplicaSettings(host, HOSTS, 1), ReplicatedList(), START_S - 5, half)
+        replica = Replica(ReplicaSettings(host, HOSTS, 1), ReplicatedList(), START_S - 5, constant_random)
         replica.bootstrap(HOSTS)
         state.nodes[host] = Node(replica)
         collect(state, host)
@@ -163,7 +163,7 @@
     node.waiting = []
     if wiped:
         node.disk = []
-    node.replica = Replica(ReplicaSettings(host, HOSTS, 1), ReplicatedList(), state.now, half)
+    node.replica = Replica(ReplicaSettings(host, HOSTS, 1), ReplicatedList(), state.now, constant_random)
     if node.disk:
         node.replica.recover(node.disk)
     collect(state, host)
@@ -256,14 +256,14 @@
                 state.committed.setdefault(index, entry.term)
 
 
-def explore(depth: int, most_states: int = 10**9, limits: Limits = Limits()) -> tuple[int, int]:
+def explore(depth: int, max_states: int = 10**9, limits: Limits = Limits()) -> tuple[int, int]:
     """Visits every state up to a depth; gives how many there were, and the depth that was finished."""
     frozen = pickle.dumps(first_state())
     seen = {hash(frozen)}
     level: list[tuple[bytes, tuple[str, ...]]] = [(frozen, ())]
     for done in range(depth):
         following: list[tuple[bytes, tuple[str, ...]]] = []
-        for parent, way in level:
+        for parent, path in level:
             for kind, what in list(steps(pickle.loads(parent), limits)):
                 state = pickle.loads(parent)
                 step = f"{kind} {what if kind != 'deliver' else _describe(state.in_flight[what])}"
@@ -271,12 +271,12 @@
                 try:
                     check(state)
                 except InvariantError as error:
-                    raise InvariantError(f"{error} after {' / '.join((*way, step))}") from None
+                    raise InvariantError(f"{error} after {' / '.join((*path, step))}") from None
                 child = pickle.dumps(state)
                 if hash(child) not in seen:
                     seen.add(hash(child))
-                    following.append((child, (*way, step)))
-            if len(seen) >= most_states:
+                    following.append((child, (*path, step)))
+            if len(seen) >= max_states:
                 return len(seen), done
         level = following
     return len(seen), depth
--- a/tests/tier/misbehaving_sidecar.py
+++ b/tests/tier/misbehaving_sidecar.py
@@ -9,7 +9,7 @@
 from random import Random
 
 EVENTS = 5
-LINGER_NOT = struct.pack("ii", 1, 0)  # closing resets the connection
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # closing resets the connection
 
 
 @dataclass
@@ -22,7 +22,7 @@
 
 
 @dataclass
-class Asked:
+class ReceivedRequest:
     """One request as it came."""
 
     id: str
@@ -73,17 +73,17 @@
         length = int(headers.get("content-length", "0"))
         if head[0].startswith("GET /report"):
             return await self._report(writer)
-        asked = Asked(headers.get("request-id", ""), head[0].split(" ")[1], headers)
+        request = ReceivedRequest(headers.get("request-id", ""), head[0].split(" ")[1], headers)
         misbehaves = self._random.random() < self._fault_rate
         if misbehaves and self._random.random() < 0.08:
-            await self._refuse(asked, writer, early=True)
+            await self._refuse(request, writer, early=True)
             await reader.readexactly(length)
             return True
-        asked.body = await reader.readexactly(length)
+        request.body = await reader.readexactly(length)
         if headers.get("target-instance") != self.name:
-            writer.write(_head(421, asked.id, [("Content-Length", "0")]))
+            writer.write(_head(421, request.id, [("Content-Length", "0")]))
             return True
-        return await (self._misbehave(asked, writer) if misbehaves else self._answer(asked, writer))
+        return await (self._misbehave(request, writer) if misbehaves else self._answer(request, writer))
 
     async def _report(self, writer: asyncio.StreamWriter) -> bool:
         body = b'{"waiting":0,"running":1}'
@@ -93,55 +93,57 @@
         await writer.drain()
         return True
 
-    async def _refuse(self, asked: Asked, writer: asyncio.StreamWriter, early: bool = False) -> None:
+    async def _refuse(
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter, early: bool = False
+    ) -> None:
         body = b"full"
         fields = [("Content-Length", str(len(body))), ("Not-Executed", "1")]
-        writer.write(_head(503, asked.id, fields) + body)
+        writer.write(_head(503, request.id, fields) + body)
         await writer.drain()
         if early:
             await asyncio.sleep(self._random.uniform(0, 0.003))
 
-    def _run(self, asked: Asked) -> tuple[bytes, str]:
+    def _run(self, request: ReceivedRequest) -> tuple[bytes, str]:
         """Runs a request: its body and its stamp."""
         ledger = self._ledger
-        ledger.runs[asked.id] += 1
-        sent = body_of(asked.path, asked.id)
-        if asked.body != sent or asked.headers.get("model") != f"m-{asked.id}":
-            ledger.spoilt.append(asked.id)
-        if "/stream/" in asked.path:
-            first = int(asked.headers.get("last-event-id", "0")) + 1
-            events = [f"id: {n}\ndata: {asked.id}-{n}\n\n" for n in range(first, EVENTS + 1)]
+        ledger.runs[request.id] += 1
+        sent = body_of(request.path, request.id)
+        if request.body != sent or request.headers.get("model") != f"m-{request.id}":
+            ledger.spoilt.append(request.id)
+        if "/stream/" in request.path:
+            first = int(request.headers.get("last-event-id", "0")) + 1
+            events = [f"id: {n}\ndata: {request.id}-{n}\n\n" for n in range(first, EVENTS + 1)]
             return "".join(events).encode(), "stream"
         self._numbers += 1
         stamp = f"{self.name}.{self._numbers}"
-        body = f"{asked.id} {stamp} ".encode() * self._random.choice([1, 1, 1, 30, 3000])
-        ledger.bodies.setdefault(asked.id, []).append(body)
+        body = f"{request.id} {stamp} ".encode() * self._random.choice([1, 1, 1, 30, 3000])
+        ledger.bodies.setdefault(request.id, []).append(body)
         return body, stamp
 
-    async def _answer(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
+    async def _answer(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
         if self._random.random() < 0.05:
-            await self._refuse(asked, writer)
+            await self._refuse(request, writer)
             return True
-        body, stamp = self._run(asked)
-        response, keeps = self._framed(asked, 200, body, stamp)
-        await self._write_in_parts(writer, response)
+        body, stamp = self._run(request)
+        response, keeps = self._framed(request, 200, body, stamp)
+        await self._write_in_chunks(writer, response)
         return keeps
 
     def _framed(
-        self, asked: Asked, status: int, body: bytes, stamp: str, unframed: bool = False
+        self, request: ReceivedRequest, status: int, body: bytes, stamp: str, unframed: bool = False
     ) -> tuple[bytes, bool]:
         """An answer as bytes, and whether the connection goes on."""
         fields = [("Server-Stamp", stamp)]
         if unframed:
-            return _head(status, asked.id, fields) + body, False
+            return _head(status, request.id, fields) + body, False
         if self._random.random() < 0.5:
-            return _head(status, asked.id, [*fields, ("Content-Length", str(len(body)))]) + body, True
+            return _head(status, request.id, [*fields, ("Content-Length", str(len(body)))]) + body, True
         split_at = self._random.randint(0, len(body))
-        chunks = [part for part in (body[:split_at], body[split_at:]) if part]
-        coded = b"".join(b"%x\r\n" % len(part) + part + b"\r\n" for part in chunks) + b"0\r\n\r\n"
-        return _head(status, asked.id, [*fields, ("Transfer-Encoding", "chunked")]) + coded, True
+        chunks = [chunk for chunk in (body[:split_at], body[split_at:]) if chunk]
+        coded = b"".join(b"%x\r\n" % len(chunk) + chunk + b"\r\n" for chunk in chunks) + b"0\r\n\r\n"
+        return _head(status, request.id, [*fields, ("Transfer-Encoding", "chunked")]) + coded, True
 
-    async def _write_in_parts(self, writer: asyncio.StreamWriter, data: bytes) -> None:
+    async def _write_in_chunks(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         if self._random.random() < 0.3:
             split_at = self._random.randint(0, len(data))
             writer.write(data[:split_at])
@@ -151,20 +153,20 @@
         writer.write(data)
         await writer.drain()
 
-    async def _misbehave(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
+    async def _misbehave(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
         ways = [
-            self._surplus, self._without_id, self._unframed, self._unframed_reset, self._cut_anywhere,
-            self._silence, self._informational, self._error, self._close_at_once, self._nonsense,
+            self._send_surplus, self._without_id, self._unframed, self._unframed_reset, self._truncate,
+            self._hang, self._informational, self._error, self._close_at_once, self._send_garbage,
             self._refuse_and_go_on,
         ]  # fmt: skip
-        return await self._random.choice(ways)(asked, writer)
+        return await self._random.choice(ways)(request, writer)
 
-    async def _surplus(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
+    async def _send_surplus(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
         """Sends a second response behind a complete one: at once or later, complete or half."""
-        body, stamp = self._run(asked)
-        response, _ = self._framed(asked, 200, body, stamp)
-        other = Asked(self._random.choice([asked.id, "zz9", ""]), asked.path, asked.headers)
-        surplus, _ = self._framed(other, 200, b"surplus of " + asked.id.encode(), "surplus")
+        body, stamp = self._run(request)
+        response, _ = self._framed(request, 200, body, stamp)
+        other = ReceivedRequest(self._random.choice([request.id, "zz9", ""]), request.path, request.headers)
+        surplus, _ = self._framed(other, 200, b"surplus of " + request.id.encode(), "surplus")
         if self._random.random() < 0.3:
             surplus = surplus[: self._random.randint(1, len(surplus))]
         if self._random.random() < 0.4:
@@ -181,27 +183,27 @@
         await writer.drain()
         return True
 
-    async def _without_id(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
-        body, stamp = self._run(asked)
-        response, _ = self._framed(asked, 200, body, stamp)
-        writer.write(response.replace(f"Request-Id: {asked.id}\r\n".encode(), b"", 1))
+    async def _without_id(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
+        body, stamp = self._run(request)
+        response, _ = self._framed(request, 200, body, stamp)
+        writer.write(response.replace(f"Request-Id: {request.id}\r\n".encode(), b"", 1))
         await writer.drain()
         return True
 
-    async def _unframed(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
-        body, stamp = self._run(asked)
-        response, keeps = self._framed(asked, 200, body, stamp, unframed=True)
-        await self._write_in_parts(writer, response)
+    async def _unframed(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
+        body, stamp = self._run(request)
+        response, keeps = self._framed(request, 200, body, stamp, unframed=True)
+        await self._write_in_chunks(writer, response)
         return keeps
 
-    async def _unframed_reset(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
-        body, stamp = self._run(asked)
-        response, _ = self._framed(asked, 200, body, stamp, unframed=True)
+    async def _unframed_reset(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
+        body, stamp = self._run(request)
+        response, _ = self._framed(request, 200, body, stamp, unframed=True)
         return await self._break_off(writer, response[: self._random.randint(0, len(response))], resets=True)
 
-    async def _cut_anywhere(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
-        body, stamp = self._run(asked)
-        response, _ = self._framed(asked, 200, body, stamp)
+    async def _truncate(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
+        body, stamp = self._run(request)
+        response, _ = self._framed(request, 200, body, stamp)
         return await self._break_off(writer, response[: self._random.randint(0, len(response) - 1)])
 
     async def _break_off(self, writer: asyncio.StreamWriter, data: bytes, resets: bool | None = None) -> bool:
@@ -210,44 +212,44 @@
         await asyncio.sleep(self._random.choice([0, 0.001]))
         raw = writer.get_extra_info("socket")
         if raw is not None and (self._random.random() < 0.5 if resets is None else resets):
-            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NOT)
+            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             writer.transport.abort()
         return False
 
-    async def _silence(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
+    async def _hang(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
         if self._random.random() < 0.5:
-            self._run(asked)
+            self._run(request)
         await asyncio.sleep(self._random.uniform(0.02, 0.4))
         return False
 
-    async def _informational(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
-        body, stamp = self._run(asked)
-        response, keeps = self._framed(asked, 200, body, stamp)
+    async def _informational(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
+        body, stamp = self._run(request)
+        response, keeps = self._framed(request, 200, body, stamp)
         writer.write(b"HTTP/1.1 102 Processing\r\n\r\n" + response)
         await writer.drain()
         return keeps
 
-    async def _error(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
-        body, stamp = self._run(asked)
-        response, keeps = self._framed(asked, self._random.choice([500, 504]), b"error", stamp)
+    async def _error(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
+        body, stamp = self._run(request)
+        response, keeps = self._framed(request, self._random.choice([500, 504]), b"error", stamp)
         writer.write(response)
         await writer.drain()
         return keeps
 
-    async def _close_at_once(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
+    async def _close_at_once(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
         if self._random.random() < 0.5:
-            self._run(asked)
+            self._run(request)
         return await self._break_off(writer, b"")
 
-    async def _nonsense(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
+    async def _send_garbage(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
         if self._random.random() < 0.5:
-            self._run(asked)
+            self._run(request)
         writer.write(self._random.randbytes(self._random.randint(1, 200)))
         await writer.drain()
         return self._random.random() < 0.5
 
-    async def _refuse_and_go_on(self, asked: Asked, writer: asyncio.StreamWriter) -> bool:
-        await self._refuse(asked, writer)
+    async def _refuse_and_go_on(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
+        await self._refuse(request, writer)
         return True
 
 
--- a/tests/tier/mutations.py
+++ b/tests/tier/mutations.py
@@ -55,10 +55,10 @@
         if text.count(mutation.old) != 1:
             return "the text to take out is not there once"
         path.write_text(text.replace(mutation.old, mutation.new))
-        return _play_copy(copy, seeds)
+        return _run_on_copy(copy, seeds)
 
 
-def _play_copy(copy: Path, seeds: int) -> str:
+def _run_on_copy(copy: Path, seeds: int) -> str:
     began = time.monotonic()
     variables = {**os.environ, "PYTHONPATH": str(copy), "PYTHONDONTWRITEBYTECODE": "1"}
     tests = [f"tests/tier/{name}" for name in TESTS]
--- a/tests/tier/simulation/checkers/batch_jobs.py
+++ b/tests/tier/simulation/checkers/batch_jobs.py
@@ -8,7 +8,7 @@
 def check_batch_jobs(history: History) -> list[str]:
     """All violations."""
     return [
-        *_check_kept(history),
+        *_check_retained(history),
         *_check_positions(history),
         *_check_refused(history),
         *_check_contents(history),
@@ -23,7 +23,7 @@
     return accepted
 
 
-def _check_kept(history: History) -> list[str]:
+def _check_retained(history: History) -> list[str]:
     """No 404 or 410 for a job after its 202."""
     violations = []
     accepted = _accepted_at(history)
--- a/tests/tier/simulation/clients.py
+++ b/tests/tier/simulation/clients.py
@@ -14,7 +14,7 @@
 from tests.tier.simulation.machines import BATCH_PREFIX, Machine, Store, configuration_text
 from tests.tier.simulation.world import World
 
-SILENCE_S = 1.0  # after which a client tries another machine
+RESPONSE_TIMEOUT_S = 1.0  # after which a client tries another machine
 PAUSES_S = (0.05, 0.4)
 FINAL_STATUSES = (400, 409, 412, 413, 422)
 TRAVEL_S = (0.001, 0.003)
@@ -85,7 +85,7 @@
             return response.status_code, bytes(response.content)
 
         answer: tuple[int, bytes] | None = await call_machine(
-            self.world, self.random, machine, work, SILENCE_S, self.loss
+            self.world, self.random, machine, work, RESPONSE_TIMEOUT_S, self.loss
         )
         return answer
 
--- a/tests/tier/simulation/loss_figures.py
+++ b/tests/tier/simulation/loss_figures.py
@@ -134,10 +134,10 @@
     return written.total()
 
 
-def shares(written: Counter[str], whole: float) -> str:
+def shares(written: Counter[str], total_bytes: float) -> str:
     """What each purpose has of a number of bytes."""
     names = [purpose.value for purpose in Purpose] + [OTHER]
-    return " ".join(f"{name} {written[name] / max(1.0, whole):.2f}" for name in names)
+    return " ".join(f"{name} {written[name] / max(1.0, total_bytes):.2f}" for name in names)
 
 
 def uplinks_between(record: UplinkRecord, start: float, end: float) -> str:
@@ -151,7 +151,7 @@
     )
 
 
-def line_of(scenario: Scenario, findings: Findings, record: UplinkRecord) -> str:
+def format_row(scenario: Scenario, findings: Findings, record: UplinkRecord) -> str:
     """One line of the table."""
     lost, ended = findings.lost_at, findings.ended_at
     state_mb = scenario.state_jobs * ITEM_BYTES * ITEMS_PER_JOB / 1e6
@@ -177,7 +177,7 @@
         findings = run.play()
     except AssertionError as error:
         return f"machines {scenario.machines} load {scenario.load:g}: {error!s:.300}"
-    return line_of(scenario, findings, record)
+    return format_row(scenario, findings, record)
 
 
 def main() -> None:
--- a/tests/tier/simulation/machines.py
+++ b/tests/tier/simulation/machines.py
@@ -237,8 +237,8 @@
 
     async def _run_items(self, store: StoreClient, random: Random) -> None:
         while True:
-            room = 4 - len(self.running)
-            command = commands.LeaseItemsRequest(self.host, max(0, room), tuple(self.running), 300)
+            capacity = 4 - len(self.running)
+            command = commands.LeaseItemsRequest(self.host, max(0, capacity), tuple(self.running), 300)
             outcome = await store.call(command, 2.0, confirm_s=1.2)
             if isinstance(outcome, outcomes.LeaseItemsResponse):
                 for key in outcome.stop:
--- a/tests/tier/simulation/saturation.py
+++ b/tests/tier/simulation/saturation.py
@@ -19,7 +19,7 @@
 ITEM_BYTES = 4_300
 FRONTS = ("f0", "f1")
 CHANGE_INTERVAL_S = 1.0
-SETTLE_S = 3.0  # from the first primary to the load, for all machines to join
+JOIN_WAIT_S = 3.0  # from the first primary to the load, for all machines to join
 WIPED_BACK_S = 2.0  # from the loss of the primary until it starts again, without its disk
 CHANGE_LIMIT_S = 120.0  # beyond every run
 
@@ -82,9 +82,9 @@
     def longest_gap_s(self) -> float:
         """The longest time from the loss to the end in which no job and no change was acknowledged."""
         acks = [*self.job_acks, *(acknowledged for _, acknowledged in self.changes)]
-        moments = sorted({self.lost_at, self.ended_at, *acks})
-        moments = [at for at in moments if self.lost_at <= at <= self.ended_at]
-        return max(later - earlier for earlier, later in itertools.pairwise(moments))
+        acknowledgement_times = sorted({self.lost_at, self.ended_at, *acks})
+        acknowledgement_times = [at for at in acknowledgement_times if self.lost_at <= at <= self.ended_at]
+        return max(later - earlier for earlier, later in itertools.pairwise(acknowledgement_times))
 
     @property
     def job_back_s(self) -> float:
@@ -127,7 +127,7 @@
         self._bodies = self._random.randbytes(ITEM_BYTES * ITEMS_PER_JOB)
         self._open_tasks: set[asyncio.Task[None]] = set()
         self.world.stabilize()
-        self.world.run_for(SETTLE_S)
+        self.world.run_for(JOIN_WAIT_S)
         self.world.run(self._fill())
 
     async def _fill(self) -> None:
--- a/tests/tier/test_batch_jobs_on_processes.py
+++ b/tests/tier/test_batch_jobs_on_processes.py
@@ -62,14 +62,14 @@
         await submit_batch_job(tier, client, "lot1")
         await results(tier, client, tier.fronts[0], "lot1")  # time in which items of lot0 could have started
         assert runs_of(tier, "lot0") == Counter()
-        for place in range(len(tier.fronts)):
-            assert (await listed(tier, client, place))[: len(before)] == before
+        for index in range(len(tier.fronts)):
+            assert (await listed(tier, client, index))[: len(before)] == before
 
     run_on_tier(tmp_path, scenario)
 
 
-async def listed(tier: Loopback, client: httpx.AsyncClient, place: int) -> list[dict[str, str]]:
-    url = tier.url(tier.fronts[place], "/lots/lot0?startAfter=0")
+async def listed(tier: Loopback, client: httpx.AsyncClient, index: int) -> list[dict[str, str]]:
+    url = tier.url(tier.fronts[index], "/lots/lot0?startAfter=0")
 
     async def read() -> list[list[dict[str, str]]] | None:
         answer = await client.get(url, headers={"Host": HOST_NAME})
--- a/tests/tier/test_exchanges.py
+++ b/tests/tier/test_exchanges.py
@@ -22,7 +22,7 @@
     read_body,
 )
 from tests.tier.exchanges import run_seed
-from tests.tier.misbehaving_sidecar import LINGER_NOT
+from tests.tier.misbehaving_sidecar import RESET_ON_CLOSE
 
 Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 TRUNCATED_RESPONSE = (
@@ -80,7 +80,7 @@
             await writer.drain()
             await asyncio.sleep(0.01)
         if resets:
-            writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NOT)
+            writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             writer.transport.abort()
         writer.close()
 
--- a/tests/tier/test_exploration.py
+++ b/tests/tier/test_exploration.py
@@ -5,12 +5,12 @@
 from tests.tier.exploration import InvariantError, check, explore, first_state
 
 
-def test_no_short_way_breaks_a_rule() -> None:
+def test_no_short_path_violates_an_invariant() -> None:
     states, depth = explore(4)
     assert depth == 4 and states > 5000
 
 
-def test_a_state_in_which_two_hold_leases_is_found() -> None:
+def test_a_state_with_two_lease_holders_is_detected() -> None:
     state = first_state()
     check(state)
     other = state.nodes["b"].replica
--- a/tests/tier/test_history_checkers.py
+++ b/tests/tier/test_history_checkers.py
@@ -32,36 +32,36 @@
     return change.version, hash_of(change.text)
 
 
-def test_changes_that_were_kept_are_no_finding() -> None:
+def test_retained_changes_give_no_violation() -> None:
     history = configurations(put(A, 1, None), put(A, 2, 200), put(B, 3, 412), read(A, 4), put(C, 5, 200))
     assert not check_configuration(history, content(C))
 
 
-def test_two_confirmed_on_one_base_are_found() -> None:
+def test_two_changes_confirmed_on_one_base_are_detected() -> None:
     assert check_configuration(configurations(put(A, 1, 200), put(B, 1, 200)), content(A))
 
 
-def test_a_taken_change_that_is_refused_later_is_found() -> None:
+def test_an_accepted_change_that_is_rejected_later_is_detected() -> None:
     history = configurations(put(A, 1, 200), put(C, 2, 200), put(A, 3, 412))
     assert any("then refused" in x for x in check_configuration(history, content(C)))
 
 
-def test_a_change_that_others_built_on_counts_as_taken() -> None:
+def test_a_change_that_is_the_base_of_another_counts_as_accepted() -> None:
     history = configurations(put(A, 1, None), put(C, 2, 200), put(A, 3, 412))
     history.changes.pop(B.key)
     assert any("then refused" in x for x in check_configuration(history, content(C)))
 
 
-def test_a_proper_change_that_is_refused_is_found() -> None:
+def test_a_valid_change_that_is_rejected_is_detected() -> None:
     assert any("newest" in x for x in check_configuration(configurations(put(A, 1, 412)), (0, "")))
 
 
-def test_an_old_read_is_found() -> None:
+def test_a_stale_read_is_detected() -> None:
     history = configurations(put(A, 1, 200), put(C, 2, 200), read(A, 3))
     assert any("read 3 after 5" in x for x in check_configuration(history, content(C)))
 
 
-def test_a_lost_change_and_a_missing_reading_back_are_found() -> None:
+def test_a_lost_change_and_a_missing_final_read_are_detected() -> None:
     history = configurations(put(A, 1, 200), put(C, 2, 200))
     assert check_configuration(history, content(A))
     assert check_configuration(history, None)
@@ -83,13 +83,13 @@
 FIRST, SECOND = ("l.0", "completed", "x"), ("l.1", "completed", "y")
 
 
-def test_a_job_that_is_read_in_order_is_no_finding() -> None:
+def test_a_job_that_is_read_in_order_gives_no_violation() -> None:
     history = jobs(page(1, 0, FIRST), page(2, 1), page(3, 0, FIRST, SECOND), page(5, 2))
     history.runs = [(0.6, "l", "l.0")]
     assert not check_batch_jobs(history) and not check_read_back(history, {"l": 200})
 
 
-def test_what_breaks_the_promise_of_jobs_is_found() -> None:
+def test_violated_guarantees_of_batch_jobs_are_detected() -> None:
     assert check_batch_jobs(jobs(Call("c", "read", "l 0", 2, 2.1, 404)))
     assert check_batch_jobs(jobs(page(1, 0, FIRST), page(2, 0, SECOND))), "another result at a position"
     assert check_batch_jobs(jobs(page(1, 0, FIRST, FIRST))), "one item at two positions"
@@ -100,13 +100,13 @@
     assert check_read_back(jobs(), {"l": 404})
 
 
-def test_a_refused_job_that_runs_is_found() -> None:
+def test_a_rejected_job_that_runs_is_detected() -> None:
     history = History([Call("c", "submit", "l", 0, 0.5, 503)])
     history.jobs, history.runs = {"l": ("l.0",)}, [(1.0, "l", "l.0")]
     assert check_batch_jobs(history)
 
 
-def test_lists_that_differ_under_one_order_or_go_back_are_found() -> None:
+def test_different_lists_of_one_version_and_older_lists_are_detected() -> None:
     older, newer = Document(SIDECARS, (1, 1), b"x"), Document(SIDECARS, (2, 1), b"y")
     assert not check_documents({"f": [older, newer], "g": [newer]})
     assert check_documents({"f": [newer, older]})
--- a/tests/tier/test_mutations.py
+++ b/tests/tier/test_mutations.py
@@ -12,6 +12,6 @@
 
 
 @pytest.mark.parametrize("mutation", read_mutations(), ids=lambda mutation: mutation.name)
-def test_each_guard_stands_in_the_code_once(mutation: Mutation) -> None:
+def test_each_guard_occurs_once_in_the_code(mutation: Mutation) -> None:
     text = (ROOT / "crowwing" / "tier" / mutation.path).read_text()
     assert text.count(mutation.old) == 1
--- a/tests/tier/test_sidecar_connections.py
+++ b/tests/tier/test_sidecar_connections.py
@@ -27,7 +27,7 @@
     close_after_answer,
     read_body,
 )
-from tests.tier.misbehaving_sidecar import LINGER_NOT
+from tests.tier.misbehaving_sidecar import RESET_ON_CLOSE
 
 ANSWER = b"HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nContent-Length: 2\r\n\r\nok"
 
@@ -52,7 +52,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.open >= self.cap:
             self.resets += 1
-            writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NOT)
+            writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             writer.transport.abort()
             return
         self.open += 1
--- a/tests/tier/test_simulated_network.py
+++ b/tests/tier/test_simulated_network.py
@@ -55,7 +55,7 @@
     assert uplink.queued_bytes == long.get_write_buffer_size() == 0
 
 
-def test_what_a_reset_connection_has_queued_does_not_leave_the_machine() -> None:
+def test_queued_bytes_of_a_reset_connection_are_not_sent() -> None:
     machines = Machines()
     long, short = machines.connect("a"), machines.connect("b")
     began = machines.loop.time()
