--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Passes over the tests that KNOWN-RED.txt lists, and says which."""
+"""Marks the tests listed in KNOWN-RED.txt as expected failures and prints them."""
 
 import pytest
 
@@ -6,12 +6,12 @@
 
 
 def pytest_report_header() -> list[str]:
-    """Names them at the head of each run."""
+    """Prints the listed tests at the start of each run."""
     return [f"known red: {one.test}: {one.cause} ({one.issue})" for one in read_known_red()]
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Their failure does not fail the run; nothing else changes."""
+    """Marks listed tests with xfail: they run, and a failure does not fail the run."""
     listed = {one.test: one for one in read_known_red()}
     for item in items:
         one = listed.get(item.nodeid)
@@ -20,6 +20,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Prints how they ended, also in a quiet run."""
+    """Prints the listed tests after the run, also with -q."""
     for one in read_known_red():
         terminalreporter.write_line(f"known red: {one.test}: {one.cause} ({one.issue})")
--- a/tests/hook/sitecustomize.py
+++ b/tests/hook/sitecustomize.py
@@ -1,4 +1,4 @@
-"""Read by Python at the start of a watched process: writes down what the standing test forbids."""
+"""Loaded by Python at the start of a tested process: logs forbidden audit events to the file WATCHED."""
 
 import os
 import sys
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""Tests that are known to fail at times for a real fault: KNOWN-RED.txt at the root, one line each.
+"""Reads KNOWN-RED.txt at the root: tests that may fail because of a known fault, one a line.
 
-A line holds the test, its cause and its issue, separated by ` | `. The tests are run; their failure is shown
-and does not fail the run.
+A line has the test, the cause and the issue, separated by ` | `. The tests run; their failure is shown and
+does not fail the run.
 """
 
 from dataclasses import dataclass
@@ -21,14 +21,14 @@
 
 
 def read_known_red(path: Path = FILE) -> list[KnownRed]:
-    """The listed tests; raises ValueError for a line that lacks a part, or for too many."""
+    """The listed tests; raises ValueError for an incomplete line or too many lines."""
     lines = [line for line in path.read_text().splitlines() if line.strip()] if path.exists() else []
     if len(lines) > MAX_ENTRIES:
-        raise ValueError(f"{path.name}: {MAX_ENTRIES} lines at most, these are {len(lines)}")
+        raise ValueError(f"{path.name}: {MAX_ENTRIES} lines at most, found {len(lines)}")
     listed = []
     for line in lines:
         parts = [part.strip() for part in line.split(" | ")]
         if len(parts) != 3 or not all(parts):
-            raise ValueError(f"{path.name}: test | cause | issue, not {line!r}")
+            raise ValueError(f"{path.name}: expected 'test | cause | issue', got {line!r}")
         listed.append(KnownRed(*parts))
     return listed
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the farm agent, the back end and the control plane, written from the pages of the wires."""
+"""Fake worker agent, downstream and control plane, written from the protocol documents."""
 
 import asyncio
 import re
@@ -7,14 +7,14 @@
 
 
 class FarmAgent:
-    """Runs what is launched at once, unless told to `hold`; keeps every notice for links that come back."""
+    """A worker agent that runs requests at once unless `hold` is set; resends notices after a reconnect."""
 
     def __init__(self) -> None:
-        self.begun: dict[str, int] = {}  # ticket -> runs begun
+        self.begun: dict[str, int] = {}  # request -> runs started
         self.bodies: dict[str, bytes] = {}
         self.running: dict[str, str] = {}
         self.calling: set[str] = set()
-        self.pays: set[str] = set()  # irreversible
+        self.pays: set[str] = set()  # non-idempotent
         self.replies: dict[str, bytes] = {}
         self.notices: list[bytes] = []
         self.writer: asyncio.StreamWriter | None = None
@@ -73,7 +73,7 @@
             self.note(f"outcome {{}} {ident} {end} 12 {len(result)}", result)
 
     def answered(self, ident: str) -> None:
-        """A run at a call ends with its ticket."""
+        """Stops a run that waits for a call, as its request has been answered."""
         if ident in self.calling:
             self.end(ident, "STOPPED")
 
@@ -93,13 +93,13 @@
 
 
 class HttpStandIn:
-    """Answers each call by what `answers` says of it, or else by `usual`: bytes, 'hang', 'break' or both."""
+    """An HTTP server that answers by the next of `answers`, or by `usual`: bytes, 'hang', 'break' or both."""
 
     def __init__(self, usual: Callable[[str, bytes], bytes]) -> None:
         self.usual, self.answers = usual, deque()
         self.heard: list[tuple[str, bytes]] = []
         self.links = 0
-        self.open: set[asyncio.StreamWriter] = set()  # emptied by each one's end
+        self.open: set[asyncio.StreamWriter] = set()  # open connections
 
     def cut(self) -> None:
         for writer in self.open:
@@ -116,7 +116,7 @@
                 answer = self.answers.popleft() if self.answers else self.usual(head, body)
                 if answer == "break":
                     break
-                if isinstance(answer, tuple):  # so much of it
+                if isinstance(answer, tuple):  # the first bytes of an answer, then the end of the connection
                     writer.write(answer[0])
                     await writer.drain()
                     break
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""What the tests share: a module in a small world of its own, and a whole backend among stand-ins."""
+"""Shared test beds: the load manager alone with a simulated server, and a full backend with fake peers."""
 
 import asyncio
 import random
@@ -46,7 +46,7 @@
 
 
 class World:
-    """Carries out what a manager asks for, and checks the four rules after every step."""
+    """A simulated server: carries out a load manager's steps and checks its invariants after each."""
 
     def __init__(self, seed: int, callers: int = 2, **changes: object) -> None:
         self.random = random.Random(seed)
@@ -54,17 +54,17 @@
         self.facts = facts(**changes)
         self.manager = LoadManager(self.facts, self.now, random.Random(seed + 1))
         self.tickets: dict[int, Request] = {}
-        self.state: dict[int, str] = {}  # what the world knows of each open ticket
+        self.state: dict[int, str] = {}  # state of each open request
         self.answers: dict[int, Step] = {}
         self.gone: set[int] = set()
-        self.ran: dict[int, list[int]] = {}  # piece of work -> when the tries of it that were run had arrived
-        self.batch: dict[int, int] = {}  # piece of work -> the last try read in this moment
-        self.work: dict[int, int] = {}  # ticket -> the piece of work it asks for
-        self.kept: dict[int, tuple[int, int]] = {}  # work -> (ticket, until)
+        self.ran: dict[int, list[int]] = {}  # work -> arrival times of its attempts that ran
+        self.batch: dict[int, int] = {}  # work -> the last attempt received in this turn
+        self.work: dict[int, int] = {}  # request -> the work that it asks for
+        self.kept: dict[int, tuple[int, int]] = {}  # work -> (request, expiry)
         self.log: list[tuple[Step, int]] = []
         self.asleep_until, self.notice, self.stop = 0, 0, 0
-        self.calls: dict[int, int] = {}  # call -> until when it is in hand at most
-        self.area = [0] * (self.facts.quota_window // MS)  # calls in hand, by millisecond
+        self.calls: dict[int, int] = {}  # call -> the latest time at which it ends
+        self.area = [0] * (self.facts.quota_window // MS)  # open calls, by millisecond
         self.figures: dict[Step, float] = {}
         self.apply(self.manager.begin(self.now))
 
@@ -102,7 +102,7 @@
                 assert self.facts.halt is not Halt.NONE
                 self.state[op_id] = "halting"
             elif step in (Step.DISMISS, Step.DISMISS_ALL):
-                assert was == "held" and op_id not in self.answers, "one answer, and no dismissal of what ran"
+                assert was == "held" and op_id not in self.answers, "a second answer, or rejected after a run"
                 assert ticket.cls.idempotency is Idempotency.IDEMPOTENT or not ticket.has_run
                 self.answer(ticket, step)
                 del self.state[op_id]
@@ -126,15 +126,17 @@
 
     def start(self, ticket: Request) -> None:
         if self.notice:
-            assert ticket.arrived <= self.notice + self.facts.drain_grace, "nothing late is run in a drain"
+            assert ticket.arrived <= self.notice + self.facts.drain_grace, "run after the drain grace"
         before = self.ran.setdefault(self.work[ticket.id], [])
         if ticket.cls.idempotency is Idempotency.KEYED:
-            assert all(ticket.arrived - at > ticket.cls.dedup_window for at in before), "no effect twice"
-        assert ticket.cls.idempotency is not Idempotency.NON_IDEMPOTENT or not before, "no effect twice"
+            assert all(ticket.arrived - at > ticket.cls.dedup_window for at in before), (
+                "a keyed request ran twice"
+            )
+        assert ticket.cls.idempotency is not Idempotency.NON_IDEMPOTENT or not before, "ran more than once"
         before.append(ticket.arrived)
 
     def answer(self, ticket: Request, step: Step) -> None:
-        assert ticket.id not in self.answers, "one answer"
+        assert ticket.id not in self.answers, "a second answer"
         self.answers[ticket.id] = step
 
     def end(self, op_id: int, outcome: Outcome, took: int = 300 * MS) -> None:
@@ -167,15 +169,17 @@
         for op_id, state in self.state.items():
             t = self.tickets[op_id]
             due = min(t.deadline, self.stop) if self.stop else t.deadline
-            assert op_id in self.answers or op_id in self.gone or self.now <= due + slack, "no ticket is lost"
+            assert op_id in self.answers or op_id in self.gone or self.now <= due + slack, (
+                "no answer by the deadline"
+            )
             heavy += t.size_kb * (1 if state in ("held", "sharing") else f.run_factor)
             on_cores += state in ("running", "halting")
         live = sum(until > self.now for _, until in self.kept.values())
-        assert heavy + live * f.key_kb <= f.memory_kb, "memory"
+        assert heavy + live * f.key_kb <= f.memory_kb, "memory limit exceeded"
         warm = min(1.0, (self.now - 10_000_000) / f.warm_up) if f.cold else 1.0
         speed = f.cold_speed + (1 - f.cold_speed) * warm
-        assert on_cores <= f.cores * (1 + (f.max_per_core - 1) * speed), "the crowd on the cores"
-        assert sum(self.area) <= f.call_quota * len(self.area), "what all backends call"
+        assert on_cores <= f.cores * (1 + (f.max_per_core - 1) * speed), "concurrency limit exceeded"
+        assert sum(self.area) <= f.call_quota * len(self.area), "call quota exceeded"
         assert len(self.manager.requests) <= len(self.state) and len(self.manager.entries) <= len(self.kept)
 
     def advance(self, ms: int) -> None:
@@ -183,7 +187,7 @@
             self.now += MS
             in_hand = 0
             for op_id, until in list(self.calls.items()):
-                if self.state.get(op_id) != "calling":  # given up: it lingers
+                if self.state.get(op_id) != "calling":  # abandoned: open downstream for `linger`
                     self.calls[op_id] = until = min(until, self.now + self.facts.linger)
                     in_hand += until > self.now
                     if until <= self.now:
@@ -193,7 +197,7 @@
             self.area[(self.now // MS) % len(self.area)] = in_hand
 
 
-# The real backend among small stand-ins on loopback ports, written from the pages of the wires
+# The real backend with fake peers on loopback ports, written from the protocol documents
 
 SETTINGS = {
     "caps": {"max_retry_after": 1000.0, "retry_after": True},
@@ -217,7 +221,7 @@
 
 
 class Sidecar:
-    """One connection to the backend."""
+    """A sidecar with one connection to the backend."""
 
     def __init__(self, town: "Town") -> None:
         self.town = town
@@ -252,7 +256,7 @@
 
 
 class Town:
-    """A backend with its farm agent, back end and control plane around it."""
+    """A backend in this process with a fake worker agent, downstream and control plane."""
 
     def __init__(
         self, settings: dict = SETTINGS, sockets: int = 1024, stop: int = 3000, operator: object = None
@@ -266,7 +270,7 @@
 
     async def __aenter__(self) -> "Town":
         loop = asyncio.get_running_loop()
-        self.links: dict[asyncio.Task, asyncio.StreamWriter] = {}  # of the stand-ins, for closing them
+        self.links: dict[asyncio.Task, asyncio.StreamWriter] = {}  # of the fake peers, to close them
         facts, names = decode(self.settings)
         nowhere = ("127.0.0.1", 0)
         self.configuration = Configuration(
@@ -287,7 +291,7 @@
         return self
 
     async def reopen(self) -> None:
-        """The stand-ins at new addresses, which the next reading of the configuration tells."""
+        """Starts the fake peers at new addresses; the next reload of the configuration has them."""
         places = [self.farm.serve, self.below.serve, self.control.serve]
         self.servers = [await asyncio.start_server(self._kept(serve), "127.0.0.1", 0) for serve in places]
         farm, below, control = (server.sockets[0].getsockname() for server in self.servers)
@@ -322,7 +326,7 @@
                 await asyncio.sleep(0.002)
 
     def check(self) -> None:
-        """What must hold once nothing is open: no defect, nothing left in a table, every ticket run once."""
+        """Checks after the last request: no defect, empty tables, and no request run twice."""
         assert not self.counts["defects"] and not self.counts["stray_defect"], self.lines
         assert not self.backend.dispatcher.open_requests and not self.backend.dispatcher.manager.requests
         once = (
@@ -330,7 +334,7 @@
             for ident, times in self.farm.begun.items()
             if self.farm.links == 1 or ident in self.farm.pays
         )
-        assert all(times == 1 for times in once), "no effect twice"
+        assert all(times == 1 for times in once), "a request ran twice"
         ends = ("settled", "dismissed", "forfeited", "gone")
         assert self.counts["had"] == sum(self.counts[end] for end in ends)
 
--- a/tests/street.py
+++ b/tests/street.py
@@ -1,4 +1,4 @@
-"""The real command as `run` starts it, among the stand-ins of rig.py."""
+"""Test bed: the real command as `run` in the deploy file starts it, with the fake peers of parties.py."""
 
 import asyncio
 import itertools
@@ -16,14 +16,14 @@
 
 ROOT = Path(__file__).parent.parent
 RUN = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
-WAIT = 30.0  # seconds, for what has to come; nothing is shown by how long it takes
+WAIT = 30.0  # seconds; limit of a wait for an expected event, no performance target
 
 
 NUMBERS = itertools.count(1)
 
 
 def own_address() -> tuple[str, int]:
-    """An address that no other street and no caller's own port can have."""
+    """A loopback address that no other test bed and no ephemeral port of a client uses."""
     high, low = divmod(os.getpid(), 256)
     more, number = divmod(next(NUMBERS), 250)
     return f"127.{64 + high % 64}.{low}.{number + 1}", 7001 + more
@@ -34,7 +34,7 @@
 
 
 class Street:
-    """One process of the program; its log lines as they come; the parties around it."""
+    """One backend process, the log lines that it has written so far, and its fake peers."""
 
     run = RUN
 
@@ -85,7 +85,7 @@
             self.heard.notify_all()
 
     async def event(self, name: str, count: int = 1) -> dict:
-        """The count-th line of an event, once it has been written."""
+        """Waits for the count-th log line of an event."""
 
         def found() -> list[dict]:
             return [line for line in self.lines if line["event"] == name]
@@ -104,13 +104,13 @@
         self.process.send_signal(number)
 
     async def stand_still(self) -> None:
-        """What comes from here on lies there together when it goes on."""
+        """Stops the process; what arrives meanwhile is read at once when it continues."""
         self.signal(signal.SIGSTOP)
         stat = Path(f"/proc/{self.process.pid}/stat")
         await self.until(lambda: stat.read_text().rpartition(")")[2].split()[0] == "T")
 
     async def ended(self, code: int = 0) -> None:
-        """It ends by itself, with this code, nothing on standard error and no defect in its log."""
+        """Waits for the process to exit with this code, an empty standard error and no defect in its log."""
         async with asyncio.timeout(WAIT):
             assert await self.process.wait() == code
             await self.reading
@@ -122,7 +122,7 @@
         assert not any(name.startswith("broken") for count in counts for name in count), counts
 
     def accounted(self) -> None:
-        """Each request that was had has an end, by the process's own last figures."""
+        """Checks by the last counters of the process that each received request has ended."""
         counts = [line["counts"] for line in self.lines if line["event"] == "figures"][-1]
         ends = sum(counts.get(end, 0) for end in ("settled", "dismissed", "forfeited", "gone"))
         assert counts.get("had", 0) == ends, counts
--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -1,4 +1,4 @@
-"""docs/architecture.md names files and functions that are there."""
+"""The files and functions that docs/architecture.md names exist."""
 
 import ast
 import re
@@ -32,5 +32,5 @@
 @pytest.mark.parametrize(("path", "name"), sorted(set(NAMED.findall(PAGE.read_text()))))
 def test_each_named_file_and_function_exists(path: str, name: str) -> None:
     file = ROOT / "crowwing" / path
-    assert file.is_file(), f"{path} has moved"
+    assert file.is_file(), f"{path} does not exist"
     assert not name or name in defined_in(file), f"{path} has no {name}"
--- a/tests/test_cold_processes.py
+++ b/tests/test_cold_processes.py
@@ -1,4 +1,4 @@
-"""Two dozen processes that start together with cold servers, each pushed by callers that heed nothing."""
+"""24 processes that start at once while their servers warm up, overloaded by callers that ignore limits."""
 
 import asyncio
 import copy
@@ -26,16 +26,16 @@
 
 
 class OverloadedAgent(FarmAgent):
-    """Its runs wait and take no core, so that the limit climbs as far as it may; it sees where it went."""
+    """Its runs wait and use no core, so the backend's limit rises to its maximum; records that maximum."""
 
     def __init__(self, greet: bytes) -> None:
         super().__init__()
         self.hold, self.greet, self.most, self.excess = True, greet, 0, 0
         self.greeted_at: float | None = None
-        self.climbing = 0  # samples since all cores had a run
+        self.climbing = 0  # samples since all cores were in use
 
     def concurrency_limit(self) -> float:
-        """The crowd that the settings allow a server that was cold at the greeting, by now."""
+        """Runs that the settings allow by now on a server that began to warm up at the greeting."""
         age = asyncio.get_running_loop().time() - self.greeted_at
         speed = min(1.0, INITIAL_SPEED + (1 - INITIAL_SPEED) * age * 1000 / WARM_UP_MS)
         return CORES * (1 + (OVERLOAD_FACTOR - 1) * speed)
@@ -55,8 +55,8 @@
 def test_24_processes_warming_up_are_ready_in_time_and_stay_within_their_concurrency_limit(
     tmp_path: Path,
 ) -> None:
-    """A warm process beside them passes what they survive: the check sees a crowd where there is one. Every
-    request has one answer once the runs end, and every process serves somebody and ends by itself."""
+    """A warm process exceeds the same limit, which shows that the check detects an excess. Every request gets
+    one answer once the runs end; every process answers some with 200 and exits on its own."""
 
     async def live() -> None:
         streets = []
@@ -87,7 +87,7 @@
             ]
             await streets[0].until(lambda: warm.most == REQUESTS_PER_PROCESS)
             assert warm.excess > 0
-            enough = 2 * warm.climbing + 10  # samples in which one that may climb as far has done so
+            enough = 2 * warm.climbing + 10  # twice the samples that the warm process took to its maximum
             for street in streets[1:]:
                 await street.until(lambda farm=street.farm: farm.climbing > enough)
                 assert street.farm.excess <= 0, (street.farm.most, street.farm.concurrency_limit())
--- a/tests/test_deploy_files.py
+++ b/tests/test_deploy_files.py
@@ -1,4 +1,4 @@
-"""What the deploy files name is there, and what their builds take is listed as a package."""
+"""The files that the deploy files name exist, and packages that their builds use are listed."""
 
 import re
 import tomllib
@@ -8,7 +8,7 @@
 import pytest
 
 ROOT = Path(__file__).parents[1]
-MAX_POLICY_LINES, MAX_LINE_LENGTH = 640, 110  # that are not blank, comments too, as the operators' pages say
+MAX_POLICY_LINES, MAX_LINE_LENGTH = 640, 110  # non-blank lines with comments; limits set by the operators
 # Programs and modules that a build uses, with the Debian package that has each.
 PACKAGES = {r"\bpython3\b": "python3", r"-m pip\b": "python3-pip", r"-m venv\b": "python3-venv"}
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -190,7 +190,7 @@
         begun = [rig.ask(name, k="counts") for name in rig.names]
         assert rig.until(lambda: False, 3) is None
         counts = [rig.ask(name, k="counts") for name in rig.names]
-        # Each fetched from half of all members, the two others
+        # Each fetched from the two other members
         assert all(one["fetches"] >= 2 for one in counts)
         sent = sum(now["sent"] - then["sent"] for now, then in zip(counts, begun, strict=True))
         read = sum(now["read"] - then["read"] for now, then in zip(counts, begun, strict=True))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that may fail."""
+"""The format of KNOWN-RED.txt."""
 
 from pathlib import Path
 
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -1,4 +1,4 @@
-"""The list of files that do not keep all lint rules yet only shrinks."""
+"""The list of files with lint exceptions may only shrink."""
 
 import json
 from pathlib import Path
@@ -6,7 +6,7 @@
 from tools.lint_exceptions import read_exceptions
 
 KEPT = Path(__file__).with_name("lint_exceptions.json")
-MAX_SILENCING_COMMENTS = 15  # "noqa" and "type: ignore" in crowwing/; 48 when the rules were switched on
+MAX_SILENCING_COMMENTS = 15  # "noqa" and "type: ignore" in crowwing/; 48 when the rules were enabled
 ROOT = Path(__file__).parents[1]
 
 
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -1,7 +1,7 @@
-"""Resets, half lines, slow peers, broken parties and signals, drawn from a seed, against the real command.
+"""Random resets, partial requests, slow peers, failing peers and signals against the real command.
 
-After each step: each request has exactly one final answer, nothing runs twice, and at last the process ends
-by itself. A failing seed is in the name of its test, and draws the same again.
+After each step each request has at most one answer and no keyed or non-idempotent request ran twice; at last
+the process exits on its own. The seed is in the name of the test and reproduces the same faults.
 """
 
 import asyncio
@@ -31,12 +31,12 @@
 
 
 class RandomClients:
-    """The callers of one street; `begun` of the farm agent and these tables are what is judged."""
+    """Clients of one test bed; `check` compares their answers with the runs at the worker agent."""
 
     def __init__(self, street: Street, seed: int) -> None:
         self.street, self.random_source, self.ids = street, random.Random(seed), 0
         self.answers: dict[str, int] = {}  # request -> the status of its one answer
-        self.unanswered: dict[str, str] = {}  # request -> why it may have none
+        self.unanswered: dict[str, str] = {}  # request -> why it has none
         self.keys: dict[str, list[str]] = {}  # key -> requests that carried it
         self.results: dict[str, set[bytes]] = {}
         self.leaving = False
@@ -46,20 +46,20 @@
         return ident(self.ids)
 
     async def _answer(self, reader: asyncio.StreamReader, request: str) -> tuple[int, bytes, bool] | None:
-        """Status, body and whether the connection goes on; None where it ended before the first byte."""
+        """Status, body and whether the connection stays open; None where it ended before the first byte."""
         try:
             head = await reader.readuntil(b"\r\n\r\n")
         except asyncio.IncompleteReadError as ended:
-            assert not ended.partial, f"{request}: cut off in {ended.partial!r}"
+            assert not ended.partial, f"{request}: answer truncated after {ended.partial!r}"
             return None
         except ConnectionResetError:
             return None
         size = int(head.lower().partition(b"content-length:")[2].split()[0])
-        body = await reader.readexactly(size)  # a whole one, or the test fails
+        body = await reader.readexactly(size)  # fails where the body is truncated
         return int(head.split()[1]), body, b"Connection: close" not in head
 
     async def send_requests(self) -> None:
-        """Some requests over one kept connection; what crosses its close is sent once more on a new one."""
+        """Sends requests over one keep-alive connection; resends on a new one if closed unanswered."""
         connection = None
         for _ in range(self.random_source.randrange(1, 6)):
             request, kind = self.new(), self.random_source.choice(("look", "book", "pay"))
@@ -76,10 +76,10 @@
                     try:
                         side.connect(self.street.address)
                     except OSError:
-                        assert self.leaving, f"{request}: refused in service"
+                        assert self.leaving, f"{request}: connection refused before the shutdown"
                         self.unanswered[request] = "refused"
                         return
-                    side.send(data)  # at once: it lies there before anybody has accepted it
+                    side.send(data)  # before the backend has accepted the connection
                     connection = await asyncio.open_connection(sock=side)
                 else:
                     connection[1].write(data)
@@ -92,7 +92,7 @@
                     if got[0] == 200 and more:
                         self.results.setdefault(more["X_Txn_Key"], set()).add(got[1])
                     if not got[2]:
-                        assert await reader.read() == b"", f"{request}: bytes behind the last answer"
+                        assert await reader.read() == b"", f"{request}: bytes after the last answer"
                         writer.close()
                         connection = None
                     break
@@ -156,12 +156,12 @@
             assert times == 1 or not once, f"{request} ran {times} times"
         for key, tries in self.keys.items():
             assert sum(request in farm.begun for request in tries) <= 1, f"{key} ran more than once"
-            assert len(self.results.get(key, ())) <= 1, f"{key} was answered with two results"
+            assert len(self.results.get(key, ())) <= 1, f"{key} was answered with two different results"
         for request, status in self.answers.items():
             assert status in (200, 500, 503), (request, status)
-            assert status != 503 or request not in farm.begun, f"{request}: dismissed though it ran"
+            assert status != 503 or request not in farm.begun, f"{request}: rejected although it ran"
         for request in self.unanswered:
-            assert request not in farm.begun, f"{request}: it ran, and nobody heard of it"
+            assert request not in farm.begun, f"{request}: ran but got no answer"
 
 
 @pytest.mark.parametrize("seed", range(8))
--- a/tests/test_recorded_run_bytes.py
+++ b/tests/test_recorded_run_bytes.py
@@ -1,4 +1,4 @@
-"""What a backend writes and reads keeps the form that earlier versions gave it (recorded/README.md)."""
+"""Stored data and wire formats of a backend match recordings of earlier versions (recorded/README.md)."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 ROOT = Path(__file__).resolve().parents[1]
 SCHEMAS = ("crowwing/settings/operator.schema.json", "deploy/operator.schema.json")
 LOOPBACK = "127.0.0.1"
-FetchedTransfer = tuple[list[Any], str, list[Any] | None]  # address, the line that asks, rows or a refusal
+FetchedTransfer = tuple[list[Any], str, list[Any] | None]  # address, request line, rows or None if refused
 NOTICES = {
     "greeting": agent.Greeting,
     "aside": agent.Aside,
@@ -117,16 +117,16 @@
             return rows
 
         assert backend.apply(step["input"], fetch) == step["sent"], f"step {number}"
-        assert next(expected, None) is None, f"step {number}: asked for fewer whole copies"
+        assert next(expected, None) is None, f"step {number}: made fewer full transfers than recorded"
 
 
 def kinds_of(texts: list[str]) -> set[Any]:
-    """The kinds of messages (numbers) and of questions (names); an answer has none."""
+    """The kinds of messages (numbers) and of queries (names); an answer has none."""
     return {json.loads(text).get("k") for text in texts if text.startswith("{")}
 
 
 def test_recorded_transcripts_contain_every_kind_of_message() -> None:
-    """Of membership (0-3), state (10-15), loans (20-23) and labels (30-33), and every question."""
+    """Of membership (0-3), state (10-15), loans (20-23) and keys (30-33), and every query."""
     received: list[str] = []
     sent: list[str] = []
     for name in ("fleet_flat.json", "fleet_in_cells.json"):
@@ -147,7 +147,7 @@
 
 
 async def _check_served(stream: dict[str, Any]) -> None:
-    """The server takes the recorded line and answers with the recorded bytes."""
+    """The server answers the recorded line with the recorded bytes."""
     asked: list[dict[str, Any]] = []
 
     def missing(_: str, digests: dict[str, Any]) -> list[Any]:
@@ -207,12 +207,12 @@
     assert COMMANDS[expected["command"]](*arguments) == expected["line"].encode("latin-1")
 
 
-# HTTP with sidecars, the back end and the control plane
+# HTTP with sidecars, the downstream and the control plane
 
 
 @pytest.mark.parametrize("number", range(len(recorded("sidecar.json")["requests"])))
 def test_recorded_requests_of_sidecars_are_read_as_before(number: int) -> None:
-    """In three ways: byte by byte, in small pieces, at once."""
+    """Fed byte by byte, in small chunks, and at once."""
     expected = recorded("sidecar.json")["requests"][number]
     data = expected["request"].encode("latin-1")
     for outcome in expected["read"]:
@@ -307,7 +307,7 @@
 
 @pytest.mark.parametrize("name", ["settings", "configuration"])
 def test_the_full_recorded_values_use_every_alias(name: str) -> None:
-    """The full form gives each name a value other than its default, so each is seen to be read."""
+    """The full form gives each name a value other than its default, which shows that each is read."""
     values = recorded("tier_values.json")
     full, least = values_by_name(values[f"{name}_full"]), values_by_name(values[f"{name}_least"])
     assert [path for path, defaults in least.items() if not full[path] - defaults] == []
--- a/tests/tier/exploration.py
+++ b/tests/tier/exploration.py
@@ -1,9 +1,9 @@
-"""Every order of deliveries, losses and crashes of three replicas: `python -m tests.tier.exploration`.
+"""Exhaustive exploration of deliveries, losses and crashes: `python -m tests.tier.exploration`.
 
-Starts from a primary with a lease, all three members, one entry of which is in flight. A step delivers one
-message, has one disk synced, ends and restarts one replica (what its disk had not synced is lost, or all of
-it), asks for a transfer of the leadership, proposes, or lets time pass. In each state there is at most one
-lease, and whoever leads holds what was committed. Messages that are never delivered are lost ones.
+Starts from three members and a primary with a lease and one entry in flight. A step delivers one message,
+syncs one disk, restarts one replica (which loses its unsynced records, or its disk), requests a transfer of
+the leadership, proposes an entry, or lets time pass. In each state there is at most one lease, and its holder
+has all committed entries. A message that is never delivered stands for a lost one.
 """
 
 import argparse
@@ -21,18 +21,18 @@
 from crowwing.tier.replication.terms import Term
 
 HOSTS = ("a", "b", "c")
-SHORT_S, LONG_S = 0.2, 0.5  # under a lease, and over every wait of a follower
+SHORT_S, LONG_S = 0.2, 0.5  # shorter than a lease, and longer than every time-out of a follower
 START_S = 10.0
 
 
 class ReplicatedList:
-    """The simplest state: payloads in their order, in one range."""
+    """A minimal replicated state: a list of payloads in one range."""
 
     def __init__(self) -> None:
         self.payloads: list[bytes] = []
 
     def apply(self, payload: bytes, index: int) -> None:
-        """Takes one payload in."""
+        """Appends one payload."""
         self.payloads.append(payload)
 
     def freeze(self) -> Iterable[tuple[int, bytes]]:
@@ -44,7 +44,7 @@
         return 0
 
     def digests(self) -> tuple[bytes, ...]:
-        """Of the one range."""
+        """The digest of the one range."""
         return (pickle.dumps(self.payloads),)
 
     def dump_range(self, number: int) -> bytes:
@@ -58,13 +58,13 @@
 
 
 def constant_random() -> float:
-    """In place of chance."""
+    """Replaces the random source, so that runs are deterministic."""
     return 0.5
 
 
 @dataclass
 class Node:
-    """One replica, its disk, and what waits for it."""
+    """One replica, its disk, and output that waits for the disk."""
 
     replica: Replica
     disk: list[Record] = field(default_factory=list)
@@ -73,7 +73,7 @@
 
 @dataclass
 class State:
-    """All replicas, what is on its way, and what was promised to clients."""
+    """All replicas, the messages in flight, and the committed entries."""
 
     nodes: dict[str, Node]
     in_flight: list[tuple[str, messages.Message]]
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """How often each thing may happen on a way."""
+    """How often each kind of step may occur on a path."""
 
     crashes: int = 1
     wipes: int = 1
@@ -102,7 +102,7 @@
 
 
 def first_state() -> State:
-    """A primary with a lease, with one entry on its way."""
+    """A primary with a lease and one entry in flight."""
     state = State({}, [], START_S)
     for host in HOSTS:
         replica = Replica(ReplicaSettings(host, HOSTS, 1), ReplicatedList(), START_S - 5, constant_random)
@@ -126,7 +126,7 @@
 
 
 def collect(state: State, host: str) -> None:
-    """Takes what a replica asks for: messages go out, records and what follows them wait for the disk."""
+    """Takes a replica's output: sends messages; records and what depends on them wait for the disk."""
     node = state.nodes[host]
     node.replica.send_entries(state.now)
     output = node.replica.take_output()
@@ -137,13 +137,13 @@
 
 
 def put_in_flight(state: State, to: str, message: messages.Message) -> None:
-    """A message that is on its way already is not sent twice."""
+    """Adds a message unless the same one is in flight."""
     if to in state.nodes and (to, message) not in state.in_flight:
         state.in_flight.append((to, message))
 
 
 def sync(state: State, host: str) -> None:
-    """The disk keeps all that waits, and what followed it goes out."""
+    """Writes all waiting records to the disk, then sends the messages that depend on them."""
     node = state.nodes[host]
     waiting, node.waiting = node.waiting, []
     for output in waiting:
@@ -170,14 +170,14 @@
 
 
 def propose(state: State, host: str) -> None:
-    """A client's entry."""
+    """Proposes a client's entry."""
     state.nodes[host].replica.propose(state.now, b"entry %d" % state.proposals)
     state.proposals += 1
     collect(state, host)
 
 
 def wait(state: State, span_s: float) -> None:
-    """Time passes, and all replicas tick."""
+    """Advances the time and ticks all replicas."""
     state.now += span_s
     state.waits += 1
     for host in HOSTS:
@@ -186,7 +186,7 @@
 
 
 def steps(state: State, limits: Limits) -> Iterator[tuple[str, Any]]:
-    """What may happen next."""
+    """The possible next steps."""
     for position in range(len(state.in_flight)):
         yield "deliver", position
     for host in HOSTS:
@@ -200,7 +200,7 @@
 
 
 def _steps_of_replica(state: State, limits: Limits, host: str) -> Iterator[tuple[str, Any]]:
-    """What may happen to one replica next, beside its messages and its disk."""
+    """The possible next steps of one replica apart from deliveries and syncs."""
     if state.crashes < limits.crashes:
         yield "restart", host
     if state.wipes < limits.wipes:
@@ -213,7 +213,7 @@
 
 
 def carry_out(state: State, kind: str, what: Any) -> None:  # noqa: ANN401
-    """Carries one step out."""
+    """Applies one step to a state."""
     match kind:
         case "deliver":
             to, message = state.in_flight.pop(what)
@@ -238,7 +238,7 @@
 
 
 def check(state: State) -> None:
-    """At most one lease; what was committed stays committed at whoever leads."""
+    """Raises InvariantError unless there is at most one lease and its holder has all committed entries."""
     leases = [host for host in HOSTS if state.nodes[host].replica.holds_lease(state.now)]
     if len(leases) > 1:
         raise InvariantError(f"{leases} hold leases at once")
@@ -257,7 +257,7 @@
 
 
 def explore(depth: int, max_states: int = 10**9, limits: Limits = Limits()) -> tuple[int, int]:
-    """Visits every state up to a depth; gives how many there were, and the depth that was finished."""
+    """Visits every state up to a depth; gives their number and the completed depth."""
     frozen = pickle.dumps(first_state())
     seen = {hash(frozen)}
     level: list[tuple[bytes, tuple[str, ...]]] = [(frozen, ())]
@@ -297,7 +297,7 @@
     parser.add_argument("--states", type=int, default=2_000_000, help="at most")
     options = parser.parse_args()
     states, depth = explore(options.depth, options.states)
-    print(f"{states} states, every way of up to {depth} steps: nothing broken")
+    print(f"{states} states, every path of up to {depth} steps: no invariant violated")
     return 0
 
 
--- a/tests/tier/history_digests.py
+++ b/tests/tier/history_digests.py
@@ -13,12 +13,12 @@
 
 
 def digest_of_play(case: tuple[str, int]) -> str:
-    """One line: the kind, the seed and a digest of the history, or what the run found."""
+    """One line: the kind, the seed and a digest of the history, or the type of the error."""
     kind, seed = case
     logging.disable(logging.CRITICAL)
     try:
         lines = plays.play(seed, plays.KINDS[kind]).history.lines()
-    except Exception as error:  # the finding takes the digest's place, whatever it is
+    except Exception as error:  # any error is printed in place of the digest
         return f"{kind} {seed} {type(error).__name__}"
     return f"{kind} {seed} {blake2b(chr(10).join(lines).encode(), digest_size=12).hexdigest()}"
 
--- a/tests/tier/many_seeds.py
+++ b/tests/tier/many_seeds.py
@@ -1,6 +1,6 @@
 """Runs the simulated control plane with many seeds: `python -m tests.tier.many_seeds`.
 
-Prints each failing seed with what it found; ends with 1 where there was one. Keep such a seed as a test.
+Prints each failing seed with its error and exits with 1 if there was one. Keep such a seed as a test.
 """
 
 import argparse
@@ -16,7 +16,7 @@
 from tests.tier.test_replication import HOSTS, random_faults
 
 FOUR = (*HOSTS, "d")
-CHUNK = 8  # seeds that a worker takes at a time
+CHUNK = 8  # seeds per task of a worker process
 
 
 def play_with_short_logs(seed: int, hosts: tuple[str, ...]) -> object:
@@ -42,14 +42,14 @@
 
 
 def find(kind: str, seed: int) -> str:
-    """What one seed found; empty where nothing was."""
+    """The error of one seed; empty if there was none."""
     logging.disable(logging.CRITICAL)
     try:
         if kind in plays.KINDS:
             plays.play(seed, plays.KINDS[kind])
         else:
             KINDS[kind](seed, HOSTS if seed % 2 else FOUR)
-    except Exception as error:  # whatever it is, it is to be shown with its seed
+    except Exception as error:  # any error is reported with its seed
         return f"{kind} seed {seed}: {type(error).__name__}: {error}"
     return ""
 
@@ -60,7 +60,7 @@
     parser.add_argument("--first", type=int, default=1000)
     parser.add_argument("--count", type=int, default=1000, help="seeds of each kind")
     parser.add_argument("--jobs", type=int, default=4)
-    parser.add_argument("--kinds", default=",".join([*KINDS, *plays.KINDS]), help="with commas between them")
+    parser.add_argument("--kinds", default=",".join([*KINDS, *plays.KINDS]), help="comma-separated")
     options = parser.parse_args()
     found = 0
     seeds = range(options.first, options.first + options.count)
@@ -70,7 +70,7 @@
                 if finding:
                     found += 1
                     print(finding, flush=True)
-            print(f"{kind}: {len(seeds)} seeds played", flush=True)
+            print(f"{kind}: {len(seeds)} seeds run", flush=True)
     return 1 if found else 0
 
 
--- a/tests/tier/misbehaving_sidecar.py
+++ b/tests/tier/misbehaving_sidecar.py
@@ -1,4 +1,4 @@
-"""A sidecar on a socket that misbehaves by seed, and the ledger of what it ran and what it answered."""
+"""A sidecar that misbehaves at random by a seed, and a log of what it ran and answered."""
 
 import asyncio
 import hashlib
@@ -18,12 +18,12 @@
 
     runs: Counter[str] = field(default_factory=Counter)
     bodies: dict[str, list[bytes]] = field(default_factory=dict)
-    spoilt: list[str] = field(default_factory=list)  # requests that came other than they were sent
+    spoilt: list[str] = field(default_factory=list)  # requests that arrived altered
 
 
 @dataclass
 class ReceivedRequest:
-    """One request as it came."""
+    """One request as it arrived."""
 
     id: str
     path: str
@@ -37,7 +37,7 @@
 
 
 class MisbehavingSidecar:
-    """Answers as the protocol asks, or at random in one of the ways of a faulty sidecar."""
+    """Answers by the protocol, or at random with one of several faults."""
 
     def __init__(self, name: str, ledger: Ledger, random: Random, fault_rate: float = 0.5) -> None:
         self.name, self._ledger, self._random, self._fault_rate = name, ledger, random, fault_rate
@@ -45,12 +45,12 @@
         self.address = ""
 
     async def start(self) -> None:
-        """Listens."""
+        """Starts to listen on a free port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     def stop(self) -> None:
-        """Listens no more."""
+        """Stops listening."""
         self._server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -60,7 +60,7 @@
             while await self._serve_one(reader, writer):
                 pass
         except (asyncio.IncompleteReadError, OSError, asyncio.LimitOverrunError, asyncio.CancelledError):
-            pass  # the far side has gone, or the play is over
+            pass  # the peer has disconnected, or the run has ended
         finally:
             writer.close()
 
@@ -104,7 +104,7 @@
             await asyncio.sleep(self._random.uniform(0, 0.003))
 
     def _run(self, request: ReceivedRequest) -> tuple[bytes, str]:
-        """Runs a request: its body and its stamp."""
+        """Runs a request; gives the body and the stamp of the response."""
         ledger = self._ledger
         ledger.runs[request.id] += 1
         sent = body_of(request.path, request.id)
@@ -132,7 +132,7 @@
     def _framed(
         self, request: ReceivedRequest, status: int, body: bytes, stamp: str, unframed: bool = False
     ) -> tuple[bytes, bool]:
-        """An answer as bytes, and whether the connection goes on."""
+        """An answer as bytes, and whether the connection stays open."""
         fields = [("Server-Stamp", stamp)]
         if unframed:
             return _head(status, request.id, fields) + body, False
@@ -162,7 +162,7 @@
         return await self._random.choice(ways)(request, writer)
 
     async def _send_surplus(self, request: ReceivedRequest, writer: asyncio.StreamWriter) -> bool:
-        """Sends a second response behind a complete one: at once or later, complete or half."""
+        """Sends a second response after a complete one: at once or later, complete or truncated."""
         body, stamp = self._run(request)
         response, _ = self._framed(request, 200, body, stamp)
         other = ReceivedRequest(self._random.choice([request.id, "zz9", ""]), request.path, request.headers)
--- a/tests/tier/mutations.py
+++ b/tests/tier/mutations.py
@@ -1,8 +1,7 @@
-"""Takes one guard out at a time and says what goes red: `python -m tests.tier.mutations`. Not a part of CI.
+"""Mutation testing: removes one guard at a time, `python -m tests.tier.mutations`. Not a part of CI.
 
-Each mutation is played on a copy of the tree: first the tests named below, then seeds of random plays, until
-the first finding. A guard that nothing misses is either not needed or not tested; docs/control-safety.md says
-which.
+Each mutation runs on a copy of the tree: first the tests named below, then random runs by seed, until the
+first failure. A guard without a failure is either redundant or untested; docs/control-safety.md says which.
 """
 
 import argparse
@@ -29,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Mutation:
-    """One guard, and the text that takes it out."""
+    """One guard, and the text that removes it."""
 
     name: str
     path: str  # under crowwing/tier
@@ -38,13 +37,13 @@
 
 
 def read_mutations() -> list[Mutation]:
-    """The table beside this file."""
+    """Reads mutations.toml."""
     table = tomllib.loads((ROOT / "tests" / "tier" / "mutations.toml").read_text())
     return [Mutation(**entry) for entry in table["mutation"]]
 
 
 def play(mutation: Mutation, seeds: int) -> str:
-    """What went red without a guard, and after how long."""
+    """The first failure without a guard, and the time until it."""
     with tempfile.TemporaryDirectory(prefix="mutation-") as folder:
         copy = Path(folder) / "tree"
         shutil.copytree(
@@ -53,7 +52,7 @@
         path = copy / "crowwing" / "tier" / mutation.path
         text = path.read_text()
         if text.count(mutation.old) != 1:
-            return "the text to take out is not there once"
+            return "the text to remove does not occur exactly once"
         path.write_text(text.replace(mutation.old, mutation.new))
         return _run_on_copy(copy, seeds)
 
@@ -80,7 +79,7 @@
 def _first_line(
     command: list[str], folder: Path, variables: dict[str, str], start: str, limit_s: float
 ) -> str:
-    """The first line of a command's output that begins so; the command is ended then."""
+    """The first line of a command's output that begins with `start`; then the command is killed."""
     process = subprocess.Popen(
         command, cwd=folder, env=variables, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True
     )
@@ -101,10 +100,10 @@
 def main() -> int:
     """The command."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seeds", type=int, default=24, help="of each kind, where no test goes red")
+    parser.add_argument("--seeds", type=int, default=24, help="of each kind, where no test fails")
     parser.add_argument("--jobs", type=int, default=3)
-    parser.add_argument("--only", default="", help="mutations whose name holds this")
-    parser.add_argument("--skip", type=int, default=0, help="so many of the table's first")
+    parser.add_argument("--only", default="", help="only mutations whose name contains this")
+    parser.add_argument("--skip", type=int, default=0, help="skip this many at the start of the table")
     options = parser.parse_args()
     chosen = [mutation for mutation in read_mutations()[options.skip :] if options.only in mutation.name]
     with ThreadPoolExecutor(options.jobs) as pool:
--- a/tests/tier/simulation/__init__.py
+++ b/tests/tier/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The real control side on simulated machines: clocks, network and disks of one seed."""
+"""The real control plane on machines with simulated clocks, network and disks, driven by one seed."""
--- a/tests/tier/simulation/checkers/__init__.py
+++ b/tests/tier/simulation/checkers/__init__.py
@@ -1,1 +1,1 @@
-"""Checkers of a recorded history, each of one kind of promise."""
+"""Checkers of a recorded history, one for each kind of guarantee."""
--- a/tests/tier/simulation/checkers/batch_jobs.py
+++ b/tests/tier/simulation/checkers/batch_jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs: accepted ones are kept, each item has one position, results that were read stay."""
+"""Batch jobs: accepted jobs are retained, each item has one position, results that were read stay."""
 
 from tests.tier.simulation.history import History
 
@@ -40,7 +40,7 @@
 
 
 def _check_positions(history: History) -> list[str]:
-    """A position keeps its result, an item has one position, and what was read is there again."""
+    """A position keeps its result, an item has one position, and results that were read stay readable."""
     violations = []
     positions: dict[tuple[str, int], tuple[str, str, str]] = {}
     positions_of_items: dict[str, tuple[str, int]] = {}
@@ -56,11 +56,9 @@
             if positions.setdefault((job, position), result) != result:
                 violations.append(f"{job} position {position}: {result} after {positions[job, position]}")
             if positions_of_items.setdefault(result[0], (job, position)) != (job, position):
-                violations.append(
-                    f"item {result[0]} stands at {position} and at {positions_of_items[result[0]]}"
-                )
+                violations.append(f"item {result[0]} is at {position} and at {positions_of_items[result[0]]}")
             if result[0] not in history.jobs[job]:
-                violations.append(f"{job} lists {result[0]}, which is another's")
+                violations.append(f"{job} lists {result[0]}, which belongs to another job")
         known = max(
             (end for at, end in read_at.get(job, []) if at < call.sent_at - MAX_READ_LAG_S), default=0
         )
@@ -72,13 +70,13 @@
 
 
 def _check_refused(history: History) -> list[str]:
-    """No item runs of a job whose submissions were all refused."""
+    """No item runs of a job whose submissions were all rejected."""
     statuses: dict[str, list[int | None]] = {}
     for call in history.calls:
         if call.kind == "submit":
             statuses.setdefault(call.key, []).append(call.status)
     refused = {job for job, answers in statuses.items() if all(status in (429, 503) for status in answers)}
-    return [f"{at:.3f}: {item} ran, its lot was refused" for at, job, item in history.runs if job in refused]
+    return [f"{at:.3f}: {item} ran, its job was rejected" for at, job, item in history.runs if job in refused]
 
 
 def _check_contents(history: History) -> list[str]:
--- a/tests/tier/simulation/checkers/configuration.py
+++ b/tests/tier/simulation/checkers/configuration.py
@@ -22,7 +22,7 @@
 
 
 def _accepted_changes(history: History, final: tuple[int, str] | None) -> dict[str, float]:
-    """The changes that were certainly accepted, and the earliest time at which a client knew."""
+    """The changes that were certainly accepted, with the earliest time at which a client knew."""
     by_content = {(x.version, hash_of(x.text)): key for key, x in history.changes.items()}
     known: dict[str, float] = {}
 
@@ -72,10 +72,10 @@
             None,
         )  # fmt: skip
         if key is None:
-            return [f"version {version} was read back, which nobody sent so"]
+            return [f"version {version} was read back, which no client sent"]
         chain.add(key)
         version, content = history.changes[key].base, None  # type: ignore[assignment]
-    return [f"{key} was confirmed, and is not in what was read back" for key in accepted if key not in chain]
+    return [f"{key} was confirmed but is not in the final version" for key in accepted if key not in chain]
 
 
 def _is_only(history: History, change: Change) -> bool:
@@ -93,7 +93,7 @@
         if call.kind != "put" or call.status not in REFUSALS:
             continue
         if accepted.get(call.key, float("inf")) < call.sent_at:
-            violations.append(f"{call.sent_at:.3f}: {call.key} was taken and then refused with {call.status}")
+            violations.append(f"{call.sent_at:.3f}: {call.key} was accepted, then refused with {call.status}")
         elif call.status == 412 and _is_on_newest(history, accepted, first_sent, call):
             violations.append(f"{call.sent_at:.3f}: {call.key} was refused on the newest version")
     return violations
--- a/tests/tier/simulation/clients.py
+++ b/tests/tier/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Operators and batch clients that retry as the protocol asks of them."""
+"""Operators and batch clients that retry as the protocol prescribes."""
 
 import asyncio
 import base64
@@ -14,7 +14,7 @@
 from tests.tier.simulation.machines import BATCH_PREFIX, Machine, Store, configuration_text
 from tests.tier.simulation.world import World
 
-RESPONSE_TIMEOUT_S = 1.0  # after which a client tries another machine
+RESPONSE_TIMEOUT_S = 1.0  # until a client tries another machine
 PAUSES_S = (0.05, 0.4)
 FINAL_STATUSES = (400, 409, 412, 413, 422)
 TRAVEL_S = (0.001, 0.003)
--- a/tests/tier/simulation/disk.py
+++ b/tests/tier/simulation/disk.py
@@ -61,7 +61,7 @@
         return len(data)
 
     def sync(self) -> None:
-        """The content lasts."""
+        """Makes the content durable."""
         self.disk.sync(self)
 
     def close(self) -> None:
@@ -164,7 +164,7 @@
     error: Exception | None = None
 
     def run(self) -> None:
-        """Runs it, once."""
+        """Runs the compaction unless it has run."""
         if self.is_done:
             return
         self.is_done = True
--- a/tests/tier/simulation/faults.py
+++ b/tests/tier/simulation/faults.py
@@ -39,14 +39,14 @@
 
 
 class Faults:
-    """Draws faults and carries them out."""
+    """Draws faults and injects them."""
 
     def __init__(self, world: World, exceeds_tolerance: bool = False) -> None:
         """`exceeds_tolerance`: losses may overlap beyond the bound, but for those of disks."""
         self.world, self.exceeds_tolerance = world, exceeds_tolerance
         self.random = Random(f"{world.seed}/faults")
         self.budget = Budget(world.faults)
-        self.without_data: set[str] = set()  # lost their disk, and were no members since
+        self.without_data: set[str] = set()  # lost their disk and have not been members since
         self.operator = Operator(world, "operator-faults")
         self.spares = 0
         self.in_progress: list[asyncio.Task[Any]] = []
--- a/tests/tier/simulation/figures.py
+++ b/tests/tier/simulation/figures.py
@@ -1,4 +1,4 @@
-"""Times of the simulated control side in calm: `python -m tests.tier.simulation.figures`."""
+"""Latencies of the simulated control plane without faults: `python -m tests.tier.simulation.figures`."""
 
 import asyncio
 import logging
--- a/tests/tier/simulation/loop.py
+++ b/tests/tier/simulation/loop.py
@@ -16,7 +16,7 @@
 
 Arguments = TypeVarTuple("Arguments")
 
-MAX_TASKS = 2000  # kept before those that have ended are let go
+MAX_TASKS = 2000  # tasks held before completed ones are released
 QUOTA_PERIOD_S = 0.1  # period of a quota of processor time
 
 
@@ -92,11 +92,11 @@
 
 
 class NothingScheduledError(RuntimeError):
-    """The run waits for something that never comes."""
+    """The run waits for an event that never occurs."""
 
 
 class _NoSelector:
-    """In place of waiting for sockets, lets time jump to the next timer."""
+    """A selector that advances the simulated time to the next timer instead of waiting for sockets."""
 
     def __init__(self, loop: "SimulatedLoop") -> None:
         self._loop = loop
--- a/tests/tier/simulation/network.py
+++ b/tests/tier/simulation/network.py
@@ -13,7 +13,7 @@
 from tests.tier.simulation.loop import Incarnation, SimulatedLoop
 
 DELAY_S = (0.0005, 0.003)
-RETRANSMIT_S = (0.2, 0.4)  # what a lost packet costs
+RETRANSMIT_S = (0.2, 0.4)  # delay that a lost packet adds
 USER_TIMEOUT_S = 1.5  # unacknowledged bytes end a connection, as the program's socket option asks
 
 
@@ -188,7 +188,7 @@
         return self._uplinks[host]
 
     def send(self, sender: Endpoint, data: bytes) -> None:
-        """Puts bytes on their way, behind what the machine has written before where its uplink is bounded."""
+        """Sends bytes; with a bounded uplink they queue behind earlier writes of the machine."""
         if self.uplink_bytes_per_s < math.inf:
             self.uplink(sender.incarnation.host).send(sender, data)
         else:
@@ -264,7 +264,7 @@
             self._call_in_incarnation(endpoint, endpoint.fail, ConnectionResetError("reset"))
 
     def reset_peer(self, endpoint: Endpoint) -> None:
-        """A side has ended; the other one gets a reset, unless they are partitioned."""
+        """One side has ended: resets the other one unless they are partitioned."""
         endpoint.discard()
         self._reset_later(endpoint.peer)
 
--- a/tests/tier/simulation/saturation.py
+++ b/tests/tier/simulation/saturation.py
@@ -40,7 +40,7 @@
 
 @dataclass
 class Findings:
-    """What a run of a scenario showed; times are simulated seconds.
+    """Results of a run of a scenario; times are simulated seconds.
 
     Attributes:
         lost_at: when the primary was lost, at the end of the burst.
@@ -52,7 +52,7 @@
         primary_back_at: when a machine first held a lease after the loss, if one did.
         terms_in_burst: how many terms were opened in the burst.
         terms_after_loss: the same from the loss to the end.
-        lost_jobs: jobs that were acknowledged and are not there at the end; None where nobody can tell.
+        lost_jobs: jobs that were acknowledged and are missing at the end; None if it can't be determined.
         members: how many members the last view has.
     """
 
--- a/tests/tier/simulation/world.py
+++ b/tests/tier/simulation/world.py
@@ -29,7 +29,7 @@
 
 
 class TooLateError(AssertionError):
-    """Something did not come in time."""
+    """An expected event did not occur in time."""
 
     def __init__(self, seed: int, what: str, span_s: float) -> None:
         super().__init__(seed, what, span_s)
@@ -281,7 +281,7 @@
             jobs = self.state(host).jobs
             lost = [payload for payload in self.acknowledged if payload not in jobs]
             if lost:
-                self._add_violation(f"{host} leads without {lost[:3]}")
+                self._add_violation(f"{host} is primary without {lost[:3]}")
         self._check_members(host, replica)
 
     def _check_members(self, host: str, replica: Replica) -> None:
--- a/tests/tier/test_batch_jobs_on_processes.py
+++ b/tests/tier/test_batch_jobs_on_processes.py
@@ -38,7 +38,7 @@
         await submit_batch_job(tier, client, "lot0")
         assert await results(tier, client, tier.fronts[0], "lot0") == first
         assert sorted(x["id"] for x in first) == sorted(f"lot0-{n}" for n in range(ITEMS))
-        assert set(runs_of(tier, "lot0").values()) == {1}, "no item ran twice"
+        assert set(runs_of(tier, "lot0").values()) == {1}, "an item ran twice"
 
     run_on_tier(tmp_path, scenario)
 
--- a/tests/tier/test_exploration.py
+++ b/tests/tier/test_exploration.py
@@ -1,4 +1,4 @@
-"""All short ways of three replicas; longer ones by `python -m tests.tier.exploration`."""
+"""All short paths of three replicas; `python -m tests.tier.exploration` explores longer ones."""
 
 import pytest
 
--- a/tests/tier/test_history_checkers.py
+++ b/tests/tier/test_history_checkers.py
@@ -1,4 +1,4 @@
-"""Each checker is red on a history in which its promise is broken, and quiet on one in which it is kept."""
+"""Each checker reports a history that violates its guarantee and accepts one that does not."""
 
 from crowwing.tier.distribution.documents import SIDECARS, Document
 from tests.tier.simulation.checkers.batch_jobs import check_batch_jobs, check_read_back
@@ -69,14 +69,14 @@
 
 
 def jobs(*calls: Call) -> History:
-    """A history of one lot of two items."""
+    """A history of one batch job of two items."""
     history = History([Call("c", "submit", "l", 0, 0.5, 202), *calls])
     history.jobs = {"l": ("l.0", "l.1")}
     return history
 
 
 def page(sent: float, start: int, *results: tuple[str, str, str], total: int = 2) -> Call:
-    """A read of the lot."""
+    """A read of the batch job."""
     return Call("c", "read", f"l {start}", sent, sent + 0.1, 200, (total, list(results)))
 
 
@@ -93,9 +93,9 @@
     assert check_batch_jobs(jobs(Call("c", "read", "l 0", 2, 2.1, 404)))
     assert check_batch_jobs(jobs(page(1, 0, FIRST), page(2, 0, SECOND))), "another result at a position"
     assert check_batch_jobs(jobs(page(1, 0, FIRST, FIRST))), "one item at two positions"
-    assert check_batch_jobs(jobs(page(1, 0, FIRST), page(4, 0))), "what was read is gone"
+    assert check_batch_jobs(jobs(page(1, 0, FIRST), page(4, 0))), "a result that was read has disappeared"
     assert check_batch_jobs(jobs(page(1, 0, FIRST, total=3)))
-    assert check_batch_jobs(jobs(page(1, 0, ("k.0", "completed", "x")))), "an item of another lot"
+    assert check_batch_jobs(jobs(page(1, 0, ("k.0", "completed", "x")))), "an item of another job"
     assert check_batch_jobs(jobs(Call("c", "body", "l.0", 1, 2, 200, b"other"))), "another body"
     assert check_read_back(jobs(), {"l": 404})
 
--- a/tests/tier/test_mutations.py
+++ b/tests/tier/test_mutations.py
@@ -1,4 +1,4 @@
-"""The table of mutations names guards by their lines; it follows the code."""
+"""The table of mutations quotes lines of code; each must still occur exactly once."""
 
 import pytest
 
--- a/tests/tier/test_simulated_control.py
+++ b/tests/tier/test_simulated_control.py
@@ -1,4 +1,4 @@
-"""Random plays of the whole control side; many more by `python -m tests.tier.many_seeds`."""
+"""Random runs of the simulated control plane; `python -m tests.tier.many_seeds` runs many more."""
 
 import pytest
 
@@ -19,5 +19,5 @@
 
 
 def test_an_election_succeeds_after_a_loss_in_a_first_view_of_three_members() -> None:
-    """Seed 23 found it: two faults to bear, and a member lost before the others had joined."""
+    """Seed 23 loses a member before the others have joined, with a fault tolerance of two."""
     play(23, KINDS["five-two"])
--- a/tests/tier/test_simulated_network.py
+++ b/tests/tier/test_simulated_network.py
@@ -1,4 +1,4 @@
-"""The model of the network: what a machine's connections send shares its uplink."""
+"""The simulated network: all connections of a machine share its uplink."""
 
 import asyncio
 from random import Random
@@ -13,7 +13,7 @@
 
 
 class Machines:
-    """One sender and two receivers, which note when each of them has got how many bytes."""
+    """One sender and two receivers, which record the time and size of what they receive."""
 
     def __init__(self) -> None:
         self.loop = SimulatedLoop()
