--- a/tests/hook/sitecustomize.py
+++ b/tests/hook/sitecustomize.py
@@ -7,12 +7,12 @@
     "subprocess.Popen", "os.fork", "os.forkpty", "os.exec", "os.posix_spawn", "os.spawn", "os.system",
     "pty.spawn", "ctypes.dlopen",
 }  # fmt: skip
-NOTED = os.open(os.environ["WATCHED"], os.O_WRONLY | os.O_APPEND)
+LOG_FILE = os.open(os.environ["WATCHED"], os.O_WRONLY | os.O_APPEND)
 
 
-def note(event: str, words: tuple) -> None:
+def log_event(event: str, arguments: tuple) -> None:
     if event in FORBIDDEN:
-        os.write(NOTED, f"{event} {words[:1]}\n".encode())
+        os.write(LOG_FILE, f"{event} {arguments[:1]}\n".encode())
 
 
-sys.addaudithook(note)
+sys.addaudithook(log_event)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -64,7 +64,7 @@
         self.log: list[tuple[Step, int]] = []
         self.asleep_until, self.notice, self.stop = 0, 0, 0
         self.calls: dict[int, int] = {}  # call -> the latest time at which it ends
-        self.area = [0] * (self.facts.quota_window // MS)  # open calls, by millisecond
+        self.open_calls = [0] * (self.facts.quota_window // MS)  # open calls, by millisecond
         self.figures: dict[Step, float] = {}
         self.apply(self.manager.begin(self.now))
 
@@ -164,7 +164,7 @@
 
     def check(self) -> None:
         f, slack = self.facts, self.facts.answer_slack
-        heavy = 0.0
+        used_kb = 0.0
         on_cores = 0
         for op_id, state in self.state.items():
             t = self.tickets[op_id]
@@ -172,14 +172,14 @@
             assert op_id in self.answers or op_id in self.gone or self.now <= due + slack, (
                 "no answer by the deadline"
             )
-            heavy += t.size_kb * (1 if state in ("held", "sharing") else f.run_factor)
+            used_kb += t.size_kb * (1 if state in ("held", "sharing") else f.run_factor)
             on_cores += state in ("running", "halting")
         live = sum(until > self.now for _, until in self.kept.values())
-        assert heavy + live * f.key_kb <= f.memory_kb, "memory limit exceeded"
+        assert used_kb + live * f.key_kb <= f.memory_kb, "memory limit exceeded"
         warm = min(1.0, (self.now - 10_000_000) / f.warm_up) if f.cold else 1.0
         speed = f.cold_speed + (1 - f.cold_speed) * warm
         assert on_cores <= f.cores * (1 + (f.max_per_core - 1) * speed), "concurrency limit exceeded"
-        assert sum(self.area) <= f.call_quota * len(self.area), "call quota exceeded"
+        assert sum(self.open_calls) <= f.call_quota * len(self.open_calls), "call quota exceeded"
         assert len(self.manager.requests) <= len(self.state) and len(self.manager.entries) <= len(self.kept)
 
     def advance(self, ms: int) -> None:
@@ -194,7 +194,7 @@
                         del self.calls[op_id]
                 else:
                     in_hand += 1
-            self.area[(self.now // MS) % len(self.area)] = in_hand
+            self.open_calls[(self.now // MS) % len(self.open_calls)] = in_hand
 
 
 # The real backend with fake peers on loopback ports, written from the protocol documents
@@ -272,9 +272,9 @@
         loop = asyncio.get_running_loop()
         self.links: dict[asyncio.Task, asyncio.StreamWriter] = {}  # of the fake peers, to close them
         facts, names = decode(self.settings)
-        nowhere = ("127.0.0.1", 0)
+        unused_address = ("127.0.0.1", 0)
         self.configuration = Configuration(
-            "n1", "n1", *[nowhere] * 4, 7, self.stop, self.sockets, facts, names
+            "n1", "n1", *[unused_address] * 4, 7, self.stop, self.sockets, facts, names
         )
         await self.reopen()
         self.backend = Backend(
@@ -292,8 +292,8 @@
 
     async def reopen(self) -> None:
         """Starts the fake peers at new addresses; the next reload of the configuration has them."""
-        places = [self.farm.serve, self.below.serve, self.control.serve]
-        self.servers = [await asyncio.start_server(self._kept(serve), "127.0.0.1", 0) for serve in places]
+        handlers = [self.farm.serve, self.below.serve, self.control.serve]
+        self.servers = [await asyncio.start_server(self._track(serve), "127.0.0.1", 0) for serve in handlers]
         farm, below, control = (server.sockets[0].getsockname() for server in self.servers)
         self.configuration = replace(self.configuration, agent=farm, below=below, control=control)
 
@@ -309,7 +309,7 @@
             writer.transport.abort()
         await asyncio.gather(*self.links)
 
-    def _kept(self, serve: Callable[..., Coroutine]) -> Callable[..., Coroutine]:
+    def _track(self, serve: Callable[..., Coroutine]) -> Callable[..., Coroutine]:
         async def keep(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.links[asyncio.current_task()] = writer
             await serve(reader, writer)
@@ -320,9 +320,9 @@
     def counts(self) -> Counter:
         return self.backend.recorder.counts
 
-    async def until(self, so: Callable[[], bool]) -> None:
+    async def until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(30):
-            while not so():
+            while not condition():
                 await asyncio.sleep(0.002)
 
     def check(self) -> None:
--- a/tests/street.py
+++ b/tests/street.py
@@ -56,8 +56,8 @@
         return self
 
     async def open_parties(self) -> None:
-        places = [self.farm.serve, self.below.serve, self.control.serve]
-        self.servers = [await asyncio.start_server(serve, "127.0.0.1", 0) for serve in places]
+        handlers = [self.farm.serve, self.below.serve, self.control.serve]
+        self.servers = [await asyncio.start_server(serve, "127.0.0.1", 0) for serve in handlers]
 
     @property
     def told(self) -> dict:
@@ -95,9 +95,9 @@
         assert len(found()) >= count, f"no {name} in {[line['event'] for line in self.lines]}"
         return found()[count - 1]
 
-    async def until(self, so: Callable[[], bool]) -> None:
+    async def until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(WAIT):
-            while not so():
+            while not condition():
                 await asyncio.sleep(0.002)
 
     def signal(self, number: signal.Signals = signal.SIGTERM) -> None:
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -179,5 +179,5 @@
                     world.end(ident, Outcome.STOPPED)
             world.turn()
             world.advance(10)
-        most = max(most, sum(sum(world.area) / len(world.area) for world in worlds))
+        most = max(most, sum(sum(world.open_calls) / len(world.open_calls) for world in worlds))
     assert 0.3 * budget < most <= budget
--- a/tests/tier/simulation/clients.py
+++ b/tests/tier/simulation/clients.py
@@ -23,7 +23,7 @@
 async def call_machine(
     world: World, random: Random, machine: Machine, work: Callable[[], Any], limit_s: float, loss: float = 0.0
 ) -> Any:  # noqa: ANN401
-    """Runs a client's request on a machine; None where no response comes back."""
+    """Runs a client's request on a machine; None if there is no response."""
     incarnation = machine.incarnation
     if incarnation is None:
         if machine.host not in world.network.powered_off:
@@ -139,14 +139,14 @@
         return None
 
     def change(self, base: int, step: int | None = None, mark: str = "") -> Change:
-        """A new change on a version."""
+        """A new change based on a version."""
         version = base + (step or self.random.randint(1, 4))
         return Change(
             base, version, configuration_text(version, mark or f"{self.name}{self.random.random()}")
         )
 
     async def work(self, until: float) -> None:
-        """Makes changes until a time; now and then resends, abandons or sends an invalid one."""
+        """Makes changes until a time; at random resends, abandons or sends an invalid one."""
         mine: list[Change] = []
         while self.world.now < until:
             base = await self.read_until_definite(until - self.world.now)
@@ -224,7 +224,7 @@
         return json.dumps({"requests": requests}).encode()
 
     async def submit(self, job_id: str, until: float, size: int = 3) -> bool:
-        """Submits a job until it is accepted, and at times once more."""
+        """Submits a job until it is accepted, and at random once more."""
         items = tuple(f"{job_id}.{number}" for number in range(self.random.randint(1, 4)))
         self.world.history.jobs[job_id] = items
         body = self.job_body(items, size)
--- a/tests/tier/simulation/disk.py
+++ b/tests/tier/simulation/disk.py
@@ -23,20 +23,20 @@
 
 @dataclass(eq=False)
 class Inode:
-    """The content of a file; writes since the last sync may be lost each on its own."""
+    """The content of a file; each write since the last sync may be lost independently."""
 
     content: bytearray = field(default_factory=bytearray)
     unsynced: list[tuple[int, int]] = field(default_factory=list)  # offsets and lengths
 
     def lose_power(self, random: Random) -> None:
-        """Each write since the last sync is present, missing or torn; at times all are gone."""
+        """Keeps, loses or tears each write since the last sync at random; with probability 0.3 loses all."""
         all_gone = random.random() < 0.3
         end = self.unsynced[0][0] if self.unsynced else len(self.content)
         for offset, length in self.unsynced:
             fate = 0.0 if all_gone else random.choice([0.0, 1.0, random.random()])
             kept = int(length * fate)
-            for place in range(offset + kept, offset + length):
-                self.content[place] = 0
+            for position in range(offset + kept, offset + length):
+                self.content[position] = 0
             if kept:
                 end = offset + kept
         del self.content[end:]
@@ -52,7 +52,7 @@
     inode: Inode
 
     def write(self, data: memoryview) -> int:
-        """Appends."""
+        """Appends to the content."""
         self.disk.step()
         if self.disk.is_full:
             raise OSError(28, "no space left on device")
@@ -115,7 +115,7 @@
             self._durable_names.setdefault(file.name, file.inode)
 
     def replace(self, source: Path, target: Path) -> None:
-        """Renames; each of the two names is kept or lost on its own until the folder is synced."""
+        """Renames; each of the two names may be lost independently until the folder is synced."""
         self.step()
         self._names[target.name] = self._names.pop(source.name)
 
@@ -134,7 +134,7 @@
         return sum(len(inode.content) for inode in self._names.values())
 
     def lose_power(self, work: Callable[[], None] | None) -> None:
-        """Keeps or loses what is not synced at random; `work` was in progress and is interrupted anywhere."""
+        """Loses unsynced data at random; `work` is in progress and is interrupted at a random step."""
         if work is not None:
             self._steps_left = self._random.randint(0, 6)
             with suppress(PowerLostError, OSError, StorageError):
@@ -156,7 +156,7 @@
 
 @dataclass(eq=False)
 class CompactionWork:
-    """A compaction that runs beside the writes."""
+    """A compaction that runs concurrently with the writes."""
 
     work: Callable[[], Any]
     is_done: bool = False
@@ -194,7 +194,7 @@
         self.in_progress: Callable[[], Any] | None = None
 
     async def write(self, work: Callable[..., Any], *arguments: Any) -> Any:  # noqa: ANN401
-        """Runs it after a while."""
+        """Runs it after a simulated delay."""
         async with self._lock:
             self.in_progress = lambda: work(*arguments)
             await asyncio.sleep(self._random.uniform(*SYNC_S) * self._disk_faults.factor)
@@ -204,7 +204,7 @@
             return work(*arguments)
 
     def compact(self, work: Callable[..., Any], *arguments: Any) -> CompactionWork:  # noqa: ANN401
-        """Runs it beside the writes."""
+        """Runs it concurrently with the writes."""
         compaction = CompactionWork(lambda: work(*arguments))
         self._loop.call_later(self._random.uniform(*COMPACTION_S) * self._disk_faults.factor, compaction.run)
         return compaction
--- a/tests/tier/simulation/faults.py
+++ b/tests/tier/simulation/faults.py
@@ -1,7 +1,7 @@
-"""Faults drawn from a seed, at any moment, overlapping.
+"""Random faults by seed, at any time and overlapping.
 
-`Budget` bounds how many store machines may be lost at one time; a machine counts as lost until it has been
-back for the time that it may take to catch up. Faults that hit all machines lose no disk beyond the bound.
+`Budget` bounds how many store machines may be lost at one time; a restarted machine counts as lost until it
+has had the time to catch up. Faults that hit all machines lose no more disks than the bound.
 """
 
 import asyncio
@@ -42,7 +42,7 @@
     """Draws faults and injects them."""
 
     def __init__(self, world: World, exceeds_tolerance: bool = False) -> None:
-        """`exceeds_tolerance`: losses may overlap beyond the bound, but for those of disks."""
+        """`exceeds_tolerance`: losses may overlap beyond the bound, except losses of disks."""
         self.world, self.exceeds_tolerance = world, exceeds_tolerance
         self.random = Random(f"{world.seed}/faults")
         self.budget = Budget(world.faults)
@@ -69,7 +69,7 @@
             await task
 
     def _may_lose(self, host: str, span_s: float, disk: bool = False) -> bool:
-        """Whether a machine may be lost now; if so it counts until it has had the time to catch up."""
+        """Whether a machine may be lost now; if so, counts it as lost until it can have caught up."""
         now = self.world.now
         if host not in self.world.stores or not self.world.stores[host].is_up:
             return False
@@ -86,7 +86,7 @@
     def _may_lose_disk(self, host: str) -> bool:
         """Whether one more disk may be lost.
 
-        A machine has its data again once it is a member; once the view is full, others have it in its place.
+        A machine has its data again once it is a member; once the view is full, other members have the data.
         """
         synchronized = self.world.synchronized_members()
         self.without_data -= synchronized
@@ -104,7 +104,7 @@
             self.world.start(host)
 
     async def _wait_for_acknowledgement(self) -> None:
-        """At times waits until a change has just been acknowledged."""
+        """With probability 0.5 waits until a change has just been acknowledged."""
         if self.random.random() < 0.5:
             return
         history = self.world.history
@@ -141,10 +141,10 @@
             self.world.freeze(host, span_s)
 
     async def terminate(self, host: str, span_s: float) -> None:
-        """A process gets SIGTERM and starts again; at times it is partitioned just then."""
+        """A process gets SIGTERM and restarts; at times it is partitioned meanwhile."""
         if not self._may_lose(host, span_s):
             return
-        self.world.history.note(self.world.now, f"terminate {host}")
+        self.world.history.record_fault(self.world.now, f"terminate {host}")
         ending = asyncio.ensure_future(self.world.stores[host].terminate())
         if self.random.random() < 0.4:
             await asyncio.sleep(self.random.uniform(0.0, 0.004))
@@ -169,7 +169,7 @@
             await self._partition_for([host], self._others(host), span_s)
 
     async def partition_one_way(self, host: str, span_s: float) -> None:
-        """The same, for one direction."""
+        """The same in one direction only."""
         if self._may_lose(host, span_s * 7):
             some, others = [host], self._others(host)
             if self.random.random() < 0.5:
@@ -203,7 +203,7 @@
                 self.world.start(other)
 
     async def heal_and_kill_others(self, host: str, span_s: float) -> None:
-        """A machine is partitioned; just after that the processes of the others are killed."""
+        """A machine is partitioned; after the partition heals the processes of the others are killed."""
         if not self._may_lose(host, span_s):
             return
         others = self._others(host)
@@ -213,7 +213,7 @@
         await asyncio.sleep(self.random.uniform(0.0, 0.02))
         await self._stop_all(others, power=False, wiped=None)
 
-    # All at once
+    # Faults of all store machines
 
     async def split(self, _host: str, span_s: float) -> None:
         """Half of the store machines are partitioned from the other half."""
@@ -254,7 +254,7 @@
     async def slow_disk(self, host: str, span_s: float) -> None:
         """A disk takes 30 times as long."""
         if self._may_lose(host, span_s):
-            self.world.history.note(self.world.now, f"slow disk {host}")
+            self.world.history.record_fault(self.world.now, f"slow disk {host}")
             disk_faults = self.world.stores[host].disk_faults
             disk_faults.factor = 30.0
             await asyncio.sleep(span_s)
@@ -263,7 +263,7 @@
     async def full_disk(self, host: str, span_s: float) -> None:
         """A disk is full."""
         if self._may_lose(host, span_s):
-            self.world.history.note(self.world.now, f"full disk {host}")
+            self.world.history.record_fault(self.world.now, f"full disk {host}")
             files = self.world.stores[host].files
             files.is_full = True
             await asyncio.sleep(span_s)
@@ -272,11 +272,11 @@
     async def stalled_disk(self, host: str, span_s: float) -> None:
         """A disk completes no write."""
         if self._may_lose(host, span_s):
-            self.world.history.note(self.world.now, f"stalled disk {host}")
+            self.world.history.record_fault(self.world.now, f"stalled disk {host}")
             self.world.stores[host].disk_faults.stalled_until = self.world.now + span_s
 
     async def step_clock(self, host: str, span_s: float) -> None:
-        """The wall clock jumps, and back."""
+        """The wall clock jumps and later returns."""
         store = self.world.stores.get(host)
         if store is None:
             return
@@ -289,7 +289,7 @@
         self.world.network.reset_connections(host, 0.5)
 
     async def quota(self, host: str, span_s: float) -> None:
-        """A process runs in a part of each CPU quota period only."""
+        """A process runs for a share of each CPU quota period."""
         incarnation = self.world.stores[host].incarnation if host in self.world.stores else None
         if incarnation is not None and self._may_lose(host, span_s):
             incarnation.quota = self.random.choice([0.2, 0.5, 0.8])
@@ -302,7 +302,7 @@
         await asyncio.sleep(span_s)
         self.world.network.loss = 0.0
 
-    # Machines that come and go
+    # Changes of the set of machines
 
     def _new_host(self) -> str:
         self.spares += 1
@@ -335,7 +335,7 @@
         """A machine is decommissioned and removed; others lose their disks right after."""
         if len(self.world.stores) <= 2 * self.world.faults + 1 or host not in self.world.stores:
             return
-        self.world.history.note(self.world.now, f"retire {host}")
+        self.world.history.record_fault(self.world.now, f"retire {host}")
         if not await self.operator.retire(host, self.world.now + 10.0) or host not in self.world.stores:
             return
         self.world.remove(host)
--- a/tests/tier/simulation/history.py
+++ b/tests/tier/simulation/history.py
@@ -7,7 +7,7 @@
 
 @dataclass
 class Call:
-    """One call of a client. `status` is None where no answer came."""
+    """One call of a client. `status` is None if there was no answer."""
 
     client: str
     kind: str
@@ -18,7 +18,7 @@
     value: Any = None
 
     def is_definite(self) -> bool:
-        """Whether the answer says if the call took effect; none and 5xx don't."""
+        """Whether the answer tells if the call took effect; 5xx or no answer does not."""
         return self.status is not None and self.status < 500
 
 
@@ -57,7 +57,7 @@
         self.calls.append(call)
         return call
 
-    def note(self, now: float, text: str) -> None:
+    def record_fault(self, now: float, text: str) -> None:
         """Records a fault."""
         self.events.append((now, text))
 
--- a/tests/tier/simulation/loop.py
+++ b/tests/tier/simulation/loop.py
@@ -2,7 +2,7 @@
 
 The code under test is asyncio code, so its own loop is what has to be simulated; simpy would need a second
 scheduler on top of it. Callbacks run in the context of the process incarnation that scheduled them. An
-incarnation that has ended runs none of them any more, and a paused one runs them later, in their order.
+ended incarnation runs none of them; a paused one runs them later in the same order.
 """
 
 import asyncio
@@ -31,10 +31,10 @@
     frozen_until: float = 0.0
     quota: float = 1.0  # share of each quota period in which it runs
     deferred: list[events.Handle] = field(default_factory=list)
-    tasks: list[asyncio.Task[Any]] = field(default_factory=list)  # kept, so that none is collected mid-run
+    tasks: list[asyncio.Task[Any]] = field(default_factory=list)  # so that none is collected mid-run
 
     def keep(self, task: asyncio.Task[Any]) -> None:
-        """Keeps a task until it has ended."""
+        """Holds a reference to a task until it has ended."""
         self.tasks.append(task)
         if len(self.tasks) > MAX_TASKS:
             self.tasks = [one for one in self.tasks if not one.done()]
@@ -85,7 +85,7 @@
     if incarnation.ended:
         return False
     loop = handle._loop
-    if incarnation.runs_at(loop.time()) > loop.time() or (incarnation.deferred and not loop.waking):
+    if incarnation.runs_at(loop.time()) > loop.time() or (incarnation.deferred and not loop.resuming):
         loop.defer(incarnation, handle)
         return False
     return True
@@ -123,17 +123,17 @@
         super().__init__()
         self._now = 0.0
         self._selector = _NoSelector(self)
-        self.waking = False
+        self.resuming = False
         self.on_exception: Callable[[dict[str, Any]], None] = lambda _: None
         self.set_exception_handler(lambda _, context: self.on_exception(context))
         self.set_task_factory(self._make_task)
 
     def __del__(self) -> None:
-        """Nothing is open that would have to be closed."""
+        """Does nothing: no resources are open."""
 
     @staticmethod
     def _make_task(loop: Any, work: Any, context: Any = None) -> asyncio.Task[Any]:  # noqa: ANN401
-        """Keeps tasks of an incarnation until the run is over, so that none is collected."""
+        """Holds references to an incarnation's tasks until the run ends, so that none is collected."""
         task = asyncio.Task(work, loop=loop, context=context)
         task._log_destroy_pending = False  # type: ignore[attr-defined]
         incarnation = CURRENT_INCARNATION.get() if context is None else context.get(CURRENT_INCARNATION)
@@ -146,7 +146,7 @@
         return self._now
 
     def jump(self) -> None:
-        """To the time of the next timer."""
+        """Advances the time to the next timer."""
         self._now = max(self._now, self._scheduled[0]._when)
 
     def call_at(
@@ -168,25 +168,25 @@
         return handle
 
     def defer(self, incarnation: Incarnation, handle: events.Handle) -> None:
-        """Keeps a callback until its machine runs again."""
+        """Defers a callback until its machine runs again."""
         if not incarnation.deferred:
             at = incarnation.runs_at(self._now)
-            self.call_at(at, self._wake, incarnation, context=contextvars.Context())
+            self.call_at(at, self._resume, incarnation, context=contextvars.Context())
         incarnation.deferred.append(handle)
 
-    def _wake(self, incarnation: Incarnation) -> None:
+    def _resume(self, incarnation: Incarnation) -> None:
         at = incarnation.runs_at(self._now)
         if at > self._now:  # the pause was extended
-            self.call_at(at, self._wake, incarnation, context=contextvars.Context())
+            self.call_at(at, self._resume, incarnation, context=contextvars.Context())
             return
         deferred, incarnation.deferred = incarnation.deferred, []
-        self.waking = True
+        self.resuming = True
         try:
             for handle in deferred:
                 if not handle._cancelled:
                     handle._run()
         finally:
-            self.waking = False
+            self.resuming = False
 
     def _process_events(self, event_list: Any) -> None:  # noqa: ANN401
         pass
--- a/tests/tier/simulation/loss_figures.py
+++ b/tests/tier/simulation/loss_figures.py
@@ -1,4 +1,4 @@
-"""Time without commits after a loss of the primary, and what fills its uplink meanwhile.
+"""Time without commits after a loss of the primary, and the use of its uplink meanwhile.
 
 `python -m tests.tier.simulation.loss_figures --machines 5 10 20 30 --load 1 2 --state-jobs 0 50`
 """
@@ -27,14 +27,14 @@
 from tests.tier.simulation.world import World
 
 SAMPLE_INTERVAL_S = 0.05
-SLOT_S = 0.1  # over which bytes are added up
-LONG_WAIT_S = 0.3  # the length of the lease: heartbeats behind such a queue come too late
+SLOT_S = 0.1  # time slot over which bytes are summed
+LONG_WAIT_S = 0.3  # the lease duration: heartbeats behind such a queue arrive too late
 OTHER = "other"
 
 
 @dataclass
 class UplinkRecord:
-    """What store machines write to their uplinks, and what their queues hold when these are long.
+    """Bytes that store machines write to their uplinks, and the contents of long queues.
 
     Attributes:
         written: bytes by time slot, host and purpose.
@@ -47,7 +47,7 @@
     long_queues: list[tuple[float, Counter[str]]] = field(default_factory=list)
 
     def attach(self, world: World) -> None:
-        """Records from now on."""
+        """Starts recording."""
         watch, write = world.watch, world.network.send
 
         def watch_and_record(store: Store) -> None:
@@ -91,7 +91,7 @@
         world.loop.call_later(SAMPLE_INTERVAL_S, self._sample, world)
 
     def _newest(self, now: float, host: str, size: int) -> Counter[str]:
-        """By purpose, the newest bytes that a machine has written, about as many as asked for."""
+        """The newest `size` bytes, approximately, that a machine has written, by purpose."""
         newest: Counter[str] = Counter()
         for slot in range(int(now / SLOT_S), -1, -1):
             if newest.total() >= size:
@@ -100,7 +100,7 @@
         return newest
 
     def between(self, start: float, end: float) -> Counter[str]:
-        """Bytes by purpose that the store machine which wrote most in each slot wrote in a span."""
+        """Bytes by purpose in a span, in each slot those of the store machine that wrote most."""
         slots: dict[int, list[Counter[str]]] = defaultdict(list)
         for (slot, host), written in self.written.items():
             if start <= slot * SLOT_S < end and host.startswith("m"):
@@ -112,7 +112,7 @@
         return busiest
 
     def queued_between(self, start: float, end: float) -> Counter[str]:
-        """Bytes by purpose in the long queues of a span, added up."""
+        """The sum of bytes by purpose in the long queues of a span."""
         queued: Counter[str] = Counter()
         for at, queue in self.long_queues:
             if start <= at < end:
@@ -120,7 +120,7 @@
         return queued
 
     def long_wait_share(self, start: float, end: float) -> float:
-        """The share of a span in which heartbeats of some machine came too late for a lease."""
+        """The share of a span in which some machine's heartbeats were too late to extend a lease."""
         samples = [wait_s for at, wait_s in self.waits if start <= at < end]
         return sum(wait_s >= LONG_WAIT_S for wait_s in samples) / max(1, len(samples))
 
@@ -135,13 +135,13 @@
 
 
 def shares(written: Counter[str], total_bytes: float) -> str:
-    """What each purpose has of a number of bytes."""
+    """The share of each purpose in a number of bytes."""
     names = [purpose.value for purpose in Purpose] + [OTHER]
     return " ".join(f"{name} {written[name] / max(1.0, total_bytes):.2f}" for name in names)
 
 
 def uplinks_between(record: UplinkRecord, start: float, end: float) -> str:
-    """What fills the busiest uplink in a span."""
+    """Describes the use of the busiest uplink in a span."""
     queued = record.queued_between(start, end)
     return (
         f"{shares(record.between(start, end), UPLINK_BYTES_PER_S * (end - start))} of the busiest uplink, "
@@ -170,7 +170,7 @@
 
 
 def play(scenario: Scenario) -> str:
-    """Plays one scenario; gives its line, or what the run found."""
+    """Runs one scenario; gives its line, or the error."""
     logging.disable(logging.CRITICAL)
     run = SaturationRun(scenario, record := UplinkRecord())
     try:
--- a/tests/tier/simulation/machines.py
+++ b/tests/tier/simulation/machines.py
@@ -36,7 +36,7 @@
     from tests.tier.simulation.world import World
 
 PORT = 7000
-START_S = (0.2, 0.7)  # for loading a process's libraries
+START_S = (0.2, 0.7)  # start-up time, for loading libraries
 START_TIME_MS = 1_700_000_000_000
 BATCH_HOST, BATCH_PREFIX = "lots.example", "/lots-in/"
 
@@ -49,7 +49,7 @@
         self.incarnation: Incarnation | None = None
         self.start_count = 0
         self.clock_offset_ms = 0.0
-        self._clock_from = (0.0, 0.0)  # simulated time, and what the monotonic clock showed then
+        self._clock_from = (0.0, 0.0)  # simulated time, and the monotonic clock at that time
         self._clock_rate = 1.0
 
     @property
@@ -65,7 +65,7 @@
 
     def start(self, bootstrap: bool = False) -> None:
         """Starts its process."""
-        assert self.incarnation is None, f"{self.host} runs already"
+        assert self.incarnation is None, f"{self.host} is already running"
         self.start_count += 1
         self.incarnation = new_incarnation(self.host, self.start_count)
         self.world.incarnations.append(self.incarnation)
@@ -73,7 +73,7 @@
         self.spawn(self._run(self.incarnation, bootstrap))
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Runs something as a part of this machine's process."""
+        """Runs a coroutine as a task of this machine's process."""
         assert self.incarnation is not None
         incarnation = self.incarnation
         task = self.world.loop.create_task(work, context=incarnation.context.copy())
@@ -85,7 +85,7 @@
             self.world.unexpected_errors.append(f"{self.host}: {task.exception()!r}")
 
     def stop(self, power: bool = False) -> None:
-        """Ends its process at once."""
+        """Ends its process immediately."""
         incarnation, self.incarnation = self.incarnation, None
         if incarnation is None:
             return
@@ -111,7 +111,7 @@
         return shown + (self.world.loop.time() - since) * self._clock_rate
 
     def run_clock_at(self, rate: float) -> None:
-        """Lets its monotonic clock run at another rate from now on."""
+        """Changes the rate of its monotonic clock."""
         self._clock_from = (self.world.loop.time(), self._steady())
         self._clock_rate = rate
 
@@ -200,7 +200,7 @@
         self.running: dict[tuple[str, str], asyncio.Task[Any]] = {}
 
     def stop(self, power: bool = False) -> None:
-        """Ends its process at once."""
+        """Ends its process immediately."""
         super().stop(power)
         self.store = self.documents = self.relay = None
         self.running = {}
@@ -306,7 +306,7 @@
         self.status, self.body = 0, b""
 
     async def take(self, message: Any) -> None:  # noqa: ANN401
-        """One ASGI message."""
+        """Receives one ASGI message."""
         if message["type"] == "http.response.start":
             self.status = message["status"]
         else:
--- a/tests/tier/simulation/network.py
+++ b/tests/tier/simulation/network.py
@@ -29,10 +29,10 @@
     queued: deque[bytes] = field(default_factory=deque)  # waits for the machine's uplink
     sent: deque[tuple[float, bytes]] = field(default_factory=deque)  # with the times of arrival
     arrives: float = 0.0
-    free_at: float = 0.0  # when what was written before has been sent, at a bounded bandwidth
+    free_at: float = 0.0  # when earlier writes have been sent, with bounded bandwidth
     unacknowledged_since: float | None = None
 
-    # What asyncio.StreamWriter offers, as far as connections use it
+    # The part of asyncio.StreamWriter's interface that connections use
 
     @property
     def transport(self) -> "Endpoint":
@@ -40,11 +40,11 @@
         return self
 
     def get_extra_info(self, name: str) -> Any:  # noqa: ANN401
-        """The far side's address; there is no socket."""
+        """The peer's address; there is no socket."""
         return (self.peer.incarnation.host, 0) if name == "peername" else None
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that the far side has not got yet, whether they have left this machine or not."""
+        """Bytes that the peer has not received yet, whether sent or queued."""
         return sum(map(len, self.queued)) + sum(len(data) for _, data in self.sent)
 
     def write(self, data: bytes) -> None:
@@ -58,10 +58,10 @@
             self.closed = True
             self.network.reset_peer(self)
 
-    # What the network does to it
+    # Called by the network
 
     def discard(self) -> None:
-        """Forgets what the far side has not got yet."""
+        """Discards bytes that the peer has not received yet."""
         self.queued.clear()
         self.sent.clear()
 
@@ -74,14 +74,14 @@
 
 
 class Uplink:
-    """The one link over which a machine sends what all its connections write, in the order of the writes."""
+    """The link that all connections of a machine share; sends in the order of the writes."""
 
     def __init__(
         self, loop: SimulatedLoop, bytes_per_s: float, transmit: Callable[[Endpoint, bytes], None]
     ) -> None:
-        """An idle link; `transmit` takes what has left the machine."""
+        """An idle link; `transmit` receives bytes that have left the machine."""
         self._loop, self._bytes_per_s, self._transmit = loop, bytes_per_s, transmit
-        self._queue: deque[Endpoint] = deque()  # one of each write, the first one's bytes are leaving
+        self._queue: deque[Endpoint] = deque()  # one entry per write; the first is being sent
         self._is_busy = False
 
     @property
@@ -91,7 +91,7 @@
 
     @property
     def wait_s(self) -> float:
-        """How long the newest byte waits until it leaves."""
+        """Time until the newest byte has left the machine."""
         return self.queued_bytes / self._bytes_per_s
 
     def send(self, sender: Endpoint, data: bytes) -> None:
@@ -102,7 +102,7 @@
             self._begin_next()
 
     def _begin_next(self) -> None:
-        while self._queue and not self._queue[0].queued:  # its connection has ended meanwhile
+        while self._queue and not self._queue[0].queued:  # its connection has been reset
             self._queue.popleft()
         self._is_busy = bool(self._queue)
         if self._is_busy:
@@ -139,7 +139,7 @@
     async def connect(
         self, incarnation: Incarnation, host: str, port: int
     ) -> tuple[asyncio.StreamReader, Endpoint]:
-        """Opens a connection; hangs where nobody can answer."""
+        """Opens a connection; hangs if the host is unreachable."""
         await asyncio.sleep(self._delay())
         while self._is_partitioned(incarnation.host, host) or host in self.powered_off:
             if (incarnation.host, host) in self.refused_links:
@@ -182,7 +182,7 @@
         return (a, b) in self.partitioned_links or (b, a) in self.partitioned_links
 
     def uplink(self, host: str) -> Uplink:
-        """The link over which a machine sends; its rate is that of the moment when it is first used."""
+        """A machine's link; its rate is fixed at the first use."""
         if host not in self._uplinks:
             self._uplinks[host] = Uplink(self._loop, self.uplink_bytes_per_s, self._transmit)
         return self._uplinks[host]
@@ -195,7 +195,7 @@
             self._transmit(sender, data)
 
     def _transmit(self, sender: Endpoint, data: bytes) -> None:
-        """Bytes leave the machine."""
+        """Puts bytes that have left the machine on the network."""
         near = sender.incarnation.host
         now = self._loop.time()
         arrives = now + self._delay()
@@ -286,7 +286,7 @@
                     self._call_in_incarnation(endpoint, endpoint.fail, ConnectionResetError("cut"))
 
     def heal(self) -> None:
-        """Ends all partitions; delayed bytes arrive."""
+        """Ends all partitions and delivers delayed bytes."""
         self.partitioned_links.clear()
         self.refused_links.clear()
         for endpoint in self._endpoints:
--- a/tests/tier/simulation/plays.py
+++ b/tests/tier/simulation/plays.py
@@ -1,4 +1,4 @@
-"""Simulated runs by seed: clients and faults for a while, then recovery without faults, then checks."""
+"""Simulated runs by seed: a phase with clients and faults, recovery without faults, then checks."""
 
 import asyncio
 from dataclasses import dataclass
@@ -26,8 +26,8 @@
     exceeds_tolerance: bool = False
     span_s: float = 30.0
     gap_s: float = 4.0
-    rewrite_bytes: int = disk.MIN_COMPACTION_BYTES  # of a file, from which it may be compacted
-    log_entries: int = log.MAX_ENTRIES  # kept for those that catch up; the others are repaired by ranges
+    rewrite_bytes: int = disk.MIN_COMPACTION_BYTES  # file size from which a file may be compacted
+    log_entries: int = log.MAX_ENTRIES  # entries for replicas that catch up; others get ranges
 
 
 KINDS = {
@@ -110,7 +110,7 @@
 
 
 def _check_liveness(world: World, operator: Operator) -> list[str]:
-    """Without faults a change is confirmed in time, and the view is as full as it can be."""
+    """Checks that without faults a change is confirmed in time and the view has all possible members."""
     began = world.now
 
     async def change() -> int | None:
@@ -119,7 +119,7 @@
 
     violations = []
     if world.run(change()) != 200:
-        violations.append(f"no change was confirmed within {world.now - began:.1f} s of calm")
+        violations.append(f"no change was confirmed within {world.now - began:.1f} s without faults")
     primary = world.primary()
     if primary is None:
         return [*violations, "there is no primary"]
--- a/tests/tier/simulation/saturation.py
+++ b/tests/tier/simulation/saturation.py
@@ -19,14 +19,14 @@
 ITEM_BYTES = 4_300
 FRONTS = ("f0", "f1")
 CHANGE_INTERVAL_S = 1.0
-JOIN_WAIT_S = 3.0  # from the first primary to the load, for all machines to join
-WIPED_BACK_S = 2.0  # from the loss of the primary until it starts again, without its disk
-CHANGE_LIMIT_S = 120.0  # beyond every run
+JOIN_WAIT_S = 3.0  # from the first primary to the load, so that all machines can join
+WIPED_BACK_S = 2.0  # from the loss of the primary until its restart with an empty disk
+CHANGE_LIMIT_S = 120.0  # longer than any run
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """A burst, the loss of the primary with its disk at its end, and calm."""
+    """A burst, then the loss of the primary with its disk, then a calm phase."""
 
     machines: int
     load: float
@@ -108,11 +108,11 @@
     """One run of a scenario."""
 
     def __init__(self, scenario: Scenario, observer: Observer | None = None) -> None:
-        """Starts the store machines, and waits until they have had the time to join.
+        """Starts the store machines and waits for them to join.
 
         Args:
-            scenario: What is played.
-            observer: Is attached to the world before its machines run.
+            scenario: The parameters of the run.
+            observer: Attached to the world before its machines run.
         """
         self.scenario = scenario
         self.findings = Findings()
@@ -131,7 +131,7 @@
         self.world.run(self._fill())
 
     async def _fill(self) -> None:
-        """Commits jobs over unbounded uplinks, for a state of some length."""
+        """Commits jobs over unbounded uplinks to build up the initial state."""
         network = self.world.network
         network.uplink_bytes_per_s = math.inf
         for number in range(self.scenario.state_jobs):
@@ -140,7 +140,7 @@
         network.uplink_bytes_per_s = UPLINK_BYTES_PER_S
 
     def play(self) -> Findings:
-        """Plays the burst, the loss and the calm; raises InvariantError where an invariant was violated."""
+        """Runs the scenario; raises InvariantError if an invariant was violated."""
         self.world.run(self._play())
         self.world.close()
         return self.findings
@@ -163,7 +163,7 @@
         watch.cancel()
         await loss
         await asyncio.wait([changes])
-        self._look_for_jobs()
+        self._find_lost_jobs()
 
     def _highest_term(self) -> int:
         return max(replica.promised[0] for replica in self.world.replicas().values())
@@ -179,7 +179,7 @@
         self.world.start(lost)
 
     async def _watch_for_primary(self) -> None:
-        await asyncio.sleep(0.05)  # past the loss
+        await asyncio.sleep(0.05)  # until the loss has occurred
         while self.world.primary() is None:
             await asyncio.sleep(0.05)
         self.findings.primary_back_at = self.world.now
@@ -200,7 +200,7 @@
         task.add_done_callback(self._open_tasks.discard)
 
     async def _submit(self, job_id: str) -> None:
-        """Submits a job at any front, which sends it again until there is an answer or its time is up."""
+        """Submits a job at a random front, which retries until there is an answer or the time-out."""
         front = self.world.fronts[self._random.choice(FRONTS)]
         command = commands.SubmitBatchJob(job_id, "lots.example", "/lots-in/x", self._items(job_id))
 
@@ -222,7 +222,7 @@
 
     async def _change_configuration(self) -> None:
         """Sends one change after another, each until it is acknowledged."""
-        version, mine = 0, self.findings.changes
+        version, changes = 0, self.findings.changes
         while True:
             sent = self.world.now
             change = self._operator.change(version, step=1)
@@ -230,14 +230,14 @@
             try:
                 status = await self._operator.put(change, CHANGE_LIMIT_S)
             finally:
-                mine.append((sent, self.world.now))
+                changes.append((sent, self.world.now))
             assert status == 200, f"a valid change was answered with {status}"
             version = change.version
             await asyncio.sleep(max(0.0, sent + CHANGE_INTERVAL_S - self.world.now))
 
     # The end
 
-    def _look_for_jobs(self) -> None:
+    def _find_lost_jobs(self) -> None:
         primary = self.world.primary()
         if primary is not None:
             jobs = self.world.state(primary).jobs
--- a/tests/tier/simulation/world.py
+++ b/tests/tier/simulation/world.py
@@ -55,16 +55,16 @@
         self.seed, self.faults, self.start_s = seed, faults, start_s
         self.random = Random(seed)
         self.loop = SimulatedLoop()
-        self.loop.on_exception = self._note_unexpected_error
+        self.loop.on_exception = self._record_unexpected_error
         self.network = SimulatedNetwork(self.loop, Random(f"{seed}/network"))
         self.history = History()
         self.unexpected_errors: list[str] = []
         self.violations: list[str] = []
         self.disk_mb = 0
         self.list_version = 1
-        self.list_read_s = 0.002  # how long the platform takes
+        self.list_read_s = 0.002  # response time of the platform
         self.list_reads: list[tuple[float, str]] = []
-        # Kept, so that no task of an ended incarnation is collected, and so closed, during the run.
+        # References, so that no task of an ended incarnation is collected, and so closed, during the run.
         self.incarnations: list[Incarnation] = []
         self.stores: dict[str, Store] = {}
         self.fronts: dict[str, Front] = {}
@@ -73,7 +73,7 @@
         self.acknowledged: list[str] = []
         self.on_acknowledged: Callable[[str], None] = lambda _: None
         self.recorded_documents: dict[str, list[Document]] = {}
-        self.checks_leases = True  # off where clock rates differ by more than leases allow for
+        self.checks_leases = True  # off in tests whose clock rates differ by more than leases tolerate
         self._highest_lease: Term = NO_TERM
         self._committed: dict[str, tuple[Term, int]] = {}
         self.chunks_sent = self.ranges_sent = self.entry_bytes_sent = 0
@@ -85,7 +85,7 @@
             self.fronts[host] = Front(self, host)
             self.fronts[host].start()
 
-    def _note_unexpected_error(self, context: dict[str, Any]) -> None:
+    def _record_unexpected_error(self, context: dict[str, Any]) -> None:
         error = context.get("exception")
         if error is not None and not isinstance(error, (ConnectionError, TimeoutError)):
             self.unexpected_errors.append(f"{context.get('message')}: {error!r}")
@@ -127,17 +127,17 @@
     def start(self, host: str, bootstrap: bool = False) -> None:
         """Starts a store machine with what its disk holds."""
         store = self.stores.setdefault(host, Store(self, host))
-        self.history.note(self.now, f"start {host}")
+        self.history.record_fault(self.now, f"start {host}")
         store.start(bootstrap and host in self.seeds)
 
     def stop(self, host: str, power: bool = False, wipe: bool = False) -> None:
         """Ends a store machine's process."""
-        self.history.note(self.now, f"stop {host} power={power} wipe={wipe}")
+        self.history.record_fault(self.now, f"stop {host} power={power} wipe={wipe}")
         self.stores[host].stop(power, wipe)
 
     def freeze(self, host: str, span_s: float) -> None:
         """Pauses a machine's process for a while; its clocks go on."""
-        self.history.note(self.now, f"freeze {host} {span_s:.3f}")
+        self.history.record_fault(self.now, f"freeze {host} {span_s:.3f}")
         self.stores[host].freeze(span_s)
 
     def remove(self, host: str) -> None:
@@ -150,7 +150,7 @@
     ) -> None:
         """Partitions some machines from others, in both directions unless `one_way`."""
         some, others = sorted(some), sorted(others)
-        self.history.note(self.now, f"cut {some} {others} one_way={one_way} {how}")
+        self.history.record_fault(self.now, f"cut {some} {others} one_way={one_way} {how}")
         for a in some:
             for b in others:
                 if a != b:
@@ -160,7 +160,7 @@
 
     def heal(self) -> None:
         """Ends all partitions."""
-        self.history.note(self.now, "heal")
+        self.history.record_fault(self.now, "heal")
         self.network.heal()
 
     def replica(self, host: str) -> Replica | None:
@@ -198,7 +198,7 @@
         return set(replica.view.members) if replica is not None and replica.view is not None else set()
 
     def synchronized_members(self) -> set[str]:
-        """Its members that run and hold its data: a machine that lost its disk stays a member for a while."""
+        """Running members that have its data; a machine that lost its disk stays a member for a while."""
         synced = {host: replica.synced for host, replica in self.replicas().items()}
         primary = self.primary()
         replica = self.replica(primary) if primary is not None else None
@@ -208,7 +208,7 @@
 
     @property
     def full_view(self) -> int:
-        """How many members a view has where there are enough machines."""
+        """The number of members of a view if there are enough machines."""
         return ViewLimits.for_faults(self.faults).max_replicas
 
     def witnesses(self) -> set[str]:
@@ -262,11 +262,11 @@
                     )
                     self._link_free_at[host, receiver] = free
                     self.loop.call_at(free, send, [receiver], message)
-                return 0  # counted nowhere, and sent later
+                return 0  # sent later and not counted
         return send(receivers, message)
 
     def check(self, host: str, replica: Replica) -> None:
-        """At most one lease, under rising terms, at a primary that has all acknowledged entries."""
+        """Checks that there is one lease at most, terms rise, and its holder has all acknowledged entries."""
         if not self.holds_lease(host):
             return
         for other in self.replicas():
@@ -285,7 +285,7 @@
         self._check_members(host, replica)
 
     def _check_members(self, host: str, replica: Replica) -> None:
-        """What is committed is held by every member that has run since the view began."""
+        """Checks that each member that has run since the view began has all committed entries."""
         seen = (replica.promised, replica.commit_index)
         if self._committed.get(host) == seen or replica.view is None:
             return
@@ -301,13 +301,13 @@
         self.violations.append(f"{self.now:.3f}: {what}")
 
     def record_document(self, host: str, document: Document) -> None:
-        """A front has received a newer document."""
+        """Records a newer document that a front has received."""
         self.recorded_documents.setdefault(host, []).append(document)
 
-    # Plain entries, for tests of replication alone
+    # Entries without clients, for tests of replication
 
     def propose(self, payload: str) -> bool:
-        """Proposes a job of this name at a machine that has the role of the primary; False where none has."""
+        """Proposes a job with this id at a machine with the primary role; False if there is none."""
         for host, replica in self.replicas().items():
             store = self.stores[host]
             if replica.role is Role.PRIMARY and store.is_awake:
@@ -344,7 +344,7 @@
         raise TooLateError(self.seed, "no primary", span_s)
 
     def acknowledge(self, payload: str, span_s: float = 3.0) -> None:
-        """Proposes a payload again and again until it is acknowledged."""
+        """Proposes a payload repeatedly until it is acknowledged."""
         for number in range(int(span_s / 0.2)):
             self.propose(f"{payload}/{number}")
             self.run_for(0.2)
@@ -353,6 +353,6 @@
         raise TooLateError(self.seed, f"{payload!r} was not acknowledged", span_s)
 
     def close(self) -> None:
-        """Ends all processes, so that nothing of them runs later."""
+        """Ends all processes."""
         for machine in self.machines():
             machine.stop(power=True)
