--- a/tests/test_deploy_files.py
+++ b/tests/test_deploy_files.py
@@ -1,4 +1,4 @@
-"""What the deploy files name is there, and what their builds take is listed as a package."""
+"""The files that the deploy files name exist, and packages that their builds use are listed."""
 
 import re
 import tomllib
@@ -8,7 +8,7 @@
 import pytest
 
 ROOT = Path(__file__).parents[1]
-MAX_POLICY_LINES, MAX_LINE_LENGTH = 640, 110  # that are not blank, comments too, as the operators' pages say
+MAX_POLICY_LINES, MAX_LINE_LENGTH = 640, 110  # non-blank lines with comments; limits set by the operators
 # Programs and modules that a build uses, with the Debian package that has each.
 PACKAGES = {r"\bpython3\b": "python3", r"-m pip\b": "python3-pip", r"-m venv\b": "python3-venv"}
 
@@ -26,7 +26,7 @@
     assert needed == set(deploy["packages"])
 
 
-def test_the_files_of_the_backend_are_there_and_its_decisions_are_all_named() -> None:
+def test_listed_backend_files_exist_and_all_decision_modules_are_listed() -> None:
     deploy = deploy_file("balancer.toml")
     assert all((ROOT / path).exists() for path in deploy["policy"] + deploy["node"])
     assert {str(path.relative_to(ROOT)) for path in (ROOT / "crowwing" / "logic").glob("*.py")} == set(
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -1,4 +1,4 @@
-"""The list of files that do not keep all lint rules yet only shrinks."""
+"""The list of files with lint exceptions may only shrink."""
 
 import json
 from pathlib import Path
@@ -6,7 +6,7 @@
 from tools.lint_exceptions import read_exceptions
 
 KEPT = Path(__file__).with_name("lint_exceptions.json")
-MAX_SILENCING_COMMENTS = 15  # "noqa" and "type: ignore" in crowwing/; 48 when the rules were switched on
+MAX_SILENCING_COMMENTS = 15  # "noqa" and "type: ignore" in crowwing/; 48 when the rules were enabled
 ROOT = Path(__file__).parents[1]
 
 
@@ -16,7 +16,7 @@
         assert set(codes) <= set(kept.get(path, ())), path
 
 
-def test_comments_that_silence_a_tool_do_not_grow_in_number() -> None:
+def test_suppression_comments_do_not_increase() -> None:
     files = sorted((ROOT / "crowwing").rglob("*.py"))
     count = sum(
         line.count("# noqa") + line.count("# type: ignore")
--- a/tests/tier/simulation/clients.py
+++ b/tests/tier/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Operators and batch clients that retry as the protocol asks of them."""
+"""Operators and batch clients that retry as the protocol prescribes."""
 
 import asyncio
 import base64
@@ -14,7 +14,7 @@
 from tests.tier.simulation.machines import BATCH_PREFIX, Machine, Store, configuration_text
 from tests.tier.simulation.world import World
 
-SILENCE_S = 1.0  # after which a client tries another machine
+RESPONSE_TIMEOUT_S = 1.0  # until a client tries another machine
 PAUSES_S = (0.05, 0.4)
 FINAL_STATUSES = (400, 409, 412, 413, 422)
 TRAVEL_S = (0.001, 0.003)
@@ -23,7 +23,7 @@
 async def call_machine(
     world: World, random: Random, machine: Machine, work: Callable[[], Any], limit_s: float, loss: float = 0.0
 ) -> Any:  # noqa: ANN401
-    """Runs a client's request on a machine; None where no response comes back."""
+    """Runs a client's request on a machine; None if there is no response."""
     incarnation = machine.incarnation
     if incarnation is None:
         if machine.host not in world.network.powered_off:
@@ -85,7 +85,7 @@
             return response.status_code, bytes(response.content)
 
         answer: tuple[int, bytes] | None = await call_machine(
-            self.world, self.random, machine, work, SILENCE_S, self.loss
+            self.world, self.random, machine, work, RESPONSE_TIMEOUT_S, self.loss
         )
         return answer
 
@@ -139,14 +139,14 @@
         return None
 
     def change(self, base: int, step: int | None = None, mark: str = "") -> Change:
-        """A new change on a version."""
+        """A new change based on a version."""
         version = base + (step or self.random.randint(1, 4))
         return Change(
             base, version, configuration_text(version, mark or f"{self.name}{self.random.random()}")
         )
 
     async def work(self, until: float) -> None:
-        """Makes changes until a time; now and then resends, abandons or sends an invalid one."""
+        """Makes changes until a time; at random resends, abandons or sends an invalid one."""
         mine: list[Change] = []
         while self.world.now < until:
             base = await self.read_until_definite(until - self.world.now)
@@ -224,7 +224,7 @@
         return json.dumps({"requests": requests}).encode()
 
     async def submit(self, job_id: str, until: float, size: int = 3) -> bool:
-        """Submits a job until it is accepted, and at times once more."""
+        """Submits a job until it is accepted, and at random once more."""
         items = tuple(f"{job_id}.{number}" for number in range(self.random.randint(1, 4)))
         self.world.history.jobs[job_id] = items
         body = self.job_body(items, size)
--- a/tests/tier/test_simulated_network.py
+++ b/tests/tier/test_simulated_network.py
@@ -1,4 +1,4 @@
-"""The model of the network: what a machine's connections send shares its uplink."""
+"""The simulated network: all connections of a machine share its uplink."""
 
 import asyncio
 from random import Random
@@ -13,7 +13,7 @@
 
 
 class Machines:
-    """One sender and two receivers, which note when each of them has got how many bytes."""
+    """One sender and two receivers, which record the time and size of what they receive."""
 
     def __init__(self) -> None:
         self.loop = SimulatedLoop()
@@ -55,7 +55,7 @@
     assert uplink.queued_bytes == long.get_write_buffer_size() == 0
 
 
-def test_what_a_reset_connection_has_queued_does_not_leave_the_machine() -> None:
+def test_queued_bytes_of_a_reset_connection_are_not_sent() -> None:
     machines = Machines()
     long, short = machines.connect("a"), machines.connect("b")
     began = machines.loop.time()
