--- a/crowwing/fleet/adapters/client_requests.py
+++ b/crowwing/fleet/adapters/client_requests.py
@@ -1,8 +1,8 @@
 """Requests of clients on a member's fleet socket: `crowwing fleet ...` and the emulation rig.
 
-Each request and each response is one datagram; `n` is echoed. Changes are limited to the operators'
-keyspaces; their response is sent once a majority of all members holds them or `wait_ms` is over, and says
-which (`acked`, `held`). A malformed datagram is counted by the endpoint.
+Each request and each response is one datagram; `n` is echoed. Only entries in the operators' keyspaces can be
+changed. The response to a change is sent once a majority of all members holds it or `wait_ms` is over, and
+says which (`acked`) and how many members hold it (`held`). A malformed datagram is counted by the endpoint.
 """
 
 from collections import Counter
@@ -83,7 +83,7 @@
         }  # fmt: skip
 
     def _counts(self) -> dict:
-        """Counters since the start; the response is small at any fleet size."""
+        """Datagrams and payload bytes since the start; small enough for one datagram at any fleet size."""
         endpoint = self.endpoint
         return {
             "sent": endpoint.sent, "sent_bytes": endpoint.sent_bytes, "read": endpoint.read,
--- a/crowwing/fleet/state/dissemination.py
+++ b/crowwing/fleet/state/dissemination.py
@@ -4,24 +4,24 @@
 Sources: Demers et al., "Epidemic Algorithms for Replicated Database Maintenance" (PODC 1987): rumour
 mongering for hot updates, anti-entropy for what the rumours missed.
 
-- A changed entry is piggybacked on membership messages, the least sent first, until it was sent a few times
-  log10 of the fleet size.
+- A changed entry is piggybacked on a number of membership messages that is proportional to log10 of the fleet
+  size; entries sent least often go first.
 - Every `sync_every` one random member is sent the digests of our 16 groups of leaves. It answers with its
   leaf digests of the groups that differ; we send our entries of the leaves that differ and request its
   entries. A round sends at most `max_sync_bytes`. Where most leaves differ and the other member holds many
   entries, we request a full transfer over a stream instead (`full_transfer_peers`).
 - An update to be acknowledged is sent to every member at once and again each `resend_after` until a majority
-  (this member included) has acknowledged it or `wait` is over. It stays stored and keeps spreading in both
-  cases; the caller is told how many members hold it.
-
-In a fleet with cells (`CellScope`) each member sends less to more members. Changes are pushed at once to
-`fanout` random members and, from a speaker and for fleet-wide state, to one member each of some other cells
-(Eugster, Guerraoui, Kermarrec, Massoulié, "Epidemic Information Dissemination in Distributed Systems",
-Computer 2004). They are piggybacked fewer times, replicas are first compared by their root digest, and the
-majority is that of a few quorum members instead of all. A member far behind repairs from one peer at a time
-and does not spread what it gets, and each member sends a bounded number of bytes for repairs; otherwise a
-cell or zone that restarts as a whole would read the same replica from all sides. An empty replica is
-announced as such, without digests.
+  (this member included) has acknowledged it or `wait` is over. In both cases it stays stored and keeps
+  spreading, and the caller is told how many members hold it.
+
+In a fleet with cells (`CellScope`) each member sends less to more members. Changes are pushed immediately,
+and once, to `fanout` random members. A speaker also pushes those of fleet-wide state to one member each of
+some other cells (Eugster, Guerraoui, Kermarrec, Massoulié, "Epidemic Information Dissemination in Distributed
+Systems", Computer 2004). Changes are piggybacked fewer times, replicas are first compared by their root
+digest, and the majority is that of a few quorum members instead of all. A member far behind requests rows
+from one peer at a time and does not spread what it gets, and each member sends a bounded number of bytes for
+such repairs. Otherwise, after the restart of an entire cell or zone, all its members would read the same
+replica at once. An empty replica is announced as such, without digests.
 
 Times in µs and randomness are passed in: `now` is monotonic and used for time-outs, `wall` is used for
 timestamps. Messages to send collect in `outbox` as (member, message).
@@ -64,10 +64,10 @@
     quiet_period: int = 1_000_000  # in cells: sync starts this long after the last change,
     max_sync_delay: int = 5_000_000  # or this long after the last sync, if changes do not end
     push_interval: int = 100_000  # in cells: changes within this time are pushed together
-    repair_timeout: int = 500_000  # in cells: a member far behind waits this long before it asks the next
+    repair_timeout: int = 500_000  # in cells: a member far behind waits this long for one peer
     eager_sync_period: int = 10_000_000  # in cells: after a start, while empty, sync runs more often
     repair_burst_bytes: int = 48_000  # in cells: bytes that one member sends for repairs at once
-    repair_bytes_per_s: int = 200  # and in the long run; members that start together find other sources
+    repair_bytes_per_s: int = 200  # refill of that budget; a peer that gets too little asks others
 
 
 @dataclass(frozen=True, slots=True)
@@ -287,9 +287,11 @@
         elif kind is StateMessageKind.ROWS:
             rows = message["rows"]
             changed = self.replica.merge(wall, rows)
-            # Rows from a sync spread further only if they fit one datagram (updates that were missed),
-            # and not just after the own start.
-            if not (copied := int(message.get("copy", 0))) or (copied == 1 and now >= self.eager_sync_until):
+            # Rows from a sync spread further only if they fit one datagram, as a few missed updates do, and
+            # not shortly after the start of this member.
+            if not (datagrams := int(message.get("copy", 0))) or (
+                datagrams == 1 and now >= self.eager_sync_until
+            ):
                 self.mark_changed(changed)
             if "ack" in message and all(self.replica.holds(row) for row in rows):
                 self._send(sender, StateMessageKind.ROWS_STORED, ack=int(message["ack"]))
@@ -300,7 +302,7 @@
                 self._complete_updates(now)
 
     def _may_request_rows(self, now: int, differ: int, of: int) -> bool:
-        """Whether to request what differs now: large differences from one peer at a time."""
+        """Whether to request the differing rows now; in cells, large differences from one peer at a time."""
         if self.scope is None or 2 * differ < of:
             return True
         if now < self.repair_until:
@@ -346,8 +348,8 @@
             for rows in self._batches(self.replica.rows(leaves), self.settings.max_sync_bytes):
                 self._send(to, StateMessageKind.ROWS, rows=rows)
             return
-        came = (now - self.budget_updated_at) * self.settings.repair_bytes_per_s / 1e6
-        self.repair_budget, self.budget_updated_at = min(self.repair_budget + came, self.repair_burst), now
+        refill = (now - self.budget_updated_at) * self.settings.repair_bytes_per_s / 1e6
+        self.repair_budget, self.budget_updated_at = min(self.repair_budget + refill, self.repair_burst), now
         order = list(leaves)
         self.rng.shuffle(order)  # members that start together get a different part from each peer
         batches = list(self._batches(self.replica.rows(order), self.settings.max_sync_bytes))
--- a/crowwing/fleet/uses/call_budget_loans.py
+++ b/crowwing/fleet/uses/call_budget_loans.py
@@ -3,17 +3,17 @@
 The downstream service bears a certain rate of calls from the whole fleet; the settings give each member an
 equal share. A member that does not need all of its share lends some for `duration` to one that asks, so a
 busy member can use the share of an idle one, and the sum never exceeds the budget. The method is escrow
-(O'Neil, "The Escrow Transactional Method", ACM TODS 1986) with leases instead of settling (Gray, Cheriton,
-"Leases", SOSP 1989):
+(O'Neil, "The Escrow Transactional Method", ACM TODS 1986), but loans expire like leases instead of being
+paid back (Gray, Cheriton, "Leases", SOSP 1989):
 
-- The lender does without the share from its grant until `duration` and a margin later; the borrower spends it
-  until `duration` after its own request, which came before the grant. Clocks are not compared; they only have
-  to run alike to within the margin. So whatever is lost, duplicated, late or partitioned, the borrower stops
-  first.
+- The lender does not spend the share from the grant until `duration` plus a margin later. The borrower spends
+  it until `duration` after its request, which came before the grant. Clock readings are never compared; only
+  the rates of two clocks must agree to within the margin. So the borrower always stops first, even if
+  messages are lost, duplicated or late, or the network is partitioned.
 - A member that has just started may have lent shares in an earlier incarnation. It asks all others what they
-  have borrowed from it and does without that; a member that answers also drops its pending requests to the
-  earlier incarnation, so that no grant still in flight counts. Until all have answered, or every loan of an
-  earlier incarnation has expired, it spends no more than `reserved_part`, which is never lent.
+  have borrowed from it and does not spend that. A member that answers also drops its pending requests to the
+  earlier incarnation, so that a grant still in flight has no effect. Until all have answered, or every loan
+  of an earlier incarnation has expired, it spends no more than `reserved_share`, which is never lent.
 - The share of a dead member stays unused, except for what it had lent: the member may be alive behind a
   partition. That is the price of never exceeding the budget; operators can take the member out of their
   settings.
@@ -33,9 +33,9 @@
     duration: int = 2_000_000  # of a loan, µs
     clock_margin: float = 0.05  # maximum difference in the rates of two clocks
     reserved_share: float = 0.25  # of the own share; never lent
-    headroom: float = 1.25  # times the recent usage, which is not lent either
+    headroom: float = 1.25  # the recent usage times this is not lent either
     min_loan: float = 0.05  # smaller loans are not worth a message
-    max_share: float = 4.0  # a member spends no more than this: one core cannot make more calls
+    max_share: float = 4.0  # limit even if more is idle: one core cannot make more calls
     max_lenders_per_round: int = 3  # members asked in one round
 
 
@@ -75,7 +75,8 @@
         return own + sum(share for share, until in self.borrowed.values() if now < until)
 
     def lendable_share(self, now: int) -> float:
-        """What it can lend now: nothing while it borrows or recovers from a restart."""
+        """What it can lend now: nothing while it borrows, or after a restart, when it may have
+        lent shares that it no longer knows of."""
         if now < self.recovering_until or any(now < until for _, until in self.borrowed.values()):
             return 0.0
         own = 1.0 - sum(share for share, until in self.lent.values() if now < until)
@@ -86,9 +87,9 @@
         from the members with the most lendable share, the others in random order."""
         self.usage = usage
         self.lent = {loan: lent for loan, lent in self.lent.items() if now < lent[1]}
-        self.borrowed = {loan: had for loan, had in self.borrowed.items() if now < had[1]}
+        self.borrowed = {loan: borrowed for loan, borrowed in self.borrowed.items() if now < borrowed[1]}
         self.requested = {ask: at for ask, at in self.requested.items() if now < at + self.terms.duration}
-        # expects current loans to expire meanwhile
+        # Half a duration ahead, so that loans about to expire are replaced in time
         shortfall = min(desired, self.terms.max_share) - self.share(now + self.terms.duration // 2)
         if now < self.next_request:
             return
@@ -147,7 +148,7 @@
                 self.borrowed[(sender, number)] = share, at + self.terms.duration
 
     def _on_outstanding(self, now: int, borrower: str, share: float, left: int) -> None:
-        """Books what an earlier incarnation of this member has lent as lent until it expires."""
+        """Records a loan that an earlier incarnation of this member granted, until it expires."""
         self.unanswered.discard(borrower)
         if share:
             self.lent[(borrower, -1)] = share, now + round(left * (1 + 2 * self.terms.clock_margin))
@@ -165,6 +166,6 @@
 
 
 def desired_share(usage: float, share: float, starved: bool) -> float:
-    """The share that a member would spend: half as much again as it has while requests wait because the call
-    budget is spent."""
+    """The share that a member would spend; if `starved` (requests wait because the call budget is spent), at
+    least half as much again as it has."""
     return max(1.5 * share, 1.25 * usage) if starved else 1.25 * usage
