--- a/crowwing/tier/front/batch_job_format.py
+++ b/crowwing/tier/front/batch_job_format.py
@@ -1,7 +1,7 @@
 """Parses and validates the body of a batch job submission.
 
-Each item is later sent to a sidecar as a request of its own. What is not valid in an HTTP request is rejected
-here, because after the 202 the client could no longer be notified.
+Each item is later sent to a sidecar as a request of its own. Values that are not valid in an HTTP request are
+rejected here, before any item is accepted: after the 202 the client could no longer be told.
 """
 
 import base64
@@ -23,7 +23,7 @@
 
 
 def parse_batch_job(body: bytes) -> tuple[BatchItem, ...]:
-    """Parses the items of a batch job; raises MalformedBatchJobError if one is invalid."""
+    """Parses the items of a batch job; raises MalformedBatchJobError if the body is invalid."""
     try:
         requests = json.loads(body)["requests"]
         items = tuple(parse_item(entry) for entry in requests)
@@ -31,7 +31,7 @@
         reason = f"{type(error).__name__}: {error}"
         raise MalformedBatchJobError(reason) from error
     if not 0 < len(items) <= MAX_ITEMS:
-        reason = f"requests: 1 to {MAX_ITEMS} are taken, these are {len(items)}"
+        reason = f"requests: must be 1 to {MAX_ITEMS}, got {len(items)}"
         raise MalformedBatchJobError(reason)
     if len({item.id for item in items}) < len(items):
         reason = "requests: two have the same id"
@@ -57,7 +57,7 @@
 def _match(pattern: re.Pattern[str], text: str, field: str) -> str:
     """Returns the text; raises ValueError if it is not valid in an HTTP request."""
     if pattern.fullmatch(text) is None:
-        reason = f"{field}: can't stand in a request"
+        reason = f"{field}: not valid in an HTTP request"
         raise ValueError(reason)
     return text
 
--- a/crowwing/tier/front/sidecar_stream.py
+++ b/crowwing/tier/front/sidecar_stream.py
@@ -1,7 +1,7 @@
 """Byte streams to sidecars: a network backend for httpcore on asyncio, with two additions to httpcore's own.
 
-Unrequested bytes are detected, also if they arrive on an idle connection, so that it is not reused. A close
-is distinguished from a reset: it completes a response without a length, while a reset breaks it.
+Bytes that nobody requested are detected, even on an idle connection, which is then not reused. A close is
+distinguished from a reset: for a response without a length, a close marks its end and a reset is an error.
 """
 
 import asyncio
@@ -12,8 +12,8 @@
 import httpcore
 
 MAX_UNREAD_BYTES = 64 * 1024  # beyond this, reading from the socket pauses
-READ_TIMED_OUT = "no byte in time"
-WRITE_TIMED_OUT = "the sidecar does not read"
+READ_TIMED_OUT = "no bytes received in time"
+WRITE_TIMED_OUT = "the sidecar did not read in time"
 SocketOption = Any  # the type that httpcore declares
 
 
@@ -57,7 +57,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         """Records the loss of the connection; an error means a reset or unacknowledged bytes."""
         if not self._ended:
-            self._error = error or ConnectionAbortedError("closed here")
+            self._error = error or ConnectionAbortedError("closed locally")
         self._closed = True
         self._readable.set()
         self._writable.set()
