--- a/crowwing/tier/settings.py
+++ b/crowwing/tier/settings.py
@@ -42,12 +42,12 @@
 
     @property
     def store_machines(self) -> int:
-        """The number of store machines that can fail at the same time, with one machine per zone."""
+        """The number of store machines that can fail at the same time; each zone holds one of them."""
         return max(self.machines, self.zones, self.regions)
 
 
 class Bounds(BaseModel):
-    """Time limits; the suffix of each name is the unit, `S` for seconds."""
+    """Time limits. The suffix of each name is its unit: `Ms` or `S` (seconds)."""
 
     model_config = ConfigDict(extra="ignore")
     contact_ms: float = Field(3000, alias="contactMs")
@@ -120,7 +120,7 @@
     """Reads and validates the settings file.
 
     Args:
-        path: the file; by default the value of CROWWING_SETTINGS.
+        path: the file; by default the value of CROWWING_SETTINGS, or else DEFAULT_SETTINGS_PATH.
 
     Returns:
         The settings, or why they are invalid.
--- a/crowwing/tier/store/configuration_publisher.py
+++ b/crowwing/tier/store/configuration_publisher.py
@@ -24,7 +24,7 @@
         self._parsed: Configuration | None = None
         self._uncommitted: deque[tuple[int, Document]] = (
             deque()
-        )  # with the log index that must be committed first
+        )  # each with its log index; published once that is committed
 
     @property
     def configuration(self) -> Configuration | None:
@@ -50,7 +50,7 @@
             self._documents.offer(self._uncommitted.popleft()[1])
 
     def on_role_changed(self, is_primary: bool) -> None:
-        """Drops uncommitted configurations; a new primary (its log is all committed) publishes its newest."""
+        """Drops pending configurations. A new primary, whose log is fully committed, publishes its newest."""
         self._uncommitted.clear()
         text = self._state.configuration
         if is_primary and text is not None:
