--- a/crowwing/fleet/adapters/full_transfer.py
+++ b/crowwing/fleet/adapters/full_transfer.py
@@ -2,8 +2,8 @@
 port.
 
 The requester sends one line, `{"from": name, "leaves": [256 digests]}`; in a fleet with cells the digests are
-encoded, or empty if there are no entries, and `wide` has those of the fleet-wide state. It receives lines of
-rows from the leaves that differ, then `{"end": lines, "sum": checksum}`. Without that last line, or with a
+encoded, or empty if it has no entries, and `wide` has the digests of the fleet-wide state. It receives lines
+of rows from the leaves that differ, then `{"end": lines, "sum": checksum}`. Without that last line, or with a
 wrong checksum, nothing is stored: a truncated stream would otherwise pass for a complete one.
 """
 
@@ -15,10 +15,10 @@
 
 from crowwing.fleet.state.replica import Row
 
-MAX_LINE_BYTES = 16_384  # 256 digests take 5,400 bytes, and there may be two lists
+MAX_LINE_BYTES = 16_384  # a request has up to two lists of 256 digests, 5,400 bytes each
 ROWS_PER_LINE = 20
 REQUEST_TIMEOUT_S, SEND_TIMEOUT_S = 2.0, 20.0  # for the request line; for the whole response
-CONNECT_TIMEOUT_S = 1.0  # a starting member has 5 s in all and tries the next peer after this
+CONNECT_TIMEOUT_S = 1.0  # then the next peer is tried: a starting member has 5 s in all
 MAX_STREAMS = 4  # served at once; bounds processor and memory use while many members catch up
 
 
@@ -59,7 +59,7 @@
             async with asyncio.timeout(SEND_TIMEOUT_S):
                 await self._send(writer, self.missing(request["from"], request))
         except (OSError, ValueError, KeyError, TypeError, TimeoutError):
-            # Malformed request, or a lost requester, which sees a stream without an end line
+            # Malformed request, or the requester is gone; either way the stream has no end line
             self.rejected += 1
         finally:
             self.serving.discard(task)
@@ -79,7 +79,7 @@
 
 
 async def fetch(where: tuple[str, int], request: dict, within: float) -> list[Row]:
-    """Rows that the member there holds and we lack; `asked` is the request. ConnectionError, OSError or
+    """Fetches the rows that the member at `where` holds and we lack. ConnectionError, OSError or
     TimeoutError if they do not arrive completely within `within` seconds."""
     rows: list[Row] = []
     checksum, count = xxhash.xxh64(), 0
--- a/crowwing/fleet/adapters/snapshot_writer.py
+++ b/crowwing/fleet/adapters/snapshot_writer.py
@@ -20,7 +20,7 @@
         self.task: asyncio.Task | None = None
 
     def read(self) -> list[Row]:
-        """Rows of the last snapshot; none, and an event, if it cannot be used."""
+        """Rows of the last snapshot. If it cannot be used: no rows, and an event is logged."""
         try:
             found = snapshot.read(self.folder, self.me)
         except snapshot.UnusableSnapshotError as error:
@@ -54,7 +54,7 @@
             self.failed = 0
 
     def close(self, at: int, rows: list[Row]) -> None:
-        """Writes the last snapshot of a drain; the process ends after it, so blocking the loop is fine."""
+        """Writes a last snapshot at the end of a drain; blocks the loop, as the process ends after it."""
         if self.task is not None:
             self.task.cancel()
         self.thread.shutdown(wait=True, cancel_futures=True)
--- a/crowwing/fleet/uses/learned_start.py
+++ b/crowwing/fleet/uses/learned_start.py
@@ -1,9 +1,9 @@
-"""Start values for a member that has just started, learned from the others and never used over its own
-measurements. Pure.
+"""Initial estimates for a member that has just started, taken from the other members. The member's own
+measurements always take precedence. Pure.
 
-Each member publishes from time to time what it has learned (`lesson/member`). One that has started takes,
-figure by figure, the median of what the others published, so that one unhealthy or slow member does not
-spread its figures.
+Each member publishes its estimates from time to time (`lesson/member`). A member that has just started takes
+for each estimate the median of those that the others published, so that one unhealthy or slow member does not
+spread its own.
 """
 
 from collections.abc import Iterable, Sequence
@@ -12,9 +12,9 @@
 
 
 class LearnedStart(NamedTuple):
-    """Times in µs. `request_classes`: for each request class its queue time-out and the median of its runs,
-    (0, 0) where too few have run; `concurrency_limit` of requests in flight; `call_time`: the usual time of a
-    downstream call, 0 where none was made.
+    """Times in µs. `request_classes`: for each request class its queue time-out and its median run time,
+    (0, 0) if too few have run; `concurrency_limit`: of requests in flight; `call_time`: the usual time of a
+    downstream call, 0 if none was made.
     """
 
     request_classes: tuple[tuple[int, int], ...]
--- a/crowwing/fleet/uses/rejection_prints.py
+++ b/crowwing/fleet/uses/rejection_prints.py
@@ -1,10 +1,11 @@
-"""Shared prints (fingerprints) of requests that each member rejected recently. Pure.
+"""Shares among members the prints (fingerprints) of recently rejected requests. Pure.
 
-With them a repeat that reaches another backend is recognised there.
+So a backend also recognises the repeat of a request that another one rejected.
 
-At a time a member publishes at most `MAX_PRINTS`, a random sample of all that it rejected since the last one,
-under the keys of its own ring of slots (`turned/member/slot`), so the fleet stores and sends a bounded amount
-in any storm. In a partition each side knows its own prints; a missed one expires within seconds.
+Each publication has at most `MAX_PRINTS`, a random sample of all that the member rejected since the last
+publication. It overwrites the oldest key of the member's ring (`turned/member/slot`), so the fleet stores and
+sends a bounded amount in any storm. In a partition each side knows only its own prints; those that a
+member missed expire within seconds.
 """
 
 import random
--- a/crowwing/tier/front/attempts.py
+++ b/crowwing/tier/front/attempts.py
@@ -7,7 +7,7 @@
 from crowwing.tier.front.sidecar_table import SidecarTable
 from crowwing.tier.front.upstream import AttemptOutcome, NotExecuted, ResponseLost, ResponseStarted
 
-MISDIRECTED_STATUS = 421  # from a sidecar other than the target, or one with another version of the weights
+MISDIRECTED_STATUS = 421  # the request reached another sidecar, or one with another version of the weights
 MIN_ERROR_STATUS = 500  # lowest status that counts as a failure of the sidecar
 
 
--- a/crowwing/tier/front/batch_api.py
+++ b/crowwing/tier/front/batch_api.py
@@ -16,7 +16,7 @@
 BATCH_JOBS_PATH, ITEMS = "/lots/", "/items/"
 MAX_WAIT_MS = 1000
 RETRY_AFTER_S = 0.2
-OVERLOAD_RETRY_AFTER_S = 0.5  # time for the link to send the commit queue (store/write_capacity.py)
+OVERLOAD_RETRY_AFTER_S = 0.5  # the link has sent the queued commits by then (store/write_capacity.py)
 
 
 class BatchApi:
@@ -29,7 +29,7 @@
     async def serve_route(self, request: ClientRequest, send: Send) -> None:
         """Serves a request on a batch route: submits a batch job."""
         if request.method != "POST":
-            await respond_json(send, 405, {"error": "lots are handed in with POST"})
+            await respond_json(send, 405, {"error": "batch jobs are submitted with POST"})
             return
         job = (request.header(b"request-id") or b"").decode("latin-1")
         if not job:
@@ -89,7 +89,7 @@
             case outcomes.ItemBody(body):
                 await respond(send, 200, body, [(b"content-type", b"application/octet-stream")])
             case outcomes.NotFound():
-                await respond_json(send, 404, {"error": "there is no such lot or item"})
+                await respond_json(send, 404, {"error": "there is no such batch job or item"})
             case outcomes.Rejected(503, reason):
                 await respond_unavailable(send, reason, OVERLOAD_RETRY_AFTER_S)
             case outcomes.Rejected(status, reason):
--- a/crowwing/tier/front/sidecar_state.py
+++ b/crowwing/tier/front/sidecar_state.py
@@ -10,9 +10,11 @@
 
 LOAD_FRESH_S = 0.3  # how long a load report has full weight
 LOAD_DECAY_S = 1.0  # how long its weight then takes to fall to 0
-LOAD_SHAPE = 2.0  # of the gamma distribution of sidecar loads: standard deviation 0.7 of the mean
-RESPONSE_TIMEOUT_S = 0.35  # without a byte while a request waits, before a sidecar is unresponsive
-REPLACED_PAUSE_S = 1.0  # without requests to a sidecar whose address belongs to another one now
+LOAD_SHAPE = (
+    2.0  # of the gamma distribution of sidecar loads; 2 gives a standard deviation of 0.7 of the mean
+)
+RESPONSE_TIMEOUT_S = 0.35  # a sidecar that sends no byte for this long while a request waits is unresponsive
+REPLACED_PAUSE_S = 1.0  # no requests for this long to an address that another sidecar has taken over
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.5, 4.0  # after a failure; doubled with each consecutive one
 
 
