--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -1,4 +1,4 @@
-"""Compares fleets in cells with flat fleets in simulated time: target figures and their range over seeds.
+"""Compares fleets in cells with flat fleets in simulated time: medians and ranges over several seeds.
 
     .venv/bin/python -m benchmarks.cells --sizes 100 1000 5200 --flat 100 300 --seeds 5 [--script rest ...]
     .venv/bin/python -m benchmarks.cells --table
@@ -82,11 +82,15 @@
 
 
 def save_run(path: Path, run: dict) -> None:
-    """Replaces an earlier run with the same identity; reads the file again, since others write it too."""
+    """Replaces a run of the same script, kind, size and seed; rereads the file, as others write it too."""
     document = read_document(path)
     identity = ("script", "kind", "size", "seed")
-    runs = [one for one in document["simulated"]["runs"] if any(one[key] != run[key] for key in identity)]
-    document["simulated"]["runs"] = sorted([*runs, run], key=lambda one: [str(one[key]) for key in identity])
+    runs = [
+        saved for saved in document["simulated"]["runs"] if any(saved[key] != run[key] for key in identity)
+    ]
+    document["simulated"]["runs"] = sorted(
+        [*runs, run], key=lambda saved: [str(saved[key]) for key in identity]
+    )
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_bytes(orjson.dumps(document, option=orjson.OPT_INDENT_2) + b"\n")
 
@@ -109,7 +113,7 @@
 
 
 def values_of(found: dict, key: str) -> list:
-    """Results of a run, None among them for time-outs; empty if the run does not have this key."""
+    """Results of a run: None for each that timed out; empty if its script does not measure `key`."""
     value = found.get(key, [])
     return value if isinstance(value, list) else [value]
 
@@ -124,8 +128,8 @@
         for cells, size in columns:
             kind = "cells" if cells else "flat"
             matching = [r for r in runs if (r["script"], r["kind"], r["size"]) == (script, kind, size)]
-            row_cells.append(format_range([value for one in matching for value in select(one)]))
-        if any(one != "-" for one in row_cells):
+            row_cells.append(format_range([value for run in matching for value in select(run)]))
+        if any(cell != "-" for cell in row_cells):
             lines.append(f"| {label} | {' | '.join(row_cells)} |")
 
     for script, script_rows in TABLE_ROWS.items():
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -5,7 +5,7 @@
 Emulated: real processes and stub members on loopback, 5 regions and 11 zones, 80 ms one-way delay between
 regions. Each size and seed gives one fleet, which runs the scripts in turn; `lonely` starts its own.
 Writes one JSON file per run to --out; `python -m benchmarks.scale.fit` turns them into a page. Refuses sizes
-that would need more than half of the machine's memory, and terminates every process that it started.
+that would need more than half of the machine's memory, ends by itself, and leaves no process running.
 """
 
 import argparse
@@ -28,14 +28,14 @@
 MAX_STUBS_PER_PROCESS = 1300
 MAX_PROCESS_CPU_MS_S = 300.0  # estimated processor time of the stub members of one process, at rest
 MAX_PROCESSES = max(1, (os.cpu_count() or 1) - 1)
-# Wait before the first script, and the limit for real backends to catch up.
+# Wait before the first script and after each, and time-out for the real backends to catch up.
 SETTLE_S, SETTLE_TIMEOUT_S = 15.0, 240.0
 # Estimated processor time of one member at rest: base, and slope by size.
 MEMBER_CPU_MS_S = {"flat": (1.0, 0.003), "cells": (1.0, 0.0)}
 
 
 def process_count(size: int, real: int, mode: str) -> int:
-    """Number of stub processes: each below MAX_PROCESS_CPU_MS_S at rest, as far as there are cores."""
+    """Number of stub processes: enough to stay below MAX_PROCESS_CPU_MS_S each, limited by the cores."""
     base, slope = MEMBER_CPU_MS_S[mode]
     stub_count = size - real
     wanted = -(-stub_count * (base + slope * size) // MAX_PROCESS_CPU_MS_S)
@@ -91,7 +91,10 @@
 
 
 def wait_until_settled(rig: MixedFleet, recorder: Recorder) -> tuple[float, int]:
-    """Waits until every real backend has caught up or the time-out expires; returns s, and how many have."""
+    """Waits until every real backend has caught up or the time-out expires.
+
+    Returns the seconds taken and the number of backends that have caught up.
+    """
     began = time.monotonic()
 
     def caught_up_count() -> int:
--- a/benchmarks/slopes_measures.py
+++ b/benchmarks/slopes_measures.py
@@ -17,7 +17,7 @@
 
 
 class MeasurePlan:
-    """Sizes and durations of a measurement; a trial is shortened, and its figures aren't valid."""
+    """Sizes and durations of a measurement; a trial is shortened, and its figures are no results."""
 
     def __init__(self, trial: bool) -> None:
         self.trial = trial
@@ -47,7 +47,7 @@
 
 
 async def measure_size(test_bed: TestBed, plan: MeasurePlan, **options: int) -> dict:
-    """Start time, memory, cost at rest, cost and latency at the peak rate, and cost of a reload."""
+    """Start time, memory, cost at rest, cost and latency at the peak rate, cost of a reload of new quotas."""
     await asyncio.sleep(STABILIZE_S)
     row = {
         "file_bytes": test_bed.size, "start_ms": round(test_bed.start_ms, 1),
@@ -121,11 +121,11 @@
 
 
 async def measure_rates(
-    test_bed: TestBed, plan: MeasurePlan, operation: str, seconds: float, *at: int, **options: object
+    test_bed: TestBed, plan: MeasurePlan, operation: str, seconds: float, *rates: int, **options: object
 ) -> list[dict]:
     """Runs one kind of load at several rates in turn on one backend."""
     rows = []
-    for rate in plan.sizes(*at):
+    for rate in plan.sizes(*rates):
         load = new_load(test_bed, **options)
         rows.append(await measure_load(test_bed, load, rate, plan.seconds(seconds), getattr(load, operation)))
     return rows
@@ -190,7 +190,7 @@
 
 
 async def reports(seed: int, folder: Path, plan: MeasurePlan) -> list[dict]:
-    """Reports at the regular rate, and to a control plane that answers 503, which then come more often."""
+    """Cost of reports at the regular rate, and at the higher rate that 503 from the control plane causes."""
     rows = []
     for answer in (b"204 No Content", b"503 Service Unavailable\r\nContent-Length: 0"):
         async with TestBed(folder, seed, backend_settings()) as test_bed:
@@ -207,7 +207,7 @@
 
 
 async def log_lines(seed: int, folder: Path, plan: MeasurePlan) -> list[dict]:
-    """Cost of the log lines of figures, by the interval in the operator file."""
+    """Cost of the `figures` log lines, by the interval set in the operator file."""
     rows = []
     for every_ms in plan.sizes(5000, 1000, 200):
         async with TestBed(folder, seed, backend_settings(), figures_ms=every_ms) as test_bed:
--- a/crowwing/program/log.py
+++ b/crowwing/program/log.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-MAX_LINE_BYTES = 4000  # bytes; a pipe writes up to this atomically
+MAX_LINE_BYTES = 4000  # a pipe takes a line of up to this length completely or not at all
 
 
 class Log:
--- a/crowwing/protocol/worker_agent.py
+++ b/crowwing/protocol/worker_agent.py
@@ -106,7 +106,7 @@
 
 def _integer(text: str, maximum: int = 1 << 62) -> int:
     if not (text.isascii() and text.isdigit() and len(text) < 20 and int(text) <= maximum):
-        raise ProtocolError(f"not an integer in its range: {text[:40]!r}")
+        raise ProtocolError(f"not an integer, or out of range: {text[:40]!r}")
     return int(text)
 
 
@@ -121,6 +121,7 @@
 
 
 def _microseconds(text: str) -> int:
+    # The agent sends times in milliseconds.
     number = _number(text)
     if number < 0:
         raise ProtocolError(f"negative time: {text[:40]!r}")
--- a/crowwing/transport/listener.py
+++ b/crowwing/transport/listener.py
@@ -10,8 +10,8 @@
 from crowwing.transport.connection import Connection, ConnectionHandler
 
 SWEEP_INTERVAL = 0.25  # seconds between checks for idle connections
-REQUEST_TIMEOUT = 1.5  # seconds for the first request of a connection, and for any request once begun
-PROVEN_IDLE_BONUS = 1.0  # seconds of idle time more for connections that have sent a complete request
+REQUEST_TIMEOUT = 1.5  # seconds for a new connection to begin a request, and for a begun one to be complete
+PROVEN_IDLE_BONUS = 1.0  # seconds by which eviction counts a connection with a complete request as less idle
 MAX_ACCEPTS_PER_TURN = 8  # connections accepted before other tasks of the loop run
 NEW_CONNECTION_GRACE = 0.05  # seconds in which a new connection is not closed for being idle
 FIRST_REQUEST_GRACE = 0.25  # seconds in which a new connection is not evicted in favor of others
@@ -21,7 +21,7 @@
 
 
 class Listener:
-    """Owns every accepted connection until its descriptor is closed."""
+    """Owns every accepted connection; one leaves `connections` when its descriptor is closed."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self.request_timeout = REQUEST_TIMEOUT
         self.capacity_freed = asyncio.Event()
         self.sock: socket.socket | None = None
-        self.pending_accept: asyncio.Future | None = None  # set while no client waits to be accepted
+        self.pending_accept: asyncio.Future | None = None  # done once a client waits to be accepted
         self.accept_waits = 0  # how often accepting had to wait
 
     def open(self, host: str, port: int) -> None:
@@ -107,10 +107,10 @@
         self.capacity_freed.set()
 
     def _evict_idle(self) -> None:
-        """Near the limit closes the longest idle connections, first those that never sent a full request.
+        """Closes the longest idle connections if few are free, first those without a complete request.
 
-        Otherwise hundreds of silent connections, or of clients that sent one request and stay, would keep
-        others from connecting. Clients that do need so many connections have to reopen theirs.
+        Otherwise hundreds of connections that send nothing, or nothing after one request, would keep other
+        clients waiting. The cost: clients that really need that many connections must reopen them.
         """
         if (
             len(self.connections) - sum(c.closing for c in self.connections)
@@ -123,10 +123,11 @@
                 connection.close()
 
     def _awaiting_first_request(self, idle: list[Connection]) -> set[Connection]:
-        """Connections whose first request may be in flight: only the newest few, as a flood sends none.
+        """New connections whose first request may be in flight.
 
-        Without this a connection just accepted would count as the longest idle if all others were active
-        lately.
+        Limited to the newest few, so that a flood of connections that send nothing is not spared.
+        Without this, a connection just accepted would count as the longest idle if all others have recently
+        sent a request.
         """
         now = self.loop.time()
         new = [c for c in idle if not c.proven and now - (c.began or c.since) < FIRST_REQUEST_GRACE]
@@ -134,7 +135,7 @@
         return set(new[-self.reserve :])
 
     def _sweep(self) -> None:
-        # First, so that sweeps continue even if one connection fails.
+        # Schedules the next sweep first, so that sweeps continue even if closing one connection fails.
         self.loop.call_later(SWEEP_INTERVAL, self._sweep)
         now = self.loop.time()
         for connection in self.connections:
@@ -148,15 +149,15 @@
         """Closes each connection that has carried a request and carries none now.
 
         Otherwise sidecars would send requests to a draining backend for as long as their connections stay
-        open. Requests already received are still answered. A sidecar must resend a request that crosses the
-        close.
+        open. Requests already received are still answered. A request that crosses the close is
+        lost unless the sidecar sends it again.
         """
         for connection in list(self.connections):
             if connection.proven and not (connection.busy or connection.closing or connection.began):
                 connection.close()
 
     def close(self) -> None:
-        """Stops listening; open connections go on.
+        """Stops listening; accepted connections stay open.
 
         Clients in the backlog are accepted first, beyond the limit if necessary: closing the socket would
         reset them and lose what they have sent.
