--- a/crowwing/program/backend.py
+++ b/crowwing/program/backend.py
@@ -29,14 +29,14 @@
 
 FIGURES_INTERVAL = 5.0  # seconds between `figures` lines, by default
 RELOAD_RETRY_DELAY = 0.25  # seconds before reading an unreadable configuration again
-# Seconds before the end of the drain: when the listener closes; when all connections have to be closed.
+# Seconds before the end of the drain at which the listener closes and, later, all connections must be gone.
 CLOSE_BEFORE_END, FINISH_BEFORE_END = 0.25, 0.06
 BIND_TIMEOUT, BIND_RETRY_DELAY = 5.0, 0.05  # seconds: while the address is in use, and between attempts
 CANCEL_TIMEOUT = 0.05  # seconds that the process waits for cancelled tasks at its end
 
 
 class Backend:
-    """Also handles the steps of the decision module that concern no single request."""
+    """Also carries out the decision module's instructions that belong to no single request."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self.loop, self.configuration, self.log, self.read = loop, configuration, log, read
         records = operator.records if operator else None
         self.figures_interval = records.figures_every_ms / 1000 if records else FIGURES_INTERVAL
-        # The reason of the failure and the timer of the next attempt.
+        # After a failed reload: the error message, and the timer of the next attempt.
         self.pending_reload: tuple[str, asyncio.TimerHandle] | None = None
         facts = configuration.facts
         self.recorder, self.pool = EventRecorder(log.write), BufferPool()
@@ -69,7 +69,7 @@
         if operator is not None and operator.storm is not None:
             self.dispatcher.storm_monitor = self._make_storm_monitor(operator.storm)
         self.fleet = None
-        if operator is not None and getattr(operator, "fleet", None):  # UNSET and None alike are off
+        if operator is not None and getattr(operator, "fleet", None):  # UNSET and None both mean off
             from crowwing.fleet.adapters.endpoint import FleetEndpoint  # only if a fleet is configured
 
             self.fleet = FleetEndpoint(
@@ -269,7 +269,7 @@
             with suppress(Exception):
                 self.recorder.defect("leaving", None)
         self.front.ending = True
-        for _ in range(2):  # lets the readers pass on what they have read, which is answered at once
+        for _ in range(2):  # lets the readers pass on requests already read, which are answered at once
             await asyncio.sleep(0)
         self._run_safely(self.dispatcher.shut_down)
         for connection in list(self.listener.connections):
--- a/crowwing/protocol/sidecar.py
+++ b/crowwing/protocol/sidecar.py
@@ -61,7 +61,7 @@
             if not self.headers_complete and self.partial and self.header_bytes > MAX_HEADER_BYTES:
                 raise _InvalidRequestError(431, "headers over their limit")
         except httptools.HttpParserUpgrade:
-            self.closed = True  # answered as an ordinary request, and the last one read
+            self.closed = True  # answered without the upgrade; nothing after this request is read
         except httptools.HttpParserError as error:
             cause = error.__context__ if isinstance(error.__context__, _InvalidRequestError) else None
             self._fail(cause.status if cause else 400, str(cause or error))
@@ -88,7 +88,7 @@
         name = name.lower()
         if name in self.headers and name.startswith(b"x-"):
             raise _InvalidRequestError(400, "a header given twice")
-        if name == b"transfer-encoding":  # no sidecar sends it, and it allows request smuggling
+        if name == b"transfer-encoding":  # no sidecar sends it, and it could hide a second request in a body
             raise _InvalidRequestError(400, "a body that no length frames")
         self.headers[name] = value
 
@@ -198,7 +198,7 @@
     closes: bool,
     with_retry_after: bool = False,
 ) -> bytes:
-    """`retry_after` is in microseconds; `with_retry_after` also sends RFC 9110's field, in whole seconds."""
+    """`retry_after` is in microseconds; `with_retry_after` adds RFC 9110's field, rounded up to seconds."""
 
     def headers() -> Iterator[str]:
         if retry_after > 0:
@@ -221,5 +221,5 @@
 
 
 def encode_bad_request(status: int, spare_capacity: float | None, closes: bool) -> bytes:
-    """The 4xx for an invalid request."""
+    """Encodes the 4xx response to an invalid request."""
     return _encode_response(status, _common_headers(spare_capacity, closes), b"")
--- a/crowwing/settings/operator_file.py
+++ b/crowwing/settings/operator_file.py
@@ -13,7 +13,7 @@
 import orjson
 
 SCHEMA_PATH = Path(__file__).with_name("operator.schema.json")
-# Rejects a log or dump that is named by mistake before it is read in full. 5,200 members with address, region
+# Limits what is read if a log or dump is named by mistake. 5,200 members with address, region
 # and zone take 0.5 MB, or 0.8 MB with one line per field (docs/measurements/operator.md).
 MAX_FILE_BYTES = 1 << 20
 JSON_TYPES = {
@@ -24,7 +24,7 @@
     "array": list,
     "object": dict,
 }
-# The schema keywords that are checked, and those that restrict nothing.
+# The schema keywords that are checked, and those that are ignored because they restrict nothing.
 CHECKED_KEYWORDS = {
     "type",
     "enum",
@@ -88,7 +88,7 @@
 
 
 def with_defaults(section_data: dict, part: dict, root: dict) -> SimpleNamespace:
-    """A valid section with defaults filled in, and None for each section that is absent."""
+    """Converts a valid section to attributes: defaults for absent fields, None for absent subsections."""
     section = SimpleNamespace()
     for name, field in part["properties"].items():
         field_schema = _resolve(field, root)
@@ -122,6 +122,6 @@
 
 
 def read(path: str | os.PathLike) -> SimpleNamespace:
-    """The sections as attributes, with defaults filled in, and None for each that is absent."""
+    """Loads the file as attributes: defaults for absent fields, None for absent sections."""
     root = load_schema()
     return with_defaults(load(path), _resolve(root, root), root)
--- a/crowwing/transport/connection.py
+++ b/crowwing/transport/connection.py
@@ -15,8 +15,8 @@
 
 from crowwing.transport.buffer_pool import BufferPool
 
-MAX_DISCARDED_BYTES = 1 << 18  # bytes discarded before the connection is closed
-LINGER_TIME = 0.1  # seconds from shutdown to close; a crossing request is sent again within 50 ms
+MAX_DISCARDED_BYTES = 1 << 18  # limit of discarded bytes, after which the connection is closed
+LINGER_TIME = 0.1  # seconds from shutdown to close; clients resend a request that crosses it within 50 ms
 MAX_DISCARD_READS = 32  # reads that discard unread bytes before the final close
 SEND_TIMEOUT = 5.0  # seconds after which a response that the peer does not read is abandoned
 
@@ -47,7 +47,7 @@
         self.busy = self.closing = self.shut = self.proven = self.deaf = False
         self.since = loop.time()
         self.began = self.pause = 0.0
-        self.outbox: deque[bytes] = deque()  # removed by the sender task
+        self.outbox: deque[bytes] = deque()  # data that the sender task has still to send
         self.sender: asyncio.Task | None = None
         self.done: asyncio.Event | None = None  # set once no response is pending, after the peer has closed
         self.lingers: asyncio.TimerHandle | None = None
@@ -181,17 +181,17 @@
             self._finish_if_idle()
 
     def release(self) -> None:
-        """No request is in progress on it any more."""
+        """Marks it as having no request in progress."""
         self.busy = False
         self._finish_if_idle()
 
     def close(self) -> None:
-        """Closes it once pending responses are sent. What arrives before that is still read."""
+        """Closes it once pending responses are sent. First reads what has arrived: it may hold a request."""
         self.closing = True
         self._shut_down_writes()
 
     def end(self) -> None:
-        """Reads what has arrived and closes, when the process ends and the reader has passed on its data."""
+        """Called at process exit once the reader has passed on its data: reads the rest and closes."""
         self.closing = True
         if not (self.deaf or self.shut or self.done is not None):
             with suppress(OSError), memoryview(self.buffer) as view:
