--- a/crowwing/fleet/adapters/settings.py
+++ b/crowwing/fleet/adapters/settings.py
@@ -19,10 +19,13 @@
 
 Location = tuple[str, str]  # region, zone
 
-MAX_LOCATION_BYTES = 40  # of a region's or zone's name: a cell name contains both, and keys have at most 160
-# Members of a flat fleet that can lend each other calls: one that starts asks all others, eight times in two
-# seconds, until they have answered. The default socket buffer holds 256 answers, so in the worst case, all of
-# a round at once, 1,000 members need four of the eight rounds; 2,000 would need all of them.
+MAX_LOCATION_BYTES = (
+    40  # of the name of a region or zone: a cell name has both, and a key, at most 160 bytes, has that
+)
+# Maximum size of a flat fleet whose members lend each other calls: one that starts asks all others, eight
+# times in two seconds, until they have answered. The default socket buffer holds 256 answers, so in the worst
+# case, if all answers of a round arrive at once, 1,000 members need four of the eight rounds; 2,000 would
+# need all of them.
 MAX_LENDING_MEMBERS = 1000
 
 
@@ -61,7 +64,7 @@
 
 
 def locations(fleet: SimpleNamespace, me: str) -> dict[str, Location] | None:
-    """Region and zone of each member, this one included; None if none is named, for a flat fleet.
+    """Region and zone of each member, this one included; None for a flat fleet, whose settings name none.
     FleetSettingsError if only some are named or a name is invalid."""
     named = [("$.fleet", me, fleet.region or None, fleet.zone or None)]
     for number, peer in enumerate(fleet.peers):
@@ -90,7 +93,8 @@
 
 def check_size(fleet: SimpleNamespace, me: str, customers: int) -> None:
     """FleetSettingsError if a feature is switched on that a fleet of this size does not support. The result
-    is the same on every member: in cells, the largest cell that the settings allow counts, not the own one.
+    is the same on every member: in cells, the size checked is that of the largest cell that the settings
+    allow, not of this member's cell.
     """
     size, remedy = len(fleet.peers) + 1, "name region and zone for every member: cells keep it apart"
     if (located := locations(fleet, me)) is None:
@@ -108,7 +112,8 @@
 
 
 def _check_capacity(keyspace: str, entries: int, path: str, demand: str, remedy: str) -> None:
-    """Local writes are rejected from `LOCAL_FILL_LIMIT` of a keyspace on."""
+    """FleetSettingsError if the entries exceed `LOCAL_FILL_LIMIT`, the share of a keyspace that accepts local
+    writes."""
     if entries > (capacity := int(KEYSPACES[keyspace].max_entries * LOCAL_FILL_LIMIT)):
         raise FleetSettingsError(f"{path}: {demand} are over {capacity} entries; {remedy}, or leave it off")
 
--- a/crowwing/tier/front/batch_item_run.py
+++ b/crowwing/tier/front/batch_item_run.py
@@ -18,11 +18,11 @@
 
 log = logging.getLogger("crowwing.lots")
 
-QUEUE_TIMEOUT_S = 2.0  # in the admission queue, before an item is returned to the primary
+QUEUE_TIMEOUT_S = 2.0  # how long an item is queued for admission before it is returned to the primary
 RESUMED_QUEUE_TIMEOUT_S = 10.0  # the same for a preempted item, which keeps the events received so far
 RUN_TIMEOUT_S = 30.0
 FAILED_START_PAUSE_S = 0.15  # before an item that no sidecar accepted is returned to the primary
-RUN_ATTEMPTS = 4  # attempts of one run, including those that resume it
+RUN_ATTEMPTS = 4  # attempts of one run that may execute the item, including those that resume it
 ATTEMPT_ID_BYTES = 6  # length of the random id of a failed attempt
 DEAD_LETTER_STATUS = 422  # from a sidecar: the item can never be completed
 FAILED_STATUS = 500  # from a sidecar: the attempt counts as failed
--- a/crowwing/tier/front/primary_finder.py
+++ b/crowwing/tier/front/primary_finder.py
@@ -15,7 +15,9 @@
 MAX_QUERIED = 2  # random store machines queried in one round, besides those that other machines name
 MIN_ROUND_PAUSE_S, MAX_ROUND_PAUSE_S = 0.08, 1.28  # after a failed round; doubled each time
 MIN_CONFIRM_INTERVAL_S = 0.5  # between checks whether an unresponsive primary is still the primary
-MIN_PAUSE_SHARE = 0.5  # fixed share of a pause; the rest is random, so that fronts do not query in step
+MIN_PAUSE_SHARE = (
+    0.5  # share of a pause that is fixed; the rest is random, so that fronts do not query in step
+)
 
 
 class PrimaryFinder:
@@ -34,7 +36,7 @@
         self._random = random
         self._clock = clock
         self._primary: str | None = None
-        self._highest_term: Term = NO_TERM  # of any machine that claimed to be the primary
+        self._highest_term: Term = NO_TERM  # of the machines that reported to be the primary
         self._primary_hint: str | None = None  # the primary according to another machine
         self._changed = asyncio.Event()  # set and replaced when the primary changes
         self._search: asyncio.Task[None] | None = None
@@ -118,7 +120,7 @@
         return found
 
     async def _query_all(self, hosts: Sequence[str]) -> tuple[str | None, set[str]]:
-        """Queries machines in parallel; returns the first that is the primary, and the terms' proposers."""
+        """Queries machines in parallel; returns the first that is the primary, and who proposed the terms."""
         proposers: set[str] = set()
         queries = [asyncio.ensure_future(self._status_of(host)) for host in hosts]
         try:
--- a/crowwing/tier/front/service_pool.py
+++ b/crowwing/tier/front/service_pool.py
@@ -14,10 +14,10 @@
 from crowwing.tier.front.sidecar_table import SidecarTable
 from crowwing.tier.platform_list import SidecarList
 
-STEP_INTERVAL_S = 0.05  # between steps of the admission control loops
+STEP_INTERVAL_S = 0.05  # between adjustments of a service's limit and priority threshold
 IDLE_STEP_INTERVAL_S = 0.2  # the same while nothing is queued or rejected
 STARTUP_POLL_S = 0.02
-START_SHARE = 1.0  # initial limit, as a share of this front's even share of all slots
+START_SHARE = 1.0  # the initial limit is this times the slots divided by the number of fronts
 
 
 class ServicePool:
@@ -122,7 +122,7 @@
         self.items.preempt(service, admission.queued_live_count)
 
     async def run_loops(self) -> None:
-        """Steps the admission control loops, expires queued requests and polls sidecars; never returns."""
+        """Adjusts limits and priority thresholds, expires queued requests, polls sidecars; never returns."""
         while True:
             await asyncio.sleep(STEP_INTERVAL_S)
             now = time.monotonic()
--- a/crowwing/tier/front/store_client.py
+++ b/crowwing/tier/front/store_client.py
@@ -12,9 +12,13 @@
 from crowwing.tier.wire.connection_pool import ConnectionPool
 from crowwing.tier.wire.errors import CallError
 
-CONFIRM_INTERVAL_S = 0.7  # without a response, before other machines are asked if the primary has changed
+CONFIRM_INTERVAL_S = (
+    0.7  # wait for a response before other machines are asked whether the primary has changed
+)
 MIN_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 0.08, 0.64  # between attempts of a call; doubled each time
-MIN_PAUSE_SHARE = 0.5  # fixed share of a pause; the rest is random, so that fronts do not retry in step
+MIN_PAUSE_SHARE = (
+    0.5  # share of a pause that is fixed; the rest is random, so that fronts do not retry in step
+)
 OVERLOAD_PAUSE_S = 0.5  # before an overloaded primary is called again
 PRIMARY_MOVED = "the primary has moved"
 TIMED_OUT = "no response in time"
@@ -98,7 +102,9 @@
             except CallError as error:
                 indeterminate = indeterminate or error.sent
             else:
-                if indeterminate and is_overloaded(outcome):  # an earlier attempt may have succeeded
+                if indeterminate and is_overloaded(
+                    outcome
+                ):  # not a final rejection: an earlier attempt may have succeeded
                     await asyncio.sleep(max(0.0, min(OVERLOAD_PAUSE_S, deadline - self._clock.monotonic())))
                     continue
                 if not isinstance(outcome, outcomes.NotPrimary | outcomes.Indeterminate):
@@ -146,7 +152,7 @@
             confirmation.cancel()
 
     async def _is_done(self, call: "asyncio.Task[Decoded]", timeout_s: float) -> bool:
-        """Waits for the response, a change of the primary, or the time-out; whether the call is done."""
+        """Waits for the response, a change of the primary, or the time-out; returns if the call is done."""
         changed = asyncio.ensure_future(self._finder.changed.wait())
         try:
             await asyncio.wait(
