--- a/crowwing/fleet/uses/idempotency_keys.py
+++ b/crowwing/fleet/uses/idempotency_keys.py
@@ -1,22 +1,22 @@
 """Idempotency keys across members: a keyed request retried at another backend runs only once. Pure.
 
-That holds while the home members of its key can be reached.
+This holds as long as the home members of the key (see below) can be reached.
 
-Each backend already enforces rule 2 for itself; this extends it over the fleet for installations that want
-it. Each key has three home members among all that the settings name, by rendezvous hashing (Thaler,
-Ravishankar, 1998), so all members agree on them without a message. Before a member runs a keyed request it
-claims the key at its homes. A home grants the key to the first claimant and tells every other who owns it
-and, once the request has completed, the answer. With two of three grants the request runs: any two claims
-with two grants share a home. Otherwise the claim releases its grants and the caller is told to retry later,
-or gets the answer.
+Each backend by itself already runs work that must not be repeated only once (rule 2). This module extends the
+rule over the fleet, for installations that want it. Each key has three home members among all that the
+settings name, by rendezvous hashing (Thaler, Ravishankar, 1998), so all members agree on them without a
+message. Before a member runs a keyed request it claims the key at its homes. A home grants the key to the
+first claimant; later claimants are told who owns it and, once the request has completed, the answer. With two
+of three grants the request runs; no other claim can get two as well, because two pairs of homes always share
+one. Otherwise the claim releases its grants, and the caller is told to retry later or gets the answer.
 
 - A home that started less than a key's window ago may have forgotten a grant: it reports what it knows, and
   its grant does not count.
 - Where two homes cannot be reached, the claim ends `UNSURE`, and the operator's settings decide whether the
-  request runs under rule 2 alone or is rejected.
+  request runs with rule 2 of its backend alone or is rejected.
 - Each claim has a number and each incarnation of a member its own owner name: a late message about an earlier
-  claim neither grants nor releases a later one, and a restarted member does not take for its own what its
-  earlier incarnation ran.
+  claim neither grants nor releases a later one, and a restarted member does not treat what its earlier
+  incarnation ran as its own.
 - A claimant that dies leaves its grant in place until the window is over: the request may have run.
 """
 
@@ -77,7 +77,7 @@
     def __init__(
         self, me: str, members: Sequence[str], now: int, rng: random.Random, max_keys: int, claim_timeout: int
     ) -> None:
-        """`max_keys` known here, as home and as owner each; `claim_timeout` for the answers of the homes."""
+        """`max_keys`: limit of the keys kept as home, and of those kept as owner."""
         self.me, self.members, self.started_at, self.max_keys, self.claim_timeout = (
             me,
             list(members),
@@ -87,7 +87,9 @@
         )
         self.owner, self.claim_number = f"{me}.{rng.randrange(1 << 32):08x}", 0
         self.grants: dict[str, Grant] = {}  # as a home; removed after each key's window
-        self.own_grants: dict[str, Grant] = {}  # that run or ran here; removed after each key's window
+        self.own_grants: dict[
+            str, Grant
+        ] = {}  # of requests that run or ran here; removed after each key's window
         self.claims: dict[str, Claim] = {}  # pending, by key; removed at their end
         self.next_expiry = now
         self.rejected_claims = 0
--- a/crowwing/fleet/uses/quota.py
+++ b/crowwing/fleet/uses/quota.py
@@ -2,19 +2,21 @@
 
 The settings give each member an equal share of a customer's quota. If a customer's requests reach only a few
 members, those shares are spent while the others stay unused. Each member counts the requests of each customer
-in a window and publishes the count when the window is over, under its own key
+in a window and publishes the count when the window is over. The key is its own
 (`use/customer/window/member.incarnation`), so counters never conflict, and a restarted member counts under
-another incarnation. Members believed dead keep their equal share of the quota (they may serve behind a
-partition, and the two sides must not exceed the quota together); the rest is divided by use.
+another one. The equal shares of members believed dead are left to them: they may still serve behind a
+partition, and the two sides together must not exceed the quota. The rest is divided by use.
 
-A window counts all requests that arrived, not only those within the quota: the share follows the demand.
+A window counts all requests that arrived, not only those within the quota, so that shares follow demand.
 """
 
 from collections import Counter
 from collections.abc import Iterable
 
-WINDOWS = 3  # the last complete ones, which the shares are computed from
-MIN_SHARE = 0.1  # of an equal share, for a member without use: its next requests are not all over quota
+WINDOWS = 3  # shares are computed from this many of the last complete windows
+MIN_SHARE = (
+    0.1  # of an equal share; a member without use gets it, so that its next requests are not all over quota
+)
 
 
 def usage_key(customer: str, window: int, member: str, incarnation: str) -> str:
--- a/crowwing/tier/front/sidecar_connections.py
+++ b/crowwing/tier/front/sidecar_connections.py
@@ -3,7 +3,8 @@
 A sidecar accepts a limited number of connections from all fronts together and resets the surplus. So a front
 keeps no more idle connections to a service than its even share of IDLE_SHARE of that number, and opens none
 to a sidecar that has just reset a new one. A new connection waits for about one round trip before its first
-request, so that a reset by the limit is seen before a byte was sent and is told from one after it.
+request, so that a reset because of the limit is seen before any byte of the request was sent, and is
+distinguished from a reset after that.
 """
 
 import asyncio
--- a/crowwing/tier/front/sidecar_table.py
+++ b/crowwing/tier/front/sidecar_table.py
@@ -80,8 +80,8 @@
     def assumed_front_count(self, service: str) -> int:
         """How many fronts are assumed to share a service's sidecars.
 
-        Until they have been counted there may be many that started at the same moment; so many are assumed
-        that the share of each is UNCOUNTED_SHARE_SLOTS slots.
+        Until they have been counted, many may have started at the same moment. The assumed number is then so
+        high that the share of each is UNCOUNTED_SHARE_SLOTS slots.
         """
         if self.fronts_counted:
             return max(1, self.fronts)
