--- a/crowwing/fleet/state/catch_up.py
+++ b/crowwing/fleet/state/catch_up.py
@@ -2,17 +2,18 @@
 
 An acknowledged update is held by a majority of all members in the settings. A member that lost its memory and
 has fetched from half of the members, rounded up, has therefore reached at least one holder of every such
-update: then it has caught up. Until then it reports that it is not ready, but for no longer than `max_wait`,
-because a fleet whose members cannot reach each other still has to serve. After that it goes on fetching, and
-does not count as current until it has fetched from enough members.
+update and has caught up. Until then it reports that it is not ready, but for no longer than `max_wait`,
+because a fleet whose members cannot reach each other still has to serve. After `max_wait` it is ready but
+continues to fetch, and does not count as current until it has fetched from enough members.
 
 Catching up begins at the start, and when a member that could not reach a majority is reached again by members
 that always could. If no member was current (a partition into three, or all restarted at once), nobody is
-behind anybody and nobody becomes unready; otherwise a fleet would heal and be out of service for it.
+behind anybody and nobody becomes unready; otherwise the end of a partition would put the whole fleet out of
+service.
 
 A failed fetch delays all further ones, longer each time, until one succeeds, so the load of fetching from an
-unresponsive fleet is bounded whatever its size. Without it, a backend restarted behind a partition spent a
-whole core on refused connections to a thousand members in turn.
+unresponsive fleet is bounded whatever its size. Without this delay, a backend restarted behind a partition
+spent a whole core on refused connections to a thousand members in turn.
 """
 
 import heapq
@@ -28,7 +29,7 @@
     max_wait: int = 5_000_000  # ready after this, caught up or not
     retry_delay: int = 500_000  # after a failed fetch; doubled after each further one
     max_backoff_factor: int = 16  # times `retry_delay` at most
-    isolation_timeout: int = 3_000_000  # isolated after so long without a majority
+    isolation_timeout: int = 3_000_000  # a member without a majority for this long is isolated
     max_concurrent_fetches: int = 2  # fetches in flight
 
 
--- a/crowwing/fleet/state/reachability_votes.py
+++ b/crowwing/fleet/state/reachability_votes.py
@@ -1,10 +1,11 @@
 """Votes of a cell's speakers on which other cells are unreachable, and their count by its members. Pure.
 
-Each speaker keeps one entry, `reach/speaker`, with the cells it cannot reach: a whole zone or region as one
-prefix or, if the list is long (while a partition is still being detected), one bit per cell of its copy of
-the settings, which only members with the same copy can decode. A member considers a cell unreachable if a
-majority of the speakers of its own cell, as it sees them, say so: one deaf, slow or partitioned speaker
-convinces nobody, and votes of members that died or no longer speak do not count.
+Each speaker keeps one entry, `reach/speaker`, with the cells it cannot reach. It is a list in which one
+prefix stands for an entire zone or region. If the list is long, as while a partition is still being detected,
+it is replaced by one bit per cell in the settings, which only members with the same settings can decode. A
+member considers a cell unreachable if a majority of the speakers of its own cell, as it sees them, say so. So
+one slow or partitioned speaker, or one that receives nothing, has no effect, and votes of members that died
+or no longer speak do not count.
 
 In a partition each side votes the other unreachable. A member that was away has no votes until it has caught
 up.
@@ -16,7 +17,7 @@
 from crowwing.fleet.membership.cells import CellLayout, covers
 from crowwing.fleet.state.replica import Replica
 
-VOTE_LIFETIME = 600_000_000  # µs; renewed after half of it while it is valid
+VOTE_LIFETIME = 600_000_000  # µs; a vote that still holds is renewed after half of it
 # µs. A partition is detected cell by cell over some seconds, so votes against cells are published rarely;
 # that a cell is reachable again is published soon.
 STABILIZATION_DELAY, MIN_INTERVAL_OUT, MIN_INTERVAL_BACK = 1_000_000, 8_000_000, 2_000_000
