--- a/crowwing/transport/connection.py
+++ b/crowwing/transport/connection.py
@@ -15,7 +15,7 @@
 
 from crowwing.transport.buffer_pool import BufferPool
 
-MAX_DISCARDED_BYTES = 1 << 18  # limit of discarded bytes, after which the connection is closed
+MAX_DISCARDED_BYTES = 1 << 18  # bytes discarded without a response before the connection is closed
 LINGER_TIME = 0.1  # seconds from shutdown to close; clients resend a request that crosses it within 50 ms
 MAX_DISCARD_READS = 32  # reads that discard unread bytes before the final close
 SEND_TIMEOUT = 5.0  # seconds after which a response that the peer does not read is abandoned
