--- a/crowwing/program/front_end.py
+++ b/crowwing/program/front_end.py
@@ -79,7 +79,7 @@
             keep = found[:0] if self.connection.busy else found[:1]
             # A second request before the response: not a stream of a sidecar.
             self.reader.closed = self.connection.deaf = True
-            found = [*keep, sidecar.BadRequest(400, "a second request before the response", fatal=True)]
+            found = [*keep, sidecar.BadRequest(400, "a second request before the answer", fatal=True)]
         self.waiting += found
         self.connection.began = (
             (self.connection.began or self.connection.since) if self.reader.partial else 0.0
@@ -94,14 +94,12 @@
         elif not broken and self.connection.began and not (self.connection.busy or self.reader.closed):
             self.connection.busy = self.reader.closed = self.connection.deaf = True
             self.connection.began = 0.0
-            self._send_bad_request(
-                sidecar.BadRequest(400, "the connection ended before the request was complete", fatal=True)
-            )
+            self._send_bad_request(sidecar.BadRequest(400, "ended before it was whole", fatal=True))
 
     def _next(self) -> None:
         while self.waiting and not self.connection.busy:
             item = self.waiting.popleft()
-            self.front.recorder.verify(self.request is None, "one request per connection")
+            self.front.recorder.verify(self.request is None, "one ticket a connection")
             self.connection.busy = True
             self.last = self.reader.closed and not self.waiting
             if isinstance(item, Arrival):
--- a/crowwing/tier/front/batch_api.py
+++ b/crowwing/tier/front/batch_api.py
@@ -29,7 +29,7 @@
     async def serve_route(self, request: ClientRequest, send: Send) -> None:
         """Serves a request on a batch route: submits a batch job."""
         if request.method != "POST":
-            await respond_json(send, 405, {"error": "batch jobs are submitted with POST"})
+            await respond_json(send, 405, {"error": "lots are handed in with POST"})
             return
         job = (request.header(b"request-id") or b"").decode("latin-1")
         if not job:
@@ -89,7 +89,7 @@
             case outcomes.ItemBody(body):
                 await respond(send, 200, body, [(b"content-type", b"application/octet-stream")])
             case outcomes.NotFound():
-                await respond_json(send, 404, {"error": "there is no such batch job or item"})
+                await respond_json(send, 404, {"error": "there is no such lot or item"})
             case outcomes.Rejected(503, reason):
                 await respond_unavailable(send, reason, OVERLOAD_RETRY_AFTER_S)
             case outcomes.Rejected(status, reason):
--- a/crowwing/tier/front/batch_job_format.py
+++ b/crowwing/tier/front/batch_job_format.py
@@ -31,7 +31,7 @@
         reason = f"{type(error).__name__}: {error}"
         raise MalformedBatchJobError(reason) from error
     if not 0 < len(items) <= MAX_ITEMS:
-        reason = f"requests: must be 1 to {MAX_ITEMS}, got {len(items)}"
+        reason = f"requests: 1 to {MAX_ITEMS} are taken, these are {len(items)}"
         raise MalformedBatchJobError(reason)
     if len({item.id for item in items}) < len(items):
         reason = "requests: two have the same id"
@@ -57,7 +57,7 @@
 def _match(pattern: re.Pattern[str], text: str, field: str) -> str:
     """Returns the text; raises ValueError if it is not valid in an HTTP request."""
     if pattern.fullmatch(text) is None:
-        reason = f"{field}: not valid in an HTTP request"
+        reason = f"{field}: can't stand in a request"
         raise ValueError(reason)
     return text
 
