--- a/crowwing/tier/front/dispatch.py
+++ b/crowwing/tier/front/dispatch.py
@@ -233,7 +233,7 @@
             raise StreamBrokenError(resumed.reason)
         if resumed.started.status != OK_STATUS:
             await self.close(resumed)
-            reason = f"status {resumed.started.status} on resume"
+            reason = f"status {resumed.started.status} on going on"
             raise StreamBrokenError(reason)
         return resumed
 
@@ -271,7 +271,7 @@
             after = event.id if event.id is not None else after
             yield event
     if splitter.rest.strip():
-        reason = "stream ended inside an event"
+        reason = "it ended inside an event"
         raise StreamBrokenError(reason)
 
 
--- a/crowwing/tier/front/sidecar_stream.py
+++ b/crowwing/tier/front/sidecar_stream.py
@@ -12,8 +12,8 @@
 import httpcore
 
 MAX_UNREAD_BYTES = 64 * 1024  # beyond this, reading from the socket pauses
-READ_TIMED_OUT = "no bytes received in time"
-WRITE_TIMED_OUT = "the sidecar did not read in time"
+READ_TIMED_OUT = "no byte in time"
+WRITE_TIMED_OUT = "the sidecar does not read"
 SocketOption = Any  # the type that httpcore declares
 
 
@@ -57,7 +57,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         """Records the loss of the connection; an error means a reset or unacknowledged bytes."""
         if not self._ended:
-            self._error = error or ConnectionAbortedError("closed locally")
+            self._error = error or ConnectionAbortedError("closed here")
         self._closed = True
         self._readable.set()
         self._writable.set()
