--- a/crowwing/emulator/fleet/fault_run.py
+++ b/crowwing/emulator/fleet/fault_run.py
@@ -35,9 +35,14 @@
     requests, at = [], 0.0
     while at < seconds:
         key = rng.choice(["said", "said", "mark"])
-        how = "put" if key == "said" else rng.choice(["add", "add", "take_out"])
+        operation = "put" if key == "said" else rng.choice(["add", "add", "take_out"])
         requests.append(
-            {"at_s": round(at, 3), "of": rng.choice(names), "k": how, "key": f"{key}/{rng.randrange(12)}"}
+            {
+                "at_s": round(at, 3),
+                "of": rng.choice(names),
+                "k": operation,
+                "key": f"{key}/{rng.randrange(12)}",
+            }
         )
         at += REQUEST_INTERVAL_S * (0.5 + rng.random())
     faults, at, stopped_until = [], 0.5, 0.0
@@ -50,8 +55,8 @@
                 faults.append(fault | {"of": rng.choice(names)})
                 stopped_until = at + span + 0.5
         else:
-            few = sorted(rng.sample(names, rng.randint(1, size // 2)))
-            faults.append(fault | {"few": few, "size": _size(kind, rng), "jitter_ms": 40})
+            members = sorted(rng.sample(names, rng.randint(1, size // 2)))
+            faults.append(fault | {"few": members, "size": _size(kind, rng), "jitter_ms": 40})
         at += 0.3 + 1.2 * rng.random()
     offsets = {name: rng.randint(-2000, 2000) for name in names}
     return {
@@ -72,11 +77,15 @@
 
 def relay_faults(fault: dict, names: list[str]) -> list[dict]:
     """Converts a fault between members to the relay's format."""
-    few, rest = fault["few"], [name for name in names if name not in fault["few"]]
-    told = {"kind": "cut" if fault["kind"] == "one_way" else fault["kind"], "size": fault["size"]}
-    told["jitter_ms"] = fault["jitter_ms"]
-    ways = [told | {"from": few, "to": rest}]
-    return ways if fault["kind"] == "one_way" else [*ways, told | {"from": rest, "to": few}]
+    members, others = fault["few"], [name for name in names if name not in fault["few"]]
+    template = {"kind": "cut" if fault["kind"] == "one_way" else fault["kind"], "size": fault["size"]}
+    template["jitter_ms"] = fault["jitter_ms"]
+    directions = [template | {"from": members, "to": others}]
+    return (
+        directions
+        if fault["kind"] == "one_way"
+        else [*directions, template | {"from": others, "to": members}]
+    )
 
 
 class FaultRun:
@@ -93,8 +102,8 @@
         self.socket.setblocking(False)
         self.number = 0
 
-    def record(self, event: str, **brings: object) -> None:
-        self.history.append({"at": time.time_ns() // 1000, "event": event, **brings})
+    def record(self, event: str, **fields: object) -> None:
+        self.history.append({"at": time.time_ns() // 1000, "event": event, **fields})
 
     def run(self) -> history_check.Found:
         for name in self.rig.names:
@@ -125,37 +134,39 @@
 
     def _run_schedule(self) -> None:
         began = time.monotonic()
-        for at, what, told in self._schedule():
+        for at, action, argument in self._schedule():
             while (left := began + at - time.monotonic()) > 0:
                 time.sleep(min(left, 0.02))
                 self._read_responses()
-            what(told)
+            action(argument)
 
     def _schedule(self) -> Iterator[tuple]:
         """Yields (seconds, action, argument) in order, including the ends of faults."""
-        moments = [(request["at_s"], self._send_request, request) for request in self.plan["asks"]]
+        events = [(request["at_s"], self._send_request, request) for request in self.plan["asks"]]
         for fault in self.plan["faults"]:
-            moments.append((fault["at_s"], self._start_fault, fault))
-            moments.append((fault["at_s"] + fault["for_s"], self._end_fault, fault))
-        return iter(sorted(moments, key=lambda moment: moment[0]))
+            events.append((fault["at_s"], self._start_fault, fault))
+            events.append((fault["at_s"] + fault["for_s"], self._end_fault, fault))
+        return iter(sorted(events, key=lambda event: event[0]))
 
     def _send_request(self, request: dict) -> None:
         self.number += 1
-        told = {"k": request["k"], "key": request["key"], "wait_ms": ACK_TIMEOUT_MS, "n": self.number}
+        message = {"k": request["k"], "key": request["key"], "wait_ms": ACK_TIMEOUT_MS, "n": self.number}
         if request["k"] == "put":
-            told["value"] = self.number
-        self.record("asked", of=request["of"], **told)
-        self.socket.sendto(orjson.dumps(told), self.rig.fleet_addresses[request["of"]])
+            message["value"] = self.number
+        self.record("asked", of=request["of"], **message)
+        self.socket.sendto(orjson.dumps(message), self.rig.fleet_addresses[request["of"]])
 
     def _read_responses(self) -> None:
         while True:
             try:
-                told = orjson.loads(self.socket.recv(65536))
+                response = orjson.loads(self.socket.recv(65536))
             except BlockingIOError:
                 return
             except OSError:
                 continue  # the member is down at the moment
-            self.record("answered", acked=bool(told.get("acked")), rows=told.get("rows", []), n=told["n"])
+            self.record(
+                "answered", acked=bool(response.get("acked")), rows=response.get("rows", []), n=response["n"]
+            )
 
     def _start_fault(self, fault: dict) -> None:
         kind = fault["kind"]
@@ -188,34 +199,34 @@
 
     def _stored_rows(self) -> dict[str, list] | None:
         """Returns the operators' entries of every member; None if one does not answer."""
-        held = {}
+        stored = {}
         for name in self.rig.names:
             pages = [self.rig.state(name, prefix) for prefix in ("said/", "mark/")]
             if any(page is None for page in pages):
                 return None
-            held[name] = [row for page in pages for row in page["rows"]]
-        return held
+            stored[name] = [row for page in pages for row in page["rows"]]
+        return stored
 
     def _wait_for_convergence(self) -> history_check.Found:
-        began, held = time.monotonic(), None
+        began, stored = time.monotonic(), None
         converged = None
         while converged is None and time.monotonic() - began < CONVERGENCE_TIMEOUT_S:
             time.sleep(0.05)
             self._read_responses()
-            held = self._stored_rows()
-            if held is not None and not history_check.differing(held):
+            stored = self._stored_rows()
+            if stored is not None and not history_check.differing(stored):
                 converged = round(time.monotonic() - began, 2)
         time.sleep(ACK_TIMEOUT_MS / 1000)  # by then the last requests have been answered
         self._read_responses()
         self.rig.until(lambda: (self._stored_rows() or {}).keys() == set(self.rig.names), 5)
-        return history_check.check(self.history, self._stored_rows() or held or {}, converged)
+        return history_check.check(self.history, self._stored_rows() or stored or {}, converged)
 
 
 def replay(folder: Path, into: Path) -> history_check.Found:
     """Repeats the run that is stored in a folder; ValueError if there is none."""
     try:
-        told = orjson.loads((folder / "play.json").read_bytes())
+        plan = orjson.loads((folder / "play.json").read_bytes())
     except (OSError, orjson.JSONDecodeError) as error:
         raise ValueError(f"{folder / 'play.json'}: {error}") from None
-    fleet = told.pop("fleet")
-    return FaultRun(into, told, **fleet).run()
+    fleet = plan.pop("fleet")
+    return FaultRun(into, plan, **fleet).run()
--- a/crowwing/emulator/fleet/history_check.py
+++ b/crowwing/emulator/fleet/history_check.py
@@ -24,31 +24,31 @@
     return [row for line in history if line["event"] == "answered" and line["acked"] for row in line["rows"]]
 
 
-def outranked(said: Row, held: Row | None) -> bool:
+def outranked(acked: Row, stored: Row | None) -> bool:
     """Returns whether the stored row equals the acknowledged one or supersedes it by the merge rule."""
-    if held is None:
+    if stored is None:
         return False
-    if said[0].startswith("mark/"):
+    if acked[0].startswith("mark/"):
         return (
-            held[1] is False or said[1] is True
+            stored[1] is False or acked[1] is True
         )  # a mark once added may be removed; once removed it stays so
-    return tuple(held[2:5]) >= tuple(said[2:5])
+    return tuple(stored[2:5]) >= tuple(acked[2:5])
 
 
-def differing(held: Mapping[str, Sequence[Row]]) -> list[str]:
+def differing(stored: Mapping[str, Sequence[Row]]) -> list[str]:
     """Returns the keys whose rows are not the same at every member."""
-    views = [{row[0]: row for row in rows} for rows in held.values()]
+    views = [{row[0]: row for row in rows} for rows in stored.values()]
     keys = set().union(*views) if views else set()
     return sorted(key for key in keys if any(view.get(key) != views[0].get(key) for view in views))
 
 
-def check(history: Sequence[dict], held: Mapping[str, Sequence[Row]], converged_s: float | None) -> Found:
-    """Checks a history; `held` maps each member to its rows at the end."""
-    said = acknowledged(history)
+def check(history: Sequence[dict], stored: Mapping[str, Sequence[Row]], converged_s: float | None) -> Found:
+    """Checks a history; `stored` maps each member to its rows at the end."""
+    acked_rows = acknowledged(history)
     lost = []
-    for name, rows in held.items():
+    for name, rows in stored.items():
         view = {row[0]: row for row in rows}
-        lost += [f"{row[0]} at {name}" for row in said if not outranked(row, view.get(row[0]))]
+        lost += [f"{row[0]} at {name}" for row in acked_rows if not outranked(row, view.get(row[0]))]
     asked = sum(line["event"] == "asked" for line in history)
     answers = sum(line["event"] == "answered" and line["acked"] for line in history)
-    return Found(asked, answers, sorted(set(lost)), differing(held), converged_s)
+    return Found(asked, answers, sorted(set(lost)), differing(stored), converged_s)
--- a/crowwing/emulator/fleet/member_access.py
+++ b/crowwing/emulator/fleet/member_access.py
@@ -60,9 +60,9 @@
     return {"from": member.me, **member.digests()}
 
 
-def put(member: Member, wall: int, key: str, value: object, ttl: int) -> None:
+def put(member: Member, wall_time: int, key: str, value: object, ttl: int) -> None:
     """Puts an entry; EntryRejectedError if it cannot be stored."""
-    member.dissemination_of(key).put(wall, key, value, ttl)
+    member.dissemination_of(key).put(wall_time, key, value, ttl)
 
 
 def holds(member: Member, key: str) -> bool:
@@ -97,9 +97,9 @@
     return [list(names)] if shared is None else [list(roster) for roster in shared.rosters.values()]
 
 
-def reports_cell_out(brings: Mapping, cell: str) -> bool:
+def reports_cell_out(fields: Mapping, cell: str) -> bool:
     """Returns whether an event `cells_out` reports this cell as unreachable."""
-    return any(covers(prefix, cell) for prefix in brings["cells"])
+    return any(covers(prefix, cell) for prefix in fields["cells"])
 
 
 def dead_cells(shared: CellLayout | None, down: Collection[str]) -> set[str]:
--- a/crowwing/emulator/fleet/mixed_fleet.py
+++ b/crowwing/emulator/fleet/mixed_fleet.py
@@ -48,9 +48,9 @@
         self.poll = select.poll()  # select() takes no descriptor over 1023, and the relay uses a thousand
         self.poll.register(self.child.stdout, select.POLLIN)
 
-    def tell(self, **told: object) -> None:
+    def tell(self, **fields: object) -> None:
         self.number += 1
-        self.send_line(told | {"n": self.number})
+        self.send_line(fields | {"n": self.number})
 
     def send_line(self, message: dict) -> None:
         try:
@@ -71,10 +71,12 @@
                 raise StubProcessError(f"{self.name}: has ended, see its log")
             self.buffer += chunk
         line, _, self.buffer = self.buffer.partition(b"\n")
-        told = orjson.loads(line)
-        if told["n"] != self.number:
-            raise StubProcessError(f"{self.name}: response {told['n']} does not match request {self.number}")
-        return told
+        response = orjson.loads(line)
+        if response["n"] != self.number:
+            raise StubProcessError(
+                f"{self.name}: response {response['n']} does not match request {self.number}"
+            )
+        return response
 
     def end(self) -> None:
         self.child.kill()
@@ -181,9 +183,9 @@
 
     def start_standalone(self) -> None:
         """Starts one more real backend without a fleet section, as the baseline for resource usage."""
-        told = orjson.loads(EXAMPLE_CONFIG.read_bytes())
+        configuration = orjson.loads(EXAMPLE_CONFIG.read_bytes())
         ports = {key: f"{self.host}:{free_port(1, self.host)}" for key in ("listen", "agent")}
-        self.standalone = BackendProcess(self.folder, told | ports | {"name": "alone"}, None, None)
+        self.standalone = BackendProcess(self.folder, configuration | ports | {"name": "alone"}, None, None)
 
     def _fleet_section(self, name: str) -> dict:
         """Returns the settings of a real member about its location and its peers."""
@@ -222,10 +224,10 @@
 
     # Commands to stub members
 
-    def tell(self, what: str, **told: object) -> list[dict]:
+    def tell(self, what: str, **fields: object) -> list[dict]:
         """Sends a command to all stub processes and returns their responses."""
         for host in self.stub_processes:
-            host.tell(do=what, **told)
+            host.tell(do=what, **fields)
         return [host.read_response() for host in self.stub_processes]
 
     def put(self, puts: Sequence[tuple[str, str, object]]) -> int:
@@ -233,19 +235,22 @@
 
         Raises StubProcessError if one is refused.
         """
-        told = self.tell("put", puts=puts)
-        if refused := [why for one in told for why in one["refused"]]:
+        responses = self.tell("put", puts=puts)
+        if refused := [why for one in responses for why in one["refused"]]:
             raise StubProcessError(f"entry refused: {refused[0]}")
-        return min(one["at"] for one in told)
+        return min(one["at"] for one in responses)
 
     def partition(self, pairs: Sequence[tuple[str, str]]) -> None:
         """Blocks the links between each pair of regions."""
         self.tell("cut", pairs=pairs)
         for one, other in pairs:
-            few, rest = self.real_members_in(one), self.real_members_in(other)
-            if few and rest:
-                told = [{"kind": "cut", "from": few, "to": rest}, {"kind": "cut", "from": rest, "to": few}]
-                self.partition_faults += self.relay.impose(told)
+            side_a, side_b = self.real_members_in(one), self.real_members_in(other)
+            if side_a and side_b:
+                faults = [
+                    {"kind": "cut", "from": side_a, "to": side_b},
+                    {"kind": "cut", "from": side_b, "to": side_a},
+                ]
+                self.partition_faults += self.relay.impose(faults)
 
     def heal(self) -> None:
         self.relay.lift(self.partition_faults)
@@ -255,16 +260,16 @@
     def in_zone(self, zone: str) -> list[str]:
         return [name for name in self.all_names if self.locations[name][1] == zone]
 
-    def ask(self, name: str, wait_s: float = 1.0, **told: object) -> dict | None:
+    def ask(self, name: str, wait_s: float = 1.0, **fields: object) -> dict | None:
         """Sends a request to a real member; answered ones are added to `request_counts`.
 
         Its own counters include them, so the harness can subtract its share.
         """
-        answer = super().ask(name, wait_s, **told)
+        answer = super().ask(name, wait_s, **fields)
         if answer is not None:
             counts = self.request_counts[name]
             counts["read"] += 1
-            counts["read_bytes"] += len(orjson.dumps(told | {"n": answer["n"]}))
+            counts["read_bytes"] += len(orjson.dumps(fields | {"n": answer["n"]}))
             counts["sent"] += 1
             counts["sent_bytes"] += len(orjson.dumps(answer))
         return answer
--- a/crowwing/emulator/fleet/process_fleet.py
+++ b/crowwing/emulator/fleet/process_fleet.py
@@ -82,9 +82,9 @@
         self.socket.bind((HOST, 0))
         self.number = 0
 
-    def ask(self, address: tuple[str, int], wait_s: float, **told: object) -> dict | None:
+    def ask(self, address: tuple[str, int], wait_s: float, **fields: object) -> dict | None:
         self.number += 1
-        self.socket.sendto(orjson.dumps(told | {"n": self.number}), address)
+        self.socket.sendto(orjson.dumps(fields | {"n": self.number}), address)
         until = time.monotonic() + wait_s
         while (left := until - time.monotonic()) > 0:
             self.socket.settimeout(left)
@@ -234,9 +234,9 @@
                     lines.append(line)
         return sorted(lines, key=lambda line: line["at"])
 
-    def ask(self, name: str, wait_s: float = 1.0, **told: object) -> dict | None:
+    def ask(self, name: str, wait_s: float = 1.0, **fields: object) -> dict | None:
         """Sends one request to a running member; None if it does not answer within `wait_s`."""
-        return self.client.ask(self.fleet_addresses[name], wait_s, **told)
+        return self.client.ask(self.fleet_addresses[name], wait_s, **fields)
 
     def view(self, name: str, wait_s: float = 1.0) -> dict | None:
         """Returns a running member's current view of the others."""
--- a/crowwing/emulator/fleet/stub_member.py
+++ b/crowwing/emulator/fleet/stub_member.py
@@ -175,8 +175,8 @@
             self.fetch_tasks.add(task)
             task.add_done_callback(self.fetch_tasks.discard)
         member.fetches.clear()
-        for event, brings in member.events:
-            host.on_event(self, event, brings)
+        for event, fields in member.events:
+            host.on_event(self, event, fields)
         member.events.clear()
         if host.watched and self.seen_changes != member_access.changes(member):
             self.seen_changes = member_access.changes(member)
--- a/crowwing/emulator/fleet/stub_process.py
+++ b/crowwing/emulator/fleet/stub_process.py
@@ -95,27 +95,27 @@
 
     # Events of members
 
-    def on_event(self, member: StubMember, event: str, brings: dict) -> None:
+    def on_event(self, member: StubMember, event: str, fields: dict) -> None:
         if event == "member":
-            state, name = brings["state"], brings["name"]
+            state, name = fields["state"], fields["name"]
             if state in ("dead", "left") and (watch := self.deaths.get(name)) is not None:
                 watch.record(member.name)
             event = f"{state}{'' if state != 'dead' or name in self.down else ', false'}"
         elif event == "caught_up":
-            self.catch_up_ms.append(brings["took_ms"])
+            self.catch_up_ms.append(fields["took_ms"])
         elif event == "cells_out":
             for cell, watch in self.dead_cells.items():
-                if member_access.reports_cell_out(brings, cell):
+                if member_access.reports_cell_out(fields, cell):
                     watch.record(member.name)
         self.events[event] += 1
 
-    def on_fetch_served(self, asker: str, whom: str, came: int, went: int) -> None:
-        if asker in self.real:
-            counts = self.fetch_counts.setdefault(asker, [0, 0, 0])
+    def on_fetch_served(self, requester: str, server: str, bytes_in: int, bytes_out: int) -> None:
+        if requester in self.real:
+            counts = self.fetch_counts.setdefault(requester, [0, 0, 0])
             counts[0] += 1
-            counts[1] += came
-            counts[2] += went
-            self.fetch_targets.setdefault(asker, Counter())[whom] += 1
+            counts[1] += bytes_in
+            counts[2] += bytes_out
+            self.fetch_targets.setdefault(requester, Counter())[server] += 1
 
     # Commands of the parent; each returns the response
 
@@ -211,7 +211,7 @@
 
         `of` limits the count for some deaths to a few members.
         """
-        of = {name: set(few) for name, few in command.get("of", {}).items()}
+        of = {name: set(members) for name, members in command.get("of", {}).items()}
         return {
             "keys": {key: _count_and_last(watch.first_seen.values()) for key, watch in self.watched.items()},
             "deaths": {
@@ -282,10 +282,10 @@
         return [name for name in command["names"] if name in self.members]
 
 
-def _count_and_last(moments: Iterable[int]) -> list[int]:
+def _count_and_last(times: Iterable[int]) -> list[int]:
     """Returns the number of times and the latest."""
-    moments = list(moments)
-    return [len(moments), max(moments, default=0)]
+    times = list(times)
+    return [len(times), max(times, default=0)]
 
 
 COMMANDS: dict[str, Callable] = {
