--- a/crowwing/emulator/emulation_run.py
+++ b/crowwing/emulator/emulation_run.py
@@ -367,7 +367,7 @@
         deaths = self.dependency.deaths
         ended = self.dependency.ended(now)
         if self.dependency.deaths > deaths:
-            self.truth.failures.append((now, None, "dependency"))
+            self.truth.failures.append((now, None, "what lies below"))
             for node in self.nodes:
                 for call in list(node.pending_calls):
                     node.abort_call(call)
--- a/crowwing/emulator/rules.py
+++ b/crowwing/emulator/rules.py
@@ -45,17 +45,17 @@
                     incarnation.ended,
                     incarnation.backend,
                     "",
-                    f"process exited with code {incarnation.code}",
+                    f"the process ended with {incarnation.code}",
                 )
             )
         elif incarnation.how == "drained" and (
             incarnation.code or incarnation.ended > incarnation.notice + plan.stop_ms * 1000 + ANSWER_SLACK_US
         ):
             found.append(
-                Breach(3, incarnation.ended, incarnation.backend, "", "stopped after its shutdown deadline")
+                Breach(3, incarnation.ended, incarnation.backend, "", "stopped later than it was told")
             )
     for at, backend, what in truth.failures:
-        found.append(Breach(4, at, backend, "", f"failed by overload: {what}"))
+        found.append(Breach(4, at, backend, "", f"fell over: {what}"))
     return sorted(found, key=lambda breach: breach.at)
 
 
@@ -78,14 +78,14 @@
                 attempt.over,
                 attempt.backend,
                 attempt.id,
-                "an answer or a launch that does not belong to the request",
+                "an answer or a launch that is not the ticket's own",
             )
         ]
     last = answer_deadline(attempt) + ANSWER_SLACK_US
     if attempt.ending in FINAL_ENDINGS:
         late = attempt.over > last
         return (
-            [Breach(1, attempt.over, attempt.backend, attempt.id, "answered after its deadline")]
+            [Breach(1, attempt.over, attempt.backend, attempt.id, "answered after its outer limit")]
             if late
             else []
         )
@@ -107,10 +107,10 @@
     if len(attempt.runs) > 1:
         found.append(Breach(2, attempt.runs[1][0], attempt.backend, attempt.id, "run twice"))
     if attempt.runs and attempt.ending == "dismissed":
-        found.append(Breach(2, attempt.over, attempt.backend, attempt.id, "rejected after it ran"))
+        found.append(Breach(2, attempt.over, attempt.backend, attempt.id, "dismissed after it ran"))
     for (_, _, how), (again, _, _) in zip(attempt.calls, attempt.calls[1:], strict=False):
         if how != "turned_away":
-            found.append(Breach(2, again, attempt.backend, attempt.id, f"call repeated after: {how}"))
+            found.append(Breach(2, again, attempt.backend, attempt.id, f"its call was repeated after: {how}"))
     return found
 
 
@@ -119,6 +119,6 @@
     if not incarnation.notice or attempt.came <= incarnation.notice + grace + ANSWER_SLACK_US:
         return []
     return [
-        Breach(3, run[0], attempt.backend, attempt.id, "run although it arrived after the grace period")
+        Breach(3, run[0], attempt.backend, attempt.id, "run though it came after the grace")
         for run in attempt.runs
     ]
--- a/tests/test_emulator_models.py
+++ b/tests/test_emulator_models.py
@@ -294,7 +294,7 @@
 
 def test_the_checker_sees_what_fell_over() -> None:
     truth = truth_of()
-    truth.failures = [(S, 0, "crowd"), (2 * S, None, "dependency")]
+    truth.failures = [(S, 0, "crowd"), (2 * S, None, "what lies below")]
     assert [(b.rule, b.backend) for b in rules.check(PLAN, truth)] == [(4, 0), (4, None)]
 
 
