--- a/benchmarks/membership_processes.py
+++ b/benchmarks/membership_processes.py
@@ -1,8 +1,8 @@
-"""Real backends with membership on, on loopback: a member killed, how soon every other one holds it dead.
+"""Measures how soon real backends on loopback detect a killed member.
 
     .venv/bin/python benchmarks/membership_processes.py [--sizes 5 10 20] [--seeds 3] [--loss 0.0]
 
-Emulated: period 200 ms, probe timeout 60 ms; links through the fault relay.
+Emulated: period 200 ms, probe time-out 60 ms; links go through the fault relay.
 """
 
 import argparse
--- a/benchmarks/slopes_figures.py
+++ b/benchmarks/slopes_figures.py
@@ -1,4 +1,4 @@
-"""Which figures are drawn from the rows of which measure (benchmarks/slopes_measures.py)."""
+"""The figures that are computed from the rows of the measures (benchmarks/slopes_measures.py)."""
 
 import math
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class Figure(NamedTuple):
-    """One figure from the rows of a measure: the value at an x, or the slope over x."""
+    """One figure from the rows of a measure: the value at one x, or the slope over x."""
 
     what: str
     unit: str
@@ -16,9 +16,9 @@
     field: str
     at_x: float | None = None
     factor: float = 1.0
-    first: bool = False  # the value of the first row, whatever its x
-    x_field: str = "x"  # what a slope is drawn over
-    max_x: float = math.inf  # the largest x of a slope, where the backend is at its end beyond it
+    first: bool = False  # the value of the first row, regardless of x
+    x_field: str = "x"  # the independent variable of a slope
+    max_x: float = math.inf  # the largest x of a slope; beyond it the backend is saturated
 
 
 FIGURES = {
--- a/benchmarks/tier_test_bed/stub_sidecars.py
+++ b/benchmarks/tier_test_bed/stub_sidecars.py
@@ -1,18 +1,18 @@
-"""Sidecars that are played: each request is answered by a stream of events, a few milliseconds apart."""
+"""Stub sidecars that respond to each request with a stream of events, a few milliseconds apart."""
 
 import asyncio
 from typing import Any
 
 from benchmarks.tier_test_bed.processes import SERVICE, sidecar_entries
 
-DEFAULT_EVENTS = 6  # where a request does not say how many in a header `Events`
-DEFAULT_PAUSE_MS = 4  # where a request does not say how long in a header `Pause-Ms`
+DEFAULT_EVENTS = 6  # unless the request has a header `Events`
+DEFAULT_PAUSE_MS = 4  # unless the request has a header `Pause-Ms`
 EVENT_TEXT = b"t" * 130
 LOAD_REPORT = b'{"waiting":0,"running":0}'
 
 
 async def start_sidecars(count: int, service: str = SERVICE) -> list[dict[str, Any]]:
-    """Starts some of one service; gives their entries in the platform's list."""
+    """Starts stub sidecars of one service; returns their entries in the platform's list."""
     entries = sidecar_entries(count, "127.0.0.1", service=service)
     for entry in entries:
         server = await asyncio.start_server(_serve, "127.0.0.1", 0)
